--- a/internal/mesh/inbound/caller.go
+++ b/internal/mesh/inbound/caller.go
@@ -2,62 +2,63 @@
 
 import "sync"
 
-// Caller is who waits for the answer to a request: a client of this machine, or a sender. It may
-// leave at any time. It does what a context does for much less: each request has one.
+// Caller represents whoever waits for the answer to a request: a client on this machine, or the
+// sender side of another sidecar. The caller may disconnect at any time. A Caller notifies at most
+// one function, which makes it much cheaper than a context for something that every request needs.
 type Caller struct {
-	// Look looks whether the caller has left, also where its close waits unread. It is asked after
-	// a wait.
+	// Disconnected polls whether the caller has disconnected, including a close that is still
+	// unread on its connection. It is called after a wait.
 	Disconnected func() bool
 
 	mu     sync.Mutex
-	left   bool
-	onLeft func()
+	gone   bool
+	onGone func()
 }
 
-// Leave takes in that the caller has left.
+// MarkGone records that the caller has disconnected or cancelled its request.
 func (c *Caller) MarkGone() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.left {
+	if c.gone {
 		return
 	}
-	c.left = true
-	if c.onLeft != nil {
-		c.onLeft()
+	c.gone = true
+	if c.onGone != nil {
+		c.onGone()
 	}
 }
 
-// HasLeft says whether the caller is known to have left.
+// IsGone reports whether MarkGone was called.
 func (c *Caller) IsGone() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.left
+	return c.gone
 }
 
-// isGone looks whether the caller has left.
-func (c *Caller) isGone() bool {
+// pollGone checks the connection and reports whether the caller is gone.
+func (c *Caller) pollGone() bool {
 	if !c.IsGone() && c.Disconnected() {
 		c.MarkGone()
 	}
 	return c.IsGone()
 }
 
-// whenLeft has a short function called once the caller leaves, at once if it has left, until the
-// function that is returned is called. That one says whether the caller has left; once it returns
-// the other neither runs nor will.
-func (c *Caller) whenLeft(f func()) (stop func() (left bool)) {
+// afterGone registers a function that is called once the caller is gone, or at once if it is gone
+// already. The function must return quickly. Calling stop unregisters it and reports whether the
+// caller is gone; once stop has returned, the function is not running and will not run.
+func (c *Caller) afterGone(f func()) (stop func() (gone bool)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.left {
+	if c.gone {
 		f()
 	}
-	c.onLeft = f
-	return c.stopWaiting
+	c.onGone = f
+	return c.unregister
 }
 
-func (c *Caller) stopWaiting() (left bool) {
+func (c *Caller) unregister() (gone bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.onLeft = nil
-	return c.left
+	c.onGone = nil
+	return c.gone
 }
--- a/internal/mesh/inbound/change.go
+++ b/internal/mesh/inbound/change.go
@@ -2,65 +2,67 @@
 
 import "example.org/micaline/internal/mesh/transport"
 
-// Cause is what a gate learns of its backend from.
+// Cause is the evidence on which a gate changed its view of its backend.
 type Cause uint8
 
-// The causes.
+// The causes of a change.
 const (
-	LocalHeartbeat        Cause = iota // the backend's beat, at this machine
-	RelayedHeartbeat                   // its beat, passed on by a core machine
-	LocalDeregistration                // its word that it ends, at this machine
-	RelayedDeregistration              // that word, passed on by a core machine
-	ProbeAnswered                      // its answer to a health probe
-	NotAtAddress                       // its address refuses connections, or another life answers there
-	HeartbeatTimeout                   // neither beats nor answers for long
-	causes
+	LocalHeartbeat        Cause = iota // a heartbeat from the backend to this sidecar
+	RelayedHeartbeat                   // a heartbeat that a control-plane node passed on
+	LocalDeregistration                // the backend's deregistration at this sidecar
+	RelayedDeregistration              // a deregistration that a control-plane node passed on
+	ProbeAnswered                      // the backend answered a health probe
+	NotAtAddress                       // its address refuses connections, or another instance answers there
+	HeartbeatTimeout                   // neither heartbeats nor answers for several heartbeat intervals
+	causeCount
 )
 
-var causeNames = [causes]string{"beat", "beat_by_core", "sign_off", "sign_off_by_core", "probe", "not_there", "silence"}
+var causeNames = [causeCount]string{"beat", "beat_by_core", "sign_off", "sign_off_by_core", "probe", "not_there", "silence"}
 
-func (c Cause) String() string { return causeNames[min(c, causes-1)] }
+func (c Cause) String() string { return causeNames[min(c, causeCount-1)] }
 
-// mostChanges bounds the changes that nobody has taken yet: a host takes them after each call.
-const mostChanges = 16
+// maxPendingChanges bounds the changes that have not been collected with popChanges. The host
+// collects them after each call, so the limit only guards against unbounded growth.
+const maxPendingChanges = 16
 
-// Change is a change of what a gate knows of its backend.
+// BackendChange is a change in what a gate knows about its backend.
 type BackendChange struct {
-	Backend         string // id of the life
-	State           string // one word of meshmetrics.Backends
+	Backend         string // id of the backend instance
+	State           string // one of meshmetrics.Backends
 	Cause           Cause
-	HeartbeatNumber uint64 // number of the call that brought it; 0: none did
+	HeartbeatNumber uint64 // number of the heartbeat that caused the change; 0 if none did
 }
 
-// noteChange returns a function that records whether the backend has changed from what it was.
-func (g *Gate) noteChange(before *transport.Backend, cause Cause, calls uint64) func() {
+// recordChange returns a function that records a BackendChange if the backend's state now differs
+// from the state before.
+func (g *Gate) recordChange(before *transport.Backend, cause Cause, heartbeatNumber uint64) func() {
 	return func() {
-		if sameStanding(before, g.lives.serving) {
+		if sameState(before, g.instances.serving) {
 			return
 		}
 		g.BackendChanges[cause]++
-		if len(g.changes) == mostChanges {
+		if len(g.pendingChanges) == maxPendingChanges {
 			return
 		}
-		of := g.lives.serving
-		if of == nil {
-			of = before
+		backend := g.instances.serving
+		if backend == nil {
+			backend = before
 		}
-		g.changes = append(g.changes, BackendChange{Backend: of.ID, State: g.state(), Cause: cause, HeartbeatNumber: calls})
+		g.pendingChanges = append(g.pendingChanges, BackendChange{Backend: backend.ID, State: g.state(), Cause: cause, HeartbeatNumber: heartbeatNumber})
 	}
 }
 
-// sameStanding says whether two words about the backend are of one life that stands the same.
-func sameStanding(x, y *transport.Backend) bool {
+// sameState reports whether x and y are the same backend instance with the same draining flag.
+func sameState(x, y *transport.Backend) bool {
 	if x == nil || y == nil {
 		return x == y
 	}
 	return x.ID == y.ID && x.Draining == y.Draining
 }
 
-// takeChanges returns the changes since it was last called.
-func (g *Gate) takeChanges() []BackendChange {
-	taken := g.changes
-	g.changes = nil
-	return taken
+// popChanges returns the changes since the previous call.
+func (g *Gate) popChanges() []BackendChange {
+	pending := g.pendingChanges
+	g.pendingChanges = nil
+	return pending
 }
--- a/internal/mesh/inbound/exchange.go
+++ b/internal/mesh/inbound/exchange.go
@@ -16,13 +16,13 @@
 	"github.com/samber/oops"
 )
 
-// Headers that a backend and the mesh speak.
+// HTTP headers that the sidecar and the backend exchange.
 const (
 	TryIDHeader          = "Try-Id"
 	TimeLeftHeader       = "Time-Left"
 	TargetServerHeader   = "Target-Server"
 	CallingServiceHeader = "Calling-Service"
-	// CustomerHeader names the tenant for whom a request runs.
+	// CustomerHeader names the tenant on whose behalf a request runs.
 	CustomerHeader = "Customer"
 	SealHeader     = "Server-Seal"
 	NotRunHeader   = "Not-Run"
@@ -30,143 +30,148 @@
 )
 
 const (
-	mostStrangers = 2  // answers to others' requests that are passed over on one connection
-	mostEarly     = 16 // answers of status 1xx that are passed over before one that counts
-	mostStatus    = 599
+	maxStaleResponses   = 2  // responses to other requests that are skipped on one connection
+	maxInterimResponses = 16 // 1xx responses that are skipped before the final response
+	maxStatus           = 599
 )
 
-// answer is what a backend said to one request.
-type answer struct {
-	status int
-	header []string
-	body   []byte
-	keep   bool
+// response is a backend's complete response to one request.
+type response struct {
+	status    int
+	header    []string
+	body      []byte
+	keepAlive bool
 }
 
-// hop names the headers that concern one connection only.
-var hop = map[string]bool{"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Te": true, "Trailer": true,
+// hopByHop lists the headers that apply to a single connection and are not forwarded.
+var hopByHop = map[string]bool{"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true}
 
-// Passes says whether a header is passed on.
-func IsEndToEndHeader(name string) bool { return !hop[name] }
+// IsEndToEndHeader reports whether a header is forwarded. The name must be in canonical form.
+func IsEndToEndHeader(name string) bool { return !hopByHop[name] }
 
-// encode writes the request as the backend gets it.
-func encode(b []byte, a *transport.Request, body []byte) []byte {
-	b = append(b, a.Method...)
-	b = append(b, ' ')
-	b = append(b, a.URI...)
-	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = append(b, a.Host...)
-	line := func(name, value string) {
-		b = append(b, "\r\n"...)
-		b = append(b, name...)
-		b = append(b, ": "...)
-		b = append(b, value...)
+// appendRequest appends the request in HTTP/1.1 wire format, as it is sent to the backend.
+func appendRequest(buf []byte, req *transport.Request, body []byte) []byte {
+	buf = append(buf, req.Method...)
+	buf = append(buf, ' ')
+	buf = append(buf, req.URI...)
+	buf = append(buf, " HTTP/1.1\r\nHost: "...)
+	buf = append(buf, req.Host...)
+	appendHeader := func(name, value string) {
+		buf = append(buf, "\r\n"...)
+		buf = append(buf, name...)
+		buf = append(buf, ": "...)
+		buf = append(buf, value...)
 	}
-	for i := 0; i+1 < len(a.Header); i += 2 {
-		line(a.Header[i], a.Header[i+1])
+	for i := 0; i+1 < len(req.Header); i += 2 {
+		appendHeader(req.Header[i], req.Header[i+1])
 	}
-	line(TryIDHeader, a.Try)
-	line(TimeLeftHeader, strconv.FormatInt(max(1, a.Left.Milliseconds()), 10))
-	line(TargetServerHeader, a.Target)
-	line(CallingServiceHeader, a.Caller)
-	if a.Customer != "" {
-		line(CustomerHeader, a.Customer)
+	appendHeader(TryIDHeader, req.Try)
+	appendHeader(TimeLeftHeader, strconv.FormatInt(max(1, req.Left.Milliseconds()), 10))
+	appendHeader(TargetServerHeader, req.Target)
+	appendHeader(CallingServiceHeader, req.Caller)
+	if req.Customer != "" {
+		appendHeader(CustomerHeader, req.Customer)
 	}
-	if len(body) > 0 || a.Method != http.MethodGet && a.Method != http.MethodHead {
-		line("Content-Length", strconv.Itoa(len(body)))
+	if len(body) > 0 || req.Method != http.MethodGet && req.Method != http.MethodHead {
+		appendHeader("Content-Length", strconv.Itoa(len(body)))
 	}
-	b = append(b, "\r\n\r\n"...)
-	return append(b, body...)
+	buf = append(buf, "\r\n\r\n"...)
+	return append(buf, body...)
 }
 
-// reader reads the answer to a try from a connection to the backend.
-type reader struct {
-	from  *bufio.Reader
-	limit func(int64) // bounds how many bytes are read on
-	most  int64       // bytes of one answer
-	ask   *transport.Request
-	fresh bool // no request has gone over the connection before
+// responseReader reads the response to a request from a connection to the backend.
+type responseReader struct {
+	buffered  *bufio.Reader
+	limitRead func(int64) // limits how many more bytes are read from the connection
+	maxBytes  int64       // limit for one response
+	req       *transport.Request
+	freshConn bool // no request was sent on the connection before
 }
 
-// read reads the answer to the try. Danger: an answer to somebody else's may stand in its place; the id shows it, and the one
-// that is due comes behind it.
-func (r *reader) read() (*answer, *transport.Failure) {
-	for strangers, early := 0, 0; ; {
-		r.limit(r.most)
-		resp, err := http.ReadResponse(r.from, &http.Request{Method: r.ask.Method})
+// read reads the response to the request. A response to an earlier request may come first on a
+// reused connection. Its id gives it away, and the expected response follows it, so a few of these
+// are skipped.
+func (r *responseReader) read() (*response, *transport.Failure) {
+	for stale, interim := 0, 0; ; {
+		r.limitRead(r.maxBytes)
+		resp, err := http.ReadResponse(r.buffered, &http.Request{Method: r.req.Method})
 		if err != nil {
-			return broken(err)
+			return brokenResponse(err)
 		}
 		if resp.StatusCode/100 == 1 {
-			if early++; early > mostEarly || resp.StatusCode == http.StatusSwitchingProtocols {
-				return spoilt("an answer %d", resp.StatusCode)
+			if interim++; interim > maxInterimResponses || resp.StatusCode == http.StatusSwitchingProtocols {
+				return invalidResponse("unexpected interim response with status %d", resp.StatusCode)
 			}
 			continue
 		}
-		body, err := r.body(resp)
+		body, err := r.readBody(resp)
 		if err != nil {
-			return broken(err)
+			return brokenResponse(err)
 		}
-		if !r.due(resp) {
-			if id := resp.Header.Get(TryIDHeader); id == "" || strangers == mostStrangers {
-				return spoilt("an answer to try %q", id)
+		if !r.matchesRequest(resp) {
+			if id := resp.Header.Get(TryIDHeader); id == "" || stale == maxStaleResponses {
+				return invalidResponse("response with Try-Id %q does not match the request", id)
 			}
-			strangers++
+			stale++
 			continue
 		}
-		if why := unsound(resp); why != "" {
-			return spoilt("an answer %d %s", resp.StatusCode, why)
+		if reason := invalidReason(resp); reason != "" {
+			return invalidResponse("invalid response with status %d: %s", resp.StatusCode, reason)
 		}
-		return &answer{status: resp.StatusCode, header: passed(resp.Header), body: body, keep: !resp.Close && strangers == 0}, nil
+		return &response{status: resp.StatusCode, header: endToEndHeaders(resp.Header), body: body, keepAlive: !resp.Close && stale == 0}, nil
 	}
 }
 
-// body reads the body of an answer whole.
-func (r *reader) body(resp *http.Response) ([]byte, error) {
-	switch n := resp.ContentLength; {
-	case r.ask.Method == http.MethodHead:
-		return nil, nil // its length is that of a body which does not come
-	case n >= 0 && n <= r.most:
-		body := make([]byte, n)
+// readBody reads the complete body of a response.
+func (r *responseReader) readBody(resp *http.Response) ([]byte, error) {
+	switch length := resp.ContentLength; {
+	case r.req.Method == http.MethodHead:
+		return nil, nil // the Content-Length of a response to HEAD describes a body that is not sent
+	case length >= 0 && length <= r.maxBytes:
+		body := make([]byte, length)
 		_, err := io.ReadFull(resp.Body, body)
 		return body, err
 	}
 	return io.ReadAll(resp.Body)
 }
 
-// due says whether an answer is that to the try. Only one that turns a request away may lack the id.
-// Danger: where another request has gone over the connection before, it may be a late one to that,
-// and would prove of this one what it does not know.
-func (r *reader) due(resp *http.Response) bool {
+// matchesRequest reports whether a response belongs to the request. Only a response that rejects
+// the request may lack the id, and only on a connection that carried no request before: otherwise
+// it may be a late rejection of an earlier request, and would falsely prove that this one did not
+// run.
+func (r *responseReader) matchesRequest(resp *http.Response) bool {
 	id := resp.Header.Get(TryIDHeader)
-	return id == r.ask.Try || id == "" && r.fresh && turnsAway(resp)
+	return id == r.req.Try || id == "" && r.freshConn && reportsNotRun(resp)
 }
 
-// turnsAway says whether an answer says that its request did not run and never will.
-func turnsAway(resp *http.Response) bool {
+// reportsNotRun reports whether a response states that its request did not run and never will.
+func reportsNotRun(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusMisdirectedRequest || resp.StatusCode >= 400 && resp.Header.Get(NotRunHeader) != ""
 }
 
-// unsound says what keeps an answer from being passed on, though it is to this try; empty: nothing.
-func unsound(resp *http.Response) string {
+// invalidReason explains why a response to the right request cannot be forwarded. It is empty for a
+// valid response.
+func invalidReason(resp *http.Response) string {
 	switch success := resp.StatusCode/100 == 2; {
-	case resp.StatusCode < http.StatusOK || resp.StatusCode > mostStatus:
-		return "of no known kind"
+	case resp.StatusCode < http.StatusOK || resp.StatusCode > maxStatus:
+		return "unknown status class"
 	case success && resp.Header.Get(NotRunHeader) != "":
-		return "that says both that it ran and that it did not"
+		return "success status together with a Not-Run header"
 	case success && resp.Header.Get(SealHeader) == "":
-		return "without a seal"
+		return "success without a seal"
 	case success && resp.Header.Get("Content-Encoding") != "":
-		return "with an encoding"
-	case resp.ContentLength < 0 && resp.Close && len(resp.TransferEncoding) == 0 && !turnsAway(resp):
-		return "of which only the end of the connection shows the end" // it may have been cut
+		return "unexpected Content-Encoding"
+	case resp.ContentLength < 0 && resp.Close && len(resp.TransferEncoding) == 0 && !reportsNotRun(resp):
+		// A connection that breaks in the middle of the body looks the same.
+		return "body length is neither declared nor chunked"
 	}
 	return ""
 }
 
-// passed lists the headers of an answer that go on to the client.
-func passed(h http.Header) (list []string) {
+// endToEndHeaders returns the headers that are forwarded to the client, as alternating names and
+// values.
+func endToEndHeaders(h http.Header) (list []string) {
 	for name, values := range h {
 		if !IsEndToEndHeader(name) {
 			continue
@@ -178,8 +183,8 @@
 	return list
 }
 
-// broken is the failure of an answer that did not come whole.
-func broken(err error) (*answer, *transport.Failure) {
+// brokenResponse returns the failure for a response that could not be read completely.
+func brokenResponse(err error) (*response, *transport.Failure) {
 	reason := transport.Broken
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		reason = transport.ResponseTimeout
@@ -187,40 +192,42 @@
 	return nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: reason, Cause: err}
 }
 
-// spoilt is the failure of an answer that is not the whole one to the try.
-func spoilt(format string, args ...any) (*answer, *transport.Failure) {
+// invalidResponse returns the failure for a response that was read but cannot be trusted.
+func invalidResponse(format string, args ...any) (*response, *transport.Failure) {
 	return nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.InvalidResponse, Cause: oops.Errorf(format, args...)}
 }
 
-// meaning reads a whole answer: a failure if the backend did not run the request. Danger: only its own word proves that; a 503
-// without it may have run.
-func (a *answer) meaning() *transport.Failure {
-	notRun, id := a.status == http.StatusMisdirectedRequest, ""
-	for i := 0; i+1 < len(a.header); i += 2 {
-		switch a.header[i] {
+// notRunFailure returns a failure if the response proves that the backend did not run the request,
+// and nil otherwise. Only an explicit statement by the backend proves this: a 503 without the
+// Not-Run header may come from a request that ran.
+func (r *response) notRunFailure() *transport.Failure {
+	notRun, serverID := r.status == http.StatusMisdirectedRequest, ""
+	for i := 0; i+1 < len(r.header); i += 2 {
+		switch r.header[i] {
 		case NotRunHeader:
 			notRun = true
 		case ServerIDHeader:
-			id = a.header[i+1]
+			serverID = r.header[i+1]
 		}
 	}
 	if !notRun {
 		return nil
 	}
-	switch a.status {
+	switch r.status {
 	case http.StatusMisdirectedRequest:
-		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.UnknownBackend, Cause: oops.Errorf("%s is here", id)}
+		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.UnknownBackend, Cause: oops.Errorf("instance %q answered at this address", serverID)}
 	case http.StatusBadRequest:
 		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Broken}
 	}
 	return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full}
 }
 
-// refused says whether an address answered that nobody listens there.
-func refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// connectionRefused reports whether nothing listens at the address that was dialed.
+func connectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// targetOf is where a life of the backend is reached: another life's connections are not its own.
-func (h *Host) targetOf(address, id string) *connpool.Target {
+// targetFor returns the connection target of a backend instance. When the instance or its address
+// changes, the connections of the previous instance are retired.
+func (h *Host) targetFor(address, id string) *connpool.Target {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.target == nil || h.targetID != id || h.target.Addr != address {
@@ -232,68 +239,69 @@
 	return h.target
 }
 
-// connect gets a connection to the backend.
-func (h *Host) connect(caller *Caller, address string, a *transport.Request, sent time.Time) (*connpool.Conn, *transport.Failure) {
-	target := h.targetOf(address, a.Target)
+// connect returns an idle or a new connection to the backend.
+func (h *Host) connect(caller *Caller, address string, req *transport.Request, sentAt time.Time) (*connpool.Conn, *transport.Failure) {
+	target := h.targetFor(address, req.Target)
 	if c := h.pool.GetIdle(target); c != nil {
 		return c, nil
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), sent.Add(min(a.Left, connectTime)))
+	ctx, cancel := context.WithDeadline(context.Background(), sentAt.Add(min(req.Left, connectTimeout)))
 	defer cancel()
-	stop := caller.whenLeft(cancel)
+	stop := caller.afterGone(cancel)
 	defer stop()
 	c, err := h.pool.Get(ctx, target)
 	if err == nil {
 		return c, nil
 	}
-	f := &transport.Failure{Verdict: transport.NotRun, Reason: transport.Unreachable, Cause: err}
+	failure := &transport.Failure{Verdict: transport.NotRun, Reason: transport.Unreachable, Cause: err}
 	switch {
-	case refused(err):
-		f.Reason = transport.UnknownBackend
+	case connectionRefused(err):
+		failure.Reason = transport.UnknownBackend
 	case connpool.IsShortage(err):
-		f.Reason = transport.LocalShortage
+		failure.Reason = transport.LocalShortage
 	}
-	return nil, f
+	return nil, failure
 }
 
-// exchangeUntil hands a request to the backend and breaks its run off once the caller has gone: the
-// close of its connection is what tells the backend. What had come whole by then counts.
-func (h *Host) exchangeUntil(caller *Caller, c *connpool.Conn, a *transport.Request, body []byte) (*answer, *transport.Failure) {
-	stop := caller.whenLeft(c.Overdue)
-	ans, reuse, f := h.roundTrip(c, a, body)
-	left := stop()
-	if f != nil && left {
-		f = cancelled(transport.MayHaveRun)
+// roundTripCancellable sends a request to the backend and closes the connection once the caller is
+// gone, which tells the backend to stop. A response that was complete by then still counts.
+func (h *Host) roundTripCancellable(caller *Caller, conn *connpool.Conn, req *transport.Request, body []byte) (*response, *transport.Failure) {
+	stop := caller.afterGone(conn.Overdue)
+	resp, reusable, failure := h.roundTrip(conn, req, body)
+	gone := stop()
+	if failure != nil && gone {
+		failure = cancelledFailure(transport.MayHaveRun)
 	}
-	h.giveBack(c, reuse && !left) // once it is overdue nothing more is read from it
-	return ans, f
+	h.releaseConn(conn, reusable && !gone) // an overdue connection is not read any more
+	return resp, failure
 }
 
-// exchange hands a request to the backend and returns its answer.
-func (h *Host) exchange(c *connpool.Conn, a *transport.Request, body []byte) (*answer, *transport.Failure) {
-	ans, reuse, f := h.roundTrip(c, a, body)
-	h.giveBack(c, reuse)
-	return ans, f
+// roundTripUninterrupted sends a request to the backend and returns its response, whether or not
+// the caller is still there.
+func (h *Host) roundTripUninterrupted(conn *connpool.Conn, req *transport.Request, body []byte) (*response, *transport.Failure) {
+	resp, reusable, failure := h.roundTrip(conn, req, body)
+	h.releaseConn(conn, reusable)
+	return resp, failure
 }
 
-// giveBack ends a request's use of a connection.
-func (h *Host) giveBack(c *connpool.Conn, reuse bool) {
-	if !reuse {
-		h.pool.Discard(c)
+// releaseConn returns a connection to the pool or closes it.
+func (h *Host) releaseConn(conn *connpool.Conn, reusable bool) {
+	if !reusable {
+		h.pool.Discard(conn)
 		return
 	}
-	c.SetDeadline(time.Time{})
-	h.pool.Put(c)
+	conn.SetDeadline(time.Time{})
+	h.pool.Put(conn)
 }
 
-// roundTrip sends a request, reads its answer, and says whether the connection can carry another.
-func (h *Host) roundTrip(c *connpool.Conn, a *transport.Request, body []byte) (ans *answer, reuse bool, f *transport.Failure) {
-	if _, err := c.Write(encode(make([]byte, 0, 512+len(body)), a, body)); err != nil {
+// roundTrip sends a request, reads its response and reports whether the connection can be reused.
+func (h *Host) roundTrip(conn *connpool.Conn, req *transport.Request, body []byte) (resp *response, reusable bool, failure *transport.Failure) {
+	if _, err := conn.Write(appendRequest(make([]byte, 0, 512+len(body)), req, body)); err != nil {
 		return nil, false, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Broken, Cause: err}
 	}
-	r := reader{from: c.Reader, limit: c.Limit, most: h.mostAnswer, ask: a, fresh: c.Fresh()}
-	if ans, f = r.read(); f != nil {
-		return nil, false, f
+	r := responseReader{buffered: conn.Reader, limitRead: conn.Limit, maxBytes: h.maxResponseBytes, req: req, freshConn: conn.Fresh()}
+	if resp, failure = r.read(); failure != nil {
+		return nil, false, failure
 	}
-	return ans, ans.keep && c.Reader.Buffered() == 0, nil
+	return resp, resp.keepAlive && conn.Reader.Buffered() == 0, nil
 }
--- a/internal/mesh/inbound/figures.go
+++ b/internal/mesh/inbound/figures.go
@@ -7,56 +7,58 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// Figures adds what the gate and its host count.
-func (h *Host) AddMetrics(f *meshmetrics.Set) {
-	f.Add("micaline_mesh_gate_handed_total", float64(h.Dispatched.Load()))
-	f.Add("micaline_mesh_gate_answered_total", float64(h.Answered.Load()))
-	f.Add("micaline_mesh_gate_failed_total", float64(h.Failed.Load()))
-	h.WithGate(func(now time.Duration, g *Gate) bool {
-		g.figures(now, f)
+// AddMetrics adds the metrics of the gate and its host to the set.
+func (h *Host) AddMetrics(set *meshmetrics.Set) {
+	set.Add("micaline_mesh_gate_handed_total", float64(h.Dispatched.Load()))
+	set.Add("micaline_mesh_gate_answered_total", float64(h.Answered.Load()))
+	set.Add("micaline_mesh_gate_failed_total", float64(h.Failed.Load()))
+	h.WithGate(func(now time.Duration, gate *Gate) bool {
+		gate.addMetrics(now, set)
 		return false
 	})
 }
 
-func (g *Gate) figures(now time.Duration, f *meshmetrics.Set) {
-	g.step(now)
+func (g *Gate) addMetrics(now time.Duration, set *meshmetrics.Set) {
+	g.advance(now)
 	for reason, name := range transport.ReasonNames() {
-		f.Add("micaline_mesh_gate_refused_total", float64(g.Refused[reason]), name) // also 0: the first is seen as a rise
+		// Zeros are exported too, so that the first refusal shows as an increase.
+		set.Add("micaline_mesh_gate_refused_total", float64(g.Refused[reason]), name)
 	}
 	for cause, name := range causeNames {
-		f.Add("micaline_mesh_gate_backend_changes_total", float64(g.BackendChanges[cause]), name)
+		set.Add("micaline_mesh_gate_backend_changes_total", float64(g.BackendChanges[cause]), name)
 	}
-	f.Add("micaline_mesh_gate_late_calls_total", float64(g.StaleHeartbeats))
+	set.Add("micaline_mesh_gate_late_calls_total", float64(g.StaleHeartbeats))
 	capacity := 0
-	if g.lives.serving != nil {
-		capacity = g.lives.serving.Capacity
+	if g.instances.serving != nil {
+		capacity = g.instances.serving.Capacity
 	}
-	f.Add("micaline_mesh_gate_in_flight", float64(g.inFlight))
-	f.Add("micaline_mesh_gate_waiting", float64(len(g.waiting)))
-	f.Add("micaline_mesh_gate_capacity", float64(capacity))
-	f.Add("micaline_mesh_gate_cold_peak", float64(max(g.peaks[0], g.peaks[1])))
-	bound := 0.0
+	set.Add("micaline_mesh_gate_in_flight", float64(g.inFlight))
+	set.Add("micaline_mesh_gate_waiting", float64(len(g.queue)))
+	set.Add("micaline_mesh_gate_capacity", float64(capacity))
+	set.Add("micaline_mesh_gate_cold_peak", float64(max(g.coldPeaks[0], g.coldPeaks[1])))
+	warmupBound := 0.0
 	if g.rules.WarmupRate > 0 {
-		bound = g.rules.WarmupRate*g.rules.WarmupExcess + g.rules.WarmupMargin
+		warmupBound = g.rules.WarmupRate*g.rules.WarmupExcess + g.rules.WarmupMargin
 	}
-	f.Add("micaline_mesh_gate_cold_bound", bound)
-	f.OneOf("micaline_mesh_gate_backend_state", g.state(), meshmetrics.Backends)
+	set.Add("micaline_mesh_gate_cold_bound", warmupBound)
+	set.OneOf("micaline_mesh_gate_backend_state", g.state(), meshmetrics.Backends)
 }
 
-// state is one word of meshmetrics.Backends. What shuts the gate stands before what only slows it.
+// state returns one of meshmetrics.Backends. A state that closes the gate takes precedence over one
+// that only slows it down.
 func (g *Gate) state() string {
 	switch {
-	case g.lives.serving == nil && g.lives.unproven != nil:
+	case g.instances.serving == nil && g.instances.unconfirmed != nil:
 		return "unproven"
-	case g.lives.serving == nil:
+	case g.instances.serving == nil:
 		return "none"
 	case g.rules.NoConfig:
 		return "blind"
-	case g.lives.serving.Draining:
+	case g.instances.serving.Draining:
 		return "draining"
 	case g.rules.Evacuated:
 		return "evacuated"
-	case g.cold > g.now:
+	case g.coldUntil > g.now:
 		return "cold"
 	}
 	return "ready"
--- a/internal/mesh/inbound/gate.go
+++ b/internal/mesh/inbound/gate.go
@@ -1,19 +1,27 @@
-// Package inbound is the gate: admission beside a backend.
+// Package inbound is the receiving side of the service mesh: admission control in front of a
+// backend.
 //
-// A backend is reached only from its own machine, so all that reaches it passes one Gate, and what a Gate decides needs no
-// agreement: it holds through every cut, stale view and restart. A Gate is a machine without I/O, clock or goroutines. It serves
-// at most one life of a backend, which its calls tell (lives), and decides for each request that arrives whether it is handed
-// over now, waits for a slot, or is refused. What is refused did not run and never will.
+// A backend is reachable only from its own machine, so every request to it passes the one Gate
+// beside it. A Gate therefore decides without consensus, and its decisions hold during network
+// partitions, with stale membership views and across restarts. A Gate is a state machine without
+// I/O, clock or goroutines; a Host runs it and talks to the network. The Gate serves at most one
+// backend instance at a time, which it learns from the backend's heartbeats (see instanceTracker).
+// For each request it decides whether the request is dispatched to the backend now, waits in the
+// queue for a slot, or is refused. A refused request has not run and never will.
 //
-// What it promises:
+// A Gate guarantees:
 //
-//   - Life: only the life that is named by the request gets it, and only one that has been heard by this process; and only what was
-//     meant for this process is handed over.
-//   - Drain: once the backend has said that it leaves, here or at an earlier process, or while its zone is evacuated, nothing more is
-//     handed over, whatever comes late.
-//   - Warm-up: in no span of a second does a cold backend get more than the bound, counted over restarts of the gate.
-//   - Room: no more is handed over at once than the backend works on at once, so that it never meets what it cannot queue.
-//   - Once: one id of an unsafe request is handed over once in the life of the process, and never refused with a promise after that.
+//   - Identity: a request reaches only the backend instance that it names, only after this process
+//     has confirmed that instance, and only if the request was addressed to this sidecar process.
+//   - Drain: nothing is dispatched once the backend has announced that it shuts down, whether to
+//     this process or to an earlier one, nor while its zone is evacuated. Heartbeats that arrive
+//     late do not change this.
+//   - Warm-up: in any span of one second, a cold backend gets no more requests than the bound, even
+//     if the gate restarts.
+//   - Concurrency: no more requests are in flight than the backend processes at once, so the
+//     backend never has to queue any.
+//   - At most once: an unsafe request is dispatched only once by a process, identified by its id,
+//     and is never reported as not run after that.
 package inbound
 
 import (
@@ -26,196 +34,204 @@
 )
 
 const (
-	span       = 1050 * time.Millisecond // of the warm-up bound: a second, and what clocks and sockets blur
-	mostTwice  = 1 << 15                 // ids of unsafe requests remembered in each of two generations
-	twiceFor   = 30 * time.Second        // that a generation lasts: longer than any client waits
-	gain       = 0.1                     // weight of a sample in the moving means
-	queueSlots = 2                       // requests that wait at most, for each slot: more wait longer than any may
-	bodyWait   = 0.6                     // part of its spare time that a long body waits for the link at most: swept, see docs/design/mesh.md
-	deadAfter  = 3                       // beats missed in a row until the backend is taken to be gone
+	warmupWindow        = 1050 * time.Millisecond // a second, and tolerance for clocks and socket buffers
+	maxSeenIDs          = 1 << 15                 // ids of unsafe requests kept in each of two generations
+	seenIDLifetime      = 30 * time.Second        // of a generation; longer than any client waits
+	averageWeight       = 0.1                     // weight of a new sample in the moving averages
+	queuePerSlot        = 2                       // more queued requests per slot would wait too long in any case
+	uploadWaitShare     = 0.6                     // of its slack, for an upload; see docs/design/mesh.md
+	maxMissedHeartbeats = 3                       // in a row, before the backend counts as lost
 )
 
-// Rules are what the configuration and the deployment say of the backend's service and zone.
+// Rules is the configuration that applies to the backend's service and zone.
 type Rules struct {
-	NoConfig          bool // the configuration is not known: nothing is handed over
-	Evacuated         bool
-	RefuseUploads     bool // bodies that are offered before they are sent go elsewhere
-	Warmup            time.Duration
-	WarmupRate        float64
-	WarmupExcess      float64 // the bound in a second is WarmupPerS x Excess + Margin
+	NoConfig          bool          // the configuration is not known, so nothing is dispatched
+	Evacuated         bool          // the backend's zone is evacuated
+	RefuseUploads     bool          // uploads are refused when they are offered, and go to other gates
+	Warmup            time.Duration // for which a backend counts as cold after its zone was evacuated
+	WarmupRate        float64       // requests per second that a cold backend is meant to get
+	WarmupExcess      float64       // the bound in any second is WarmupRate x WarmupExcess + WarmupMargin
 	WarmupMargin      float64
 	HeartbeatInterval time.Duration
-	LinkBitsPerSecond float64 // of the machine's link, bits a second; 0: unknown
+	LinkBitsPerSecond float64 // bandwidth of the machine's network link; 0 if unknown
 }
 
-// coldLimit is how many requests a cold backend gets in a second. It bears WarmupPerS; the bound above that is for what is
-// counted differently where it arrives.
+// coldLimit is the number of requests dispatched to a cold backend per second. It is a little above
+// WarmupRate, but stays below the bound: the backend counts requests on arrival, and may attribute
+// more of them to one second than the gate does.
 func (r *Rules) coldLimit() int {
 	bound := r.WarmupRate*r.WarmupExcess + r.WarmupMargin
 	return int(max(1, min(r.WarmupRate*1.1+r.WarmupMargin*0.3, bound-2)))
 }
 
-// Gate is the machine. It is not safe for concurrent use.
+// Gate is the admission state machine. It is not safe for concurrent use.
 type Gate struct {
-	rules    Rules
-	started  time.Duration
-	now      time.Duration
-	lives    lives
-	heard    time.Duration // the last beat, or answer, of the life that is served
-	cold     time.Duration // until then
-	inFlight int
-	coming   int             // requests of which the body is still on its way here,
-	bytes    int64           // and how much of them there is in all
-	waiting  []*Ticket       // by due
-	handed   []time.Duration // to a cold backend, within the span
-	peaks    [2]int          // the most that these were while it was cold, in each of two generations
-	recent   float64         // seconds of work
-	rate     meter
-	errors   meter
-	ids      *seenids.Set // of unsafe requests that were handed over, or wait
-	aged     time.Duration
-	names    [2]uint64       // lives of this process: the present one, and the one that it went by before
-	changes  []BackendChange // that nobody has been told of yet
-	// Refused counts by reason.
+	rules            Rules
+	startedAt        time.Duration
+	now              time.Duration
+	instances        instanceTracker
+	lastContact      time.Duration // last heartbeat or response of the backend that is served
+	coldUntil        time.Duration // the backend is warming up until then
+	inFlight         int
+	incomingBodies   int             // requests whose body is still being received
+	incomingBytes    int64           // total size of these bodies
+	queue            []*Ticket       // sorted by Ticket.compare
+	recentDispatches []time.Duration // dispatch times within the last warmupWindow
+	coldPeaks        [2]int          // most recentDispatches while cold, in this and the previous generation
+	meanLatency      float64         // moving average of the backend's response time, in seconds
+	successes        rateMeter
+	failures         rateMeter
+	unsafeIDs        *seenids.Set    // of unsafe requests that were dispatched or are queued
+	peaksRotatedAt   time.Duration   // when coldPeaks was last rotated
+	ownLives         [2]uint64       // incarnation numbers of this process: current and previous
+	pendingChanges   []BackendChange // not yet collected with popChanges
+	// Refused counts refused requests by transport.Reason.
 	Refused [32]uint64
-	// Changes counts changes of the backend by cause, LateCalls its calls that came behind later ones.
-	BackendChanges  [causes]uint64
+	// BackendChanges counts changes of the backend by cause. StaleHeartbeats counts heartbeats that
+	// arrived after newer ones and were ignored.
+	BackendChanges  [causeCount]uint64
 	StaleHeartbeats uint64
 }
 
-// New returns a gate that knows no backend.
-func NewGate(now time.Duration, r Rules) *Gate {
-	return &Gate{rules: r, lives: lives{started: now}, started: now, now: now, aged: now, ids: seenids.New(now, twiceFor, mostTwice)}
+// NewGate returns a gate that knows no backend yet.
+func NewGate(now time.Duration, rules Rules) *Gate {
+	return &Gate{rules: rules, instances: instanceTracker{startedAt: now}, startedAt: now, now: now, peaksRotatedAt: now, unsafeIDs: seenids.New(now, seenIDLifetime, maxSeenIDs)}
 }
 
-// Named takes in by which life others know this process. It changes once the core has heard an
-// earlier process by a later life; what was sent to the former name is still meant for this one.
+// SetLife sets the incarnation number under which others know this process. The number changes when
+// the control plane has seen an earlier process with a higher one. Requests that were sent under
+// the previous number are still accepted.
 func (g *Gate) SetLife(life uint64) {
-	if g.names[0] == 0 {
-		g.names[0] = life
+	if g.ownLives[0] == 0 {
+		g.ownLives[0] = life
 	}
-	g.names = [2]uint64{life, g.names[0]}
+	g.ownLives = [2]uint64{life, g.ownLives[0]}
 }
 
-// Configure takes in new rules. Danger: a backend may have become cold while its zone was evacuated and has not said so yet,
-// so it counts as cold until it says that it is not.
-func (g *Gate) Configure(now time.Duration, r Rules) (news bool) {
-	g.step(now)
-	back := g.rules.Evacuated && !r.Evacuated
-	news = g.rules.Evacuated != r.Evacuated
-	g.rules = r
-	if back {
-		g.cold = max(g.cold, now+r.Warmup)
+// Configure replaces the rules and reports whether others should be told. A backend may have become
+// cold while its zone was evacuated without having reported it yet, so after an evacuation it
+// counts as cold until its next heartbeat says otherwise.
+func (g *Gate) Configure(now time.Duration, rules Rules) (announce bool) {
+	g.advance(now)
+	returned := g.rules.Evacuated && !rules.Evacuated
+	announce = g.rules.Evacuated != rules.Evacuated
+	g.rules = rules
+	if returned {
+		g.coldUntil = max(g.coldUntil, now+rules.Warmup)
 	}
-	if f := g.shut(); f != nil {
-		g.refuseWaiting(f)
+	if failure := g.closedFailure(); failure != nil {
+		g.refuseQueued(failure)
 	}
-	return news
+	return announce
 }
 
-// Offer decides whether a body may come. What is refused here has not been carried for nothing: a body behind so many that it would
-// be late fares better at another gate.
-func (g *Gate) AdmitUpload(now time.Duration, a *transport.Request) *transport.Failure {
-	g.step(now)
-	if f := g.may(a); f != nil {
-		return g.refuse(f)
+// AdmitUpload decides whether the sender may transmit the body of a request. Refusing it here
+// avoids a useless transfer: if the bodies already on their way would make it late, another gate is
+// the better choice.
+func (g *Gate) AdmitUpload(now time.Duration, req *transport.Request) *transport.Failure {
+	g.advance(now)
+	if failure := g.checkAdmissible(req); failure != nil {
+		return g.countRefusal(failure)
 	}
 	if g.rules.RefuseUploads {
-		return g.refuse(&transport.Failure{Verdict: transport.NotRun, Reason: transport.Evacuated})
+		return g.countRefusal(&transport.Failure{Verdict: transport.NotRun, Reason: transport.Evacuated})
 	}
 	if g.rules.LinkBitsPerSecond <= 0 {
 		return nil
 	}
-	before, patience := g.transferTime(g.bytes), g.bodyPatience(a)
-	if before > patience {
-		return g.refuse(&transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: before - patience})
+	transferBefore, maxWait := g.transferTime(g.incomingBytes), g.maxUploadWait(req)
+	if transferBefore > maxWait {
+		return g.countRefusal(&transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: transferBefore - maxWait})
 	}
 	return nil
 }
 
-// transferTime is how long so many bytes take on the machine's link.
+// transferTime is how long a number of bytes takes on the machine's network link.
 func (g *Gate) transferTime(bytes int64) time.Duration {
 	return time.Duration(float64(bytes) * 8 / g.rules.LinkBitsPerSecond * float64(time.Second))
 }
 
-// bodyPatience is how long a body that was offered may wait for the link. Unlike a wait for a slot, which
-// may be for nothing, it ends with the request at the backend, so it may take most of what its transfer
-// and the work leave of its aim; a client whose body is refused sends all of it again, over a link that
-// others wait for.
-func (g *Gate) bodyPatience(a *transport.Request) time.Duration {
+// maxUploadWait is how long an offered body may wait for the link. A wait for a slot may turn out
+// to be useless, but this wait ends with the request at the backend. It may therefore take most of
+// the slack that transfer and processing leave until the target latency. A client whose body is
+// refused has to send all of it again, over a link that others are waiting for.
+func (g *Gate) maxUploadWait(req *transport.Request) time.Duration {
 	if g.rules.LinkBitsPerSecond <= 0 {
-		return a.Patient
+		return req.Patient
 	}
-	work := time.Duration(g.recent * float64(time.Second))
-	spare := a.Aim - g.transferTime(a.Body) - work
-	return max(a.Patient, time.Duration(bodyWait*float64(spare)))
+	serviceTime := time.Duration(g.meanLatency * float64(time.Second))
+	slack := req.Aim - g.transferTime(req.Body) - serviceTime
+	return max(req.Patient, time.Duration(uploadWaitShare*float64(slack)))
 }
 
-// Coming counts a body that begins to come, and Came one that has come or never will: a link that is full of them is as good as a
-// backend that is.
-func (g *Gate) BodyStarted(bytes int64) { g.coming, g.bytes = g.coming+1, g.bytes+bytes }
+// BodyStarted counts a body that is being received. BodyEnded must be called once it has arrived or
+// will never arrive. Bodies count as load, because a link that is full of them delays requests as
+// much as a busy backend does.
+func (g *Gate) BodyStarted(bytes int64) {
+	g.incomingBodies, g.incomingBytes = g.incomingBodies+1, g.incomingBytes+bytes
+}
 
-// Came is the end of Coming.
+// BodyEnded must be called once for each BodyStarted, with the same size.
 func (g *Gate) BodyEnded(bytes int64) {
-	if g.coming, g.bytes = g.coming-1, g.bytes-bytes; g.coming < 0 || g.bytes < 0 {
-		panic("inbound: more bodies came than had begun to")
+	if g.incomingBodies, g.incomingBytes = g.incomingBodies-1, g.incomingBytes-bytes; g.incomingBodies < 0 || g.incomingBytes < 0 {
+		panic("inbound: more bodies ended than started")
 	}
 }
 
-// Done takes in how a request that was handed over ended: how long the backend took, and whether it answered well, and hands
-// over who waits.
-func (g *Gate) Complete(now, took time.Duration, answered, well bool) {
-	g.step(now)
+// Complete records how a dispatched request ended: how long the backend took, whether it responded
+// and whether it succeeded. It then dispatches queued requests.
+func (g *Gate) Complete(now, took time.Duration, answered, succeeded bool) {
+	g.advance(now)
 	g.freeSlot()
 	if answered {
-		g.heard = now
-		if g.recent == 0 {
-			g.recent = took.Seconds()
+		g.lastContact = now
+		if g.meanLatency == 0 {
+			g.meanLatency = took.Seconds()
 		}
-		g.recent += gain * (took.Seconds() - g.recent)
+		g.meanLatency += averageWeight * (took.Seconds() - g.meanLatency)
 	}
-	if well {
-		g.rate.add(now)
+	if succeeded {
+		g.successes.increment(now)
 	} else {
-		g.errors.add(now)
+		g.failures.increment(now)
 	}
-	g.next()
+	g.dispatchQueued()
 }
 
-// Withdraw takes in that a request's caller has gone: the request had a slot and was not handed
-// over, or its run was broken off. It is nobody's fault, and nothing is learnt of the backend.
-func (g *Gate) Cancel(now time.Duration, a *transport.Request, handed bool) {
-	g.step(now)
+// Cancel records that the caller of a request with a slot is gone, before the request was
+// dispatched or while it ran. The outcome counts neither as success nor as failure of the backend.
+func (g *Gate) Cancel(now time.Duration, req *transport.Request, dispatched bool) {
+	g.advance(now)
 	g.freeSlot()
-	if a.Unsafe && !handed {
-		g.ids.Remove(a.Try)
+	if req.Unsafe && !dispatched {
+		g.unsafeIDs.Remove(req.Try)
 	}
 	g.Refused[transport.Cancelled]++
-	g.next()
+	g.dispatchQueued()
 }
 
 func (g *Gate) freeSlot() {
 	if g.inFlight--; g.inFlight < 0 {
-		panic("inbound: more requests ended than were handed over")
+		panic("inbound: more requests ended than were dispatched")
 	}
 }
 
-// Load is what others are told of the backend.
+// Load returns the load that is reported to senders.
 func (g *Gate) Load(now time.Duration) transport.Load {
 	return transport.Load{
-		InFlight: g.inFlight + len(g.waiting) + g.coming, Waiting: len(g.waiting),
-		Recent: time.Duration(g.recent * float64(time.Second)), Rate: g.rate.perSecond(now), Errors: g.errors.perSecond(now),
+		InFlight: g.inFlight + len(g.queue) + g.incomingBodies, Waiting: len(g.queue),
+		Recent: time.Duration(g.meanLatency * float64(time.Second)), Rate: g.successes.perSecond(now), Errors: g.failures.perSecond(now),
 	}
 }
 
-func (g *Gate) hasCapacity() bool { return g.inFlight < max(1, g.lives.serving.Capacity) }
+func (g *Gate) hasCapacity() bool { return g.inFlight < max(1, g.instances.serving.Capacity) }
 
-// shut says why nothing at all is handed over.
-func (g *Gate) shut() *transport.Failure {
+// closedFailure returns why the gate refuses all requests, or nil if it is open.
+func (g *Gate) closedFailure() *transport.Failure {
 	switch {
-	case g.lives.serving == nil:
+	case g.instances.serving == nil:
 		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.UnknownBackend}
-	case g.lives.serving.Draining:
+	case g.instances.serving.Draining:
 		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Draining}
 	case g.rules.Evacuated:
 		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Evacuated}
@@ -225,66 +241,70 @@
 	return nil
 }
 
-// may is the right to be handed over but for room and warmth. Danger: what was meant for an earlier
-// process here may have run there, and this one has no memory of it.
-func (g *Gate) may(a *transport.Request) *transport.Failure {
-	if a.Unsafe && g.ids.Contains(a.Try) { // first: what may have run is never said to have not
+// checkAdmissible returns why a request may not be dispatched, apart from capacity and warm-up. A
+// request addressed to an earlier process is refused, because it may have run there and this
+// process has no record of it.
+func (g *Gate) checkAdmissible(req *transport.Request) *transport.Failure {
+	// This is checked first, because a request that may have run must never be reported as not run.
+	if req.Unsafe && g.unsafeIDs.Contains(req.Try) {
 		return &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Duplicate}
 	}
-	if f := g.shut(); f != nil {
-		return f
+	if failure := g.closedFailure(); failure != nil {
+		return failure
 	}
 	switch {
-	case g.lives.serving.ID != a.Target || !slices.Contains(g.names[:], a.Life):
+	case g.instances.serving.ID != req.Target || !slices.Contains(g.ownLives[:], req.Life):
 		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.UnknownBackend}
-	case a.Unsafe && g.ids.Full():
+	case req.Unsafe && g.unsafeIDs.Full():
 		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.LocalShortage, RetryAfter: time.Second}
 	}
 	return nil
 }
 
-// dispatch counts a request that goes to the backend now; the only way there.
-func (g *Gate) dispatch(t *Ticket) *transport.Failure {
-	if g.cold > g.now {
+// dispatch counts a request as in flight, or refuses it because the backend is warming up. All
+// requests to the backend pass through here.
+func (g *Gate) dispatch(ticket *Ticket) *transport.Failure {
+	if g.coldUntil > g.now {
 		limit := g.rules.coldLimit()
-		// Danger: what the process before this one handed over within the last second is not known.
-		if len(g.handed) >= limit || g.now-g.started < span {
-			after := g.started + span - g.now
-			if len(g.handed) > 0 {
-				after = max(after, g.handed[0]+span-g.now)
+		// The dispatches of an earlier process within the last second are not known, so nothing is
+		// dispatched to a cold backend until they have left the window.
+		if len(g.recentDispatches) >= limit || g.now-g.startedAt < warmupWindow {
+			retryAfter := g.startedAt + warmupWindow - g.now
+			if len(g.recentDispatches) > 0 {
+				retryAfter = max(retryAfter, g.recentDispatches[0]+warmupWindow-g.now)
 			}
-			return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Cold, RetryAfter: after}
+			return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Cold, RetryAfter: retryAfter}
 		}
 	}
-	g.handed = append(g.handed, g.now)
-	if g.cold > g.now {
-		g.peaks[0] = max(g.peaks[0], len(g.handed))
+	g.recentDispatches = append(g.recentDispatches, g.now)
+	if g.coldUntil > g.now {
+		g.coldPeaks[0] = max(g.coldPeaks[0], len(g.recentDispatches))
 	}
-	if t.unsafe {
-		g.ids.Add(t.try)
+	if ticket.unsafe {
+		g.unsafeIDs.Add(ticket.tryID)
 	}
-	if g.inFlight++; g.inFlight > max(1, g.lives.serving.Capacity) {
-		panic(fmt.Sprintf("inbound: %d handed over at once to a backend that takes %d", g.inFlight, g.lives.serving.Capacity))
+	if g.inFlight++; g.inFlight > max(1, g.instances.serving.Capacity) {
+		panic(fmt.Sprintf("inbound: %d requests in flight exceed the backend's capacity of %d", g.inFlight, g.instances.serving.Capacity))
 	}
 	return nil
 }
 
-func (g *Gate) refuse(f *transport.Failure) *transport.Failure {
-	g.Refused[f.Reason]++
-	return f
+func (g *Gate) countRefusal(failure *transport.Failure) *transport.Failure {
+	g.Refused[failure.Reason]++
+	return failure
 }
 
-// step lets time pass.
-func (g *Gate) step(now time.Duration) {
+// advance moves the clock of the gate forward and drops expired records.
+func (g *Gate) advance(now time.Duration) {
 	g.now = max(g.now, now)
 	i := 0
-	for i < len(g.handed) && g.handed[i] <= g.now-span {
+	for i < len(g.recentDispatches) && g.recentDispatches[i] <= g.now-warmupWindow {
 		i++
 	}
-	g.handed = append(g.handed[:0], g.handed[i:]...)
-	g.ids.Advance(g.now)
-	if g.now-g.aged >= twiceFor {
-		g.aged = g.now
-		g.peaks[0], g.peaks[1] = 0, g.peaks[0]
+	g.recentDispatches = append(g.recentDispatches[:0], g.recentDispatches[i:]...)
+	g.unsafeIDs.Advance(g.now)
+	if g.now-g.peaksRotatedAt >= seenIDLifetime {
+		g.peaksRotatedAt = g.now
+		g.coldPeaks[0], g.coldPeaks[1] = 0, g.coldPeaks[0]
 	}
 }
--- a/internal/mesh/inbound/gate_backend.go
+++ b/internal/mesh/inbound/gate_backend.go
@@ -6,88 +6,96 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// Beat takes in what the backend says of itself, and says whether others should hear of it.
-func (g *Gate) Heartbeat(now time.Duration, b transport.Backend, cause Cause) (news bool) {
-	g.step(now)
-	old := g.lives.serving
-	defer g.noteChange(old, cause, b.Calls)()
-	switch g.lives.beat(now, b) {
-	case beatLate:
+// Heartbeat handles a heartbeat of the backend and reports whether others should be told.
+func (g *Gate) Heartbeat(now time.Duration, b transport.Backend, cause Cause) (announce bool) {
+	g.advance(now)
+	previous := g.instances.serving
+	defer g.recordChange(previous, cause, b.Calls)()
+	switch g.instances.heartbeat(now, b) {
+	case heartbeatStale:
 		g.StaleHeartbeats++
 		return false
-	case beatUnproven:
+	case heartbeatUnconfirmed:
 		return false
 	}
-	return g.served(old)
+	return g.applyServing(previous)
 }
 
-// Unproven says whether the backend should be asked who it is, as its calls may be late, or nothing has been heard of it. The answer
-// goes to Vouch, with the changes as of now.
-func (g *Gate) NeedsProbe() (changes uint64, ask bool) {
-	return g.lives.changes, g.lives.unproven != nil || g.lives.serving == nil && g.lives.last == nil
+// NeedsProbe reports whether the backend should be probed for its identity, because it has sent no
+// heartbeat or one that may be outdated. The result of the probe goes to ProbeSucceeded together
+// with the generation returned here.
+func (g *Gate) NeedsProbe() (generation uint64, needed bool) {
+	return g.instances.generation, g.instances.unconfirmed != nil || g.instances.serving == nil && g.instances.lastServed == nil
 }
 
-// Vouch takes in a life's answer to a health probe, by which it is well and does not leave, and says whether others should hear of it.
-func (g *Gate) ProbeSucceeded(now time.Duration, changes uint64, b transport.Backend) (news bool) {
-	g.step(now)
-	old := g.lives.serving
-	defer g.noteChange(old, ProbeAnswered, 0)()
-	return g.lives.vouch(changes, b) && g.served(old)
+// ProbeSucceeded records that instance b answered a health probe as healthy and not draining. The
+// generation is the one that NeedsProbe returned when the probe began. It reports whether others
+// should be told.
+func (g *Gate) ProbeSucceeded(now time.Duration, generation uint64, b transport.Backend) (announce bool) {
+	g.advance(now)
+	previous := g.instances.serving
+	defer g.recordChange(previous, ProbeAnswered, 0)()
+	return g.instances.confirm(generation, b) && g.applyServing(previous)
 }
 
-// served goes by what is served now, in place of what was.
-func (g *Gate) served(old *transport.Backend) (news bool) {
-	b := g.lives.serving
-	wasCold := g.cold > g.now
-	g.heard, g.cold = g.now, g.now+b.ColdLeft
-	if old == nil || old.ID != b.ID {
-		g.recent, g.rate, g.errors = 0, meter{}, meter{}
+// applyServing updates the gate after the served instance or its state changed, and reports whether
+// others should be told.
+func (g *Gate) applyServing(previous *transport.Backend) (announce bool) {
+	b := g.instances.serving
+	wasCold := g.coldUntil > g.now
+	g.lastContact, g.coldUntil = g.now, g.now+b.ColdLeft
+	if previous == nil || previous.ID != b.ID {
+		g.meanLatency, g.successes, g.failures = 0, rateMeter{}, rateMeter{}
 	}
-	if old != nil && old.ID != b.ID {
-		g.refuseWaiting(&transport.Failure{Verdict: transport.NotRun, Reason: transport.UnknownBackend})
-	} else if f := g.shut(); f != nil {
-		g.refuseWaiting(f)
+	if previous != nil && previous.ID != b.ID {
+		g.refuseQueued(&transport.Failure{Verdict: transport.NotRun, Reason: transport.UnknownBackend})
+	} else if failure := g.closedFailure(); failure != nil {
+		g.refuseQueued(failure)
 	}
-	return old == nil || old.ID != b.ID || old.Draining != b.Draining || old.Service != b.Service ||
-		old.Capacity != b.Capacity || wasCold != (b.ColdLeft > 0)
+	return previous == nil || previous.ID != b.ID || previous.Draining != b.Draining || previous.Service != b.Service ||
+		previous.Capacity != b.Capacity || wasCold != (b.ColdLeft > 0)
 }
 
-// SignOff takes in a life's own word that it ends, which is final, and says whether others should hear of it.
-func (g *Gate) Deregister(now time.Duration, id string, cause Cause) (news bool) {
-	return g.gone(now, id, cause, g.lives.signOff)
+// Deregister records that an instance has announced its end, which is final, and reports whether
+// others should be told.
+func (g *Gate) Deregister(now time.Duration, id string, cause Cause) (announce bool) {
+	return g.removeInstance(now, id, cause, g.instances.deregister)
 }
 
-// Lost takes in that a life is silent, or not where it was, and says whether others should hear of it. Its next beat brings it back.
-func (g *Gate) MarkLost(now time.Duration, id string, cause Cause) (news bool) {
-	return g.gone(now, id, cause, g.lives.lose)
+// MarkLost records that an instance is silent or no longer at its address, and reports whether
+// others should be told. The next heartbeat of the instance makes it available again.
+func (g *Gate) MarkLost(now time.Duration, id string, cause Cause) (announce bool) {
+	return g.removeInstance(now, id, cause, g.instances.markLost)
 }
 
-// gone takes a life away, and refuses those who wait if it was the one that is served.
-func (g *Gate) gone(now time.Duration, id string, cause Cause, take func(id string) (served bool)) (news bool) {
-	g.step(now)
-	defer g.noteChange(g.lives.serving, cause, 0)()
-	if !take(id) {
+// removeInstance removes an instance, and refuses the queued requests if it was the one served.
+func (g *Gate) removeInstance(now time.Duration, id string, cause Cause, remove func(id string) (served bool)) (announce bool) {
+	g.advance(now)
+	defer g.recordChange(g.instances.serving, cause, 0)()
+	if !remove(id) {
 		return false
 	}
-	g.refuseWaiting(g.shut())
+	g.refuseQueued(g.closedFailure())
 	return true
 }
 
-// Tick lets time pass: a backend that has said nothing and answered nothing for long is gone.
-func (g *Gate) Tick(now time.Duration) (news bool) {
-	g.step(now)
-	if b := g.lives.serving; b != nil && now-g.heard > deadAfter*g.rules.HeartbeatInterval+g.rules.HeartbeatInterval/2 {
+// Tick must be called regularly. It drops a backend that has sent neither heartbeats nor responses
+// for several heartbeat intervals, and reports whether others should be told.
+func (g *Gate) Tick(now time.Duration) (announce bool) {
+	g.advance(now)
+	if b := g.instances.serving; b != nil && now-g.lastContact > maxMissedHeartbeats*g.rules.HeartbeatInterval+g.rules.HeartbeatInterval/2 {
 		return g.MarkLost(now, b.ID, HeartbeatTimeout)
 	}
 	return false
 }
 
-// Backend returns what is known of the backend, with what is left of its warm-up; nil if there is none.
+// Backend returns the current state of the backend with its remaining warm-up time, or nil if there
+// is none.
 func (g *Gate) Backend(now time.Duration) *transport.Backend {
-	if g.lives.serving == nil {
+	if g.instances.serving == nil {
 		return nil
 	}
-	b := *g.lives.serving
-	b.ColdLeft = max(0, g.cold-now)
+	b := *g.instances.serving
+	b.ColdLeft = max(0, g.coldUntil-now)
 	return &b
 }
--- a/internal/mesh/inbound/gate_queue.go
+++ b/internal/mesh/inbound/gate_queue.go
@@ -8,118 +8,124 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// Ticket is a request's place at the gate.
+// Ticket is the place of a request in the queue of a gate.
 type Ticket struct {
-	order      order
-	due        time.Duration // its aim
-	try        string
-	unsafe     bool
-	waiting    bool
-	began      time.Duration
-	OnDecision func(ok bool, f *transport.Failure) // called when a waiting ticket's turn has come, or never will
+	priority  priority
+	deadline  time.Duration // arrival time plus the request's target latency
+	tryID     string
+	unsafe    bool
+	waiting   bool
+	createdAt time.Duration
+	// OnDecision is called once, when a queued request is dispatched (ok) or refused (failure f).
+	OnDecision func(ok bool, f *transport.Failure)
 }
 
-// order is who goes first: what backends call, as a run of another waits for it and holds a slot; then what may yet be in time, then
-// what is late; of each the one that is due first.
-type order uint8
+// priority orders the queue. Calls made by backends come first, because another backend's request
+// holds a slot while it waits for them. Requests that can still meet their target latency follow,
+// then those that cannot. Within a priority the earlier deadline goes first.
+type priority uint8
 
 const (
-	inner order = iota
-	inTime
-	late
+	priorityInner priority = iota
+	priorityInTime
+	priorityLate
 )
 
-func (t *Ticket) before(o *Ticket) int {
-	return cmp.Or(cmp.Compare(t.order, o.order), cmp.Compare(t.due, o.due))
+func (t *Ticket) compare(other *Ticket) int {
+	return cmp.Or(cmp.Compare(t.priority, other.priority), cmp.Compare(t.deadline, other.deadline))
 }
 
-// Admit decides about a request: it may be handed over at once (nil, nil), waits (a ticket), or is refused.
-func (g *Gate) Admit(now time.Duration, a *transport.Request) (*Ticket, *transport.Failure) {
-	g.step(now)
-	if f := g.may(a); f != nil {
-		return nil, g.refuse(f)
+// Admit decides about a request. It returns nil, nil if the request may be dispatched at once, a
+// ticket if it has to wait, or a failure if it is refused.
+func (g *Gate) Admit(now time.Duration, req *transport.Request) (*Ticket, *transport.Failure) {
+	g.advance(now)
+	if failure := g.checkAdmissible(req); failure != nil {
+		return nil, g.countRefusal(failure)
 	}
-	t := &Ticket{order: inTime, due: now + a.Aim, try: a.Try, unsafe: a.Unsafe, began: now}
-	if a.Inner {
-		t.order = inner
-	} else if a.Aim.Seconds() < g.recent {
-		t.order = late
+	ticket := &Ticket{priority: priorityInTime, deadline: now + req.Aim, tryID: req.Try, unsafe: req.Unsafe, createdAt: now}
+	if req.Inner {
+		ticket.priority = priorityInner
+	} else if req.Aim.Seconds() < g.meanLatency {
+		ticket.priority = priorityLate
 	}
-	if len(g.waiting) == 0 && g.hasCapacity() {
-		if f := g.dispatch(t); f != nil {
-			return nil, g.refuse(f)
+	if len(g.queue) == 0 && g.hasCapacity() {
+		if failure := g.dispatch(ticket); failure != nil {
+			return nil, g.countRefusal(failure)
 		}
 		return nil, nil
 	}
-	// What it would wait for is no use to it: others may have room now.
-	i := len(g.waiting)
-	for i > 0 && t.before(g.waiting[i-1]) < 0 {
-		i--
+	// A wait beyond the patience of the request is useless: another gate may have room now.
+	position := len(g.queue)
+	for position > 0 && ticket.compare(g.queue[position-1]) < 0 {
+		position--
 	}
-	most := queueSlots * max(1, g.lives.serving.Capacity)
-	full := &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: max(g.wait(1), g.wait(i+1)-a.Patient)}
-	if g.wait(i+1) > a.Patient || i >= most {
-		return nil, g.refuse(full)
+	maxQueue := queuePerSlot * max(1, g.instances.serving.Capacity)
+	fullFailure := &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: max(g.queueWait(1), g.queueWait(position+1)-req.Patient)}
+	if g.queueWait(position+1) > req.Patient || position >= maxQueue {
+		return nil, g.countRefusal(fullFailure)
 	}
-	for n := len(g.waiting); n >= most; n = len(g.waiting) { // the last gives way; several if the backend takes fewer now
-		last := g.waiting[n-1]
-		g.waiting = g.waiting[:n-1]
-		g.settle(last, g.refuse(full))
+	// Evicts the last request in the queue, or several if the capacity has shrunk.
+	for n := len(g.queue); n >= maxQueue; n = len(g.queue) {
+		last := g.queue[n-1]
+		g.queue = g.queue[:n-1]
+		g.resolve(last, g.countRefusal(fullFailure))
 	}
-	t.waiting = true
-	if t.unsafe { // the same id has no other place here
-		g.ids.Add(t.try)
+	ticket.waiting = true
+	if ticket.unsafe { // a second request with this id is refused while this one is queued
+		g.unsafeIDs.Add(ticket.tryID)
 	}
-	g.waiting = slices.Insert(g.waiting, i, t)
-	return t, nil
+	g.queue = slices.Insert(g.queue, position, ticket)
+	return ticket, nil
 }
 
-// Abandon takes a ticket back that has waited for too long, or whose caller has gone. It says false if its turn has come meanwhile.
-func (g *Gate) Abandon(now time.Duration, t *Ticket, why transport.Reason) bool {
-	g.step(now)
-	if !t.waiting {
+// Abandon removes a ticket whose wait took too long or whose caller is gone. It returns false if
+// the ticket was dispatched or refused in the meantime.
+func (g *Gate) Abandon(now time.Duration, ticket *Ticket, reason transport.Reason) bool {
+	g.advance(now)
+	if !ticket.waiting {
 		return false
 	}
-	g.unqueue(t, false)
-	g.waiting = slices.DeleteFunc(g.waiting, func(o *Ticket) bool { return o == t })
-	g.Refused[why]++
+	g.endWait(ticket, false)
+	g.queue = slices.DeleteFunc(g.queue, func(other *Ticket) bool { return other == ticket })
+	g.Refused[reason]++
 	return true
 }
 
-// unqueue ends a ticket's wait. What was not handed over may come again.
-func (g *Gate) unqueue(t *Ticket, handed bool) {
-	if t.waiting = false; t.unsafe && !handed {
-		g.ids.Remove(t.try)
+// endWait marks a ticket as no longer waiting. If it was not dispatched, its id may be used again.
+func (g *Gate) endWait(ticket *Ticket, dispatched bool) {
+	if ticket.waiting = false; ticket.unsafe && !dispatched {
+		g.unsafeIDs.Remove(ticket.tryID)
 	}
 }
 
-// settle ends a ticket's wait and tells its holder: it is handed over, or refused.
-func (g *Gate) settle(t *Ticket, f *transport.Failure) {
-	g.unqueue(t, f == nil)
-	t.OnDecision(f == nil, f)
+// resolve ends the wait of a ticket and reports the decision: dispatched if failure is nil,
+// otherwise refused.
+func (g *Gate) resolve(ticket *Ticket, failure *transport.Failure) {
+	g.endWait(ticket, failure == nil)
+	ticket.OnDecision(failure == nil, failure)
 }
 
-// next hands over those who wait, as far as there is room.
-func (g *Gate) next() {
-	for len(g.waiting) > 0 && g.lives.serving != nil && g.hasCapacity() {
-		t := g.waiting[0]
-		g.waiting = slices.Delete(g.waiting, 0, 1)
-		f := g.dispatch(t)
-		if f != nil {
-			f = g.refuse(f)
+// dispatchQueued dispatches queued requests while there is capacity.
+func (g *Gate) dispatchQueued() {
+	for len(g.queue) > 0 && g.instances.serving != nil && g.hasCapacity() {
+		ticket := g.queue[0]
+		g.queue = slices.Delete(g.queue, 0, 1)
+		failure := g.dispatch(ticket)
+		if failure != nil {
+			failure = g.countRefusal(failure)
 		}
-		g.settle(t, f)
+		g.resolve(ticket, failure)
 	}
 }
 
-// wait is how long the n-th of those who wait will.
-func (g *Gate) wait(n int) time.Duration {
-	return time.Duration(float64(n) / float64(max(1, g.lives.serving.Capacity)) * g.recent * float64(time.Second))
+// queueWait estimates how long the n-th request in the queue waits.
+func (g *Gate) queueWait(n int) time.Duration {
+	return time.Duration(float64(n) / float64(max(1, g.instances.serving.Capacity)) * g.meanLatency * float64(time.Second))
 }
 
-func (g *Gate) refuseWaiting(f *transport.Failure) {
-	for _, t := range g.waiting {
-		g.settle(t, g.refuse(f))
+func (g *Gate) refuseQueued(failure *transport.Failure) {
+	for _, ticket := range g.queue {
+		g.resolve(ticket, g.countRefusal(failure))
 	}
-	g.waiting = g.waiting[:0]
+	g.queue = g.queue[:0]
 }
--- a/internal/mesh/inbound/gate_test.go
+++ b/internal/mesh/inbound/gate_test.go
@@ -14,355 +14,362 @@
 	"github.com/stretchr/testify/require"
 )
 
-// yard is a backend's machine as it truly is: what the backend said and was told, and what its gate
-// handed over. It brings a random load to the gate and checks at each hand-over what the rules
-// allow. Clocks of gates start at 0, the yard's goes on.
-type yard struct {
+// gateSimulation is a model of a backend's machine. It records what the backend sent, what was
+// acknowledged, and what its gate dispatched to it. It puts a random load on the gate and checks
+// the gate's rules at each dispatch. The clock of a gate starts at 0, while the clock of the
+// simulation continues when a gate is replaced.
+type gateSimulation struct {
 	*require.Assertions
-	r                     *rand.Rand
-	now, base             time.Duration // base: when the present gate started
-	gate                  *Gate
-	rules                 Rules
-	truth                 transport.Backend // the present life
-	proven                bool              // the present gate has a proof that it is no earlier one,
-	served                map[string]bool   // lives of which it had one
-	elsewhere             []string          // targets of what was handed over to them since another life is there
-	known                 bool              // and has heard nothing since that says it is gone
-	signedOff             bool              // by its own word
-	left                  map[string]bool   // lives that said that they leave, and were acknowledged
-	cold                  time.Duration     // until then, by what the gate was told
-	heard                 []heard           // calls of all lives, at all gates
-	probe                 probe             // that is under way
-	toCold                []time.Duration
-	waiting               []*queued
-	past                  *queued         // one that is settled
-	unsafe                map[string]bool // handed over by this gate
-	life                  uint64          // of this gate
-	running, lives, tries int
-	counted               map[string]int // what the load came to: a test that provokes nothing proves nothing
+	rng                          *rand.Rand
+	now, gateStart               time.Duration // gateStart: when the current gate started
+	gate                         *Gate
+	rules                        Rules
+	current                      transport.Backend // the running instance
+	proven                       bool              // the current gate has proof that this instance is the running one
+	provenInstances              map[string]bool   // all instances of which the current gate had such proof
+	misdirected                  []string          // targets of requests dispatched to instances that have ended
+	reachable                    bool              // the gate has proof, and was not told since that the instance is lost
+	deregistered                 bool              // the instance has deregistered
+	drained                      map[string]bool   // instances whose shutdown the gate has acknowledged
+	coldUntil                    time.Duration     // end of the warm-up, as reported to the gate
+	heartbeats                   []sentHeartbeat   // of all instances, to all gates
+	probe                        pendingProbe      // the health probe in progress
+	coldDispatches               []time.Duration   // dispatch times within the last second
+	queue                        []*queued
+	lastSettled                  *queued         // one whose ticket is resolved
+	dispatchedUnsafe             map[string]bool // ids of unsafe requests dispatched by the current gate
+	gateLife                     uint64          // incarnation number of the current gate
+	running, instances, requests int
+	counts                       map[string]int // events that occurred, so that the test can require each
 }
 
 type queued struct {
-	ask     transport.Request
+	req     transport.Request
 	ticket  *Ticket
 	settled bool
 }
 
-type heard struct {
+type sentHeartbeat struct {
 	transport.Backend
-	at time.Duration
+	sentAt time.Duration
 }
 
-type probe struct {
-	id      string // of the life that answers; "": none is under way
-	changes uint64
+type pendingProbe struct {
+	id         string // the instance that answers; empty if no probe is in progress
+	generation uint64
 }
 
-func (y *yard) at() time.Duration { return y.now - y.base }
+func (s *gateSimulation) gateTime() time.Duration { return s.now - s.gateStart }
 
-func (y *yard) start() {
-	y.base, y.gate, y.proven, y.known, y.probe, y.running = y.now, NewGate(0, y.rules), false, false, probe{}, 0
-	y.served, y.elsewhere = map[string]bool{}, nil
-	y.waiting, y.past, y.unsafe = nil, nil, map[string]bool{}
-	y.life++
-	y.gate.SetLife(y.life)
+func (s *gateSimulation) startGate() {
+	s.gateStart, s.gate, s.proven, s.reachable, s.probe, s.running = s.now, NewGate(0, s.rules), false, false, pendingProbe{}, 0
+	s.provenInstances, s.misdirected = map[string]bool{}, nil
+	s.queue, s.lastSettled, s.dispatchedUnsafe = nil, nil, map[string]bool{}
+	s.gateLife++
+	s.gate.SetLife(s.gateLife)
 }
 
-func (y *yard) pick(n int) bool { return y.r.IntN(n) == 0 }
+func (s *gateSimulation) oneIn(n int) bool { return s.rng.IntN(n) == 0 }
 
-// handed checks a hand-over: the one place where a request reaches the backend.
-func (y *yard) handed(a *transport.Request) {
-	y.counted["handed"]++
-	y.False(y.left[a.Target], "DRAIN: handed over after the backend left")
-	y.True(y.served[a.Target] && (y.known || y.truth.ID != a.Target), "ROUTE: handed to a life that nothing vouches for, or that is gone")
-	y.False(y.rules.Evacuated || y.rules.NoConfig, "EVAC: handed over in an evacuated zone, or without a configuration")
-	y.Equal(y.life, a.Life, "TWICE: handed over though it was meant for an earlier process")
-	y.False(a.Unsafe && y.unsafe[a.Try], "TWICE: %s handed over again", a.Try)
-	y.unsafe[a.Try] = y.unsafe[a.Try] || a.Unsafe
-	y.running++
-	if y.truth.ID != a.Target { // it crashed without a word, and the life that is there turns away what is meant for it
-		y.counted["another life"]++
-		y.elsewhere = append(y.elsewhere, a.Target)
+// checkDispatch checks the rules for a request that is dispatched to the backend.
+func (s *gateSimulation) checkDispatch(req *transport.Request) {
+	s.counts["handed"]++
+	s.False(s.drained[req.Target], "DRAIN: handed over after the backend left")
+	s.True(s.provenInstances[req.Target] && (s.reachable || s.current.ID != req.Target), "ROUTE: handed to a life that nothing vouches for, or that is gone")
+	s.False(s.rules.Evacuated || s.rules.NoConfig, "EVAC: dispatched in an evacuated zone, or without a configuration")
+	s.Equal(s.gateLife, req.Life, "TWICE: handed over though it was meant for an earlier process")
+	s.False(req.Unsafe && s.dispatchedUnsafe[req.Try], "TWICE: %s handed over again", req.Try)
+	s.dispatchedUnsafe[req.Try] = s.dispatchedUnsafe[req.Try] || req.Unsafe
+	s.running++
+	if s.current.ID != req.Target { // it crashed unnoticed, and the new instance rejects the request
+		s.counts["another instance"]++
+		s.misdirected = append(s.misdirected, req.Target)
 		return
 	}
-	y.LessOrEqual(y.running, max(1, y.truth.Capacity), "more handed over than the backend works on")
-	if y.now < y.cold {
-		y.counted["cold"]++
-		y.toCold = append(y.toCold, y.now)
-		y.toCold = slices.DeleteFunc(y.toCold, func(at time.Duration) bool { return at <= y.now-time.Second })
-		y.LessOrEqual(float64(len(y.toCold)), y.rules.WarmupRate*y.rules.WarmupExcess+y.rules.WarmupMargin, "FAILBACK")
+	s.LessOrEqual(s.running, max(1, s.current.Capacity), "more requests in flight than the backend processes")
+	if s.now < s.coldUntil {
+		s.counts["cold"]++
+		s.coldDispatches = append(s.coldDispatches, s.now)
+		s.coldDispatches = slices.DeleteFunc(s.coldDispatches, func(at time.Duration) bool { return at <= s.now-time.Second })
+		s.LessOrEqual(float64(len(s.coldDispatches)), s.rules.WarmupRate*s.rules.WarmupExcess+s.rules.WarmupMargin, "FAILBACK")
 	}
 }
 
-func (y *yard) refused(a *transport.Request, f *transport.Failure) {
-	y.counted[f.Reason.String()]++
-	y.Equal(f.Reason == transport.Duplicate, f.Verdict != transport.NotRun, "REFUSED: only an id that was handed over is no promise")
-	y.False(a.Unsafe && y.unsafe[a.Try] && f.Verdict == transport.NotRun, "REFUSED: %s was handed over, and now has not run", a.Try)
+func (s *gateSimulation) checkRefusal(req *transport.Request, failure *transport.Failure) {
+	s.counts[failure.Reason.String()]++
+	s.Equal(failure.Reason == transport.Duplicate, failure.Verdict != transport.NotRun, "REFUSED: every failure except a duplicate id must have the verdict NotRun")
+	s.False(req.Unsafe && s.dispatchedUnsafe[req.Try] && failure.Verdict == transport.NotRun, "REFUSED: %s was dispatched and is now reported as not run", req.Try)
 }
 
-func (y *yard) admit() {
-	a := transport.Request{Target: y.truth.ID, Life: y.life, Unsafe: y.pick(2), Inner: y.pick(4), Left: 5 * time.Second,
-		Aim: time.Duration(y.r.IntN(1000)) * time.Millisecond, Patient: time.Duration(1+y.r.IntN(300)) * time.Millisecond}
-	if y.pick(10) {
-		a.Target = fmt.Sprint("b", y.r.IntN(y.lives+1))
+func (s *gateSimulation) sendRequest() {
+	req := transport.Request{Target: s.current.ID, Life: s.gateLife, Unsafe: s.oneIn(2), Inner: s.oneIn(4), Left: 5 * time.Second,
+		Aim: time.Duration(s.rng.IntN(1000)) * time.Millisecond, Patient: time.Duration(1+s.rng.IntN(300)) * time.Millisecond}
+	if s.oneIn(10) {
+		req.Target = fmt.Sprint("b", s.rng.IntN(s.instances+1))
 	}
-	if y.pick(20) {
-		a.Life = uint64(y.r.IntN(int(y.life)))
+	if s.oneIn(20) {
+		req.Life = uint64(s.rng.IntN(int(s.gateLife)))
 	}
-	y.tries++
-	a.Try = fmt.Sprint(max(0, y.tries-y.r.IntN(7)*y.r.IntN(2))) // some come again
-	clear := len(y.waiting) == 0
-	ticket, f := y.gate.Admit(y.at(), &a)
-	if f != nil {
-		y.refused(&a, f)
+	s.requests++
+	req.Try = fmt.Sprint(max(0, s.requests-s.rng.IntN(7)*s.rng.IntN(2))) // some ids are repeated
+	queueEmpty := len(s.queue) == 0
+	ticket, failure := s.gate.Admit(s.gateTime(), &req)
+	if failure != nil {
+		s.checkRefusal(&req, failure)
 	} else if ticket == nil {
-		y.True(clear, "handed over past those who wait")
-		y.handed(&a)
+		s.True(queueEmpty, "dispatched ahead of queued requests")
+		s.checkDispatch(&req)
 	} else {
-		q := &queued{ask: a, ticket: ticket}
-		y.waiting = append(y.waiting, q)
-		ticket.OnDecision = func(ok bool, f *transport.Failure) { y.granted(q, ok, f) }
+		q := &queued{req: req, ticket: ticket}
+		s.queue = append(s.queue, q)
+		ticket.OnDecision = func(ok bool, failure *transport.Failure) { s.decided(q, ok, failure) }
 	}
 }
 
-func (y *yard) settle(q *queued) {
-	y.False(q.settled, "a ticket was settled twice")
-	q.settled, y.past = true, q
-	y.waiting = slices.DeleteFunc(y.waiting, func(o *queued) bool { return o == q })
+func (s *gateSimulation) markSettled(q *queued) {
+	s.False(q.settled, "a ticket was resolved twice")
+	q.settled, s.lastSettled = true, q
+	s.queue = slices.DeleteFunc(s.queue, func(o *queued) bool { return o == q })
 }
 
-func (y *yard) granted(q *queued, ok bool, f *transport.Failure) {
-	y.settle(q)
-	y.Equal(ok, f == nil)
-	other := slices.ContainsFunc(y.waiting, func(o *queued) bool { return o.ask.Inner != q.ask.Inner })
+func (s *gateSimulation) decided(q *queued, ok bool, failure *transport.Failure) {
+	s.markSettled(q)
+	s.Equal(ok, failure == nil)
+	otherKindWaits := slices.ContainsFunc(s.queue, func(o *queued) bool { return o.req.Inner != q.req.Inner })
 	if !ok {
-		y.False(f.Reason == transport.Full && q.ask.Inner && other, "a backend's own call gave way to a client's")
-		y.refused(&q.ask, f)
+		s.False(failure.Reason == transport.Full && q.req.Inner && otherKindWaits, "a call made by a backend was evicted in favor of a client's request")
+		s.checkRefusal(&q.req, failure)
 		return
 	}
-	y.counted["granted"]++
-	y.False(!q.ask.Inner && other, "a client's request went before a backend's own call")
-	y.handed(&q.ask)
+	s.counts["granted"]++
+	s.False(!q.req.Inner && otherKindWaits, "a client's request was dispatched before a call made by a backend")
+	s.checkDispatch(&q.req)
 }
 
-// beat is the present life's next call; what it says holds from now on.
-func (y *yard) beat() {
-	if y.signedOff {
-		return // nothing but late calls come of it
+// sendHeartbeat sends the next heartbeat of the running instance.
+func (s *gateSimulation) sendHeartbeat() {
+	if s.deregistered {
+		return // only delayed heartbeats still arrive
 	}
-	y.truth.Calls++
-	if y.truth.ColdLeft = max(0, y.cold-y.now); y.pick(6) {
-		y.truth.ColdLeft = time.Duration(y.r.IntN(3000)) * time.Millisecond
+	s.current.Calls++
+	if s.current.ColdLeft = max(0, s.coldUntil-s.now); s.oneIn(6) {
+		s.current.ColdLeft = time.Duration(s.rng.IntN(3000)) * time.Millisecond
 	}
-	if y.pick(3) {
-		y.truth.Capacity = y.r.IntN(7)
+	if s.oneIn(3) {
+		s.current.Capacity = s.rng.IntN(7)
 	}
-	if y.truth.Draining = y.truth.Draining || y.pick(12); y.truth.Draining {
-		y.left[y.truth.ID] = true
+	if s.current.Draining = s.current.Draining || s.oneIn(12); s.current.Draining {
+		s.drained[s.current.ID] = true
 	}
-	y.proven = y.proven || y.at() >= lateCalls || y.truth.Draining
-	y.cold, y.known = y.now+y.truth.ColdLeft, y.proven
-	y.served[y.truth.ID] = y.served[y.truth.ID] || y.proven
-	y.heard = append(y.heard, heard{y.truth, y.now})
-	y.gate.Heartbeat(y.at(), y.truth, LocalHeartbeat)
+	s.proven = s.proven || s.gateTime() >= maxHeartbeatDelay || s.current.Draining
+	s.coldUntil, s.reachable = s.now+s.current.ColdLeft, s.proven
+	s.provenInstances[s.current.ID] = s.provenInstances[s.current.ID] || s.proven
+	s.heartbeats = append(s.heartbeats, sentHeartbeat{s.current, s.now})
+	s.gate.Heartbeat(s.gateTime(), s.current, LocalHeartbeat)
 }
 
-// late has a call come late: a gate has heard later ones, this or an earlier one.
-func (y *yard) late() {
-	y.heard = slices.DeleteFunc(y.heard, func(h heard) bool { return h.at <= y.now-lateCalls })
-	n := len(y.heard)
+// replayHeartbeat delivers a delayed heartbeat, after newer ones reached this gate or an earlier
+// one.
+func (s *gateSimulation) replayHeartbeat() {
+	s.heartbeats = slices.DeleteFunc(s.heartbeats, func(h sentHeartbeat) bool { return h.sentAt <= s.now-maxHeartbeatDelay })
+	n := len(s.heartbeats)
 	if n < 2 {
 		return
 	}
-	y.counted["late call"]++
-	late := y.heard[y.r.IntN(n-1)].Backend
-	if y.left[late.ID] && y.pick(2) {
-		late.Calls = 0 // nor can what is not counted bring it back
+	s.counts["delayed heartbeat"]++
+	stale := s.heartbeats[s.rng.IntN(n-1)].Backend
+	if s.drained[stale.ID] && s.oneIn(2) {
+		stale.Calls = 0 // an unnumbered heartbeat must not bring it back either
 	}
-	if late.ID == y.truth.ID {
-		late.Capacity = y.truth.Capacity
+	if stale.ID == s.current.ID {
+		stale.Capacity = s.current.Capacity
 	}
-	// Danger: where nothing vouched for any life in all that time, one that has crashed may be taken for the one that is there.
-	if y.at() >= lateCalls {
-		y.served[late.ID] = true
-		y.known = y.known || !y.proven && late.ID == y.truth.ID
+	// If no instance was confirmed in all that time, one that has crashed may be mistaken for the
+	// running one.
+	if s.gateTime() >= maxHeartbeatDelay {
+		s.provenInstances[stale.ID] = true
+		s.reachable = s.reachable || !s.proven && stale.ID == s.current.ID
 	}
-	y.gate.Heartbeat(y.at(), late, LocalHeartbeat)
+	s.gate.Heartbeat(s.gateTime(), stale, LocalHeartbeat)
 }
 
-// ask begins or ends a probe. Between, the life that answers may have left.
-func (y *yard) ask() {
-	if y.probe.id == "" {
-		if changes, ask := y.gate.NeedsProbe(); ask && !y.left[y.truth.ID] {
-			y.probe = probe{y.truth.ID, changes}
+// beginOrEndProbe starts a health probe or delivers its answer. In between, the instance that
+// answers may have announced its shutdown.
+func (s *gateSimulation) beginOrEndProbe() {
+	if s.probe.id == "" {
+		if generation, needed := s.gate.NeedsProbe(); needed && !s.drained[s.current.ID] {
+			s.probe = pendingProbe{s.current.ID, generation}
 		}
 		return
 	}
-	y.counted["probe"]++
-	if !y.left[y.truth.ID] {
-		y.proven, y.known, y.served[y.truth.ID] = true, true, true
+	s.counts["probe"]++
+	if !s.drained[s.current.ID] {
+		s.proven, s.reachable, s.provenInstances[s.current.ID] = true, true, true
 	}
-	y.gate.ProbeSucceeded(y.at(), y.probe.changes, transport.Backend{ID: y.probe.id, Capacity: 1, ColdLeft: max(0, y.cold-y.now)})
-	y.probe = probe{}
+	s.gate.ProbeSucceeded(s.gateTime(), s.probe.generation, transport.Backend{ID: s.probe.id, Capacity: 1, ColdLeft: max(0, s.coldUntil-s.now)})
+	s.probe = pendingProbe{}
 }
 
-func (y *yard) done() {
-	if y.running > len(y.elsewhere) {
-		y.running--
-		y.gate.Complete(y.at(), time.Duration(y.r.IntN(100))*time.Millisecond, !y.pick(5), !y.pick(4))
+func (s *gateSimulation) completeRequest() {
+	if s.running > len(s.misdirected) {
+		s.running--
+		s.gate.Complete(s.gateTime(), time.Duration(s.rng.IntN(100))*time.Millisecond, !s.oneIn(5), !s.oneIn(4))
 	}
 }
 
-func (y *yard) step() {
-	switch y.r.IntN(30) {
+func (s *gateSimulation) step() {
+	switch s.rng.IntN(30) {
 	case 0, 1, 2:
-		y.beat()
+		s.sendHeartbeat()
 	case 3:
-		y.late()
-	case 4: // the next life
-		if y.pick(3) {
-			y.lives++
-			y.truth = transport.Backend{ID: fmt.Sprint("b", y.lives), Capacity: 1 + y.r.IntN(6)}
-			y.cold, y.signedOff, y.proven, y.probe = y.now+time.Duration(y.r.IntN(3000))*time.Millisecond, false, false, probe{}
-			y.beat()
+		s.replayHeartbeat()
+	case 4: // a new instance starts
+		if s.oneIn(3) {
+			s.instances++
+			s.current = transport.Backend{ID: fmt.Sprint("b", s.instances), Capacity: 1 + s.rng.IntN(6)}
+			s.coldUntil, s.deregistered, s.proven, s.probe = s.now+time.Duration(s.rng.IntN(3000))*time.Millisecond, false, false, pendingProbe{}
+			s.sendHeartbeat()
 		}
-	case 5: // it is gone: its address refuses, or it is mute for long
-		if y.known = y.known && !y.pick(2); !y.known && y.pick(2) {
-			y.now += 6 * y.rules.HeartbeatInterval
-			y.gate.Tick(y.at())
-		} else if !y.known {
-			y.gate.MarkLost(y.at(), y.truth.ID, NotAtAddress)
+	case 5: // the instance is lost: its address refuses connections, or it is silent for a long time
+		if s.reachable = s.reachable && !s.oneIn(2); !s.reachable && s.oneIn(2) {
+			s.now += 6 * s.rules.HeartbeatInterval
+			s.gate.Tick(s.gateTime())
+		} else if !s.reachable {
+			s.gate.MarkLost(s.gateTime(), s.current.ID, NotAtAddress)
 		}
-	case 14: // it signs off, and may have done so at the process before
-		if y.pick(6) {
-			y.counted["sign-off"]++
-			y.left[y.truth.ID], y.signedOff, y.known = true, true, false
-			if y.gate.Deregister(y.at(), y.truth.ID, LocalDeregistration); y.pick(2) {
-				y.counted["restart behind a sign-off"]++
-				y.start()
+	case 14: // the instance deregisters, perhaps at the previous process of the gate
+		if s.oneIn(6) {
+			s.counts["deregistration"]++
+			s.drained[s.current.ID], s.deregistered, s.reachable = true, true, false
+			if s.gate.Deregister(s.gateTime(), s.current.ID, LocalDeregistration); s.oneIn(2) {
+				s.counts["restart after a deregistration"]++
+				s.startGate()
 			}
 		}
 	case 15, 16:
-		y.ask()
+		s.beginOrEndProbe()
 	case 6, 7:
-		back := y.rules.Evacuated
-		y.rules.Evacuated, y.rules.NoConfig = y.pick(4), y.pick(5)
-		y.gate.Configure(y.at(), y.rules)
-		if back && !y.rules.Evacuated { // a crowd, before the backend has said how cold it is
-			y.cold = max(y.cold, y.now+y.rules.Warmup)
+		wasEvacuated := s.rules.Evacuated
+		s.rules.Evacuated, s.rules.NoConfig = s.oneIn(4), s.oneIn(5)
+		s.gate.Configure(s.gateTime(), s.rules)
+		if wasEvacuated && !s.rules.Evacuated { // many requests arrive before the next heartbeat
+			s.coldUntil = max(s.coldUntil, s.now+s.rules.Warmup)
 			for range 40 {
-				y.admit()
-				y.done()
+				s.sendRequest()
+				s.completeRequest()
 			}
 		}
 	case 8:
-		if y.pick(8) {
-			y.counted["restart"]++
-			y.start()
-			y.beat() // at once, which is when it knows least
+		if s.oneIn(8) {
+			s.counts["restart"]++
+			s.startGate()
+			s.sendHeartbeat() // immediately, when the gate knows least
 		}
 	case 9, 10, 11, 12, 13:
-		y.done()
+		s.completeRequest()
 	default:
-		y.now += time.Duration(y.r.IntN(10)) * time.Millisecond
-		if y.pick(10) {
-			y.now += time.Duration(y.r.IntN(400)) * time.Millisecond
+		s.now += time.Duration(s.rng.IntN(10)) * time.Millisecond
+		if s.oneIn(10) {
+			s.now += time.Duration(s.rng.IntN(400)) * time.Millisecond
 		}
-		y.admit()
+		s.sendRequest()
 	}
-	for _, target := range y.elsewhere {
-		y.running--
-		y.gate.Complete(y.at(), 0, false, false)
-		y.gate.MarkLost(y.at(), target, NotAtAddress)
+	for _, target := range s.misdirected {
+		s.running--
+		s.gate.Complete(s.gateTime(), 0, false, false)
+		s.gate.MarkLost(s.gateTime(), target, NotAtAddress)
 	}
-	y.elsewhere = nil
-	for _, q := range slices.Clone(y.waiting) {
-		if q.ticket.began+q.ask.Patient <= y.at() {
-			y.True(y.gate.Abandon(y.at(), q.ticket, transport.Full), "a ticket was lost")
-			y.False(q.ask.Unsafe && y.unsafe[q.ask.Try], "REFUSED: %s was handed over, and is taken back", q.ask.Try)
-			y.settle(q)
-			y.counted["abandoned"]++
+	s.misdirected = nil
+	for _, q := range slices.Clone(s.queue) {
+		if q.ticket.createdAt+q.req.Patient <= s.gateTime() {
+			s.True(s.gate.Abandon(s.gateTime(), q.ticket, transport.Full), "a ticket was lost")
+			s.False(q.req.Unsafe && s.dispatchedUnsafe[q.req.Try], "REFUSED: %s was dispatched and then abandoned", q.req.Try)
+			s.markSettled(q)
+			s.counts["abandoned"]++
 		}
 	}
-	y.False(y.past != nil && y.gate.Abandon(y.at(), y.past.ticket, transport.Full), "a ticket was taken back after its turn")
-	y.Len(y.gate.waiting, len(y.waiting))
-	y.True(len(y.waiting) == 0 || y.running > 0, "tickets wait though nothing is under way")
-	y.Equal(y.running, y.gate.inFlight)
+	s.False(s.lastSettled != nil && s.gate.Abandon(s.gateTime(), s.lastSettled.ticket, transport.Full), "a ticket was abandoned after it was resolved")
+	s.Len(s.gate.queue, len(s.queue))
+	s.True(len(s.queue) == 0 || s.running > 0, "requests are queued though none is in flight")
+	s.Equal(s.running, s.gate.inFlight)
 }
 
-func newYard(t require.TestingT, seed uint64, counted map[string]int) *yard {
-	r := rand.New(rand.NewPCG(seed, 1))
-	y := &yard{Assertions: require.New(t), r: r, now: time.Hour, counted: counted, left: map[string]bool{}, lives: 1,
-		truth: transport.Backend{ID: "b1", Capacity: 4}, rules: Rules{Warmup: 3 * time.Second, WarmupRate: 1 + 8*r.Float64(),
-			WarmupExcess: 1 + r.Float64(), WarmupMargin: 2 + 4*r.Float64(), HeartbeatInterval: 1300 * time.Millisecond}}
-	y.start()
-	y.beat()
-	return y
+func newGateSimulation(t require.TestingT, seed uint64, counts map[string]int) *gateSimulation {
+	rng := rand.New(rand.NewPCG(seed, 1))
+	s := &gateSimulation{Assertions: require.New(t), rng: rng, now: time.Hour, counts: counts, drained: map[string]bool{}, instances: 1,
+		current: transport.Backend{ID: "b1", Capacity: 4}, rules: Rules{Warmup: 3 * time.Second, WarmupRate: 1 + 8*rng.Float64(),
+			WarmupExcess: 1 + rng.Float64(), WarmupMargin: 2 + 4*rng.Float64(), HeartbeatInterval: 1300 * time.Millisecond}}
+	s.startGate()
+	s.sendHeartbeat()
+	return s
 }
 
-// TestGate provokes ROUTE, DRAIN, EVAC, FAILBACK, TWICE, REFUSED and "never answers what it can't
-// queue" at the gate.
+// TestGate puts a random load on gates and checks the rules ROUTE, DRAIN, EVAC, FAILBACK, TWICE and
+// REFUSED, and that a backend never gets more requests at once than it processes.
 func TestGate(t *testing.T) {
-	counted := map[string]int{}
+	counts := map[string]int{}
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			y := newYard(t, seed, counted)
+			s := newGateSimulation(t, seed, counts)
 			for range 800 {
-				y.step()
+				s.step()
 			}
 		})
 	}
-	for _, what := range []string{"handed", "granted", "cold", "draining", "evacuated", "unknown", "own", "full", "twice", "late call", "restart", "abandoned", "sign-off", "restart behind a sign-off", "probe"} {
-		require.Greater(t, counted[what], 100, "the load provokes too few: %s", what)
+	for _, event := range []string{"handed", "granted", "cold", "draining", "evacuated", "unknown", "own", "full", "twice", "delayed heartbeat", "restart", "abandoned", "deregistration", "restart after a deregistration", "probe"} {
+		require.Greater(t, counts[event], 100, "the load causes too few events: %s", event)
 	}
 }
 
-// caught is a test that stops at the first failure, which is what is wanted of it.
-type caught struct{ failure string }
+// failureRecorder is a require.TestingT that records a failure and ends the goroutine of the test.
+type failureRecorder struct{ failure string }
 
-func (c *caught) Errorf(format string, args ...any) { c.failure = fmt.Sprintf(format, args...) }
-func (c *caught) FailNow()                          { runtime.Goexit() }
+func (r *failureRecorder) Errorf(format string, args ...any) {
+	r.failure = fmt.Sprintf(format, args...)
+}
+func (r *failureRecorder) FailNow() { runtime.Goexit() }
 
-// TestGateFindsWhatIsPlanted breaks the gate on purpose before each step, and has the load of
-// TestGate find it.
+// TestGateFindsWhatIsPlanted breaks the gate before each step and checks that the load of TestGate
+// detects it.
 func TestGateFindsWhatIsPlanted(t *testing.T) {
-	for rule, plant := range map[string]func(y *yard){
-		"TWICE: handed over though it was meant for an earlier process": func(y *yard) { y.gate.names[1] = uint64(y.r.IntN(int(y.life))) },
-		"DRAIN: handed over after the backend left":                     func(y *yard) { y.gate.lives.ended = nil },
-		"ROUTE: handed to a life that nothing vouches for":              func(y *yard) { y.gate.lives.started = -lateCalls },
-		"TWICE: [0-9]+ handed over again":                               func(y *yard) { y.gate.ids = seenids.New(y.at(), twiceFor, mostTwice) },
+	for rule, breakGate := range map[string]func(s *gateSimulation){
+		"TWICE: handed over though it was meant for an earlier process": func(s *gateSimulation) { s.gate.ownLives[1] = uint64(s.rng.IntN(int(s.gateLife))) },
+		"DRAIN: handed over after the backend left":                     func(s *gateSimulation) { s.gate.instances.ended = nil },
+		"ROUTE: handed to a life that nothing vouches for":              func(s *gateSimulation) { s.gate.instances.startedAt = -maxHeartbeatDelay },
+		"TWICE: [0-9]+ handed over again":                               func(s *gateSimulation) { s.gate.unsafeIDs = seenids.New(s.gateTime(), seenIDLifetime, maxSeenIDs) },
 	} {
 		t.Run(rule, func(t *testing.T) {
 			found := ""
 			for seed := uint64(0); seed < 50 && found == ""; seed++ {
-				c := &caught{}
-				var run sync.WaitGroup
-				run.Go(func() {
-					y := newYard(c, seed, map[string]int{})
+				recorder := &failureRecorder{}
+				var wg sync.WaitGroup
+				wg.Go(func() {
+					s := newGateSimulation(recorder, seed, map[string]int{})
 					for range 600 {
-						plant(y)
-						y.step()
+						breakGate(s)
+						s.step()
 					}
 				})
-				run.Wait()
-				found = c.failure
+				wg.Wait()
+				found = recorder.failure
 			}
 			require.Regexp(t, rule, found)
 		})
 	}
 }
 
-// A long body waits for a busy link as long as it can still be in time, and no longer.
+// TestBodyPatience checks that a long body waits for a busy link for as long as it can still be in
+// time, and no longer.
 func TestBodyPatience(t *testing.T) {
-	const mbit = 8e6 // a megabyte takes a second
+	const mbit = 8e6 // bits per second: a megabyte takes a second
 	for _, c := range []struct {
-		name       string
-		coming     int64 // bytes before it
-		body       int64
-		aim        time.Duration
-		link       float64
-		after      time.Duration // that it is told to come back after; 0: it may come
-		mayBeTried bool
+		name              string
+		incoming          int64 // bytes of bodies on their way
+		body              int64
+		aim               time.Duration
+		linkBitsPerSecond float64
+		retryAfter        time.Duration // expected retry delay; 0 if the body is accepted
+		admitted          bool
 	}{
 		{"nothing before it", 0, 200e3, 1500 * time.Millisecond, mbit, 0, true},
 		{"most of what it can spare", 779e3, 200e3, 1500 * time.Millisecond, mbit, 0, true},
@@ -372,32 +379,32 @@
 		{"a link of unknown width", 1e9, 200e3, 1500 * time.Millisecond, 0, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := NewGate(0, Rules{HeartbeatInterval: time.Minute, LinkBitsPerSecond: c.link})
+			g := NewGate(0, Rules{HeartbeatInterval: time.Minute, LinkBitsPerSecond: c.linkBitsPerSecond})
 			g.SetLife(1)
-			g.Heartbeat(lateCalls, transport.Backend{ID: "b", Capacity: 4, Calls: 1}, LocalHeartbeat)
-			g.BodyStarted(c.coming)
-			ask := &transport.Request{Life: 1, Target: "b", Body: c.body, Aim: c.aim, Patient: 375 * time.Millisecond}
-			f := g.AdmitUpload(lateCalls, ask)
-			require.Equal(t, c.mayBeTried, f == nil)
-			if f != nil {
-				require.InDelta(t, c.after.Seconds(), f.RetryAfter.Seconds(), 0.002)
-				require.Equal(t, transport.NotRun, f.Verdict)
+			g.Heartbeat(maxHeartbeatDelay, transport.Backend{ID: "b", Capacity: 4, Calls: 1}, LocalHeartbeat)
+			g.BodyStarted(c.incoming)
+			req := &transport.Request{Life: 1, Target: "b", Body: c.body, Aim: c.aim, Patient: 375 * time.Millisecond}
+			failure := g.AdmitUpload(maxHeartbeatDelay, req)
+			require.Equal(t, c.admitted, failure == nil)
+			if failure != nil {
+				require.InDelta(t, c.retryAfter.Seconds(), failure.RetryAfter.Seconds(), 0.002)
+				require.Equal(t, transport.NotRun, failure.Verdict)
 			}
 		})
 	}
 }
 
-// While planned work turns uploads away, a body that is offered goes elsewhere, and one that has come
-// is handed over as before.
+// TestUploadsTurnedAway checks that while uploads are refused for planned maintenance, an offered
+// body is refused, and a request whose body has arrived is dispatched as before.
 func TestUploadsTurnedAway(t *testing.T) {
 	g := NewGate(0, Rules{HeartbeatInterval: time.Minute, RefuseUploads: true})
 	g.SetLife(1)
-	g.Heartbeat(lateCalls, transport.Backend{ID: "b", Capacity: 4, Calls: 1}, LocalHeartbeat)
-	ask := &transport.Request{Life: 1, Target: "b", Body: 1e6, Try: "t", Unsafe: true}
-	f := g.AdmitUpload(lateCalls, ask)
-	require.Equal(t, []any{transport.NotRun, transport.Evacuated}, []any{f.Verdict, f.Reason})
-	g.Configure(lateCalls, Rules{HeartbeatInterval: time.Minute})
-	require.Nil(t, g.AdmitUpload(lateCalls, ask))
-	g.Configure(lateCalls, Rules{HeartbeatInterval: time.Minute, RefuseUploads: true})
-	require.Nil(t, g.may(ask), "it has come")
+	g.Heartbeat(maxHeartbeatDelay, transport.Backend{ID: "b", Capacity: 4, Calls: 1}, LocalHeartbeat)
+	req := &transport.Request{Life: 1, Target: "b", Body: 1e6, Try: "t", Unsafe: true}
+	failure := g.AdmitUpload(maxHeartbeatDelay, req)
+	require.Equal(t, []any{transport.NotRun, transport.Evacuated}, []any{failure.Verdict, failure.Reason})
+	g.Configure(maxHeartbeatDelay, Rules{HeartbeatInterval: time.Minute})
+	require.Nil(t, g.AdmitUpload(maxHeartbeatDelay, req))
+	g.Configure(maxHeartbeatDelay, Rules{HeartbeatInterval: time.Minute, RefuseUploads: true})
+	require.Nil(t, g.checkAdmissible(req), "the body has arrived")
 }
--- a/internal/mesh/inbound/handle.go
+++ b/internal/mesh/inbound/handle.go
@@ -7,107 +7,109 @@
 )
 
 const (
-	connectTime = time.Second           // at most, for a connection to the backend
-	answerSlack = 50 * time.Millisecond // beyond a request's time: a backend says itself that it is over
+	connectTimeout = time.Second // limit for opening a connection to the backend
+	// responseSlack is added to a request's time limit, so that the backend can report a timeout
+	// itself.
+	responseSlack = 50 * time.Millisecond
 )
 
-// Handle brings a request to the backend and returns its answer, or why there is none. Once the
-// caller has gone nothing more is handed over, and a run that may be repeated is broken off; any
-// other runs to its end.
-func (h *Host) Handle(caller *Caller, a *transport.Request, body []byte) (*transport.Reply, []byte) {
-	arrived := time.Now()
+// Handle forwards a request to the backend and returns the reply with its body. Once the caller is
+// gone the request is no longer dispatched. If it is running already, it is cancelled only if it is
+// safe to repeat; an unsafe request runs to its end.
+func (h *Host) Handle(caller *Caller, req *transport.Request, body []byte) (*transport.Reply, []byte) {
+	arrivedAt := time.Now()
 	var address string
 	var waited time.Duration
-	f := cancelled(transport.NotRun)
+	failure := cancelledFailure(transport.NotRun)
 	if !caller.IsGone() {
-		address, waited, f = h.admit(caller, a)
+		address, waited, failure = h.admit(caller, req)
 	}
-	if f != nil {
-		h.note(a, f, waited, time.Since(arrived))
-		r := h.reply(f)
-		r.Waited = waited
-		return r, nil
+	if failure != nil {
+		h.recordFailure(req, failure, waited, time.Since(arrivedAt))
+		reply := h.failureReply(failure)
+		reply.Waited = waited
+		return reply, nil
 	}
 	h.Dispatched.Add(1)
-	working := h.begin(a)
-	a.Left = max(a.Left-time.Since(arrived), time.Millisecond)
-	sent := time.Now()
-	ans, f := h.call(caller, address, a, body, sent)
-	took := time.Since(sent)
-	var meant *transport.Failure
-	if f == nil {
-		meant = ans.meaning()
+	run := h.beginRun(req)
+	req.Left = max(req.Left-time.Since(arrivedAt), time.Millisecond)
+	sentAt := time.Now()
+	resp, failure := h.forward(caller, address, req, body, sentAt)
+	elapsed := time.Since(sentAt)
+	var notRun *transport.Failure
+	if failure == nil {
+		notRun = resp.notRunFailure()
 	}
-	h.done(a, working, ans, f, meant, took)
-	if f == nil {
-		f = meant
+	h.finishRun(req, run, resp, failure, notRun, elapsed)
+	if failure == nil {
+		failure = notRun
 	}
-	if f != nil {
-		if f.Reason != transport.Cancelled {
+	if failure != nil {
+		if failure.Reason != transport.Cancelled {
 			h.Failed.Add(1)
 		}
-		h.note(a, f, waited, waited+took)
-		r := h.reply(f)
-		r.Waited, r.Arrived = waited, meant != nil
-		return r, nil
+		h.recordFailure(req, failure, waited, waited+elapsed)
+		reply := h.failureReply(failure)
+		reply.Waited, reply.Arrived = waited, notRun != nil
+		return reply, nil
 	}
 	h.Answered.Add(1)
 	h.Traces.Plain()
-	return &transport.Reply{Verdict: transport.Ran, Status: ans.status, Header: ans.header, Body: int64(len(ans.body)), Waited: waited,
-		Load: h.Load(), Inner: working.failed && ans.status >= 500}, ans.body
+	return &transport.Reply{Verdict: transport.Ran, Status: resp.status, Header: resp.header, Body: int64(len(resp.body)), Waited: waited,
+		Load: h.Load(), Inner: run.callFailed && resp.status >= 500}, resp.body
 }
 
-// begin enters a run that the backend is about to have in work.
-func (h *Host) begin(a *transport.Request) *run {
-	working := &run{repeat: a.Repeat, customer: a.Customer}
-	if !a.Inner { // a tenant's usage is what its clients ask for, not what that leads to
-		working.counted = h.usage.Begin(a.Customer)
+// beginRun registers a request that is about to run at the backend.
+func (h *Host) beginRun(req *transport.Request) *backendRun {
+	run := &backendRun{repeat: req.Repeat, customer: req.Customer}
+	if !req.Inner { // usage counts what a tenant's clients request, not the calls that follow from it
+		run.usageMark = h.usage.Begin(req.Customer)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.runs[a.Try] = working
-	return working
+	h.runs[req.Try] = run
+	return run
 }
 
-// call sends a request to the backend and waits for its answer. Danger: a backend's silence proves
-// nothing, so it is waited for until nobody waits for the answer.
-func (h *Host) call(caller *Caller, address string, a *transport.Request, body []byte, sent time.Time) (*answer, *transport.Failure) {
-	c, f := h.connect(caller, address, a, sent)
-	if caller.IsGone() && (c != nil || f.Reason == transport.Unreachable) {
-		if c != nil {
-			h.pool.Put(c)
+// forward sends a request to the backend and waits for the response. A silent backend may still be
+// running the request, so the wait lasts until the request's time limit.
+func (h *Host) forward(caller *Caller, address string, req *transport.Request, body []byte, sentAt time.Time) (*response, *transport.Failure) {
+	conn, failure := h.connect(caller, address, req, sentAt)
+	if caller.IsGone() && (conn != nil || failure.Reason == transport.Unreachable) {
+		if conn != nil {
+			h.pool.Put(conn)
 		}
-		return nil, cancelled(transport.NotRun)
+		return nil, cancelledFailure(transport.NotRun)
 	}
-	if f != nil {
-		return nil, f
+	if failure != nil {
+		return nil, failure
 	}
-	c.SetDeadline(sent.Add(a.Left + answerSlack))
-	if a.Unsafe {
-		return h.exchange(c, a, body)
+	conn.SetDeadline(sentAt.Add(req.Left + responseSlack))
+	if req.Unsafe {
+		return h.roundTripUninterrupted(conn, req, body)
 	}
-	return h.exchangeUntil(caller, c, a, body)
+	return h.roundTripCancellable(caller, conn, req, body)
 }
 
-// done takes in how a run ended: without an answer, with one that says it did not run (meant), or
-// with one that counts. Danger: where nobody listens, or somebody else does, the backend is gone
-// until a beat tells otherwise.
-func (h *Host) done(a *transport.Request, working *run, ans *answer, f, meant *transport.Failure, took time.Duration) {
-	h.WithGate(func(now time.Duration, g *Gate) (lost bool) {
-		ran := f == nil && meant == nil
-		if h.runs[a.Try] == working { // a copy of it may have begun since
-			delete(h.runs, a.Try)
+// finishRun records how a run ended: without a response (failure), with a response that says the
+// request did not run (notRun), or with a regular one. If nothing listens at the backend's address,
+// or another instance does, the backend counts as lost until its next heartbeat.
+func (h *Host) finishRun(req *transport.Request, run *backendRun, resp *response, failure, notRun *transport.Failure, elapsed time.Duration) {
+	h.WithGate(func(now time.Duration, gate *Gate) (announce bool) {
+		ran := failure == nil && notRun == nil
+		if h.runs[req.Try] == run { // a duplicate of the request may have replaced it
+			delete(h.runs, req.Try)
 		}
-		if meant != nil || f != nil && f.Verdict == transport.NotRun {
-			h.usage.Undo(working.counted)
+		if notRun != nil || failure != nil && failure.Verdict == transport.NotRun {
+			h.usage.Undo(run.usageMark)
 		}
-		if f != nil && f.Reason == transport.Cancelled {
-			g.Cancel(now, a, f.Verdict != transport.NotRun)
+		if failure != nil && failure.Reason == transport.Cancelled {
+			gate.Cancel(now, req, failure.Verdict != transport.NotRun)
 			return false
 		}
-		g.Complete(now, took, ran, ran && (ans.status < 500 || working.failed))
-		if f != nil && f.Reason == transport.UnknownBackend || meant != nil && meant.Reason == transport.UnknownBackend {
-			return g.MarkLost(now, a.Target, NotAtAddress)
+		gate.Complete(now, elapsed, ran, ran && (resp.status < 500 || run.callFailed))
+		if failure != nil && failure.Reason == transport.UnknownBackend || notRun != nil && notRun.Reason == transport.UnknownBackend {
+			return gate.MarkLost(now, req.Target, NotAtAddress)
 		}
 		return false
 	})
--- a/internal/mesh/inbound/host.go
+++ b/internal/mesh/inbound/host.go
@@ -12,153 +12,158 @@
 )
 
 const (
-	mostConns = 1024            // to the backend: far above what any takes at once
-	idleClose = 9 * time.Second // backends close what is idle for ten, and some sooner
+	maxBackendConns = 1024            // to the backend; far above any backend's concurrency
+	idleTimeout     = 9 * time.Second // backends close idle connections after ten seconds, some earlier
 )
 
-// Host runs a Gate: it serves exchanges and hands over to the backend over connections of its own.
+// Host runs a Gate. It serves the exchanges of senders and forwards requests to the backend over
+// its own connection pool.
 type Host struct {
-	pool       *connpool.Pool
-	mostAnswer int64
-	mostBody   int64
-	budget     *transport.ByteBudget // for bodies
-	uploads    chan struct{}         // long bodies on their way
-	began      time.Time
-	news       func() // others should hear of the backend; called without the lock
-	observe    func(BackendChange)
+	pool             *connpool.Pool
+	maxResponseBytes int64
+	maxBodyBytes     int64
+	bodyBudget       *transport.ByteBudget // memory for request bodies
+	uploadSemaphore  chan struct{}         // one slot for each upload in progress
+	startedAt        time.Time
+	announce         func() // tells others about the backend; called without the lock
+	onBackendChange  func(BackendChange)
 
 	mu       sync.Mutex
 	gate     *Gate
-	target   *connpool.Target // the life of the backend that targetID names
+	target   *connpool.Target // connections to the instance targetID
 	targetID string
-	runs     map[string]*run // what the backend has in work, by try
+	runs     map[string]*backendRun // requests running at the backend, by Try-Id
 
-	sessions sync.Map // of senders: *session to nil
+	sessions sync.Map // connections of senders: *session to nil
 	usage    *usage.Counter
 
-	Traces flightrecorder.Ring // of what was refused or broke here
+	Traces flightrecorder.Ring // of requests that were refused or failed here
 
-	// Counters.
+	// Counters of dispatched requests and of those that were answered or failed.
 	Dispatched, Answered, Failed atomic.Uint64
-	open                         atomic.Bool
+	accepting                    atomic.Bool
 }
 
-// Observe has each change of the backend told to a function, which is called without the lock. It
-// must be called before the host is used.
-func (h *Host) ObserveBackend(f func(BackendChange)) { h.observe = f }
-
-// CountUsage has what the backend begins counted by tenant. It must be called before the host is used.
-func (h *Host) CountUsage(by *usage.Counter) { h.usage = by }
-
-// NewHost returns a host whose backend has not been heard.
-func NewHost(r Rules, mostBody int64, budget *transport.ByteBudget, news func()) *Host {
-	h := &Host{budget: budget, began: time.Now(), mostAnswer: mostBody, mostBody: mostBody, news: news, runs: map[string]*run{},
-		observe: func(BackendChange) {}}
-	h.gate = NewGate(0, r)
-	h.uploads = make(chan struct{}, uploadSlots(r.LinkBitsPerSecond))
-	h.pool = connpool.New(connpool.Options{Network: connpool.TCP{}, ConnectTimeout: connectTime, IdleClose: idleClose, Most: mostConns})
-	h.open.Store(true)
+// ObserveBackend registers a function that is called with each change of the backend, without the
+// lock. It must be called before the host is used.
+func (h *Host) ObserveBackend(f func(BackendChange)) { h.onBackendChange = f }
+
+// CountUsage registers a counter for the requests of each tenant that begin to run. It must be
+// called before the host is used.
+func (h *Host) CountUsage(counter *usage.Counter) { h.usage = counter }
+
+// NewHost returns a host that knows no backend yet. The announce function is called when others
+// should be told about the backend.
+func NewHost(rules Rules, maxBodyBytes int64, budget *transport.ByteBudget, announce func()) *Host {
+	h := &Host{bodyBudget: budget, startedAt: time.Now(), maxResponseBytes: maxBodyBytes, maxBodyBytes: maxBodyBytes, announce: announce, runs: map[string]*backendRun{},
+		onBackendChange: func(BackendChange) {}}
+	h.gate = NewGate(0, rules)
+	h.uploadSemaphore = make(chan struct{}, uploadSlots(rules.LinkBitsPerSecond))
+	h.pool = connpool.New(connpool.Options{Network: connpool.TCP{}, ConnectTimeout: connectTimeout, IdleClose: idleTimeout, Most: maxBackendConns})
+	h.accepting.Store(true)
 	return h
 }
 
-func (h *Host) now() time.Duration { return time.Since(h.began) }
+func (h *Host) now() time.Duration { return time.Since(h.startedAt) }
 
-// With runs a function on the gate; if it says so, others hear of the backend.
-func (h *Host) WithGate(f func(now time.Duration, g *Gate) (news bool)) {
+// WithGate calls f with the gate locked. If f returns true, the backend's state is announced to
+// others.
+func (h *Host) WithGate(f func(now time.Duration, g *Gate) (announce bool)) {
 	h.mu.Lock()
-	news := f(h.now(), h.gate)
-	changes := h.gate.takeChanges()
+	announce := f(h.now(), h.gate)
+	changes := h.gate.popChanges()
 	h.mu.Unlock()
-	for _, c := range changes {
-		h.observe(c)
+	for _, change := range changes {
+		h.onBackendChange(change)
 	}
-	if news {
-		h.news()
+	if announce {
+		h.announce()
 	}
 }
 
-// admit waits for a slot, and says how long.
-func (h *Host) admit(caller *Caller, a *transport.Request) (address string, waited time.Duration, f *transport.Failure) {
-	if !h.open.Load() {
+// admit waits for a slot and returns the backend's address and how long it waited.
+func (h *Host) admit(caller *Caller, req *transport.Request) (address string, waited time.Duration, failure *transport.Failure) {
+	if !h.accepting.Load() {
 		return "", 0, &transport.Failure{Verdict: transport.NotRun, Reason: transport.Draining}
 	}
 	h.mu.Lock()
-	t, f := h.gate.Admit(h.now(), a)
-	if f != nil {
+	ticket, failure := h.gate.Admit(h.now(), req)
+	if failure != nil {
 		h.mu.Unlock()
-		return "", 0, f
+		return "", 0, failure
 	}
-	address = h.gate.lives.serving.Address
-	if t == nil {
+	address = h.gate.instances.serving.Address
+	if ticket == nil {
 		h.mu.Unlock()
 		return address, 0, nil
 	}
-	began := time.Now()
-	granted := make(chan *transport.Failure, 1)
-	t.OnDecision = func(ok bool, f *transport.Failure) { granted <- f }
+	queuedAt := time.Now()
+	decision := make(chan *transport.Failure, 1)
+	ticket.OnDecision = func(ok bool, failure *transport.Failure) { decision <- failure }
 	h.mu.Unlock()
-	left := make(chan struct{})
-	stop := caller.whenLeft(func() { close(left) })
+	gone := make(chan struct{})
+	stop := caller.afterGone(func() { close(gone) })
 	defer stop()
-	timer := time.NewTimer(a.Patient)
+	timer := time.NewTimer(req.Patient)
 	defer timer.Stop()
 	select {
-	case f = <-granted:
-		return address, time.Since(began), h.keep(caller, a, f)
+	case failure = <-decision:
+		return address, time.Since(queuedAt), h.confirmSlot(caller, req, failure)
 	case <-timer.C:
-		f = &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: a.Patient}
-	case <-left:
-		f = cancelled(transport.NotRun)
+		failure = &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: req.Patient}
+	case <-gone:
+		failure = cancelledFailure(transport.NotRun)
 	}
 	h.mu.Lock()
-	abandoned := h.gate.Abandon(h.now(), t, f.Reason)
+	abandoned := h.gate.Abandon(h.now(), ticket, failure.Reason)
 	h.mu.Unlock()
 	if abandoned {
-		return "", time.Since(began), f
+		return "", time.Since(queuedAt), failure
 	}
-	return address, time.Since(began), h.keep(caller, a, <-granted)
+	return address, time.Since(queuedAt), h.confirmSlot(caller, req, <-decision)
 }
 
-// keep gives a slot that was waited for back if the caller has gone meanwhile.
-func (h *Host) keep(caller *Caller, a *transport.Request, f *transport.Failure) *transport.Failure {
-	if f != nil || !caller.isGone() {
-		return f
+// confirmSlot returns a slot that was granted after a wait if the caller is gone by now.
+func (h *Host) confirmSlot(caller *Caller, req *transport.Request, failure *transport.Failure) *transport.Failure {
+	if failure != nil || !caller.pollGone() {
+		return failure
 	}
-	h.WithGate(func(now time.Duration, g *Gate) bool { g.Cancel(now, a, false); return false })
-	return cancelled(transport.NotRun)
+	h.WithGate(func(now time.Duration, g *Gate) bool { g.Cancel(now, req, false); return false })
+	return cancelledFailure(transport.NotRun)
 }
 
-func (h *Host) reply(f *transport.Failure) *transport.Reply {
-	return &transport.Reply{Verdict: f.Verdict, Reason: f.Reason, After: f.RetryAfter, Load: h.Load()}
+func (h *Host) failureReply(failure *transport.Failure) *transport.Reply {
+	return &transport.Reply{Verdict: failure.Verdict, Reason: failure.Reason, After: failure.RetryAfter, Load: h.Load()}
 }
 
-// Load is what others are told of the backend.
+// Load returns the load that is reported to senders.
 func (h *Host) Load() transport.Load {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.gate.Load(h.now())
 }
 
-// Close has it take nothing more; what it has in hand goes on.
-func (h *Host) StopAccepting() { h.open.Store(false) }
+// StopAccepting makes the host refuse new requests. Requests in progress continue.
+func (h *Host) StopAccepting() { h.accepting.Store(false) }
 
-// Open says whether it takes requests.
-func (h *Host) Accepting() bool { return h.open.Load() }
+// Accepting reports whether the host accepts requests.
+func (h *Host) Accepting() bool { return h.accepting.Load() }
 
-// Tick lets time pass.
+// Tick must be called regularly. It detects a silent backend, closes idle connections and updates
+// the keep-alive probing of senders.
 func (h *Host) Tick() {
 	h.WithGate(func(now time.Duration, g *Gate) bool { return g.Tick(now) })
 	h.pool.Sweep()
 	now := time.Now()
 	h.sessions.Range(func(s, _ any) bool {
-		s.(*session).probe(now)
+		s.(*session).updateProbing(now)
 		return true
 	})
 }
 
-// Held is how many requests it has in hand.
+// Outstanding is the number of requests that are queued or in flight.
 func (h *Host) Outstanding() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.gate.inFlight + len(h.gate.waiting)
+	return h.gate.inFlight + len(h.gate.queue)
 }
--- a/internal/mesh/inbound/lives.go
+++ b/internal/mesh/inbound/lives.go
@@ -8,65 +8,68 @@
 )
 
 const (
-	// lateCalls is how late a backend's call may come: none that is older by more reaches a process.
-	lateCalls = 8 * time.Second
-	mostEnded = 64 // lives that are remembered as ended: their calls are all late
+	// maxHeartbeatDelay bounds how late a heartbeat arrives: an older one never reaches a process.
+	maxHeartbeatDelay = 8 * time.Second
+	maxEndedInstances = 64 // ids of ended instances that are remembered; all their heartbeats are ignored
 )
 
-// lives is what a gate knows of the lives of the backend beside it: which one it serves, and which
-// have ended. It is a machine without I/O or clock.
+// instanceTracker records which instance of the backend a gate serves and which instances have
+// ended. An instance is one run of the backend process. The tracker is a state machine without I/O
+// or clock.
 //
-// A life ends by its own word, the sign-off, or because another one took its place. Both are final:
-// no call of that life counts any more, in whatever order and however late calls come. That it says
-// it drains is final, too: it may still be heard, but never as ready. That it can't be reached, or
-// is silent, is final for nothing, and its next call brings it back.
+// An instance ends when it deregisters or when another instance takes its place. Both are final:
+// none of its heartbeats counts any more, however late and in whatever order they arrive. The
+// draining state is final too: a draining instance may still be heard, but is never ready again.
+// That an instance is unreachable or silent is not final; its next heartbeat makes it available
+// again.
 //
-// What an earlier process beside the backend acknowledged is not known to this one, and a call from
-// before that may still be on its way. So a life is served only once it has answered a health probe
-// (vouch), or once no such call can come any more and no other life is known to be there.
-type lives struct {
-	started  time.Duration      // of the process
-	serving  *transport.Backend // nil: none
-	last     *transport.Backend // the life served last, also when it is gone
-	unproven *transport.Backend // a life that has been heard, and for which nothing vouches yet
-	ended    []string           // in the order in which they ended
-	changes  uint64             // of what is served
+// This process does not know what an earlier process beside the backend acknowledged, and
+// heartbeats from that time may still arrive. An instance is therefore served only once it has
+// answered a health probe (confirm), or once such heartbeats cannot arrive any more and no other
+// instance is known.
+type instanceTracker struct {
+	startedAt   time.Duration      // when the process started
+	serving     *transport.Backend // nil if there is none
+	lastServed  *transport.Backend // the instance served last, even if it is gone
+	unconfirmed *transport.Backend // an instance that sent heartbeats but is not confirmed yet
+	ended       []string           // ids, oldest first
+	generation  uint64             // counts changes of the served or ended instances
 }
 
-// beatOutcome is what came of a backend's beat.
-type beatOutcome uint8
+// heartbeatOutcome is the effect of a heartbeat.
+type heartbeatOutcome uint8
 
 const (
-	beatLate     beatOutcome = iota // it says nothing that still holds
-	beatUnproven                    // it may be late
-	beatServed
+	heartbeatStale       heartbeatOutcome = iota // ignored: outdated, or from an instance that has ended
+	heartbeatUnconfirmed                         // possibly outdated: the instance has to be probed
+	heartbeatAccepted                            // the instance is served now
 )
 
-func (l *lives) hasEnded(id string) bool { return slices.Contains(l.ended, id) }
+func (t *instanceTracker) hasEnded(id string) bool { return slices.Contains(t.ended, id) }
 
-// beat takes in a call of a life.
-func (l *lives) beat(now time.Duration, b transport.Backend) beatOutcome {
-	known := l.last != nil && l.last.ID == b.ID
+// heartbeat handles a heartbeat of an instance.
+func (t *instanceTracker) heartbeat(now time.Duration, b transport.Backend) heartbeatOutcome {
+	wasServed := t.lastServed != nil && t.lastServed.ID == b.ID
 	switch {
-	case l.hasEnded(b.ID), b.Calls != 0 && b.Calls < l.callsOf(b.ID):
-		return beatLate
-	case known, l.mustBeThere(now):
-		l.serve(b)
-		return beatServed
+	case t.hasEnded(b.ID), b.Calls != 0 && b.Calls < t.latestHeartbeat(b.ID):
+		return heartbeatStale
+	case wasServed, t.canAssumeCurrent(now):
+		t.serve(b)
+		return heartbeatAccepted
 	case !b.Draining:
-		l.unproven = &b
-		return beatUnproven
-	case l.serving != nil: // whichever of the two is there, this one is not to be served
-		l.end(b.ID)
-		return beatLate
+		t.unconfirmed = &b
+		return heartbeatUnconfirmed
+	case t.serving != nil: // whichever of the two is running, a draining one must not be served
+		t.markEnded(b.ID)
+		return heartbeatStale
 	}
-	l.serve(b)
-	return beatServed
+	t.serve(b)
+	return heartbeatAccepted
 }
 
-// callsOf is the number of the latest call of a life that has been heard.
-func (l *lives) callsOf(id string) (latest uint64) {
-	for _, b := range []*transport.Backend{l.last, l.unproven} {
+// latestHeartbeat is the highest heartbeat number received from an instance.
+func (t *instanceTracker) latestHeartbeat(id string) (latest uint64) {
+	for _, b := range []*transport.Backend{t.lastServed, t.unconfirmed} {
 		if b != nil && b.ID == id {
 			latest = max(latest, b.Calls)
 		}
@@ -74,70 +77,74 @@
 	return latest
 }
 
-// mustBeThere says whether a life that has not been heard before must be the one that is there: none is known to be, and no call that
-// was meant for an earlier process comes any more.
-func (l *lives) mustBeThere(now time.Duration) bool {
-	return l.serving == nil && now-l.started >= lateCalls
+// canAssumeCurrent reports whether an instance that was not served before may be taken for the
+// running one: no other instance is known, and heartbeats sent to an earlier process cannot arrive
+// any more.
+func (t *instanceTracker) canAssumeCurrent(now time.Duration) bool {
+	return t.serving == nil && now-t.startedAt >= maxHeartbeatDelay
 }
 
-// serve makes a life the one that is served. A life that was served before it has ended.
-func (l *lives) serve(b transport.Backend) {
-	if l.last != nil && l.last.ID == b.ID {
-		b.Draining = b.Draining || l.last.Draining
-		b.Calls = max(b.Calls, l.last.Calls)
-	} else if l.last != nil {
-		l.end(l.last.ID)
+// serve makes b the served instance. A different instance that was served before has ended.
+func (t *instanceTracker) serve(b transport.Backend) {
+	if t.lastServed != nil && t.lastServed.ID == b.ID {
+		b.Draining = b.Draining || t.lastServed.Draining
+		b.Calls = max(b.Calls, t.lastServed.Calls)
+	} else if t.lastServed != nil {
+		t.markEnded(t.lastServed.ID)
 	}
-	if l.serving == nil || l.serving.ID != b.ID {
-		l.changes++
+	if t.serving == nil || t.serving.ID != b.ID {
+		t.generation++
 	}
-	l.serving, l.last, l.unproven = &b, &b, nil
+	t.serving, t.lastServed, t.unconfirmed = &b, &b, nil
 }
 
-// vouch takes in a life's answer to a health probe that was begun when the changes were as given. It
-// says false if that answer may be older than what is known since.
-func (l *lives) vouch(changes uint64, b transport.Backend) bool {
-	if changes != l.changes || l.hasEnded(b.ID) || l.serving != nil && l.serving.ID == b.ID {
+// confirm handles the answer of an instance to a health probe that began at the given generation.
+// It returns false if the answer may be older than what is known by now.
+func (t *instanceTracker) confirm(generation uint64, b transport.Backend) bool {
+	if generation != t.generation || t.hasEnded(b.ID) || t.serving != nil && t.serving.ID == b.ID {
 		return false
 	}
-	if l.unproven != nil && l.unproven.ID == b.ID { // which says more, but may have said it a while ago
-		cold := b.ColdLeft
-		b = *l.unproven
-		b.ColdLeft = cold
-	} else if l.unproven != nil {
-		l.end(l.unproven.ID)
+	// The heartbeat has more details than the probe, but its warm-up time may be outdated.
+	if t.unconfirmed != nil && t.unconfirmed.ID == b.ID {
+		coldLeft := b.ColdLeft
+		b = *t.unconfirmed
+		b.ColdLeft = coldLeft
+	} else if t.unconfirmed != nil {
+		t.markEnded(t.unconfirmed.ID)
 	}
-	l.serve(b)
+	t.serve(b)
 	return true
 }
 
-// signOff takes in a life's word that it ends. It says whether it was served.
-func (l *lives) signOff(id string) bool {
-	l.end(id)
-	return l.lose(id)
+// deregister records that an instance has announced its end. It reports whether the instance was
+// served.
+func (t *instanceTracker) deregister(id string) bool {
+	t.markEnded(id)
+	return t.markLost(id)
 }
 
-// lose takes in that a life can't be reached, or is silent. It says whether it was served.
-func (l *lives) lose(id string) bool {
-	if l.serving == nil || l.serving.ID != id {
+// markLost records that an instance is unreachable or silent. It reports whether the instance was
+// served.
+func (t *instanceTracker) markLost(id string) bool {
+	if t.serving == nil || t.serving.ID != id {
 		return false
 	}
-	l.serving = nil
-	l.changes++
+	t.serving = nil
+	t.generation++
 	return true
 }
 
-// end remembers that a life has ended.
-func (l *lives) end(id string) {
-	if l.unproven != nil && l.unproven.ID == id {
-		l.unproven = nil
+// markEnded remembers that an instance has ended.
+func (t *instanceTracker) markEnded(id string) {
+	if t.unconfirmed != nil && t.unconfirmed.ID == id {
+		t.unconfirmed = nil
 	}
-	if l.hasEnded(id) {
+	if t.hasEnded(id) {
 		return
 	}
-	l.changes++
-	if len(l.ended) == mostEnded {
-		l.ended = slices.Delete(l.ended, 0, 1)
+	t.generation++
+	if len(t.ended) == maxEndedInstances {
+		t.ended = slices.Delete(t.ended, 0, 1)
 	}
-	l.ended = append(l.ended, id)
+	t.ended = append(t.ended, id)
 }
--- a/internal/mesh/inbound/meter.go
+++ b/internal/mesh/inbound/meter.go
@@ -4,27 +4,27 @@
 	"time"
 )
 
-// meter counts what happens in a second, over the last two.
-type meter struct {
-	from       time.Duration
-	last, this float64
+// rateMeter estimates events per second over a sliding window of one second.
+type rateMeter struct {
+	secondStart       time.Duration
+	previous, current float64
 }
 
-func (m *meter) add(now time.Duration) {
+func (m *rateMeter) increment(now time.Duration) {
 	m.roll(now)
-	m.this++
+	m.current++
 }
 
-func (m *meter) roll(now time.Duration) {
-	if d := now - m.from; d >= 2*time.Second {
-		*m = meter{from: now}
-	} else if d >= time.Second {
-		m.from, m.last, m.this = m.from+time.Second, m.this, 0
+func (m *rateMeter) roll(now time.Duration) {
+	if elapsed := now - m.secondStart; elapsed >= 2*time.Second {
+		*m = rateMeter{secondStart: now}
+	} else if elapsed >= time.Second {
+		m.secondStart, m.previous, m.current = m.secondStart+time.Second, m.current, 0
 	}
 }
 
-func (m *meter) perSecond(now time.Duration) float64 {
+func (m *rateMeter) perSecond(now time.Duration) float64 {
 	m.roll(now)
-	part := (now - m.from).Seconds()
-	return m.this + m.last*(1-part)
+	fraction := (now - m.secondStart).Seconds()
+	return m.current + m.previous*(1-fraction)
 }
--- a/internal/mesh/inbound/note.go
+++ b/internal/mesh/inbound/note.go
@@ -6,23 +6,23 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// note records a request that got no answer here.
-func (h *Host) note(a *transport.Request, f *transport.Failure, waited, took time.Duration) {
+// recordFailure adds a trace of a request that got no response here.
+func (h *Host) recordFailure(req *transport.Request, failure *transport.Failure, waited, elapsed time.Duration) {
 	h.mu.Lock()
 	load, service := h.gate.Load(h.now()), ""
-	if h.gate.lives.last != nil {
-		service = h.gate.lives.last.Service
+	if h.gate.instances.lastServed != nil {
+		service = h.gate.instances.lastServed.Service
 	}
 	h.mu.Unlock()
 	result := "failed"
 	switch {
-	case f.Reason == transport.Cancelled:
+	case failure.Reason == transport.Cancelled:
 		result = "left"
-	case f.Verdict == transport.NotRun:
+	case failure.Verdict == transport.NotRun:
 		result = "refused"
 	}
-	h.Traces.Add(time.Now(), transport.RequestTrace{Side: transport.SideGate, Try: a.Try, Took: took, Caller: a.Caller, Service: service, Unsafe: a.Unsafe,
-		Inner: a.Inner, Repeat: a.Repeat, Started: 1, Result: result, Why: f.Error(), After: f.RetryAfter,
-		Steps: []transport.Attempt{{Backend: a.Target, Verdict: f.Verdict, Reason: f.Reason, AtGate: waited, Took: took, After: f.RetryAfter,
+	h.Traces.Add(time.Now(), transport.RequestTrace{Side: transport.SideGate, Try: req.Try, Took: elapsed, Caller: req.Caller, Service: service, Unsafe: req.Unsafe,
+		Inner: req.Inner, Repeat: req.Repeat, Started: 1, Result: result, Why: failure.Error(), After: failure.RetryAfter,
+		Steps: []transport.Attempt{{Backend: req.Target, Verdict: failure.Verdict, Reason: failure.Reason, AtGate: waited, Took: elapsed, After: failure.RetryAfter,
 			InFlight: load.InFlight, Waiting: load.Waiting}}})
 }
--- a/internal/mesh/inbound/runs.go
+++ b/internal/mesh/inbound/runs.go
@@ -6,53 +6,57 @@
 	"example.org/micaline/internal/mesh/usage"
 )
 
-// run is a request that the backend has in work.
-type run struct {
-	repeat   bool
-	customer string
-	failed   bool // a call of its own brought no success
-	counted  usage.Mark
+// backendRun is a request that is running at the backend.
+type backendRun struct {
+	repeat     bool
+	customer   string
+	callFailed bool // a call that the run made has failed
+	usageMark  usage.Mark
 }
 
-// Parent is the run on this machine that makes a call. The zero value is none.
+// ParentRun describes the run on this machine that makes a call. The zero value means that none was
+// found.
 type ParentRun struct {
 	Known    bool
-	Repeat   bool   // the run is a repeat
-	Customer string // the tenant for whom it runs
+	Repeat   bool   // the run is itself a repeated request
+	Customer string // the tenant on whose behalf it runs
 }
 
-// Parent finds the run that makes a call with a try. A backend's own calls have ids that begin with the one of the request it runs,
-// and a dot; where they don't, none is found, and the call is one like any other.
-func (h *Host) FindParent(try string) ParentRun {
-	if !strings.Contains(try, ".") {
+// FindParent finds the run that makes a call, by the call's Try-Id. A backend derives the ids of
+// its own calls from the id of the request it is running, followed by a dot and a suffix. Calls
+// with other ids have no parent and are treated as independent requests.
+func (h *Host) FindParent(tryID string) ParentRun {
+	if !strings.Contains(tryID, ".") {
 		return ParentRun{}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := h.parent(try)
-	if r == nil {
+	run := h.findRun(tryID)
+	if run == nil {
 		return ParentRun{}
 	}
-	return ParentRun{Known: true, Repeat: r.repeat, Customer: r.customer}
+	return ParentRun{Known: true, Repeat: run.repeat, Customer: run.customer}
 }
 
-// CallFailed says that a call of a run on this machine brought no success: if the run fails too, that is not the backend's fault.
-func (h *Host) RecordCallFailure(try string) {
+// RecordCallFailure records that a call made by a run on this machine has failed. If the run fails
+// too, the failure is not attributed to the backend.
+func (h *Host) RecordCallFailure(tryID string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if r := h.parent(try); r != nil {
-		r.failed = true
+	if run := h.findRun(tryID); run != nil {
+		run.callFailed = true
 	}
 }
 
-// parent finds the run that makes a call. A call's own calls have ids that are longer by one more part.
-func (h *Host) parent(try string) *run {
-	id, _, _ := strings.Cut(try, ".")
-	if r := h.runs[id]; r != nil {
-		return r
+// findRun finds the run that makes a call. For calls of calls, whose ids have further parts, the
+// first part or all but the last part names the run.
+func (h *Host) findRun(tryID string) *backendRun {
+	id, _, _ := strings.Cut(tryID, ".")
+	if run := h.runs[id]; run != nil {
+		return run
 	}
-	if i := strings.LastIndexByte(try, '.'); i > 0 {
-		return h.runs[try[:i]]
+	if i := strings.LastIndexByte(tryID, '.'); i > 0 {
+		return h.runs[tryID[:i]]
 	}
 	return nil
 }
--- a/internal/mesh/inbound/serve.go
+++ b/internal/mesh/inbound/serve.go
@@ -6,119 +6,122 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// uploadSlots is how many long bodies come at once: as many as keep the link busy, which is two at
-// least, as the next is asked for while one comes, and no more of its time than uploadQueue queued.
-func uploadSlots(linkBps float64) int {
-	if linkBps <= 0 {
-		return mostUploads
+// uploadSlots is how many long bodies are received at the same time. At least two keep the link
+// busy, because one can be requested while another arrives. More are received only as long as the
+// data in transit for them takes no more than uploadQueueTime on the link.
+func uploadSlots(linkBitsPerSecond float64) int {
+	if linkBitsPerSecond <= 0 {
+		return maxUploads
 	}
-	return int(min(mostUploads, max(leastUploads, linkBps/8*uploadQueue.Seconds()/uploadWindow)))
+	return int(min(maxUploads, max(minUploads, linkBitsPerSecond/8*uploadQueueTime.Seconds()/connWindowBytes)))
 }
 
 const (
-	mostUploads  = 64
-	leastUploads = 2
-	uploadQueue  = 20 * time.Millisecond
-	uploadWindow = 64 << 10 // bytes that one connection has on its way
+	maxUploads      = 64
+	minUploads      = 2
+	uploadQueueTime = 20 * time.Millisecond
+	connWindowBytes = 64 << 10 // bytes that one connection has in transit
 )
 
-// roomAgain is when there may be room for a body again: bodies are held for about so long.
-const roomAgain = 250 * time.Millisecond
+// memoryRetryAfter is the retry delay when there is no memory for a body. Bodies are held for about
+// this long.
+const memoryRetryAfter = 250 * time.Millisecond
 
-// answer carries out one exchange. There is no reply if the body of the request never came.
-func (h *Host) answer(s *session, a *arrival) (*transport.Reply, []byte) {
-	if a.ask.ExpectContinue {
-		f, came := h.receive(s, a)
-		if f != nil {
-			h.note(a.ask, f, 0, 0)
-			return h.reply(f), nil
+// processExchange carries out one exchange. It returns no reply if the body of the request never
+// arrived.
+func (h *Host) processExchange(s *session, ex *exchange) (*transport.Reply, []byte) {
+	if ex.req.ExpectContinue {
+		failure, arrived := h.receiveUpload(s, ex)
+		if failure != nil {
+			h.recordFailure(ex.req, failure, 0, 0)
+			return h.failureReply(failure), nil
 		}
-		defer h.budget.Release(a.ask.Body)
-		if !came {
+		defer h.bodyBudget.Release(ex.req.Body)
+		if !arrived {
 			return nil, nil
 		}
 	} else {
-		defer h.budget.Release(a.ask.Body)
+		defer h.bodyBudget.Release(ex.req.Body)
 	}
-	return h.Handle(&a.Caller, a.ask, a.body)
+	return h.Handle(&ex.Caller, ex.req, ex.body)
 }
 
-// receive has a body come that was only offered, or refuses it.
-func (h *Host) receive(s *session, a *arrival) (f *transport.Failure, came bool) {
-	if f = h.admitLong(a); f != nil {
-		a.wanted <- false
-		return f, false
+// receiveUpload receives the body that the sender has offered, or refuses it.
+func (h *Host) receiveUpload(s *session, ex *exchange) (failure *transport.Failure, arrived bool) {
+	if failure = h.admitUpload(ex); failure != nil {
+		ex.bodyWanted <- false
+		return failure, false
 	}
-	defer h.bodyEnded(a.ask)
-	a.wanted <- true
-	if s.conn.Send(&transport.Reply{Number: a.ask.Number, Continue: true}, nil) != nil {
+	defer h.endBody(ex.req)
+	ex.bodyWanted <- true
+	if s.conn.Send(&transport.Reply{Number: ex.req.Number, Continue: true}, nil) != nil {
 		s.conn.Close()
 	}
-	a.body, came = <-a.came
-	return nil, came
+	ex.body, arrived = <-ex.bodyArrived
+	return nil, arrived
 }
 
-// admitShort takes in that a short request's body is on its way: it is taken, and long ones find
-// less room.
-func (h *Host) admitShort(a *transport.Request) {
+// startSmallBody counts a body that is sent without an offer. It is always accepted, and reduces
+// the memory that is left for offered bodies.
+func (h *Host) startSmallBody(req *transport.Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.budget.Release(-a.Body)
-	h.gate.BodyStarted(a.Body)
+	h.bodyBudget.Release(-req.Body)
+	h.gate.BodyStarted(req.Body)
 }
 
-// admitLong decides whether a body that was offered may come. Long ones come one after the other as
-// far as the link makes them wait anyway: each that comes beside others puts a window of bytes
-// before all that is short.
-func (h *Host) admitLong(a *arrival) *transport.Failure {
-	ask := a.ask
+// admitUpload decides whether an offered body may be sent. Long bodies are received one after the
+// other where the link would delay them anyway: each additional parallel upload puts a window of
+// bytes in front of all short messages.
+func (h *Host) admitUpload(ex *exchange) *transport.Failure {
+	req := ex.req
 	h.mu.Lock()
-	f, patience := h.gate.AdmitUpload(h.now(), ask), h.gate.bodyPatience(ask)
-	if f == nil && !h.budget.Reserve(ask.Body) {
-		f = &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: roomAgain}
+	failure, maxWait := h.gate.AdmitUpload(h.now(), req), h.gate.maxUploadWait(req)
+	if failure == nil && !h.bodyBudget.Reserve(req.Body) {
+		failure = &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: memoryRetryAfter}
 	}
-	if f == nil {
-		h.gate.BodyStarted(ask.Body)
+	if failure == nil {
+		h.gate.BodyStarted(req.Body)
 	}
 	h.mu.Unlock()
-	if f != nil {
-		return f
+	if failure != nil {
+		return failure
 	}
 	select {
-	case h.uploads <- struct{}{}:
+	case h.uploadSemaphore <- struct{}{}:
 		return nil
 	default:
 	}
-	left := make(chan struct{})
-	stop := a.whenLeft(func() { close(left) })
+	gone := make(chan struct{})
+	stop := ex.afterGone(func() { close(gone) })
 	defer stop()
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
-	case h.uploads <- struct{}{}:
+	case h.uploadSemaphore <- struct{}{}:
 		return nil
 	case <-timer.C:
-		f = &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: patience}
-	case <-left:
-		f = cancelled(transport.NotRun)
+		failure = &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: maxWait}
+	case <-gone:
+		failure = cancelledFailure(transport.NotRun)
 	}
 	h.mu.Lock()
-	h.gate.BodyEnded(ask.Body)
+	h.gate.BodyEnded(req.Body)
 	h.mu.Unlock()
-	h.budget.Release(ask.Body)
-	return f
+	h.bodyBudget.Release(req.Body)
+	return failure
 }
 
-func (h *Host) bodyEnded(a *transport.Request) {
-	if a.ExpectContinue {
-		<-h.uploads
+func (h *Host) endBody(req *transport.Request) {
+	if req.ExpectContinue {
+		<-h.uploadSemaphore
 	}
 	h.mu.Lock()
-	h.gate.BodyEnded(a.Body)
+	h.gate.BodyEnded(req.Body)
 	h.mu.Unlock()
 }
 
-// cancelled is the failure of a request whose caller has gone.
-func cancelled(v transport.Verdict) *transport.Failure {
-	return &transport.Failure{Verdict: v, Reason: transport.Cancelled}
+// cancelledFailure returns the failure of a request whose caller is gone.
+func cancelledFailure(verdict transport.Verdict) *transport.Failure {
+	return &transport.Failure{Verdict: verdict, Reason: transport.Cancelled}
 }
--- a/internal/mesh/inbound/session.go
+++ b/internal/mesh/inbound/session.go
@@ -8,139 +8,145 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// silentAfter is how long an exchange is under way before its sender is probed: a machine without
-// power closes nothing.
-const silentAfter = time.Second
+// probeAfter is how long an exchange lasts before TCP keep-alive probes are sent to its sender. A
+// machine that loses power never closes its connections.
+const probeAfter = time.Second
 
-// silentSender is how a sender is probed that has said nothing for so long.
-var silentSender = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
+// senderKeepAlive is the keep-alive configuration while a sender is probed.
+var senderKeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
-// session is a sender's connection. Its reader takes what comes, at any time: requests, one at a
-// time, cancellations, and the end of the connection. Its worker carries out the exchanges. There
-// are two goroutines for each connection and none for each request.
+// session is a sender's connection. Its reader goroutine handles what arrives at any time:
+// requests, one at a time, cancellations, and the end of the connection. Its worker goroutine
+// carries out the exchanges. A connection takes these two goroutines, and a request needs none of
+// its own.
 type session struct {
-	host *Host
-	conn *transport.Conn
-	work chan *arrival
+	host      *Host
+	conn      *transport.Conn
+	exchanges chan *exchange
 
 	mu      sync.Mutex
-	current *arrival // the exchange in hand; nil: there is none
-	probing bool     // the kernel probes the sender
+	current *exchange // the exchange in progress; nil if there is none
+	probing bool      // the kernel probes the sender with keep-alives
 }
 
-// arrival is a request that came over a session.
-type arrival struct {
-	Caller // has left once the sender has cancelled the request, or is gone itself
+// exchange is a request that arrived on a session.
+type exchange struct {
+	Caller // gone once the sender has cancelled the request or disconnected
 
-	ask    *transport.Request
-	body   []byte
-	began  time.Time
-	wanted chan bool   // of a body that was only offered: whether it may come
-	came   chan []byte // closed without a value: it never will
+	req         *transport.Request
+	body        []byte
+	startedAt   time.Time
+	bodyWanted  chan bool   // for an offered body: whether the sender may send it
+	bodyArrived chan []byte // for an offered body; closed without a value if it never arrives
 }
 
-// Serve takes requests off a connection, one at a time, until it ends. They are numbered one after
-// the other; what comes out of turn is none that the sender has sent, so the connection ends.
-func (h *Host) Serve(c *transport.Conn) {
-	s := &session{host: h, conn: c, work: make(chan *arrival)}
+// Serve handles the requests on a connection, one at a time, until the connection ends. Requests
+// are numbered consecutively. A message with an unexpected number cannot come from a correct
+// sender, so it ends the connection.
+func (h *Host) Serve(conn *transport.Conn) {
+	s := &session{host: h, conn: conn, exchanges: make(chan *exchange)}
 	h.sessions.Store(s, nil)
 	defer h.sessions.Delete(s)
-	go s.carryOut()
-	s.read()
-	s.cancel()
-	close(s.work)
-	c.Close()
+	go s.processExchanges()
+	s.readRequests()
+	s.cancelCurrent()
+	close(s.exchanges)
+	conn.Close()
 }
 
-// read takes what the sender says until the connection ends.
-func (s *session) read() {
-	for number := uint64(0); ; {
-		ask := new(transport.Request)
-		if s.conn.Receive(ask) != nil {
+// readRequests reads messages until the connection ends.
+func (s *session) readRequests() {
+	for lastNumber := uint64(0); ; {
+		req := new(transport.Request)
+		if s.conn.Receive(req) != nil {
 			return
 		}
 		switch {
-		case ask.Cancel && ask.Number == number:
-			s.cancel() // of an exchange that is over it changes nothing
-		case ask.Cancel || ask.Number != number+1:
+		case req.Cancel && req.Number == lastNumber:
+			s.cancelCurrent() // no effect if the exchange has ended
+		case req.Cancel || req.Number != lastNumber+1:
 			return
 		default:
-			number++
-			if !s.take(ask) {
+			lastNumber++
+			if !s.accept(req) {
 				return
 			}
 		}
 	}
 }
 
-// take hands a request to the worker with its body, which may only have been offered.
-func (s *session) take(ask *transport.Request) bool {
-	a := &arrival{Caller: Caller{Disconnected: s.gone}, ask: ask, began: time.Now()}
-	if ask.ExpectContinue {
-		a.wanted, a.came = make(chan bool, 1), make(chan []byte, 1)
-		defer close(a.came)
+// accept passes a request to the worker, after its body unless that was only offered. It returns
+// false if the connection has to be closed.
+func (s *session) accept(req *transport.Request) bool {
+	ex := &exchange{Caller: Caller{Disconnected: s.senderGone}, req: req, startedAt: time.Now()}
+	if req.ExpectContinue {
+		ex.bodyWanted, ex.bodyArrived = make(chan bool, 1), make(chan []byte, 1)
+		defer close(ex.bodyArrived)
 	} else {
-		s.host.admitShort(ask)
-		body, err := s.body(a)
-		s.host.bodyEnded(ask)
+		s.host.startSmallBody(req)
+		body, err := s.readBody(ex)
+		s.host.endBody(req)
 		if err != nil {
-			s.host.budget.Release(ask.Body)
+			s.host.bodyBudget.Release(req.Body)
 			return false
 		}
-		a.body = body
+		ex.body = body
 	}
 	s.mu.Lock()
-	s.current = a
+	s.current = ex
 	s.mu.Unlock()
-	if !ask.ExpectContinue && s.conn.Buffered() > 0 && !s.cancelled(a) {
-		s.host.budget.Release(ask.Body)
+	if !req.ExpectContinue && s.conn.Buffered() > 0 && !s.readCancellation(ex) {
+		s.host.bodyBudget.Release(req.Body)
 		return false
 	}
-	s.work <- a
-	return !ask.ExpectContinue || s.offered(a)
+	s.exchanges <- ex
+	return !req.ExpectContinue || s.receiveOffered(ex)
 }
 
-// cancelled reads what came together with a request, which can only be its cancellation. Danger:
-// after the process stood still both are found at once, and the request would be begun first.
-func (s *session) cancelled(a *arrival) bool {
+// readCancellation reads a message that arrived together with a request, which can only be its
+// cancellation. After a stall of the process both are found at once, and without this check the
+// cancelled request would be started.
+func (s *session) readCancellation(ex *exchange) bool {
 	var next transport.Request
-	if s.conn.Receive(&next) != nil || !next.Cancel || next.Number != a.ask.Number {
+	if s.conn.Receive(&next) != nil || !next.Cancel || next.Number != ex.req.Number {
 		return false
 	}
-	a.MarkGone()
+	ex.MarkGone()
 	return true
 }
 
-// offered reads a body once the worker has asked for it. Until then only the end of the connection
-// can come: a sender cancels what it has only offered by closing.
-func (s *session) offered(a *arrival) bool {
+// receiveOffered reads an offered body once the worker has asked for it. Until then nothing but the
+// end of the connection can arrive, because a sender cancels an offer by closing the connection. It
+// returns false if the connection has to be closed.
+func (s *session) receiveOffered(ex *exchange) bool {
 	if s.conn.WaitReadable() != nil {
 		return false
 	}
-	if !<-a.wanted {
-		return true // what has come is the next request
+	if !<-ex.bodyWanted {
+		return true // what arrived is the next request
 	}
-	body, err := s.body(a)
+	body, err := s.readBody(ex)
 	if err != nil {
 		return false
 	}
-	a.came <- body
+	ex.bodyArrived <- body
 	return true
 }
 
-// body reads the body of a request. Danger: a sender without power says nothing, and its body would
-// be waited for, and hold room, for ever; nobody wants it beyond the request's time.
-func (s *session) body(a *arrival) ([]byte, error) {
-	if a.ask.Body == 0 {
+// readBody reads the body of a request. The read has a deadline because a sender that loses power
+// would otherwise block it, and hold its memory, forever. Nobody needs the body after the
+// request's time limit.
+func (s *session) readBody(ex *exchange) ([]byte, error) {
+	if ex.req.Body == 0 {
 		return nil, nil
 	}
-	s.conn.SetReadDeadline(a.began.Add(max(a.ask.Left, answerSlack)))
+	s.conn.SetReadDeadline(ex.startedAt.Add(max(ex.req.Left, responseSlack)))
 	defer s.conn.SetReadDeadline(time.Time{})
-	return s.conn.ReceiveVerifiedBody(a.ask.Body, s.host.mostBody, a.ask.Sum)
+	return s.conn.ReceiveVerifiedBody(ex.req.Body, s.host.maxBodyBytes, ex.req.Sum)
 }
 
-// cancel takes in that the sender wants no answer to the exchange in hand any more.
-func (s *session) cancel() {
+// cancelCurrent marks the caller of the current exchange as gone.
+func (s *session) cancelCurrent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current != nil {
@@ -148,45 +154,46 @@
 	}
 }
 
-// carryOut answers requests until there will be no more.
-func (s *session) carryOut() {
-	for a := range s.work {
-		reply, out := s.host.answer(s, a)
+// processExchanges carries out exchanges until the session ends.
+func (s *session) processExchanges() {
+	for ex := range s.exchanges {
+		reply, replyBody := s.host.processExchange(s, ex)
 		s.mu.Lock()
 		s.current = nil
 		s.mu.Unlock()
 		if reply == nil {
-			s.conn.Close() // its body never came
+			s.conn.Close() // the body never arrived
 			continue
 		}
-		reply.Number, reply.Sum = a.ask.Number, transport.Checksum(out)
-		if s.conn.Send(reply, out) != nil {
+		reply.Number, reply.Sum = ex.req.Number, transport.Checksum(replyBody)
+		if s.conn.Send(reply, replyBody) != nil {
 			s.conn.Close()
 		}
 	}
 }
 
-// gone looks whether the sender has closed the connection, or has cancelled the exchange in hand:
-// it says nothing else meanwhile.
-func (s *session) gone() bool { return !s.conn.IsQuiet() }
+// senderGone reports whether the sender has closed the connection or cancelled the current
+// exchange. It sends nothing else during an exchange.
+func (s *session) senderGone() bool { return !s.conn.IsQuiet() }
 
-// probe has the kernel ask for a sign of the sender while an exchange lasts long, and no longer.
-func (s *session) probe(now time.Time) {
-	c, ok := s.conn.Conn.(*net.TCPConn)
+// updateProbing enables keep-alive probes of the sender while an exchange takes long, and disables
+// them afterwards.
+func (s *session) updateProbing(now time.Time) {
+	tcpConn, ok := s.conn.Conn.(*net.TCPConn)
 	if !ok {
 		return
 	}
 	s.mu.Lock()
-	long := s.current != nil && now.Sub(s.current.began) >= silentAfter
-	change := long != s.probing
-	s.probing = long
+	shouldProbe := s.current != nil && now.Sub(s.current.startedAt) >= probeAfter
+	changed := shouldProbe != s.probing
+	s.probing = shouldProbe
 	s.mu.Unlock()
-	if !change {
+	if !changed {
 		return
 	}
 	config := net.KeepAliveConfig{}
-	if long {
-		config = silentSender
+	if shouldProbe {
+		config = senderKeepAlive
 	}
-	c.SetKeepAliveConfig(config)
+	tcpConn.SetKeepAliveConfig(config)
 }
--- a/internal/mesh/inbound/session_test.go
+++ b/internal/mesh/inbound/session_test.go
@@ -11,26 +11,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// link is a connection of loopback: a sender's end and a gate's.
-func link(t *testing.T) (sender, gate *transport.Conn) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+// connPair returns both ends of a loopback connection.
+func connPair(t *testing.T) (sender, gate *transport.Conn) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer l.Close()
-	near, err := net.Dial("tcp4", l.Addr().String())
+	defer listener.Close()
+	near, err := net.Dial("tcp4", listener.Addr().String())
 	require.NoError(t, err)
-	far, err := l.Accept()
+	far, err := listener.Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { near.Close(); far.Close() })
 	return transport.NewConn(near), transport.NewConn(far)
 }
 
-// TestSilentSender: a sender without power closes nothing, so it is probed while an exchange lasts
-// long, and only then; and a body that stops coming is waited for no longer than its request.
+// TestSilentSender covers a sender that loses power and so never closes its connection. It must be
+// probed while an exchange takes long, and only then, and a body that stops arriving must not be
+// waited for longer than its request allows.
 func TestSilentSender(t *testing.T) {
-	_, gate := link(t)
+	_, gate := connPair(t)
 	h := NewHost(Rules{}, 1<<20, transport.NewByteBudget(1<<20), func() {})
 	s := &session{host: h, conn: gate}
-	probed := func() bool {
+	keepAliveOn := func() bool {
 		raw, err := gate.Conn.(syscall.Conn).SyscallConn()
 		require.NoError(t, err)
 		on := 0
@@ -39,37 +40,37 @@
 		return on == 1
 	}
 	now := time.Now()
-	s.probe(now)
-	long := &arrival{began: now.Add(-silentAfter)}
+	s.updateProbing(now)
+	longExchange := &exchange{startedAt: now.Add(-probeAfter)}
 	for _, c := range []struct {
-		current *arrival
-		probed  bool
-	}{{&arrival{began: now}, false}, {long, true}, {long, true}, {nil, false}} {
+		current *exchange
+		probing bool
+	}{{&exchange{startedAt: now}, false}, {longExchange, true}, {longExchange, true}, {nil, false}} {
 		s.current = c.current
-		s.probe(now)
-		require.Equal(t, c.probed, s.probing)
+		s.updateProbing(now)
+		require.Equal(t, c.probing, s.probing)
 		if s.probing {
-			require.True(t, probed())
+			require.True(t, keepAliveOn())
 		}
 	}
-	require.False(t, probed(), "an idle connection is not probed")
+	require.False(t, keepAliveOn(), "an idle connection must not be probed")
 
 	for _, offered := range []bool{false, true} {
-		sender, gate := link(t)
-		ask := transport.Request{Number: 1, Life: 1, Try: "t", Target: "b", Unsafe: true, Left: 100 * time.Millisecond, Patient: time.Second,
+		sender, gate := connPair(t)
+		req := transport.Request{Number: 1, Life: 1, Try: "t", Target: "b", Unsafe: true, Left: 100 * time.Millisecond, Patient: time.Second,
 			Body: 1000, ExpectContinue: offered}
 		h.WithGate(func(now time.Duration, g *Gate) bool {
 			g.SetLife(1)
 			return g.ProbeSucceeded(now, 0, transport.Backend{ID: "b", Capacity: 1, Calls: 1}) && false
 		})
-		require.NoError(t, sender.Send(&ask, []byte("half")))
-		over := make(chan struct{})
-		go func() { h.Serve(gate); close(over) }()
+		require.NoError(t, sender.Send(&req, []byte("half")))
+		done := make(chan struct{})
+		go func() { h.Serve(gate); close(done) }()
 		select {
-		case <-over:
+		case <-done:
 		case <-time.After(10 * time.Second):
-			require.Fail(t, "it waits for ever for a body", "offered: %v", offered)
+			require.Fail(t, "the session still waits for the body", "offered: %v", offered)
 		}
-		require.Eventually(t, func() bool { return h.budget.Available() == 1<<20 && h.Load().InFlight == 0 }, 10*time.Second, time.Millisecond, "its room is given back")
+		require.Eventually(t, func() bool { return h.bodyBudget.Available() == 1<<20 && h.Load().InFlight == 0 }, 10*time.Second, time.Millisecond, "the memory and the slot of the body must be released")
 	}
 }
--- a/internal/mesh/registry/revisions.go
+++ b/internal/mesh/registry/revisions.go
@@ -1,84 +1,88 @@
 package registry
 
-// Revisions numbers the changes of a Table at a core machine, so that an agent which comes back over
-// a new connection is told what has changed since, and not all that there is again: after a cut or a
-// stall all agents come back at once, and all words to all of them were the most that a core machine
-// ever had to do. The zero value is at revision 0, of which nobody can be.
+// Revisions numbers the changes of a Table at a control-plane node. An agent that reconnects is
+// then sent only what has changed since its last revision. After a partition or a stall all agents
+// reconnect at once, and sending every station to every agent would be the largest load that a
+// control-plane node ever has. The zero value is at revision 0, which no agent can have reached.
 type Revisions struct {
-	now     uint64
-	removed uint64 // when a station was last removed: who has heard less must hear all
-	marks   map[string]*marks
+	current   uint64 // current revision
+	removedAt uint64 // when a station was last removed; older revisions need the complete list
+	agents    map[string]*agentRevisions
 }
 
-// marks are the revisions at which an agent's station last changed.
-type marks struct {
-	said       uint64 // a new word of itself
-	lost, back uint64 // it became lost, and was heard again
-	backBefore uint64 // heard again, before it became lost
+// agentRevisions holds the revisions at which an agent's status last changed.
+type agentRevisions struct {
+	updated         uint64 // the agent sent a new version of its station
+	lost, recovered uint64 // contact with the agent was lost, and was regained
+	recoveredBefore uint64 // value of recovered when contact was lost
 }
 
-func (m *marks) isLost() bool { return m.lost > m.back }
+func (a *agentRevisions) isLost() bool { return a.lost > a.recovered }
 
-// as says whether it is certain that the agent is as lost or heard as it was at a revision.
-func (m *marks) as(at uint64) bool {
+// sameStatusAt reports whether the agent's lost state is certainly the same now as at an earlier
+// revision.
+func (a *agentRevisions) sameStatusAt(revision uint64) bool {
 	switch {
-	case m.lost <= at:
-		return m.back <= at
-	case m.isLost():
+	case a.lost <= revision:
+		return a.recovered <= revision
+	case a.isLost():
 		return false
-	default: // lost since, and back: before that it had been heard from backBefore on
-		return m.backBefore <= at
+	default: // lost and recovered since the revision; in contact from recoveredBefore until lost
+		return a.recoveredBefore <= revision
 	}
 }
 
-// Now is the present revision.
-func (r *Revisions) Current() uint64 { return r.now }
+// Current returns the current revision.
+func (r *Revisions) Current() uint64 { return r.current }
 
-func (r *Revisions) of(agent string) *marks {
-	if r.marks == nil {
-		r.marks = map[string]*marks{}
+func (r *Revisions) advance(agent string) *agentRevisions {
+	if r.agents == nil {
+		r.agents = map[string]*agentRevisions{}
 	}
-	m := r.marks[agent]
-	if m == nil {
-		m = &marks{}
-		r.marks[agent] = m
+	revs := r.agents[agent]
+	if revs == nil {
+		revs = &agentRevisions{}
+		r.agents[agent] = revs
 	}
-	r.now++
-	return m
+	r.current++
+	return revs
 }
 
-// Said notes that an agent has said a new word of itself.
-func (r *Revisions) RecordUpdate(agent string) { m := r.of(agent); m.said = r.now }
+// RecordUpdate records that an agent has sent a new version of its station.
+func (r *Revisions) RecordUpdate(agent string) { revs := r.advance(agent); revs.updated = r.current }
 
-// Lost notes that an agent is lost.
+// RecordLost records that contact with an agent was lost.
 func (r *Revisions) RecordLost(agent string) {
-	if m := r.of(agent); !m.isLost() {
-		m.lost, m.backBefore = r.now, m.back
+	if revs := r.advance(agent); !revs.isLost() {
+		revs.lost, revs.recoveredBefore = r.current, revs.recovered
 	}
 }
 
-// Back notes that an agent that was lost is heard again.
-func (r *Revisions) RecordRecovered(agent string) { m := r.of(agent); m.back = r.now }
+// RecordRecovered records that contact with a lost agent was regained.
+func (r *Revisions) RecordRecovered(agent string) {
+	revs := r.advance(agent)
+	revs.recovered = r.current
+}
 
-// Removed notes that stations were removed, and keeps what there is of the others.
-func (r *Revisions) RecordRemoval(there func(agent string) bool) {
-	r.now++
-	r.removed = r.now
-	for agent := range r.marks {
-		if !there(agent) {
-			delete(r.marks, agent)
+// RecordRemoval records that stations were removed, and drops the agents that no longer exist.
+func (r *Revisions) RecordRemoval(exists func(agent string) bool) {
+	r.current++
+	r.removedAt = r.current
+	for agent := range r.agents {
+		if !exists(agent) {
+			delete(r.agents, agent)
 		}
 	}
 }
 
-// Since returns the agents of which somebody who has heard all up to a revision has to hear. It
-// reports false where all has to be told.
+// ChangedSince returns the agents whose stations have changed since a revision. It returns false if
+// the complete list has to be sent.
 func (r *Revisions) ChangedSince(revision uint64) (agents []string, ok bool) {
-	if revision == 0 || revision > r.now || revision < r.removed {
+	if revision == 0 || revision > r.current || revision < r.removedAt {
 		return nil, false
 	}
-	for agent, m := range r.marks {
-		if m.said > revision || !m.as(revision) {
+	for agent, revs := range r.agents {
+		if revs.updated > revision || !revs.sameStatusAt(revision) {
 			agents = append(agents, agent)
 		}
 	}
--- a/internal/mesh/registry/revisions_test.go
+++ b/internal/mesh/registry/revisions_test.go
@@ -9,60 +9,61 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWhatChangedSinceIsEnough has agents come and go at random, and somebody who heard all up to
-// any earlier moment come to the same knowledge by what Since names.
+// TestWhatChangedSinceIsEnough makes agents appear, disappear and change at random. A receiver that
+// was up to date at any earlier revision must reach the current state by updating only the agents
+// that ChangedSince returns.
 func TestWhatChangedSinceIsEnough(t *testing.T) {
-	type known struct {
-		word int
-		lost bool
+	type state struct {
+		version int
+		lost    bool
 	}
-	resumed, spared := 0, 0
+	resumed, skipped := 0, 0
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 8))
 		var r Revisions
-		table := map[string]known{}
-		moments := map[uint64]map[string]known{}
+		table := map[string]state{}
+		snapshots := map[uint64]map[string]state{}
 		for range 60 {
 			agent := fmt.Sprint(rng.IntN(5))
-			k, there := table[agent]
-			switch do := rng.IntN(8); {
-			case do < 3 || !there:
-				if k.lost {
+			current, exists := table[agent]
+			switch choice := rng.IntN(8); {
+			case choice < 3 || !exists:
+				if current.lost {
 					r.RecordRecovered(agent)
 				}
 				r.RecordUpdate(agent)
-				table[agent] = known{word: k.word + 1}
-			case do < 5 && !k.lost:
+				table[agent] = state{version: current.version + 1}
+			case choice < 5 && !current.lost:
 				r.RecordLost(agent)
-				table[agent] = known{k.word, true}
-			case do < 7 && k.lost:
+				table[agent] = state{current.version, true}
+			case choice < 7 && current.lost:
 				r.RecordRecovered(agent)
-				table[agent] = known{k.word, false}
-			case do == 7 && k.lost && rng.IntN(4) == 0:
+				table[agent] = state{current.version, false}
+			case choice == 7 && current.lost && rng.IntN(4) == 0:
 				delete(table, agent)
 				r.RecordRemoval(func(a string) bool { _, ok := table[a]; return ok })
 			}
-			moments[r.Current()] = maps.Clone(table)
-			for at, have := range moments {
-				agents, ok := r.ChangedSince(at)
+			snapshots[r.Current()] = maps.Clone(table)
+			for revision, caughtUp := range snapshots {
+				changed, ok := r.ChangedSince(revision)
 				if !ok {
 					continue
 				}
 				resumed++
-				spared += len(table) - len(agents)
-				have = maps.Clone(have)
-				for _, a := range agents {
-					have[a] = table[a]
+				skipped += len(table) - len(changed)
+				caughtUp = maps.Clone(caughtUp)
+				for _, agent := range changed {
+					caughtUp[agent] = table[agent]
 				}
-				require.Equal(t, table, have, "seed %d: from %d to %d", seed, at, r.Current())
+				require.Equal(t, table, caughtUp, "seed %d: from %d to %d", seed, revision, r.Current())
 			}
 		}
 	}
 	require.Greater(t, resumed, 5000)
-	require.Greater(t, spared, 5000)
+	require.Greater(t, skipped, 5000)
 	var r Revisions
 	_, ok := r.ChangedSince(0)
 	require.False(t, ok)
 	_, ok = r.ChangedSince(7)
-	require.False(t, ok, "a revision of another core process")
+	require.False(t, ok, "a revision of another control-plane process")
 }
--- a/internal/mesh/registry/table.go
+++ b/internal/mesh/registry/table.go
@@ -1,13 +1,20 @@
-// Package registry is the registry: which agents there are, and which backend stands beside each.
+// Package registry keeps the membership of the mesh: which agents exist, and which backend runs
+// beside each of them. An agent is the sidecar process on a machine.
 //
-// Each agent is the only source of what there is to say of itself and its backend, a Station, which it says to all core machines;
-// of two words of one agent the later counts (Station.Newer), so tables that have heard the same words are the same, in whatever
-// order they came. A core machine adds whether it hears the agent now. A Table merges what several sources tell: at a core machine
-// the agents themselves, at an agent the core machines.
+// Each agent is the only source of information about itself and its backend, a Station, and sends
+// it to all control-plane nodes. Of two versions from one agent the newer one wins (Station.Newer),
+// so tables that received the same versions are equal, whatever the order of arrival. A
+// control-plane node adds whether it is in contact with the agent. A Table merges the reports of
+// several sources: at a control-plane node the agents themselves, at an agent the control-plane
+// nodes.
 //
-// What it promises: a station counts as lost only while every source that is up and knows it says so, so that one core machine that
-// is cut off takes nobody out; a source that has just come, and knows nobody yet, takes nobody out either; and what nobody has told
-// of for Forget is dropped, so that the table is bounded by the machines that there are.
+// A Table guarantees:
+//
+//   - A station counts as lost only while every connected source that knows it reports it as lost.
+//     A single control-plane node that is cut off, or one that has just started and knows no
+//     stations yet, therefore removes nobody.
+//   - A station that no source has reported alive for ForgetAfter is dropped, so the size of the
+//     table is bounded by the number of machines.
 package registry
 
 import (
@@ -19,139 +26,145 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// Forget is how long a station is kept that no source tells of, or that is lost for all.
+// ForgetAfter is how long a station is kept that no source reports, or that all sources report as
+// lost.
 const ForgetAfter = 20 * time.Second
 
-// Most is how many stations are kept: more than the agents that the mesh is made for.
+// MaxStations limits the number of stations. It exceeds the number of agents that the mesh
+// supports.
 const MaxStations = 4096
 
-// Self is the source that an agent is of its own station. It tells of nobody else, so it is no sign of being in touch.
+// SelfSource is the source name under which an agent reports its own station. It reports no other
+// stations, so it does not count as contact with the mesh.
 const SelfSource = "self"
 
-// Table merges the words of sources. It is not safe for concurrent use.
+// Table merges the reports of several sources. It is not safe for concurrent use.
 type Table struct {
-	stations map[string]*entry
+	stations map[string]*stationEntry
 	sources  map[string]*source
 }
 
-type entry struct {
+type stationEntry struct {
 	transport.Station
-	told time.Duration // when it was said
-	seen time.Duration // when a source last had it as not lost
+	receivedAt time.Duration // when this version was received
+	lastAlive  time.Duration // when a source last reported the agent as not lost
 }
 
 type source struct {
-	up    bool
-	heard map[string]bool // agents it tells of: whether they are lost to it
+	up          bool            // the source is connected
+	lostByAgent map[string]bool // agents that the source reports, and whether it reports them as lost
 }
 
 // New returns an empty table.
-func New() *Table { return &Table{stations: map[string]*entry{}, sources: map[string]*source{}} }
+func New() *Table { return &Table{stations: map[string]*stationEntry{}, sources: map[string]*source{}} }
 
-func (t *Table) source(name string) *source {
-	s := t.sources[name]
-	if s == nil {
-		s = &source{heard: map[string]bool{}}
-		t.sources[name] = s
+func (t *Table) markSourceUp(name string) *source {
+	src := t.sources[name]
+	if src == nil {
+		src = &source{lostByAgent: map[string]bool{}}
+		t.sources[name] = src
 	}
-	s.up = true
-	return s
+	src.up = true
+	return src
 }
 
 func (t *Table) isUp(name string) bool {
-	s := t.sources[name]
-	return s != nil && s.up
+	src := t.sources[name]
+	return src != nil && src.up
 }
 
-// Hear takes in what a source tells. Whole says that it tells of all that it knows.
-func (t *Table) Merge(now time.Duration, from string, whole bool, heard []transport.StationStatus) (changed bool) {
-	changed = !t.isUp(from) // what it told before counts again
-	s := t.source(from)
-	if whole {
-		clear(s.heard)
+// Merge adds the reports of a source and returns whether the table may have changed. If complete is
+// set, the reports replace all earlier ones of the source.
+func (t *Table) Merge(now time.Duration, source string, complete bool, statuses []transport.StationStatus) (changed bool) {
+	changed = !t.isUp(source) // the earlier reports of the source count again
+	src := t.markSourceUp(source)
+	if complete {
+		clear(src.lostByAgent)
 	}
-	for i := range heard {
-		h := &heard[i]
-		e := t.stations[h.Station.Agent]
-		if e == nil {
+	for i := range statuses {
+		status := &statuses[i]
+		entry := t.stations[status.Station.Agent]
+		if entry == nil {
 			if len(t.stations) >= MaxStations {
 				continue
 			}
-			e = &entry{seen: now}
-			t.stations[h.Station.Agent] = e
+			entry = &stationEntry{lastAlive: now}
+			t.stations[status.Station.Agent] = entry
 			changed = true
 		}
-		if old := t.lost(h.Station.Agent); h.Station.Newer(&e.Station) {
-			e.Station, e.told, changed = h.Station, now, true
-			s.heard[h.Station.Agent] = h.Lost
-		} else if s.heard[h.Station.Agent] = h.Lost; old != t.lost(h.Station.Agent) {
+		if wasLost := t.isLost(status.Station.Agent); status.Station.Newer(&entry.Station) {
+			entry.Station, entry.receivedAt, changed = status.Station, now, true
+			src.lostByAgent[status.Station.Agent] = status.Lost
+		} else if src.lostByAgent[status.Station.Agent] = status.Lost; wasLost != t.isLost(status.Station.Agent) {
 			changed = true
 		}
-		if !h.Lost {
-			e.seen = now
+		if !status.Lost {
+			entry.lastAlive = now
 		}
 	}
-	return changed || whole
+	return changed || complete
 }
 
-// Down takes in that a source is out of reach: what it told holds on, but its word that somebody is lost does not count.
-func (t *Table) MarkSourceDown(from string) {
-	if s := t.sources[from]; s != nil {
-		s.up = false
+// MarkSourceDown records that a source is disconnected. Its stations remain, but its reports that
+// an agent is lost no longer count.
+func (t *Table) MarkSourceDown(source string) {
+	if src := t.sources[source]; src != nil {
+		src.up = false
 	}
 }
 
-// Lost says that a source lost an agent's present life.
-func (t *Table) MarkLost(from, agent string, life uint64) (changed bool) {
-	e, s := t.stations[agent], t.source(from)
-	if e == nil || e.Life != life {
+// MarkLost records that a source has lost contact with one incarnation of an agent.
+func (t *Table) MarkLost(source, agent string, life uint64) (changed bool) {
+	entry, src := t.stations[agent], t.markSourceUp(source)
+	if entry == nil || entry.Life != life {
 		return false
 	}
-	old := t.lost(agent)
-	s.heard[agent] = true
-	return old != t.lost(agent)
+	wasLost := t.isLost(agent)
+	src.lostByAgent[agent] = true
+	return wasLost != t.isLost(agent)
 }
 
-// lost says whether all sources that are up and know an agent say that it is lost.
-func (t *Table) lost(agent string) bool {
-	told := false
-	for _, s := range t.sources {
-		if lost, known := s.heard[agent]; known && s.up {
+// isLost reports whether all connected sources that know the agent report it as lost.
+func (t *Table) isLost(agent string) bool {
+	reported := false
+	for _, src := range t.sources {
+		if lost, known := src.lostByAgent[agent]; known && src.up {
 			if !lost {
 				return false
 			}
-			told = true
+			reported = true
 		}
 	}
-	return told
+	return reported
 }
 
-// Step forgets what nobody has told of for long.
+// Expire drops stations that no source has reported alive for ForgetAfter.
 func (t *Table) Expire(now time.Duration) (changed bool) {
-	inTouch := false
-	for name, s := range t.sources {
-		inTouch = inTouch || s.up && name != SelfSource
+	connected := false
+	for name, src := range t.sources {
+		connected = connected || src.up && name != SelfSource
 	}
-	if !inTouch {
-		// Danger: who is cut off would forget all that it could still use, or would as soon as a core machine is back that
-		// does not know all yet: this time does not count.
-		for _, e := range t.stations {
-			e.seen = now
+	if !connected {
+		// Time without contact does not count. Otherwise an agent that is cut off would drop
+		// stations that it could still use, at the latest when it reconnects to a control-plane
+		// node that does not know all stations yet.
+		for _, entry := range t.stations {
+			entry.lastAlive = now
 		}
 		return false
 	}
-	for agent, e := range t.stations {
-		here := false
-		for _, s := range t.sources {
-			lost, known := s.heard[agent]
-			here = here || s.up && known && !lost
+	for agent, entry := range t.stations {
+		alive := false
+		for _, src := range t.sources {
+			lost, known := src.lostByAgent[agent]
+			alive = alive || src.up && known && !lost
 		}
-		if here {
-			e.seen = now
-		} else if now-e.seen > ForgetAfter {
+		if alive {
+			entry.lastAlive = now
+		} else if now-entry.lastAlive > ForgetAfter {
 			delete(t.stations, agent)
-			for _, s := range t.sources {
-				delete(s.heard, agent)
+			for _, src := range t.sources {
+				delete(src.lostByAgent, agent)
 			}
 			changed = true
 		}
@@ -159,45 +172,46 @@
 	return changed
 }
 
-// Station returns what is known of an agent, nil if nothing is.
+// Station returns the latest version of an agent's station, or nil if the agent is not known.
 func (t *Table) Station(agent string) *transport.Station {
-	if e := t.stations[agent]; e != nil {
-		s := e.Station
-		return &s
+	if entry := t.stations[agent]; entry != nil {
+		station := entry.Station
+		return &station
 	}
 	return nil
 }
 
-// heard is a station as of now. Danger: what is left of a warm-up was left when it was said; passed on as it was, a backend would be
-// cold for ever to who hears of it late.
-func (t *Table) heard(now time.Duration, e *entry) transport.StationStatus {
-	h := transport.StationStatus{Station: e.Station, Lost: t.lost(e.Agent)}
-	if b := h.Station.Backend; b != nil && b.ColdLeft > 0 {
-		since := *b
-		since.ColdLeft = max(0, b.ColdLeft-(now-e.told))
-		h.Station.Backend = &since
+// statusAt returns the status of a station as of now. The remaining warm-up time was correct when
+// it was received, so the time since then is subtracted. Passed on unchanged, a backend would look
+// cold forever to those who receive the status late.
+func (t *Table) statusAt(now time.Duration, entry *stationEntry) transport.StationStatus {
+	status := transport.StationStatus{Station: entry.Station, Lost: t.isLost(entry.Agent)}
+	if backend := status.Station.Backend; backend != nil && backend.ColdLeft > 0 {
+		aged := *backend
+		aged.ColdLeft = max(0, backend.ColdLeft-(now-entry.receivedAt))
+		status.Station.Backend = &aged
 	}
-	return h
+	return status
 }
 
-// All returns all stations, as of now, in the order of their agents.
+// All returns the status of all stations as of now, sorted by agent.
 func (t *Table) All(now time.Duration) []transport.StationStatus {
 	all := make([]transport.StationStatus, 0, len(t.stations))
-	for _, e := range t.stations {
-		all = append(all, t.heard(now, e))
+	for _, entry := range t.stations {
+		all = append(all, t.statusAt(now, entry))
 	}
 	slices.SortFunc(all, func(x, y transport.StationStatus) int { return cmp.Compare(x.Station.Agent, y.Station.Agent) })
 	return all
 }
 
-// Agents names the agents of all stations, in no order.
+// Agents returns the agents of all stations, in no particular order.
 func (t *Table) Agents() []string { return slices.Collect(maps.Keys(t.stations)) }
 
-// Of returns one station as All does.
+// Status returns the status of one station as of now.
 func (t *Table) Status(now time.Duration, agent string) (transport.StationStatus, bool) {
-	e := t.stations[agent]
-	if e == nil {
+	entry := t.stations[agent]
+	if entry == nil {
 		return transport.StationStatus{}, false
 	}
-	return t.heard(now, e), true
+	return t.statusAt(now, entry), true
 }
--- a/internal/mesh/registry/table_test.go
+++ b/internal/mesh/registry/table_test.go
@@ -10,131 +10,132 @@
 	"github.com/stretchr/testify/require"
 )
 
-// known is what the sources of a table said of one agent, kept plainly.
-type known struct {
-	best *transport.Station
-	told time.Duration   // when the best word came
-	seen time.Duration   // when a source that was up last had it
-	says map[string]bool // source: lost
+// expectedStation is a simple model of what a table should know about one agent.
+type expectedStation struct {
+	newest       *transport.Station
+	receivedAt   time.Duration   // when the newest version arrived
+	lastAlive    time.Duration   // when a connected source last reported it as not lost
+	lostBySource map[string]bool // by source
 }
 
-// state says whether it is lost to all sources that are up and know it, and whether it is there for
-// one.
-func (k *known) state(up map[string]bool) (lost, here bool) {
-	for from, l := range k.says {
-		lost, here = lost || up[from], here || up[from] && !l
+// state returns whether all connected sources that know the station report it as lost, and whether
+// at least one of them reports it as alive.
+func (e *expectedStation) state(up map[string]bool) (lost, alive bool) {
+	for source, reportedLost := range e.lostBySource {
+		lost, alive = lost || up[source], alive || up[source] && !reportedLost
 	}
-	return lost && !here, here
+	return lost && !alive, alive
 }
 
-// drawn is what a source may say of the agents; what one word says is the same whoever passes it
-// on.
-func drawn(r *rand.Rand, from string, step int) (list []transport.StationStatus) {
+// randomStatuses draws a report of a source. The content of a station depends only on its life and
+// sequence number, so it is the same whichever source passes it on.
+func randomStatuses(rng *rand.Rand, source string, step int) (statuses []transport.StationStatus) {
 	for agent := range 4 {
-		if r.IntN(3) > 0 && (from != SelfSource || agent == 0) {
-			life, seq := uint64(1+r.IntN(3)), uint64(1+r.IntN(step+1))
-			list = append(list, transport.StationStatus{Lost: from != SelfSource && r.IntN(3) > 0, Station: transport.Station{Agent: fmt.Sprint("a", agent),
+		if rng.IntN(3) > 0 && (source != SelfSource || agent == 0) {
+			life, seq := uint64(1+rng.IntN(3)), uint64(1+rng.IntN(step+1))
+			statuses = append(statuses, transport.StationStatus{Lost: source != SelfSource && rng.IntN(3) > 0, Station: transport.Station{Agent: fmt.Sprint("a", agent),
 				Life: life, Seq: seq, Backend: &transport.Backend{ColdLeft: time.Duration((life*7+seq*1300)%5000) * time.Millisecond}}})
 		}
 	}
-	return list
+	return statuses
 }
 
-// TestTable has sources come, go, tell whole lists and parts of them, and lose agents. Tables that
-// heard the same words agree, in whatever order; an agent is lost only if every source that is up
-// and knows it says so; nothing is forgotten while no core machine is up, nor sooner than Forget,
-// nor kept for ever; what is left of a warm-up ages. It provokes what DRAIN and EVAC rest on beyond
-// the gate, FAILBACK (senders' pace), RECOVER and DENIED (backends that nobody uses any more).
+// TestTable simulates sources that connect, disconnect, report complete and partial lists, and lose
+// agents. Tables that received the same reports must be equal, whatever the order. An agent is lost
+// only if every connected source that knows it reports so. A station is dropped after ForgetAfter,
+// no earlier, and never while no control-plane node is connected. The remaining warm-up time
+// decreases. Faults here would break the rules DRAIN and EVAC beyond the gate, FAILBACK (the pace
+// of senders), RECOVER and DENIED (backends that are no longer used).
 func TestTable(t *testing.T) {
-	counted := map[string]int{}
+	counts := map[string]int{}
 	for seed := range uint64(60) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { play(require.New(t), rand.New(rand.NewPCG(seed, 3)), counted) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runTableSimulation(require.New(t), rand.New(rand.NewPCG(seed, 3)), counts) })
 	}
-	require.Greater(t, min(counted["forgotten"], counted["lost true"], counted["lost false"]), 100, "the load provokes too few: %v", counted)
+	require.Greater(t, min(counts["forgotten"], counts["lost true"], counts["lost false"]), 100, "the simulation causes too few events: %v", counts)
 }
 
-func play(is *require.Assertions, r *rand.Rand, counted map[string]int) {
-	tables, now, up, book := [2]*Table{New(), New()}, time.Hour, map[string]bool{}, map[string]*known{}
-	each := func(f func(t *Table)) { f(tables[0]); f(tables[1]) }
-	down := func(from string) {
-		each(func(t *Table) { t.MarkSourceDown(from) })
-		up[from] = false
+func runTableSimulation(assert *require.Assertions, rng *rand.Rand, counts map[string]int) {
+	tables, now, up, expected := [2]*Table{New(), New()}, time.Hour, map[string]bool{}, map[string]*expectedStation{}
+	forBoth := func(f func(t *Table)) { f(tables[0]); f(tables[1]) }
+	takeDown := func(source string) {
+		forBoth(func(t *Table) { t.MarkSourceDown(source) })
+		up[source] = false
 	}
-	check := func() {
-		each(func(t *Table) { t.Expire(now) })
-		is.Equal(tables[0].All(now), tables[1].All(now), "tables that heard the same words differ")
-		for agent, k := range book {
-			lost, here := k.state(up)
-			if here || !up["core0"] && !up["core1"] && !up["core2"] {
-				k.seen = now
+	verify := func() {
+		forBoth(func(t *Table) { t.Expire(now) })
+		assert.Equal(tables[0].All(now), tables[1].All(now), "tables that received the same reports differ")
+		for agent, station := range expected {
+			lost, alive := station.state(up)
+			if alive || !up["core0"] && !up["core1"] && !up["core2"] {
+				station.lastAlive = now
 			}
-			h, there := tables[0].Status(now, agent)
-			is.Equal(there, now-k.seen <= ForgetAfter, "%s is forgotten too soon, by one that is cut off, or never", agent)
-			if !there {
-				counted["forgotten"]++
-				delete(book, agent)
+			status, exists := tables[0].Status(now, agent)
+			assert.Equal(exists, now-station.lastAlive <= ForgetAfter, "%s is dropped too early or too late, or without contact to the mesh", agent)
+			if !exists {
+				counts["forgotten"]++
+				delete(expected, agent)
 				continue
 			}
-			counted[fmt.Sprint("lost ", lost)]++
-			is.Equal(lost, h.Lost, "%s is lost to some only, or to all", agent)
-			is.False(k.best.Newer(&h.Station) || h.Station.Newer(k.best), "an older word of %s holds", agent)
-			is.Equal(max(0, k.best.Backend.ColdLeft-(now-k.told)), h.Station.Backend.ColdLeft, "the cold time of %s does not age", agent)
+			counts[fmt.Sprint("lost ", lost)]++
+			assert.Equal(lost, status.Lost, "the lost state of %s is wrong", agent)
+			assert.False(station.newest.Newer(&status.Station) || status.Station.Newer(station.newest), "the table has an older version of %s", agent)
+			assert.Equal(max(0, station.newest.Backend.ColdLeft-(now-station.receivedAt)), status.Station.Backend.ColdLeft, "the remaining warm-up time of %s does not decrease", agent)
 		}
 	}
 	for step := range 300 {
-		now += time.Duration(r.IntN(1000)) * time.Millisecond
-		names := []string{"core0", "core1", "core2", SelfSource}
-		r.Shuffle(3, func(i, j int) { names[i], names[j] = names[j], names[i] })
-		switch r.IntN(8) {
+		now += time.Duration(rng.IntN(1000)) * time.Millisecond
+		sources := []string{"core0", "core1", "core2", SelfSource}
+		rng.Shuffle(3, func(i, j int) { sources[i], sources[j] = sources[j], sources[i] })
+		switch rng.IntN(8) {
 		case 0:
-			down(names[0])
+			takeDown(sources[0])
 		case 1:
-			if r.IntN(4) == 0 { // nobody says anything for long
-				now += time.Duration(r.IntN(30)) * time.Second
-			} else if r.IntN(10) == 0 { // all go at once, for long
-				for range r.IntN(60) {
-					down(names[r.IntN(3)])
+			if rng.IntN(4) == 0 { // a long time without any report
+				now += time.Duration(rng.IntN(30)) * time.Second
+			} else if rng.IntN(10) == 0 { // all sources disconnect for a long time
+				for range rng.IntN(60) {
+					takeDown(sources[rng.IntN(3)])
 					now += time.Second
-					check()
+					verify()
 				}
 			}
 		case 2:
-			agent, life := fmt.Sprint("a", r.IntN(4)), uint64(1+r.IntN(3))
-			each(func(t *Table) { t.MarkLost(names[0], agent, life) })
-			up[names[0]] = true
-			if k := book[agent]; k != nil && k.best.Life == life {
-				k.says[names[0]] = true
+			agent, life := fmt.Sprint("a", rng.IntN(4)), uint64(1+rng.IntN(3))
+			forBoth(func(t *Table) { t.MarkLost(sources[0], agent, life) })
+			up[sources[0]] = true
+			if station := expected[agent]; station != nil && station.newest.Life == life {
+				station.lostBySource[sources[0]] = true
 			}
-		default: // two sources speak, and are heard in either order
-			var calls [2]func(t *Table)
-			for i, from := range []string{names[0], names[1+r.IntN(3)]} {
-				list, whole := drawn(r, from, step), from != SelfSource && r.IntN(3) == 0
-				calls[i] = func(t *Table) { t.Merge(now, from, whole, list) }
-				up[from] = true
-				for _, k := range book {
-					if whole {
-						delete(k.says, from)
+		default: // two sources report; each table receives them in a different order
+			var merges [2]func(t *Table)
+			for i, source := range []string{sources[0], sources[1+rng.IntN(3)]} {
+				statuses, complete := randomStatuses(rng, source, step), source != SelfSource && rng.IntN(3) == 0
+				merges[i] = func(t *Table) { t.Merge(now, source, complete, statuses) }
+				up[source] = true
+				for _, station := range expected {
+					if complete {
+						delete(station.lostBySource, source)
 					}
 				}
-				for _, h := range list {
-					k := book[h.Station.Agent]
-					if k == nil {
-						k = &known{seen: now, says: map[string]bool{}}
-						book[h.Station.Agent] = k
+				for _, status := range statuses {
+					station := expected[status.Station.Agent]
+					if station == nil {
+						station = &expectedStation{lastAlive: now, lostBySource: map[string]bool{}}
+						expected[status.Station.Agent] = station
 					}
-					if h.Station.Newer(k.best) {
-						k.best, k.told = &h.Station, now
+					if status.Station.Newer(station.newest) {
+						station.newest, station.receivedAt = &status.Station, now
 					}
-					if k.says[from] = h.Lost; !h.Lost {
-						k.seen = now
+					if station.lostBySource[source] = status.Lost; !status.Lost {
+						station.lastAlive = now
 					}
 				}
 			}
 			for i, t := range tables {
-				calls[i](t)
-				calls[1-i](t)
+				merges[i](t)
+				merges[1-i](t)
 			}
 		}
-		check()
+		verify()
 	}
 }
--- a/internal/mesh/seenids/seenids.go
+++ b/internal/mesh/seenids/seenids.go
@@ -1,40 +1,42 @@
-// Package seenids remembers ids for a while: those of requests that must not run twice.
+// Package seenids remembers the ids of requests that must not run twice, for a limited time.
 //
-// A Set has two generations. An id is added to the younger one; when a generation's time is over,
-// the elder is forgotten and the younger takes its place. So an id is known for one such time at
-// least and two at most, and what a Set holds is bounded by both its time and its size.
+// A Set has two generations. An id is added to the younger one. When the lifetime of a generation
+// is over, the older one is discarded and the younger one takes its place. An id is therefore
+// remembered for at least one lifetime and at most two, and the size of a Set is bounded by its
+// time and its maximum number of ids.
 //
-// A Set is a machine without I/O, clock or goroutines, and not safe for concurrent use.
+// A Set has no I/O, clock or goroutines, and is not safe for concurrent use.
 package seenids
 
 import "time"
 
-// Set is the ids that were seen lately.
+// Set is a set of recently seen ids.
 type Set struct {
-	lasts       time.Duration
-	most        int
-	turned      time.Duration
-	generations [2]map[string]struct{} // the younger first
+	lifetime    time.Duration          // of a generation
+	maxIDs      int                    // per generation
+	rotatedAt   time.Duration          // when the younger generation began
+	generations [2]map[string]struct{} // the younger one first
 }
 
-// New returns an empty set, of which a generation lasts for a time and holds so many ids.
-func New(now, lasts time.Duration, most int) *Set {
-	return &Set{lasts: lasts, most: most, turned: now, generations: [2]map[string]struct{}{{}, {}}}
+// New returns an empty set. A generation lasts for lifetime and holds at most maxIDs ids.
+func New(now, lifetime time.Duration, maxIDs int) *Set {
+	return &Set{lifetime: lifetime, maxIDs: maxIDs, rotatedAt: now, generations: [2]map[string]struct{}{{}, {}}}
 }
 
-// Step lets time pass.
+// Advance discards generations whose lifetime is over. Callers pass the current time before they
+// use the set.
 func (s *Set) Advance(now time.Duration) {
 	for range s.generations {
-		if now-s.turned < s.lasts {
+		if now-s.rotatedAt < s.lifetime {
 			return
 		}
-		s.turned = min(s.turned+s.lasts, now)
+		s.rotatedAt = min(s.rotatedAt+s.lifetime, now)
 		s.generations[0], s.generations[1] = map[string]struct{}{}, s.generations[0]
 	}
-	s.turned = now // both are empty
+	s.rotatedAt = now // both are empty
 }
 
-// Contains says whether an id is known.
+// Contains reports whether an id is remembered.
 func (s *Set) Contains(id string) bool {
 	for _, generation := range s.generations {
 		if _, known := generation[id]; known {
@@ -44,14 +46,14 @@
 	return false
 }
 
-// Full says that no id can be added until the generation is over. Danger: to forget one in place of
-// it would let that run twice.
-func (s *Set) Full() bool { return len(s.generations[0]) >= s.most }
+// Full reports whether the younger generation has no room for another id. A caller must refuse new
+// requests then: discarding an id to make room would let its request run twice.
+func (s *Set) Full() bool { return len(s.generations[0]) >= s.maxIDs }
 
-// Add takes in an id.
+// Add remembers an id.
 func (s *Set) Add(id string) { s.generations[0][id] = struct{}{} }
 
-// Remove forgets an id: its request is proven not to have run.
+// Remove forgets an id whose request is proven not to have run.
 func (s *Set) Remove(id string) {
 	for _, generation := range s.generations {
 		delete(generation, id)
--- a/internal/mesh/transport/bytebudget.go
+++ b/internal/mesh/transport/bytebudget.go
@@ -2,19 +2,19 @@
 
 import "sync/atomic"
 
-// ByteBudget bounds the bytes of bodies that a process holds at once. Danger: a process that goes over
-// its memory is killed with all that it has in hand, so what finds no budget is refused while that may
-// still be said.
+// ByteBudget limits the memory for the bodies that a process holds at once. A process that exceeds
+// its memory limit is killed together with all requests in progress, so a body that does not fit
+// the budget is refused while the request can still be refused safely.
 type ByteBudget struct{ available atomic.Int64 }
 
-// NewByteBudget returns a budget of so many bytes.
+// NewByteBudget returns a budget of the given size.
 func NewByteBudget(bytes int64) *ByteBudget {
 	b := &ByteBudget{}
 	b.available.Store(bytes)
 	return b
 }
 
-// Reserve takes bytes for a body, if there are enough.
+// Reserve takes bytes from the budget. It returns false if not enough are available.
 func (b *ByteBudget) Reserve(bytes int64) bool {
 	if b.available.Add(-bytes) >= 0 {
 		return true
@@ -23,8 +23,9 @@
 	return false
 }
 
-// Release gives bytes back.
+// Release returns bytes to the budget. A negative number takes bytes without a check, for a body
+// that must be accepted.
 func (b *ByteBudget) Release(bytes int64) { b.available.Add(bytes) }
 
-// Available is how many bytes are left.
+// Available returns how many bytes are left. It is negative if too many were taken without a check.
 func (b *ByteBudget) Available() int64 { return b.available.Load() }
--- a/internal/mesh/transport/compress.go
+++ b/internal/mesh/transport/compress.go
@@ -8,32 +8,32 @@
 	"github.com/samber/oops"
 )
 
-// Compress returns raw bytes compressed, quickly rather than as far as can be: configurations are
-// text that repeats itself, and come to a seventh or less.
+// Compress compresses raw for speed rather than size. Configurations are repetitive text and shrink
+// to a seventh or less.
 func Compress(raw []byte) []byte {
-	var b bytes.Buffer
-	w, err := flate.NewWriter(&b, flate.BestSpeed)
+	var buf bytes.Buffer
+	writer, err := flate.NewWriter(&buf, flate.BestSpeed)
 	if err != nil {
-		panic(err) // the level is one that there is
+		panic(err) // the level is valid
 	}
-	if _, err = w.Write(raw); err == nil {
-		err = w.Close()
+	if _, err = writer.Write(raw); err == nil {
+		err = writer.Close()
 	}
 	if err != nil {
-		panic(err) // a buffer takes all
+		panic(err) // a bytes.Buffer accepts every write
 	}
-	return b.Bytes()
+	return buf.Bytes()
 }
 
-// Decompress returns what Compress was given. More than most bytes, and bytes that are no whole
-// compressed text, are an error.
-func Decompress(compressed []byte, most int64) ([]byte, error) {
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), most+1))
+// Decompress returns the input of Compress. It fails if the result is longer than maxBytes, and if
+// the compressed data is damaged or incomplete.
+func Decompress(compressed []byte, maxBytes int64) ([]byte, error) {
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxBytes+1))
 	if err != nil {
 		return nil, oops.Code("body").Wrapf(err, "decompress")
 	}
-	if int64(len(raw)) > most {
-		return nil, oops.Code("body").Errorf("a body of over %d bytes", most)
+	if int64(len(raw)) > maxBytes {
+		return nil, oops.Code("body").Errorf("decompressed body exceeds %d bytes", maxBytes)
 	}
 	return raw, nil
 }
