--- a/internal/mesh/transport/conn.go
+++ b/internal/mesh/transport/conn.go
@@ -1,15 +1,19 @@
-// Package transport is the link: what passes between the mesh's own processes, over TCP.
+// Package transport implements the framed connections between the processes of the mesh, over TCP.
 //
-// There are four uses of a connection, told by the Hello that opens it:
+// The Hello that opens a connection names one of its four uses:
 //
-//   - an exchange: the agent beside a caller, the sender, hands requests to the agent beside a backend, the gate, one at a time.
-//     A Request and its body go, a Reply and its body come. The connection is kept for the next.
-//   - a feed: an agent tells a core machine about itself and its backend, and hears the configuration and all other agents.
-//   - a peer: core machines exchange the messages of their agreement, each direction over a connection of its own.
-//   - stats: a process is asked for its figures.
+//   - exchange: the agent beside a client (the sender) sends requests to the agent beside a backend
+//     (the gate), one at a time. A Request is followed by its body, and a Reply by its body. The
+//     connection is then kept for further requests.
+//   - feed: an agent reports itself and its backend to a control-plane node, and receives the
+//     configuration and the stations of all other agents.
+//   - peer: control-plane nodes exchange consensus messages, each direction over its own
+//     connection.
+//   - stats: a process is queried for its statistics.
 //
-// Heads are gob values, each message written at once with the raw bytes that follow it. A connection that breaks proves nothing
-// about what went over it: who must know whether a request ran is told by a Verdict, or takes it that it may have.
+// Message heads are encoded with encoding/gob. Each head is written together with the raw bytes
+// that follow it. A broken connection proves nothing about the messages sent on it. Whether a
+// request ran is known only from a Verdict; without one, it may have run.
 package transport
 
 import (
@@ -30,93 +34,97 @@
 	"golang.org/x/sys/unix"
 )
 
-// Uses of a connection.
+// Uses of a connection. They are part of the protocol.
 const (
 	UseExchange = "exchange"
 	UseFeed     = "feed"
 	UsePeer     = "peer"
 )
 
-// Hello opens a connection. A process that does not know the use or the version closes it.
+// Hello is the first message on a connection. The accepting process closes the connection if it
+// does not support the version or the use.
 type Hello struct {
 	Version int
 	Use     string
-	From    string // control address of who opens it
+	From    string // control address of the process that opened the connection
 }
 
-// Version is the version of the messages.
+// ProtocolVersion is the version of the messages in this package.
 const ProtocolVersion = 3
 
-// keepScratch is how large a buffer for writing is kept, in bytes: one large body must not hold its memory for good.
-const keepScratch = 64 << 10
+// maxScratchBytes is the largest body that is copied into the write buffer of a connection. A
+// larger one would occupy the buffer's memory for as long as the connection lives.
+const maxScratchBytes = 64 << 10
 
-// Conn is a connection between two processes of the mesh. One goroutine may read and others may write at the same time.
+// Conn is a connection between two processes of the mesh. One goroutine may read while others
+// write.
 type Conn struct {
 	net.Conn
-	raw    syscall.RawConn // nil: it is no socket
-	r      *bufio.Reader
-	dec    *gob.Decoder
-	lr     io.LimitedReader // bounds one message's head
-	number uint64           // of the last exchange; only its one reader uses it
-
-	mu      sync.Mutex // guards what follows
-	enc     *gob.Encoder
-	scratch bytes.Buffer
+	rawConn        syscall.RawConn // nil if Conn is not a socket
+	reader         *bufio.Reader
+	decoder        *gob.Decoder
+	limiter        io.LimitedReader // limits the bytes read for one message
+	exchangeNumber uint64           // of the latest exchange; used by the reading goroutine only
+
+	mu          sync.Mutex // guards the fields below
+	encoder     *gob.Encoder
+	writeBuffer bytes.Buffer
 }
 
-// mostHead bounds the gob part of one message, in bytes.
-const mostHead = 32 << 20
+// maxHeadBytes limits the gob-encoded head of a message.
+const maxHeadBytes = 32 << 20
 
 // NewConn wraps a connection.
 func NewConn(c net.Conn) *Conn {
-	k := &Conn{Conn: c}
+	conn := &Conn{Conn: c}
 	if socket, ok := c.(syscall.Conn); ok {
-		k.raw, _ = socket.SyscallConn() // nil with an error
+		conn.rawConn, _ = socket.SyscallConn() // nil on error
 	}
-	k.lr = io.LimitedReader{R: c, N: mostHead}
-	k.r = bufio.NewReaderSize(&k.lr, 8<<10)
-	k.dec = gob.NewDecoder(k.r)
-	k.enc = gob.NewEncoder(&k.scratch)
-	return k
+	conn.limiter = io.LimitedReader{R: c, N: maxHeadBytes}
+	conn.reader = bufio.NewReaderSize(&conn.limiter, 8<<10)
+	conn.decoder = gob.NewDecoder(conn.reader)
+	conn.encoder = gob.NewEncoder(&conn.writeBuffer)
+	return conn
 }
 
-// Send writes a message and the raw bytes behind it, at once. Its error says nothing of what has arrived.
+// Send writes a message and the raw bytes that follow it. A nil error does not mean that they have
+// arrived, and an error does not mean that they have not.
 func (c *Conn) Send(message any, raw []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.scratch.Reset()
-	if err := c.enc.Encode(message); err != nil {
+	c.writeBuffer.Reset()
+	if err := c.encoder.Encode(message); err != nil {
 		return oops.Code("encode").Wrap(err)
 	}
-	if len(raw) > keepScratch {
-		if _, err := c.Conn.Write(c.scratch.Bytes()); err != nil {
+	if len(raw) > maxScratchBytes {
+		if _, err := c.Conn.Write(c.writeBuffer.Bytes()); err != nil {
 			return err
 		}
 		_, err := c.Conn.Write(raw)
 		return err
 	}
-	c.scratch.Write(raw)
-	_, err := c.Conn.Write(c.scratch.Bytes())
-	if c.scratch.Cap() > 4*keepScratch {
-		c.scratch = bytes.Buffer{}
+	c.writeBuffer.Write(raw)
+	_, err := c.Conn.Write(c.writeBuffer.Bytes())
+	if c.writeBuffer.Cap() > 4*maxScratchBytes {
+		c.writeBuffer = bytes.Buffer{}
 	}
 	return err
 }
 
-// SendRaw writes raw bytes that belong to a message sent before.
+// SendRaw writes raw bytes that belong to the previous message.
 func (c *Conn) SendRaw(raw []byte) error {
 	_, err := c.Conn.Write(raw)
 	return err
 }
 
-// chunk is how much of a long body has to pass within the patience, in bytes.
-const chunk = 64 << 10
+// chunkBytes is the part of a long body that has to be transferred within the chunk timeout.
+const chunkBytes = 64 << 10
 
-// SendLong writes raw bytes that belong to a message sent before. It fails once nothing of them
-// passes for as long as the patience: how long all of them take is up to the link.
-func (c *Conn) SendChunked(raw []byte, patience time.Duration) error {
-	for part := range slices.Chunk(raw, chunk) {
-		c.SetWriteDeadline(time.Now().Add(patience))
+// SendChunked writes raw bytes that belong to the previous message. It fails if a chunk is not
+// written within the timeout; the total time is not limited, because it depends on the link.
+func (c *Conn) SendChunked(raw []byte, chunkTimeout time.Duration) error {
+	for part := range slices.Chunk(raw, chunkBytes) {
+		c.SetWriteDeadline(time.Now().Add(chunkTimeout))
 		if err := c.SendRaw(part); err != nil {
 			return err
 		}
@@ -124,106 +132,108 @@
 	return nil
 }
 
-// LongBody reads the raw bytes behind a message as SendLong writes them.
-func (c *Conn) ReceiveChunked(n, most int64, patience time.Duration) ([]byte, error) {
-	if n < 0 || n > most {
-		return nil, oops.Code("body").Errorf("a body of %d bytes, at most %d are taken", n, most)
+// ReceiveChunked reads raw bytes that were written by SendChunked, with the same timeout per chunk.
+func (c *Conn) ReceiveChunked(size, maxSize int64, chunkTimeout time.Duration) ([]byte, error) {
+	if size < 0 || size > maxSize {
+		return nil, oops.Code("body").Errorf("body length %d is outside the range of 0 to %d bytes", size, maxSize)
 	}
-	body := make([]byte, n)
-	for part := range slices.Chunk(body, chunk) {
-		c.lr.N = int64(len(part))
-		c.SetReadDeadline(time.Now().Add(patience))
-		if _, err := io.ReadFull(c.r, part); err != nil {
+	body := make([]byte, size)
+	for part := range slices.Chunk(body, chunkBytes) {
+		c.limiter.N = int64(len(part))
+		c.SetReadDeadline(time.Now().Add(chunkTimeout))
+		if _, err := io.ReadFull(c.reader, part); err != nil {
 			return nil, err
 		}
 	}
 	return body, nil
 }
 
-// Receive reads the next message into a pointer.
+// Receive decodes the next message into a pointer.
 func (c *Conn) Receive(message any) error {
-	c.lr.N = mostHead
-	return c.dec.Decode(message)
+	c.limiter.N = maxHeadBytes
+	return c.decoder.Decode(message)
 }
 
-// Await waits until something has come that can be read, or the connection ends.
+// WaitReadable waits until there is something to read or the connection ends.
 func (c *Conn) WaitReadable() error {
-	c.lr.N = mostHead
-	_, err := c.r.Peek(1)
+	c.limiter.N = maxHeadBytes
+	_, err := c.reader.Peek(1)
 	return err
 }
 
-// Body reads the raw bytes behind a message.
-func (c *Conn) ReceiveBody(n int64, most int64) ([]byte, error) {
-	if n < 0 || n > most {
-		return nil, oops.Code("body").Errorf("a body of %d bytes, at most %d are taken", n, most)
+// ReceiveBody reads the raw bytes that follow a message.
+func (c *Conn) ReceiveBody(size int64, maxSize int64) ([]byte, error) {
+	if size < 0 || size > maxSize {
+		return nil, oops.Code("body").Errorf("body length %d is outside the range of 0 to %d bytes", size, maxSize)
 	}
-	if n == 0 {
+	if size == 0 {
 		return nil, nil
 	}
-	c.lr.N = n
-	body := make([]byte, n)
-	_, err := io.ReadFull(c.r, body)
+	c.limiter.N = size
+	body := make([]byte, size)
+	_, err := io.ReadFull(c.reader, body)
 	return body, err
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Sum is a checksum of a body. TCP's own is of 16 bits, which some damage passes; and bytes that come
-// twice, or that are another message's, leave the count of them right.
+// Checksum returns the checksum of a body. The 16-bit checksum of TCP misses some damage, and a
+// byte count does not detect duplicated bytes or those of another message.
 func Checksum(body []byte) uint32 { return crc32.Checksum(body, castagnoli) }
 
-// SummedBody reads the raw bytes behind a message and checks them.
-func (c *Conn) ReceiveVerifiedBody(n, most int64, sum uint32) ([]byte, error) {
-	body, err := c.ReceiveBody(n, most)
+// ReceiveVerifiedBody reads the raw bytes that follow a message and verifies their checksum.
+func (c *Conn) ReceiveVerifiedBody(size, maxSize int64, sum uint32) ([]byte, error) {
+	body, err := c.ReceiveBody(size, maxSize)
 	if err == nil && Checksum(body) != sum {
-		return nil, oops.Code("sum").Errorf("a body of %d bytes is not the one that was sent", n)
+		return nil, oops.Code("sum").Errorf("checksum mismatch in a body of %d bytes", size)
 	}
 	return body, err
 }
 
-// NextNumber numbers the next exchange on the connection. Danger: a reply that came late or twice
-// would be taken for that to the next request; its number shows that it is not.
+// NextExchangeNumber returns the number of the next exchange on the connection. The number shows
+// that a late or duplicated reply does not belong to the current request.
 func (c *Conn) NextExchangeNumber() uint64 {
-	c.number++
-	return c.number
+	c.exchangeNumber++
+	return c.exchangeNumber
 }
 
-// Quiet says that the peer has neither closed the connection nor sent what is not yet received. What
-// is no socket counts as quiet.
-func (c *Conn) IsQuiet() bool { return c.raw == nil || tcp.RawQuiet(c.raw) }
+// IsQuiet reports whether the peer has neither closed the connection nor sent data that is still
+// unread. It is true for a connection that is not a socket.
+func (c *Conn) IsQuiet() bool { return c.rawConn == nil || tcp.RawQuiet(c.rawConn) }
 
-// Buffered says how many bytes have come that nobody has read.
-func (c *Conn) Buffered() int { return c.r.Buffered() }
+// Buffered returns the number of bytes that were received but not yet read.
+func (c *Conn) Buffered() int { return c.reader.Buffered() }
 
-// unheard is how long the kernel keeps trying to send what is not acknowledged: a machine without power says nothing.
-const unheard = 3 * time.Second
+// unackedTimeout is how long the kernel retransmits unacknowledged data before the connection
+// fails. A machine that loses power never closes its connections.
+const unackedTimeout = 3 * time.Second
 
-// Dial opens a connection for a use. Sends on it fail once the other machine has been mute for a while.
+// Dial opens a connection for a use. Writes on it fail once the peer has not acknowledged data for
+// unackedTimeout.
 func Dial(ctx context.Context, use, from, to string) (*Conn, error) {
-	d := net.Dialer{KeepAlive: -1, Control: nil}
-	raw, err := d.DialContext(ctx, "tcp4", to)
+	dialer := net.Dialer{KeepAlive: -1, Control: nil}
+	netConn, err := dialer.DialContext(ctx, "tcp4", to)
 	if err != nil {
 		return nil, err
 	}
-	SetUserTimeout(raw)
-	c := NewConn(raw)
-	if err := c.Send(Hello{Version: ProtocolVersion, Use: use, From: from}, nil); err != nil {
-		c.Close()
+	SetUserTimeout(netConn)
+	conn := NewConn(netConn)
+	if err := conn.Send(Hello{Version: ProtocolVersion, Use: use, From: from}, nil); err != nil {
+		conn.Close()
 		return nil, err
 	}
-	return c, nil
+	return conn, nil
 }
 
-// Bound sets how long a connection's peer may be mute while there is something for it.
+// SetUserTimeout limits how long data on a TCP connection may stay unacknowledged.
 func SetUserTimeout(c net.Conn) {
-	t, ok := c.(*net.TCPConn)
+	tcpConn, ok := c.(*net.TCPConn)
 	if !ok {
 		return
 	}
-	if raw, err := t.SyscallConn(); err == nil {
+	if raw, err := tcpConn.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) {
-			unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unheard.Milliseconds()))
+			unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 		})
 	}
 }
--- a/internal/mesh/transport/conn_bench_test.go
+++ b/internal/mesh/transport/conn_bench_test.go
@@ -8,36 +8,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkKept is what an idle connection holds that has carried one request: a sender has one to each gate that it has used
-// lately, and a gate one from each sender. Both ends are in this process.
+// BenchmarkKept measures the memory of one end of an idle connection that has carried one request.
+// A sender keeps such connections to each gate that it used recently, and a gate has one from each
+// sender. Both ends are in this process.
 func BenchmarkKept(b *testing.B) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(b, err)
-	defer l.Close()
-	held := func() float64 {
+	defer listener.Close()
+	memoryInUse := func() float64 {
 		runtime.GC()
 		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		return float64(m.HeapAlloc + m.StackInuse)
+		var stats runtime.MemStats
+		runtime.ReadMemStats(&stats)
+		return float64(stats.HeapAlloc + stats.StackInuse)
 	}
-	ask := Request{Try: "1", Target: "i-1", Method: "GET", URI: "/", Host: "host", Header: []string{"a", "b"}}
-	before := held()
-	var all []*Conn
+	req := Request{Try: "1", Target: "i-1", Method: "GET", URI: "/", Host: "host", Header: []string{"a", "b"}}
+	before := memoryInUse()
+	var conns []*Conn
 	for range b.N {
-		out, err := net.Dial("tcp4", l.Addr().String())
+		out, err := net.Dial("tcp4", listener.Addr().String())
 		require.NoError(b, err)
-		in, err := l.Accept()
+		in, err := listener.Accept()
 		require.NoError(b, err)
 		from, to := NewConn(out), NewConn(in)
-		require.NoError(b, from.Send(&ask, nil))
+		require.NoError(b, from.Send(&req, nil))
 		require.NoError(b, to.Receive(new(Request)))
 		require.NoError(b, to.Send(&Reply{Status: 200, Header: []string{"a", "b"}}, nil))
 		require.NoError(b, from.Receive(new(Reply)))
-		all = append(all, from, to)
+		conns = append(conns, from, to)
 	}
-	b.ReportMetric((held()-before)/float64(b.N)/2/1024, "KB/end")
-	for _, c := range all {
+	b.ReportMetric((memoryInUse()-before)/float64(b.N)/2/1024, "KB/end")
+	for _, c := range conns {
 		c.Close()
 	}
 }
--- a/internal/mesh/transport/longbody_test.go
+++ b/internal/mesh/transport/longbody_test.go
@@ -11,14 +11,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLongBodyTakesAsLongAsItTakes sends a body over a link that is slower than the patience with
-// silence, and one over a link on which nothing passes any more.
+// TestLongBodyTakesAsLongAsItTakes sends one body over a link that takes much longer than the chunk
+// timeout in total, which must succeed, and one over a link that stalls, which must fail.
 func TestLongBodyTakesAsLongAsItTakes(t *testing.T) {
-	const patience = time.Second
+	const chunkTimeout = time.Second
 	for name, link := range map[string]struct {
-		parts int // that pass
-		fails bool
-	}{"slow": {parts: 20}, "silent": {parts: 5, fails: true}} {
+		chunks int // that the link transfers before it stalls
+		fails  bool
+	}{"slow": {chunks: 20}, "silent": {chunks: 5, fails: true}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				near, slow := net.Pipe()
@@ -26,16 +26,16 @@
 				sender, receiver := NewConn(near), NewConn(far)
 				defer sender.Close()
 				defer receiver.Close()
-				go func() { // the link: a chunk in nine tenths of the patience
-					for range link.parts {
-						time.Sleep(patience * 9 / 10)
-						io.CopyN(fast, slow, chunk)
+				go func() { // the link transfers each chunk in nine tenths of the timeout
+					for range link.chunks {
+						time.Sleep(chunkTimeout * 9 / 10)
+						io.CopyN(fast, slow, chunkBytes)
 					}
 				}()
-				body := bytes.Repeat([]byte("configuration"), 20*chunk/13)
+				body := bytes.Repeat([]byte("configuration"), 20*chunkBytes/13)
 				sent := make(chan error, 1)
-				go func() { sent <- sender.SendChunked(body, patience) }()
-				got, err := receiver.ReceiveChunked(int64(len(body)), int64(len(body)), patience)
+				go func() { sent <- sender.SendChunked(body, chunkTimeout) }()
+				got, err := receiver.ReceiveChunked(int64(len(body)), int64(len(body)), chunkTimeout)
 				if link.fails {
 					require.Error(t, err)
 					require.Error(t, <-sent)
@@ -47,6 +47,6 @@
 			})
 		})
 	}
-	_, err := NewConn(nil).ReceiveChunked(chunk, chunk-1, patience)
+	_, err := NewConn(nil).ReceiveChunked(chunkBytes, chunkBytes-1, chunkTimeout)
 	require.Error(t, err)
 }
--- a/internal/mesh/transport/message.go
+++ b/internal/mesh/transport/message.go
@@ -11,168 +11,170 @@
 	"github.com/samber/oops"
 )
 
-// Request is one that a sender hands to a gate. Body raw bytes follow it. While its reply is due,
-// and all of the body has gone out, the sender may say Cancel with its Number, and nothing else. A
-// reply still comes; a cancellation that crosses it is void.
+// Request is sent by a sender to a gate, followed by Body raw bytes. After the complete body has
+// been sent, and until the reply arrives, the sender may send one more Request with Cancel and the
+// same Number, and nothing else. A reply follows even then. A cancellation that crosses the reply
+// has no effect.
 type Request struct {
-	Number         uint64 // of the exchange on its connection, from 1; the replies repeat it
-	Life           uint64 // of the gate's process for which it is meant
-	Try            string // the client's id of this try
-	Target         string // id of the backend's life that must run it
+	Number         uint64 // of the exchange on its connection, from 1; replies repeat it
+	Life           uint64 // incarnation of the gate's process that is addressed
+	Try            string // the client's id of this attempt
+	Target         string // id of the backend instance that must run the request
 	Method         string
 	URI            string
 	Host           string
-	Caller         string // the service of the machine on which the request began
-	Unsafe         bool   // must not run twice
-	Inner          bool   // called by a run of a backend
-	Repeat         bool   // a further attempt, or called by a run of one
-	Left           time.Duration
-	Aim            time.Duration // until when an answer earns its full worth, from now
-	Rank           int
-	Customer       string   // the tenant for whom it runs; "": none
-	Header         []string // names and values in turn
-	Body           int64
-	Sum            uint32        // of the body, by Sum
-	ExpectContinue bool          // the body comes only once a Reply says Continue: it is long, and may be refused
-	Patient        time.Duration // the longest that it may wait at the gate before it is refused
-	Cancel         bool          // no request: nobody waits for the reply to this exchange any more
+	Caller         string        // service of the machine where the request originated
+	Unsafe         bool          // must not run twice
+	Inner          bool          // called by a request that runs at a backend
+	Repeat         bool          // a retry, or called by the run of a retry
+	Left           time.Duration // time limit, counted from now
+	Aim            time.Duration // target latency, counted from now: a later answer is worth less
+	Rank           int           // importance of the request
+	Customer       string        // tenant on whose behalf it runs; empty if none
+	Header         []string      // alternating names and values
+	Body           int64         // length in bytes
+	Sum            uint32        // checksum of the body, by Checksum
+	ExpectContinue bool          // the body is long and is sent only after a Reply with Continue
+	Patient        time.Duration // longest wait at the gate before the request is refused
+	Cancel         bool          // not a request: the sender no longer needs the reply to this exchange
 }
 
-// Reply is a gate's answer. Body raw bytes follow it.
+// Reply is the answer of a gate, followed by Body raw bytes.
 type Reply struct {
 	Number   uint64 // of the Request
 	Verdict  Verdict
 	Reason   Reason
-	After    time.Duration
+	After    time.Duration // when to retry; 0 if unknown
 	Status   int
 	Header   []string
 	Body     int64
-	Sum      uint32 // of the body, by Sum
+	Sum      uint32 // checksum of the body, by Checksum
 	Load     Load
-	Arrived  bool          // it reached the backend, which did not run it
-	Continue bool          // no answer yet: the body may come
-	Inner    bool          // the backend failed after a call of its own had
-	Waited   time.Duration // at the gate, for a slot
+	Arrived  bool          // the request reached the backend, which did not run it
+	Continue bool          // not the final reply: the sender may send the body
+	Inner    bool          // the backend failed after a call that it made had failed
+	Waited   time.Duration // time in the gate's queue
 }
 
-// Load is what a gate knows of its backend: all that reaches it passes the gate.
+// Load is the load of a backend as measured by its gate, which sees all its requests.
 type Load struct {
-	InFlight int // handed over, or waiting at the gate
-	Waiting  int // of these, at the gate
-	Recent   time.Duration
-	Rate     float64 // served a second
-	Errors   float64 // failed a second
+	InFlight int           // in flight, queued at the gate, or with a body on its way there
+	Waiting  int           // part of InFlight: queued at the gate
+	Recent   time.Duration // moving average of the response time
+	Rate     float64       // successful requests per second
+	Errors   float64       // failed requests per second
 }
 
-// Backend is one life of a backend, as its beats tell.
+// Backend describes one instance of a backend, according to its heartbeats.
 type Backend struct {
 	ID       string
 	Service  string
 	Address  string
 	Zone     string
 	Version  string
-	Capacity int
+	Capacity int // requests that it processes at once
 	Draining bool
-	ColdLeft time.Duration // at the time of the report
-	Calls    uint64
+	ColdLeft time.Duration // remaining warm-up time when this was sent
+	Calls    uint64        // number of the latest heartbeat; 0 if heartbeats are not numbered
 }
 
-// Station is what an agent says of itself. Who hears two of one agent keeps the one of the later life, and of one life the
-// one said later.
+// Station is an agent's description of itself and its backend. Of two stations of one agent, the
+// one with the higher Life is valid, and for the same Life the one with the higher Seq.
 type Station struct {
-	Agent   string // ip of its machine
-	Gate    string // where senders reach its gate
+	Agent   string // IP address of its machine
+	Gate    string // address where senders reach its gate
 	Zone    string
-	Life    uint64 // of the agent's process, later lives are higher
-	Seq     uint64
-	Open    bool // takes requests for its backend
+	Life    uint64 // incarnation of the agent process; later ones are higher
+	Seq     uint64 // version number within Life
+	Open    bool   // the gate accepts requests for its backend
 	Backend *Backend
 }
 
-// Newer says whether a station's word replaces another.
-func (s *Station) Newer(than *Station) bool {
-	return than == nil || s.Life > than.Life || s.Life == than.Life && s.Seq > than.Seq
+// Newer reports whether s replaces the other station of the same agent.
+func (s *Station) Newer(other *Station) bool {
+	return other == nil || s.Life > other.Life || s.Life == other.Life && s.Seq > other.Seq
 }
 
-// Up is what an agent says to a core machine over its feed; fields that are not set say nothing.
+// AgentUpdate is a message from an agent to a control-plane node on a feed. Fields that are not set
+// leave the earlier value unchanged.
 type AgentUpdate struct {
 	Station *Station
-	Have    uint64        // index of the configuration that the agent has; told with every station
-	Want    uint64        // not 0: send the whole configuration, of this index or a later one
-	Since   uint64        // with Want, not 0: the steps from this index, which the agent has, do as well
-	Deflate bool          // with Want: the raw bytes may come compressed
-	Fresh   uint64        // not 0: answer with this number once what you have sent is current
-	Handed  uint64        // number of a Down.Beat that has been dealt with
-	Status  int           // the answer to it
-	Resume  ResumePoint   // with the first message of a feed: what has been heard before
-	Clock   int64         // of meshtime, ns: the agent's own; 0: not told
-	Usage   *usage.Update // what has changed of its counts; nil: nothing
-	Work    *Workload     // nil: as told before
+	Have    uint64        // index of the agent's configuration; sent with every Station
+	Want    uint64        // if not 0: requests the complete configuration of this index or a later one
+	Since   uint64        // with Want, if not 0: the steps from this index are sufficient
+	Deflate bool          // with Want: the agent accepts a compressed configuration
+	Fresh   uint64        // if not 0: asks for a CoreUpdate with this Fresh once all sent before it is current
+	Handed  uint64        // number of the latest CoreUpdate.Beat that was handled
+	Status  int           // HTTP status of the answer to it
+	Resume  ResumePoint   // in the first message of a feed: what the agent has already received
+	Clock   int64         // the agent's meshtime in ns; 0 if not sent
+	Usage   *usage.Update // changes of its usage counters; nil if there are none
+	Work    *Workload     // nil if unchanged
 }
 
-// Work is what an agent has in hand.
+// Workload is the number of requests that an agent is handling.
 type Workload struct {
-	Mean   float64          // requests that its backend works on or that wait there, over some seconds
-	Gate   int              // of these, now, and bodies that are on their way there
-	Sender int              // requests of its clients, and of its backend, now
-	Stage  meshconfig.Stage // how far it was taken out of use before these were counted
+	Mean   float64          // requests queued at the gate or running at the backend, averaged over some seconds
+	Gate   int              // current number of these, and of bodies that are being received
+	Sender int              // current requests of its clients and of its backend
+	Stage  meshconfig.Stage // maintenance stage of the machine when these were counted
 }
 
-// Resume says that an agent has heard all stations of a core process up to a revision. The zero
-// value is of an agent that has not.
+// ResumePoint states that an agent has received all stations from a control-plane process up to a
+// revision. The zero value states that it has received none.
 type ResumePoint struct {
-	Core     uint64 // Down.Core
-	Revision uint64 // Down.Revision
+	Core     uint64 // CoreUpdate.Core
+	Revision uint64 // CoreUpdate.Revision
 }
 
-// Step is an order that changed the configuration, and the indexes before and after it.
+// ConfigStep is an order that changed the configuration, with the indexes before and after it.
 type ConfigStep struct {
 	Before, Index uint64
 	Order         meshconfig.Order
 }
 
-// EncodeSteps gives steps as the raw bytes behind a Down: within it, large ones would stay in the
-// buffers of each connection.
+// EncodeSteps encodes steps as the raw bytes that follow a CoreUpdate. Inside of the message, large
+// steps would stay in the buffers of each connection.
 func EncodeSteps(steps []ConfigStep) []byte { return plaingob.Encode(steps) }
 
-// DecodeSteps reads what EncodeSteps gave.
+// DecodeSteps decodes the output of EncodeSteps.
 func DecodeSteps(raw []byte) ([]ConfigStep, error) {
 	var steps []ConfigStep
 	err := gob.NewDecoder(bytes.NewReader(raw)).Decode(&steps)
 	return steps, oops.In("steps").Wrap(err)
 }
 
-// Down is what a core machine says to an agent. Raw bytes follow it: the whole
-// configuration, or steps to it, which an agent gets that wants it.
+// CoreUpdate is a message from a control-plane node to an agent. If the agent asked for the
+// configuration, raw bytes follow with the complete configuration or with the steps to it.
 type CoreUpdate struct {
-	Index    uint64       // of the configuration at the core machine
-	Digest   uint64       // of it, with Steps or Raw
-	Steps    []ConfigStep // that lead to it, from one that the agent has
-	Raw      int64
-	RawSteps bool // Raw is of EncodeSteps rather than the whole configuration
-	Deflated bool // Raw is of Compress, of either
+	Index    uint64       // of the node's current configuration
+	Digest   uint64       // of this configuration; set with Steps or Raw
+	Steps    []ConfigStep // from the agent's configuration to this one
+	Raw      int64        // number of raw bytes that follow
+	RawSteps bool         // the raw bytes are from EncodeSteps rather than the complete configuration
+	Deflated bool         // the raw bytes are compressed with Compress
 	Stations []StationStatus
-	Whole    bool // what was told before is void: all that there are follow, in this message and the next
-	Fresh    uint64
-	Cores    []string // control addresses of the members of the agreement
-	MinLife  uint64   // the agent's life must be above this: an earlier one of it was heard with it
-	Beat     *RelayedHeartbeat
-	Number   uint64 // of Beat
-	Core     uint64 // with the first message of a feed: the core process, by a number of its own
-	Revision uint64 // not 0: all stations have been told up to this
-	Clock    int64  // of meshtime, ns: what agents agree on; 0: not told
-	Settled  int64  // windows of usage up to this one are fixed
+	Whole    bool              // discard earlier stations: this message and the next have the complete list
+	Fresh    uint64            // answers AgentUpdate.Fresh
+	Cores    []string          // control addresses of the consensus members
+	MinLife  uint64            // the agent needs a higher Life, because an earlier process has used this one
+	Beat     *RelayedHeartbeat // nil if there is none
+	Number   uint64            // of Beat
+	Core     uint64            // in the first message of a feed: identifies the control-plane process
+	Revision uint64            // if not 0: all stations up to this revision have been sent
+	Clock    int64             // agreed meshtime in ns; 0 if not sent
+	Settled  int64             // usage windows up to this one are final
 }
 
-// Heard is a station and whether the core machine hears it.
+// StationStatus is a station, and whether the control-plane node has lost contact with it.
 type StationStatus struct {
 	Station Station
 	Lost    bool
 }
 
-// Beat is a backend's call that reached a core machine instead of the agent beside the backend.
+// RelayedHeartbeat is a heartbeat that a backend sent to a control-plane node instead of its agent.
 type RelayedHeartbeat struct {
 	ID    string
-	Leave bool // DELETE
+	Leave bool // the backend deregisters (DELETE)
 	Body  []byte
 }
--- a/internal/mesh/transport/pool.go
+++ b/internal/mesh/transport/pool.go
@@ -6,124 +6,124 @@
 	"time"
 )
 
-// Endpoint is one life of a gate's process. Danger: the next one at the address knows nothing of
-// what was asked of this one, and a connection that outlives a loss of power there breaks under the
-// first request that is sent on it.
+// Endpoint identifies one process of a gate. A later process at the same address does not know
+// about requests to an earlier one. A connection that survived a power loss there would break when
+// the next request is sent on it, so connections are not reused across incarnations.
 type Endpoint struct {
 	Address string
 	Life    uint64
 }
 
-// Pool keeps connections for exchanges, by the life of the gate. All fields are set before its
-// first use.
+// Pool keeps connections for exchanges, grouped by gate process. All exported fields must be set
+// before its first use.
 type Pool struct {
-	ControlAddress string        // own control address
-	ConnectTimeout time.Duration // for a connection to come up
-	IdleTimeout    time.Duration // how long one is kept idle
-	MaxIdlePerGate int           // connections kept idle for each gate
+	ControlAddress string        // of this process
+	ConnectTimeout time.Duration // limit for opening a connection
+	IdleTimeout    time.Duration // how long an idle connection is kept
+	MaxIdlePerGate int           // idle connections kept per gate process
 
-	mu   sync.Mutex
-	idle map[Endpoint][]kept
-	open int
-	made uint64
+	mu     sync.Mutex
+	idle   map[Endpoint][]idleConn
+	open   int
+	dialed uint64
 }
 
-type kept struct {
-	c     *Conn
-	since time.Time
+type idleConn struct {
+	conn      *Conn
+	idleSince time.Time
 }
 
-// Get returns a connection to a gate: the one used last, or a new one, if that comes up in time.
-func (p *Pool) Get(gate Endpoint, within time.Duration) (*Conn, error) {
+// Get returns the most recently used idle connection to a gate, or opens one within the timeout.
+func (p *Pool) Get(gate Endpoint, timeout time.Duration) (*Conn, error) {
 	for {
-		k, ok := p.take(gate)
+		conn, ok := p.popIdle(gate)
 		if !ok {
 			break
 		}
-		if k.Buffered() == 0 && k.IsQuiet() {
-			return k, nil
+		if conn.Buffered() == 0 && conn.IsQuiet() {
+			return conn, nil
 		}
-		p.Discard(k)
+		p.Discard(conn)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), min(within, p.ConnectTimeout))
+	ctx, cancel := context.WithTimeout(context.Background(), min(timeout, p.ConnectTimeout))
 	defer cancel()
-	c, err := Dial(ctx, UseExchange, p.ControlAddress, gate.Address)
+	conn, err := Dial(ctx, UseExchange, p.ControlAddress, gate.Address)
 	if err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	p.open++
-	p.made++
+	p.dialed++
 	p.mu.Unlock()
-	return c, nil
+	return conn, nil
 }
 
-func (p *Pool) take(gate Endpoint) (*Conn, bool) {
+func (p *Pool) popIdle(gate Endpoint) (*Conn, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[gate]
-	if len(list) == 0 {
+	conns := p.idle[gate]
+	if len(conns) == 0 {
 		return nil, false
 	}
-	k := list[len(list)-1]
-	p.idle[gate] = list[:len(list)-1]
-	return k.c, true
+	newest := conns[len(conns)-1]
+	p.idle[gate] = conns[:len(conns)-1]
+	return newest.conn, true
 }
 
-// Put gives a connection back on which nothing is due. One with bytes that nobody has read is
-// closed.
-func (p *Pool) Put(gate Endpoint, c *Conn) {
-	if c.Buffered() > 0 {
-		p.Discard(c)
+// Put returns a connection on which no reply is outstanding. It is closed if it has unread data, or
+// if enough connections are idle.
+func (p *Pool) Put(gate Endpoint, conn *Conn) {
+	if conn.Buffered() > 0 {
+		p.Discard(conn)
 		return
 	}
 	p.mu.Lock()
 	if p.idle == nil {
-		p.idle = map[Endpoint][]kept{}
+		p.idle = map[Endpoint][]idleConn{}
 	}
 	full := len(p.idle[gate]) >= p.MaxIdlePerGate
 	if !full {
-		p.idle[gate] = append(p.idle[gate], kept{c, time.Now()})
+		p.idle[gate] = append(p.idle[gate], idleConn{conn, time.Now()})
 	}
 	p.mu.Unlock()
 	if full {
-		p.Discard(c)
+		p.Discard(conn)
 	}
 }
 
-// Discard closes a connection that is not in the pool.
-func (p *Pool) Discard(c *Conn) {
-	c.Close()
+// Discard closes a connection that was returned by Get.
+func (p *Pool) Discard(conn *Conn) {
+	conn.Close()
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// Sweep closes what has been idle for too long.
+// Sweep closes connections that were idle for longer than IdleTimeout.
 func (p *Pool) Sweep(now time.Time) {
-	var old []*Conn
+	var expired []*Conn
 	p.mu.Lock()
-	for gate, list := range p.idle {
+	for gate, conns := range p.idle {
 		n := 0
-		for n < len(list) && now.Sub(list[n].since) > p.IdleTimeout {
-			old = append(old, list[n].c)
+		for n < len(conns) && now.Sub(conns[n].idleSince) > p.IdleTimeout {
+			expired = append(expired, conns[n].conn)
 			n++
 		}
-		if n == len(list) {
+		if n == len(conns) {
 			delete(p.idle, gate)
 		} else {
-			p.idle[gate] = append(list[:0:0], list[n:]...)
+			p.idle[gate] = append(conns[:0:0], conns[n:]...)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
-		p.Discard(c)
+	for _, conn := range expired {
+		p.Discard(conn)
 	}
 }
 
-// Counts says how many connections are open and how many were made.
-func (p *Pool) Counts() (open int, made uint64) {
+// Counts returns how many connections are open and how many were opened in total.
+func (p *Pool) Counts() (open int, dialed uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open, p.made
+	return p.open, p.dialed
 }
--- a/internal/mesh/transport/server.go
+++ b/internal/mesh/transport/server.go
@@ -10,18 +10,20 @@
 )
 
 const (
-	helloTimeout = 5 * time.Second // until who dialed must have said what for
-	acceptPause  = 50 * time.Millisecond
+	helloTimeout     = 5 * time.Second // limit for receiving the Hello on a new connection
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// Server takes connections of the mesh's processes and hands each to who serves its use.
+// Server accepts connections from other processes of the mesh and passes each to the handler of its
+// use.
 type Server struct {
-	// Uses serve a connection by the use that its Hello names, until they return; then it is closed.
+	// Handlers serve connections, by Hello.Use. A connection is closed when its handler returns.
 	Handlers map[string]func(Hello, *Conn)
 }
 
-// Serve accepts until the listener is closed. Danger: accepting fails for a while where descriptors
-// run out, and a process that stopped then would be out of reach for good.
+// Serve accepts connections until the listener is closed. Accept fails temporarily when no file
+// descriptors are left. Serve retries then, because a process that stopped accepting would stay
+// unreachable.
 func (s *Server) Serve(l net.Listener) {
 	for {
 		raw, err := l.Accept()
@@ -31,26 +33,26 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
 func (s *Server) serve(raw net.Conn) {
-	if t, ok := raw.(syscall.Conn); ok && tcp.HungUp(t) {
-		raw.Close() // cheaper than to read its Hello: after a stall of the process there are thousands
+	if socket, ok := raw.(syscall.Conn); ok && tcp.HungUp(socket) {
+		raw.Close() // cheaper than reading the Hello; there are thousands after a stall of the process
 		return
 	}
 	SetUserTimeout(raw)
-	c := NewConn(raw)
-	defer c.Close()
+	conn := NewConn(raw)
+	defer conn.Close()
 	var hello Hello
 	raw.SetReadDeadline(time.Now().Add(helloTimeout))
-	if c.Receive(&hello) != nil || hello.Version != ProtocolVersion {
+	if conn.Receive(&hello) != nil || hello.Version != ProtocolVersion {
 		return
 	}
 	raw.SetReadDeadline(time.Time{})
-	if serve := s.Handlers[hello.Use]; serve != nil {
-		serve(hello, c)
+	if handle := s.Handlers[hello.Use]; handle != nil {
+		handle(hello, conn)
 	}
 }
--- a/internal/mesh/transport/server_test.go
+++ b/internal/mesh/transport/server_test.go
@@ -11,45 +11,46 @@
 	"github.com/stretchr/testify/require"
 )
 
-// scarce is a listener that has no descriptors at first.
-type scarce struct {
+// failingListener fails to accept the first connections, as if no file descriptors were left.
+type failingListener struct {
 	failures int
-	next     chan net.Conn
+	conns    chan net.Conn
 }
 
-func (l *scarce) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures--; l.failures >= 0 {
 		return nil, errors.New("too many open files")
 	}
-	c, ok := <-l.next
+	conn, ok := <-l.conns
 	if !ok {
 		return nil, net.ErrClosed
 	}
-	return c, nil
+	return conn, nil
 }
 
-func (l *scarce) Close() error   { close(l.next); return nil }
-func (l *scarce) Addr() net.Addr { return nil }
+func (l *failingListener) Close() error   { close(l.conns); return nil }
+func (l *failingListener) Addr() net.Addr { return nil }
 
-// TestServerOutlivesFailedAccepts has a server go on after descriptors ran out, serve each
-// connection by its use, and close those of no use or without a Hello.
+// TestServerOutlivesFailedAccepts checks that a server continues after failed accepts, passes each
+// connection to the handler of its use, and closes connections with an unknown use or without a
+// Hello.
 func TestServerOutlivesFailedAccepts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &scarce{failures: 3, next: make(chan net.Conn)}
+		listener := &failingListener{failures: 3, conns: make(chan net.Conn)}
 		served := make(chan string, 1)
-		s := &Server{Handlers: map[string]func(Hello, *Conn){UsePeer: func(h Hello, _ *Conn) { served <- h.From }}}
+		server := &Server{Handlers: map[string]func(Hello, *Conn){UsePeer: func(h Hello, _ *Conn) { served <- h.From }}}
 		done := make(chan struct{})
-		go func() { s.Serve(l); close(done) }()
-		dial := func(h *Hello) net.Conn {
+		go func() { server.Serve(listener); close(done) }()
+		dial := func(hello *Hello) net.Conn {
 			near, far := net.Pipe()
-			l.next <- far
-			if h != nil {
-				require.NoError(t, NewConn(near).Send(h, nil))
+			listener.conns <- far
+			if hello != nil {
+				require.NoError(t, NewConn(near).Send(hello, nil))
 			}
 			return near
 		}
-		requireClosed := func(c net.Conn) {
-			_, err := c.Read(make([]byte, 1))
+		requireClosed := func(conn net.Conn) {
+			_, err := conn.Read(make([]byte, 1))
 			require.ErrorIs(t, err, io.EOF)
 		}
 		requireClosed(dial(&Hello{Version: ProtocolVersion, Use: UsePeer, From: "a"}))
@@ -59,7 +60,7 @@
 		began := time.Now()
 		requireClosed(dial(nil))
 		require.Equal(t, helloTimeout, time.Since(began))
-		l.Close()
+		listener.Close()
 		<-done
 	})
 }
--- a/internal/mesh/transport/stats.go
+++ b/internal/mesh/transport/stats.go
@@ -8,84 +8,84 @@
 	"github.com/samber/oops"
 )
 
-// Stats is the use of a connection over which a process is asked for its figures: a Question goes,
-// Figures come, and so on until who asks closes it.
+// UseStats is the use of a connection over which a process is queried for its statistics. Each
+// StatsQuery is answered by a StatsReport, until the querying process closes the connection.
 const UseStats = "stats"
 
 const (
-	maxStatsConns = 8                // connections for figures that a process serves at once
-	statsIdle     = 90 * time.Second // between two questions: longer than figures are usually asked for
-	mostSamples   = 8192             // of one answer, which is far above what a process has
+	maxStatsConns    = 8                // stats connections that a process serves at once
+	statsIdleTimeout = 90 * time.Second // between two queries; longer than the usual scrape interval
+	maxSamples       = 8192             // in one report; far above what a process has
 )
 
-// Question asks for the figures as they are now.
+// StatsQuery requests the current statistics of a process.
 type StatsQuery struct {
-	State  bool        // with the structured state
-	Traces *TraceQuery // only these; nil: none
+	State  bool        // include the structured state
+	Traces *TraceQuery // include the traces that match; nil for none
 }
 
-// Figures are what a process counts, and how it stands.
+// StatsReport is the answer to a StatsQuery.
 type StatsReport struct {
 	Samples []Sample
-	Agent   *AgentState    // of an agent, where the state was asked for
-	Core    *CoreState     // of a core machine, likewise
-	Traces  []RequestTrace // of an agent, where they were asked for
+	Agent   *AgentState    // of an agent, if the state was requested
+	Core    *CoreState     // of a control-plane node, if the state was requested
+	Traces  []RequestTrace // of an agent, if traces were requested
 }
 
-// Sample is one figure. What names there are, and with which labels, says package meshmetrics.
+// Sample is the value of one metric. Package meshmetrics lists the names and labels.
 type Sample struct {
 	Name   string
-	Labels []string // names and values in turn
+	Labels []string // alternating names and values
 	Value  float64
 }
 
-// AgentState is how an agent stands.
+// AgentState is the state of an agent.
 type AgentState struct {
 	Node, Zone, Service string
 	Ready               bool
-	Index               uint64        // of the configuration that it has; 0: none
-	Proven              time.Duration // since that was known to be current; negative: never
-	Unheard             time.Duration // since any core machine said anything; negative: never
-	Feeds               int           // core machines that it hears
+	Index               uint64        // of its configuration; 0 if it has none
+	Proven              time.Duration // time since it was known to be current; negative if never
+	Unheard             time.Duration // time since a control-plane node sent anything; negative if never
+	Feeds               int           // control-plane nodes that it is connected to
 	Station             Station
 }
 
-// CoreState is how a core machine stands.
+// CoreState is the state of a control-plane node.
 type CoreState struct {
 	Node, Zone    string
 	Self          string // its control address
-	Role, Leader  string // of the agreement; an empty Leader is unknown
+	Role, Leader  string // in consensus; an empty Leader is unknown
 	Term          uint64
 	Commit        uint64
 	Applied       uint64
 	LeaderChanges uint64
 	Members       []Member
 	Learners      []string
-	Outgoing      []string // voters that leave, while a change is under way
+	Outgoing      []string // voters being removed by a membership change in progress
 	Index         uint64   // of the configuration
-	Evacuated     []string // zones
-	Feeds         int      // agents that it hears itself
+	Evacuated     []string // evacuated zones
+	Feeds         int      // agents connected to this node
 	Stations      []StationStatus
 	Duties        []DutyState
 }
 
-// DutyState is how a part of a duty stands.
+// DutyState is the state of one part of a duty, which is a task that one leaseholder carries out.
 type DutyState struct {
 	Duty    string
-	Holder  string // a process of a machine, MACHINE/PROCESS; empty: nobody
-	Fence   uint64
-	Renewed uint64        // times since it was granted
-	Term    time.Duration // of a renewal
-	Why     string        // it last moved
-	Through int64         // the last window that is fixed; 0: none
-	Waiting int           // reports that the platform has not taken
-	Behind  time.Duration // since the end of the oldest window that it has no report of
-	Taken   uint64        // reports that it has
-	Lost    uint64        // windows that it will never have a report of
-	History []DutyMove    // the newest last
+	Holder  string        // MACHINE/PROCESS; empty if nobody holds it
+	Fence   uint64        // fencing token
+	Renewed uint64        // renewals since the duty was granted
+	Term    time.Duration // lease duration
+	Why     string        // reason for the latest change of the holder
+	Through int64         // the latest usage window that is final; 0 if there is none
+	Waiting int           // reports that the platform has not accepted yet
+	Behind  time.Duration // time since the end of the oldest usage window without a report
+	Taken   uint64        // reports that the platform has accepted
+	Lost    uint64        // usage windows that will never be reported
+	History []DutyMove    // oldest first
 }
 
-// DutyMove is a step in the history of duties.
+// DutyMove is one change in the history of duties.
 type DutyMove struct {
 	Number uint64
 	Duty   string
@@ -94,76 +94,77 @@
 	Why    string
 }
 
-// Member is a core machine that takes part in the agreement.
+// Member is a control-plane node that takes part in consensus.
 type Member struct {
-	Control string // where operators reach it
-	Link    string // where processes of the mesh do
+	Control string // address for operators
+	Link    string // address for other processes of the mesh
 }
 
-// StatsServer serves connections for figures. The zero value is ready.
-type StatsServer struct{ now atomic.Int32 }
+// StatsServer serves stats connections. The zero value is ready to use.
+type StatsServer struct{ active atomic.Int32 }
 
-// Serve answers questions on a connection until it ends. Answer may be called from several
-// goroutines at once; nil closes.
-func (s *StatsServer) Serve(c *Conn, answer func(StatsQuery) *StatsReport) {
-	defer s.now.Add(-1)
-	if s.now.Add(1) > maxStatsConns {
+// Serve answers queries on a connection until it ends. It closes the connection if collect returns
+// nil. The collect function may be called from several goroutines at once.
+func (s *StatsServer) Serve(conn *Conn, collect func(StatsQuery) *StatsReport) {
+	defer s.active.Add(-1)
+	if s.active.Add(1) > maxStatsConns {
 		return
 	}
 	for {
-		c.SetReadDeadline(time.Now().Add(statsIdle))
-		var q StatsQuery
-		if c.Receive(&q) != nil {
+		conn.SetReadDeadline(time.Now().Add(statsIdleTimeout))
+		var query StatsQuery
+		if conn.Receive(&query) != nil {
 			return
 		}
-		f := answer(q)
-		if f == nil {
+		report := collect(query)
+		if report == nil {
 			return
 		}
-		c.SetWriteDeadline(time.Now().Add(unheard))
-		if c.Send(f, nil) != nil {
+		conn.SetWriteDeadline(time.Now().Add(unackedTimeout))
+		if conn.Send(report, nil) != nil {
 			return
 		}
 	}
 }
 
-// CountedBy has the goroutine that owns a process's state count, through its queue of commands. It
-// returns nil if the owner does not get to it in time: a process that hangs must not look well.
-func CollectStats(owner chan<- func(), wait time.Duration, count func() *StatsReport) *StatsReport {
-	answer := make(chan *StatsReport, 1)
-	late := time.NewTimer(wait)
-	defer late.Stop()
+// CollectStats runs collect on the goroutine that owns a process's state, through its command
+// queue. It returns nil if the owner does not answer within the timeout, so that a process that
+// hangs is not reported as healthy.
+func CollectStats(owner chan<- func(), timeout time.Duration, collect func() *StatsReport) *StatsReport {
+	result := make(chan *StatsReport, 1)
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case owner <- func() { answer <- count() }:
-	case <-late.C:
+	case owner <- func() { result <- collect() }:
+	case <-timer.C:
 		return nil
 	}
 	select {
-	case f := <-answer:
-		return f
-	case <-late.C:
+	case report := <-result:
+		return report
+	case <-timer.C:
 		return nil
 	}
 }
 
-// AskStats asks the process at a link address once.
-func QueryStats(ctx context.Context, link string, q StatsQuery) (*StatsReport, error) {
-	c, err := Dial(ctx, UseStats, "", link)
+// QueryStats sends one query to the process at a link address.
+func QueryStats(ctx context.Context, address string, query StatsQuery) (*StatsReport, error) {
+	conn, err := Dial(ctx, UseStats, "", address)
 	if err != nil {
 		return nil, oops.Code("dial").Wrap(err)
 	}
-	defer c.Close()
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	if err := c.Send(q, nil); err != nil {
+	if err := conn.Send(query, nil); err != nil {
 		return nil, oops.Code("send").Wrap(err)
 	}
-	var f StatsReport
-	if err := c.Receive(&f); err != nil {
-		return nil, oops.Code("receive").Wrapf(err, "%s gives no figures", link)
+	var report StatsReport
+	if err := conn.Receive(&report); err != nil {
+		return nil, oops.Code("receive").Wrapf(err, "%s gives no figures", address)
 	}
-	if len(f.Samples) > mostSamples {
-		return nil, oops.Code("samples").Errorf("%s gives %d figures, at most %d are taken", link, len(f.Samples), mostSamples)
+	if len(report.Samples) > maxSamples {
+		return nil, oops.Code("samples").Errorf("%s returned %d samples, more than the limit of %d", address, len(report.Samples), maxSamples)
 	}
-	return &f, nil
+	return &report, nil
 }
--- a/internal/mesh/transport/trace.go
+++ b/internal/mesh/transport/trace.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// Sides of a request that a RequestTrace was seen from.
+// Values of RequestTrace.Side.
 const (
 	SideSender = "sender"
 	SideGate   = "gate"
 )
 
-// RequestTrace is the record of a request that did not simply succeed at its first attempt, as one side of
-// it saw it.
+// RequestTrace records a request that did not simply succeed at its first attempt, as seen by one
+// side.
 type RequestTrace struct {
 	Side    string
-	Agent   string // ip of its machine; set when it is asked for
-	Try     string // its first bytes
+	Agent   string // IP address of its machine; set when the trace is queried
+	Try     string // the first bytes of the Try-Id
 	Age     time.Duration
-	Took    time.Duration // until its final answer
+	Took    time.Duration // until the final answer
 	Route   string
 	Version uint64 // of the route
 	Index   uint64 // of the configuration
-	Caller  string // a service
+	Caller  string // service that made the request
 	Service string
 	Unsafe  bool // must not run twice
-	Inner   bool // called by a run of a backend
-	Repeat  bool // called by a run that was a repeat
-	Open    int  // backends to choose from when it came
+	Inner   bool // called by a request that runs at a backend
+	Repeat  bool // called by the run of a retry
+	Open    int  // available backends when the request arrived
 	Steps   []Attempt
-	Started int    // attempts, also those that are not in Steps, being too many or still out
-	Result  string // what it is counted as, one of meshmetrics.Results; at a gate refused or failed
-	Status  int    // of the final answer; 0: there was none
-	Why     string
-	After   time.Duration // that the client was told to come back in
+	Started int           // number of attempts; some are not in Steps, which is limited and has ended ones only
+	Result  string        // one of meshmetrics.Results; at a gate only refused, failed or left
+	Status  int           // of the final answer; 0 if there was none
+	Why     string        // reason for a failure
+	After   time.Duration // retry delay that the client was told
 }
 
-// Attempt is one of a RequestTrace.
+// Attempt is one attempt of a traced request.
 type Attempt struct {
-	N        int
-	Backend  string // id of its life
-	Agent    string // beside it
+	N        int    // number of the attempt
+	Backend  string // id of the backend instance
+	Agent    string // agent beside the backend
 	Verdict  Verdict
 	Reason   Reason
-	Status   int           // of the backend's answer, if there is one
-	Inner    bool          // it failed after a call of its own had
-	Begun    time.Duration // after the request came
-	AtGate   time.Duration // waited there for a slot
+	Status   int           // of the backend's answer; 0 if there was none
+	Inner    bool          // it failed after a call that it made had failed
+	Begun    time.Duration // start, relative to the arrival of the request
+	AtGate   time.Duration // time in the gate's queue
 	Took     time.Duration
-	After    time.Duration // that the gate said to come back in
-	InFlight int           // at the gate when it answered
-	Waiting  int           // of these, for a slot
+	After    time.Duration // retry delay that the gate returned
+	InFlight int           // requests at the gate when it answered
+	Waiting  int           // part of InFlight: queued for a slot
 }
 
-// TraceQuery asks for records, the newest first.
+// TraceQuery selects traces. The newest are returned first.
 type TraceQuery struct {
-	Try    string // of this request and of what its runs called; empty: all
-	Reason string // with a step that ended for this reason, or with this result; empty: all
-	Most   int
+	Try    string // this request and the calls made while it ran; empty for all
+	Reason string // an attempt with this reason, or this result; empty for all
+	Most   int    // maximum number of traces
 }
