--- a/internal/mesh/inbound/gate.go
+++ b/internal/mesh/inbound/gate.go
@@ -7,7 +7,8 @@
 // I/O, clock or goroutines; a Host runs it and talks to the network. The Gate serves at most one
 // backend instance at a time, which it learns from the backend's heartbeats (see instanceTracker).
 // For each request it decides whether the request is dispatched to the backend now, waits in the
-// queue for a slot, or is refused. A refused request has not run and never will.
+// queue for a slot, or is refused. There are as many slots as the backend processes requests at
+// once. A refused request has not run and never will.
 //
 // A Gate guarantees:
 //
@@ -16,8 +17,8 @@
 //   - Drain: nothing is dispatched once the backend has announced that it shuts down, whether to
 //     this process or to an earlier one, nor while its zone is evacuated. Heartbeats that arrive
 //     late do not change this.
-//   - Warm-up: in any span of one second, a cold backend gets no more requests than the bound, even
-//     if the gate restarts.
+//   - Warm-up: in any span of one second, a cold backend, which is still warming up, gets no more
+//     requests than the bound, even if the gate restarts.
 //   - Concurrency: no more requests are in flight than the backend processes at once, so the
 //     backend never has to queue any.
 //   - At most once: an unsafe request is dispatched only once by a process, identified by its id,
@@ -64,7 +65,8 @@
 	return int(max(1, min(r.WarmupRate*1.1+r.WarmupMargin*0.3, bound-2)))
 }
 
-// Gate is the admission state machine. It is not safe for concurrent use.
+// Gate is the admission state machine. It is not safe for concurrent use. Methods with the result
+// announce report whether the backend's state changed in a way that other agents have to learn.
 type Gate struct {
 	rules            Rules
 	startedAt        time.Duration
@@ -108,9 +110,9 @@
 	g.ownLives = [2]uint64{life, g.ownLives[0]}
 }
 
-// Configure replaces the rules and reports whether others should be told. A backend may have become
-// cold while its zone was evacuated without having reported it yet, so after an evacuation it
-// counts as cold until its next heartbeat says otherwise.
+// Configure replaces the rules and reports whether to announce the backend. A backend may have
+// become cold while its zone was evacuated without having reported it yet, so after an evacuation
+// it counts as cold until its next heartbeat says otherwise.
 func (g *Gate) Configure(now time.Duration, rules Rules) (announce bool) {
 	g.advance(now)
 	returned := g.rules.Evacuated && !rules.Evacuated
--- a/internal/mesh/inbound/gate_backend.go
+++ b/internal/mesh/inbound/gate_backend.go
@@ -6,7 +6,7 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// Heartbeat handles a heartbeat of the backend and reports whether others should be told.
+// Heartbeat handles a heartbeat of the backend and reports whether to announce the backend.
 func (g *Gate) Heartbeat(now time.Duration, b transport.Backend, cause Cause) (announce bool) {
 	g.advance(now)
 	previous := g.instances.serving
@@ -29,8 +29,8 @@
 }
 
 // ProbeSucceeded records that instance b answered a health probe as healthy and not draining. The
-// generation is the one that NeedsProbe returned when the probe began. It reports whether others
-// should be told.
+// generation is the one that NeedsProbe returned when the probe began. It reports whether to
+// announce the backend.
 func (g *Gate) ProbeSucceeded(now time.Duration, generation uint64, b transport.Backend) (announce bool) {
 	g.advance(now)
 	previous := g.instances.serving
@@ -39,7 +39,7 @@
 }
 
 // applyServing updates the gate after the served instance or its state changed, and reports whether
-// others should be told.
+// to announce the backend.
 func (g *Gate) applyServing(previous *transport.Backend) (announce bool) {
 	b := g.instances.serving
 	wasCold := g.coldUntil > g.now
@@ -56,14 +56,14 @@
 		previous.Capacity != b.Capacity || wasCold != (b.ColdLeft > 0)
 }
 
-// Deregister records that an instance has announced its end, which is final, and reports whether
-// others should be told.
+// Deregister records that an instance has announced its end, which is final, and reports whether to
+// announce the backend.
 func (g *Gate) Deregister(now time.Duration, id string, cause Cause) (announce bool) {
 	return g.removeInstance(now, id, cause, g.instances.deregister)
 }
 
-// MarkLost records that an instance is silent or no longer at its address, and reports whether
-// others should be told. The next heartbeat of the instance makes it available again.
+// MarkLost records that an instance is silent or no longer at its address, and reports whether to
+// announce the backend. The next heartbeat of the instance makes it available again.
 func (g *Gate) MarkLost(now time.Duration, id string, cause Cause) (announce bool) {
 	return g.removeInstance(now, id, cause, g.instances.markLost)
 }
@@ -80,7 +80,7 @@
 }
 
 // Tick must be called regularly. It drops a backend that has sent neither heartbeats nor responses
-// for several heartbeat intervals, and reports whether others should be told.
+// for several heartbeat intervals, and reports whether to announce the backend.
 func (g *Gate) Tick(now time.Duration) (announce bool) {
 	g.advance(now)
 	if b := g.instances.serving; b != nil && now-g.lastContact > maxMissedHeartbeats*g.rules.HeartbeatInterval+g.rules.HeartbeatInterval/2 {
--- a/internal/mesh/inbound/gate_test.go
+++ b/internal/mesh/inbound/gate_test.go
@@ -39,8 +39,8 @@
 	lastSettled                  *queued         // one whose ticket is resolved
 	dispatchedUnsafe             map[string]bool // ids of unsafe requests dispatched by the current gate
 	gateLife                     uint64          // incarnation number of the current gate
-	running, instances, requests int
-	counts                       map[string]int // events that occurred, so that the test can require each
+	running, instances, requests int             // requests in flight, instances started, requests sent
+	counts                       map[string]int  // events that occurred, so that the test can require each
 }
 
 type queued struct {
@@ -61,6 +61,7 @@
 
 func (s *gateSimulation) gateTime() time.Duration { return s.now - s.gateStart }
 
+// startGate replaces the gate, as a restart of its process does.
 func (s *gateSimulation) startGate() {
 	s.gateStart, s.gate, s.proven, s.reachable, s.probe, s.running = s.now, NewGate(0, s.rules), false, false, pendingProbe{}, 0
 	s.provenInstances, s.misdirected = map[string]bool{}, nil
@@ -69,6 +70,7 @@
 	s.gate.SetLife(s.gateLife)
 }
 
+// oneIn returns true with a probability of 1/n.
 func (s *gateSimulation) oneIn(n int) bool { return s.rng.IntN(n) == 0 }
 
 // checkDispatch checks the rules for a request that is dispatched to the backend.
--- a/internal/mesh/inbound/host.go
+++ b/internal/mesh/inbound/host.go
@@ -25,7 +25,7 @@
 	bodyBudget       *transport.ByteBudget // memory for request bodies
 	uploadSemaphore  chan struct{}         // one slot for each upload in progress
 	startedAt        time.Time
-	announce         func() // tells others about the backend; called without the lock
+	announce         func() // announces the backend to other agents; called without the lock
 	onBackendChange  func(BackendChange)
 
 	mu       sync.Mutex
@@ -52,8 +52,8 @@
 // called before the host is used.
 func (h *Host) CountUsage(counter *usage.Counter) { h.usage = counter }
 
-// NewHost returns a host that knows no backend yet. The announce function is called when others
-// should be told about the backend.
+// NewHost returns a host that knows no backend yet. The announce function is called when other
+// agents have to learn about a change of the backend.
 func NewHost(rules Rules, maxBodyBytes int64, budget *transport.ByteBudget, announce func()) *Host {
 	h := &Host{bodyBudget: budget, startedAt: time.Now(), maxResponseBytes: maxBodyBytes, maxBodyBytes: maxBodyBytes, announce: announce, runs: map[string]*backendRun{},
 		onBackendChange: func(BackendChange) {}}
@@ -66,8 +66,8 @@
 
 func (h *Host) now() time.Duration { return time.Since(h.startedAt) }
 
-// WithGate calls f with the gate locked. If f returns true, the backend's state is announced to
-// others.
+// WithGate calls f with the gate locked. If f returns true, the backend is announced to other
+// agents.
 func (h *Host) WithGate(f func(now time.Duration, g *Gate) (announce bool)) {
 	h.mu.Lock()
 	announce := f(h.now(), h.gate)
--- a/internal/mesh/inbound/meter.go
+++ b/internal/mesh/inbound/meter.go
@@ -7,7 +7,7 @@
 // rateMeter estimates events per second over a sliding window of one second.
 type rateMeter struct {
 	secondStart       time.Duration
-	previous, current float64
+	previous, current float64 // events in the last complete second and since secondStart
 }
 
 func (m *rateMeter) increment(now time.Duration) {
@@ -15,6 +15,7 @@
 	m.current++
 }
 
+// roll moves on to the current second.
 func (m *rateMeter) roll(now time.Duration) {
 	if elapsed := now - m.secondStart; elapsed >= 2*time.Second {
 		*m = rateMeter{secondStart: now}
--- a/internal/mesh/inbound/serve.go
+++ b/internal/mesh/inbound/serve.go
@@ -112,6 +112,8 @@
 	return failure
 }
 
+// endBody records that a body is no longer being received, and frees the upload slot of an offered
+// one. The memory of the body is released separately.
 func (h *Host) endBody(req *transport.Request) {
 	if req.ExpectContinue {
 		<-h.uploadSemaphore
--- a/internal/mesh/registry/revisions.go
+++ b/internal/mesh/registry/revisions.go
@@ -35,6 +35,7 @@
 // Current returns the current revision.
 func (r *Revisions) Current() uint64 { return r.current }
 
+// advance begins a new revision and returns the agent's entry.
 func (r *Revisions) advance(agent string) *agentRevisions {
 	if r.agents == nil {
 		r.agents = map[string]*agentRevisions{}
--- a/internal/mesh/registry/table.go
+++ b/internal/mesh/registry/table.go
@@ -58,6 +58,7 @@
 // New returns an empty table.
 func New() *Table { return &Table{stations: map[string]*stationEntry{}, sources: map[string]*source{}} }
 
+// markSourceUp records that a source is connected, and returns its entry.
 func (t *Table) markSourceUp(name string) *source {
 	src := t.sources[name]
 	if src == nil {
