--- a/internal/mesh/inbound/host.go
+++ b/internal/mesh/inbound/host.go
@@ -56,7 +56,7 @@
 		observe: func(Change) {}}
 	h.gate = New(0, r)
 	h.uploads = make(chan struct{}, uploadSlots(r.LinkBps))
-	h.pool = connpool.New(connpool.Options{Network: connpool.TCP{}, ConnectTimeout: connectTime, IdleClose: idleClose, Most: mostConns})
+	h.pool = connpool.New(connpool.Options{Network: connpool.TCP{}, ConnectTimeout: connectTime, BackendIdleTimeout: idleClose, MaxConns: mostConns})
 	h.open.Store(true)
 	return h
 }
@@ -148,7 +148,7 @@
 // Tick lets time pass.
 func (h *Host) Tick() {
 	h.With(func(now time.Duration, g *Gate) bool { return g.Tick(now) })
-	h.pool.Sweep()
+	h.pool.CloseExpired()
 	now := time.Now()
 	h.sessions.Range(func(s, _ any) bool {
 		s.(*session).probe(now)
