--- a/internal/site/plan.go
+++ b/internal/site/plan.go
@@ -9,199 +9,206 @@
 	"example.org/micaline/policy"
 )
 
-// Full is the part of their room up to which servers answer in time: beyond, what waits grows without end.
+// MaxUtilization is the share of their capacity up to which servers answer in time. Beyond it,
+// queues grow without limit.
 const MaxUtilization = 0.9
 
-// Demand is what has been asked of late, for a Plan and a Door.
+// Demand is the recent demand for work, from which LossImpacts and ShedOrder are computed.
 type Demand struct {
 	Classes           []ClassDemand
-	AccountsOverShare []AccountDemand // accounts that ask for more than their share
-	RetryShare        float64         // share of the work that clients' marked retries ask for
+	AccountsOverShare []AccountDemand // accounts that exceed their guaranteed share
+	RetryShare        float64         // share of the work that clients' marked retries cause
 }
 
-// ClassDemand is what is asked of one class.
+// ClassDemand is the demand for one class of requests.
 type ClassDemand struct {
 	Name              string
 	Effect            policy.Effect
-	Worth             float64
-	SecondsPerRequest float64 // of one request, in seconds of a server's
-	WorkShare         float64 // of the work of all
+	Worth             float64 // value of one request, relative to the other classes
+	SecondsPerRequest float64 // time that one request occupies a server
+	WorkShare         float64 // share of all work
 }
 
-// AccountDemand is what an account asks for beyond its portion.
+// AccountDemand is the demand of an account beyond its guaranteed share.
 type AccountDemand struct {
 	Name        string
-	ExcessShare float64 // share of the work of all
+	ExcessShare float64 // share of all work
 }
 
-// Plan says what the loss of a site would mean.
+// LossImpact describes what the loss of a site would mean, or means if the site is already
+// withdrawn.
 type LossImpact struct {
 	Site        string
 	State       State
-	LoadShare   float64     // of the work, that it carries
-	Utilization float64     // part of their room that the others would be used to; infinite where there is none
-	Shifts      []LoadShift // where its work would go
-	ShedShare   float64     // share of the work that would be refused
+	LoadShare   float64     // share of the total load that the site carries
+	Utilization float64     // share of their capacity that the other sites would use; infinite if they have none
+	Shifts      []LoadShift // where the load of the site would go
+	ShedShare   float64     // share of the load that would be refused
 	Shed        []ShedItem
 }
 
-// Move is a part of the work that would go to a site.
+// LoadShift is the load that would move to one of the other sites.
 type LoadShift struct {
 	Site        string
-	Share       float64 // of the work of all
-	Utilization float64 // part of its room that it would be used to
+	Share       float64 // share of the total load that would move there
+	Utilization float64 // share of the site's capacity that would be used
 }
 
-// Refused is a part of the work that would be refused, in the order in which it would be.
+// ShedItem is a part of the demand that would be refused. Items are listed in the order in which
+// they are refused.
 type ShedItem struct {
 	Name         string
-	Share        float64 // of the work of all that it asks for
-	ShedFraction float64 // of this that would be refused
+	Share        float64 // share of all work that this item asks for
+	ShedFraction float64 // fraction of the item that would be refused
 }
 
-// plan is a Plan without what is refused. Where a site is no longer used, what it carried before counts.
-func (m *Monitor) plan(lost int) LossImpact {
-	p := LossImpact{Site: m.set.Names[lost], State: m.sites[lost].state, Utilization: math.Inf(1)}
-	held, room, own := 0.0, 0.0, 0.0
+// lossImpact returns the impact of losing a site, without the shed items. If the site is already
+// withdrawn, its load before that counts.
+func (m *Monitor) lossImpact(lost int) LossImpact {
+	impact := LossImpact{Site: m.settings.Names[lost], State: m.sites[lost].state, Utilization: math.Inf(1)}
+	totalInFlight, otherCapacity, lostInFlight := 0.0, 0.0, 0.0
 	for i := range m.sites {
-		u, r := m.sustains(i)
-		if held += u; i == lost {
-			own = u
+		inFlight, capacity := m.sustainedLoad(i)
+		if totalInFlight += inFlight; i == lost {
+			lostInFlight = inFlight
 		} else if s := &m.sites[i]; s.state != AgentIsolated {
-			room += r
+			otherCapacity += capacity
 		}
 	}
-	if s := &m.sites[lost]; !s.open() && s.state != Recovering {
-		// What it carried has gone to the others, or been refused.
-		own, held = s.lastUse, max(held, s.lastUse/max(s.share, 1e-9))
+	if s := &m.sites[lost]; !s.fullyAdmitted() && s.state != Recovering {
+		// The load of a withdrawn site has moved to the other sites or is refused.
+		lostInFlight, totalInFlight = s.lastInFlight, max(totalInFlight, s.lastInFlight/max(s.lastLoadShare, 1e-9))
 	}
-	if held > 0 {
-		p.LoadShare = own / held
+	if totalInFlight > 0 {
+		impact.LoadShare = lostInFlight / totalInFlight
 	}
-	if room <= 0 {
-		if p.ShedShare = 1; held == 0 {
-			p.ShedShare = 0
+	if otherCapacity <= 0 {
+		if impact.ShedShare = 1; totalInFlight == 0 {
+			impact.ShedShare = 0
 		}
-		return p
+		return impact
 	}
-	p.Utilization = held / room
-	p.ShedShare = max(0, 1-MaxUtilization/max(p.Utilization, 1e-9))
-	// It goes where there is room: the decision module joins the shorter wait, which evens out the parts of their room that
-	// servers are used to.
-	carried := held * (1 - p.ShedShare)
+	impact.Utilization = totalInFlight / otherCapacity
+	impact.ShedShare = max(0, 1-MaxUtilization/max(impact.Utilization, 1e-9))
+	// Load goes where there is free capacity: the decision module prefers the server with the
+	// shorter wait, which evens out the utilization of the servers.
+	accepted := totalInFlight * (1 - impact.ShedShare)
 	for i := range m.sites {
-		u, r := m.sustains(i)
-		if i == lost || r == 0 || m.sites[i].state == AgentIsolated || held == 0 {
+		inFlight, capacity := m.sustainedLoad(i)
+		if i == lost || capacity == 0 || m.sites[i].state == AgentIsolated || totalInFlight == 0 {
 			continue
 		}
-		p.Shifts = append(p.Shifts, LoadShift{m.set.Names[i], max(0, carried*r/room-u) / held, carried / room})
+		impact.Shifts = append(impact.Shifts, LoadShift{m.settings.Names[i], max(0, accepted*capacity/otherCapacity-inFlight) / totalInFlight, accepted / otherCapacity})
 	}
-	return p
+	return impact
 }
 
-// Plan says what the loss of each site would mean, or means.
-func (m *Monitor) LossImpacts(now time.Duration, d *Demand) []LossImpact {
+// LossImpacts returns the impact of losing each site.
+func (m *Monitor) LossImpacts(now time.Duration, demand *Demand) []LossImpact {
 	m.now = max(now, m.now)
-	var plans []LossImpact
+	var impacts []LossImpact
 	for i := range m.sites {
-		p := m.plan(i)
-		p.Shed = d.ShedOrder()
-		d.cut(p.Shed, p.ShedShare)
-		plans = append(plans, p)
+		impact := m.lossImpact(i)
+		impact.Shed = demand.ShedOrder()
+		demand.allocate(impact.Shed, impact.ShedShare)
+		impacts = append(impacts, impact)
 	}
-	return plans
+	return impacts
 }
 
-// Order is what is refused where there is not room for all, the first first: second tries of clients, which ask for what has
-// been refused once; what accounts ask for beyond their portions; then classes, the least worth for a second's work first, those with
-// effects that must not happen twice last of all.
+// ShedOrder returns the order in which work is refused when there is not enough capacity. Retries
+// of clients come first, because they ask again for what was already refused. Then follows what
+// accounts request beyond their guaranteed shares, then the classes by increasing worth per second
+// of work, with the classes whose requests must not run twice last.
 func (d *Demand) ShedOrder() []ShedItem {
 	order := []ShedItem{{Name: "retries", Share: d.RetryShare}}
 	for _, a := range d.AccountsOverShare {
 		order = append(order, ShedItem{Name: "account " + a.Name + " beyond its share", Share: a.ExcessShare})
 	}
-	for _, c := range d.byClass() {
+	for _, c := range d.classShedOrder() {
 		order = append(order, ShedItem{Name: "class " + d.Classes[c].Name, Share: d.Classes[c].WorkShare})
 	}
 	return order
 }
 
-// byClass are the positions of classes in the order in which they are refused.
-func (d *Demand) byClass() []int {
-	at := make([]int, len(d.Classes))
-	for i := range at {
-		at[i] = i
+// classShedOrder returns the positions of the classes in the order in which they are refused.
+func (d *Demand) classShedOrder() []int {
+	classes := make([]int, len(d.Classes))
+	for i := range classes {
+		classes[i] = i
 	}
-	slices.SortStableFunc(at, func(x, y int) int {
+	slices.SortStableFunc(classes, func(x, y int) int {
 		a, b := &d.Classes[x], &d.Classes[y]
-		last := func(c *ClassDemand) int {
+		shedLast := func(c *ClassDemand) int {
 			if c.Effect == policy.SideEffect {
 				return 1
 			}
 			return 0
 		}
-		return cmp.Or(cmp.Compare(last(a), last(b)), cmp.Compare(a.Worth/max(a.SecondsPerRequest, 1e-6), b.Worth/max(b.SecondsPerRequest, 1e-6)))
+		return cmp.Or(cmp.Compare(shedLast(a), shedLast(b)), cmp.Compare(a.Worth/max(a.SecondsPerRequest, 1e-6), b.Worth/max(b.SecondsPerRequest, 1e-6)))
 	})
-	return at
+	return classes
 }
 
-// cut fills in which part of each is refused so that the sum is a share of all.
-func (d *Demand) cut(order []ShedItem, share float64) {
+// allocate sets the fraction of each item that is refused so that the sum is the given share of all
+// work.
+func (d *Demand) allocate(order []ShedItem, remaining float64) {
 	for i := range order {
-		r := &order[i]
-		if r.Share <= 0 {
+		item := &order[i]
+		if item.Share <= 0 {
 			continue
 		}
-		// What was refused before as a retry, or for its account, is no longer asked for by its class.
-		r.ShedFraction = min(1, max(0, share/r.Share))
-		share -= r.ShedFraction * r.Share
+		// Work that was already refused as a retry or for its account is no longer part of its
+		// class.
+		item.ShedFraction = min(1, max(0, remaining/item.Share))
+		remaining -= item.ShedFraction * item.Share
 	}
 }
 
-// View is a site for people to read.
+// Status is the state of a site for display to operators.
 type Status struct {
 	Name               string
 	State              State
-	Since              time.Duration
-	Servers            int           // ready
-	Admitted           int           // of these, let in
-	InFlight, Capacity float64       // in work at these, and what they serve at once
-	RetryAt            time.Duration // when a lost site is asked again; 0: it is not lost
-	EvacuatedUntil     time.Duration // taken out by hand until then; 0: it is not
-	RecentLosses       int           // that it was lost of late
-	Pacer              *PacerStatus  // what its pacer says, if it is followed
+	Since              time.Duration // when the site entered its state
+	Servers            int           // number of ready servers
+	Admitted           int           // number of ready servers that the agent may use
+	InFlight, Capacity float64       // of the admitted servers
+	RetryAt            time.Duration // when a lost site is next retried; 0: it is not lost
+	EvacuatedUntil     time.Duration // end of an evacuation; 0: it is not evacuated
+	RecentLosses       int           // number of losses, reduced over time in good health
+	Pacer              *PacerStatus  // status of the site's pacer; nil: none is followed
 }
 
-// View returns the sites and the latest changes, the newest last.
+// Snapshot returns the status of all sites and the latest transitions, oldest first.
 func (m *Monitor) Snapshot() ([]Status, []Transition) {
-	var views []Status
+	var statuses []Status
 	for i := range m.sites {
 		s := &m.sites[i]
-		v := Status{Name: m.set.Names[i], State: s.state, Since: s.since, Servers: len(s.servers), RecentLosses: s.times, Pacer: m.pacer(s)}
-		for _, o := range s.servers {
-			if o.in {
-				v.Admitted++
+		status := Status{Name: m.settings.Names[i], State: s.state, Since: s.since, Servers: len(s.servers), RecentLosses: s.recentLosses, Pacer: m.currentPacerStatus(s)}
+		for _, srv := range s.servers {
+			if srv.admitted {
+				status.Admitted++
 			}
 		}
-		v.InFlight, v.Capacity = m.carries(i)
+		status.InFlight, status.Capacity = m.currentLoad(i)
 		switch s.state {
 		case Lost:
-			v.RetryAt = s.retry
+			status.RetryAt = s.retryAt
 		case Evacuated:
-			v.EvacuatedUntil = s.until
+			status.EvacuatedUntil = s.evacuatedUntil
 		}
-		views = append(views, v)
+		statuses = append(statuses, status)
 	}
-	return views, m.history
+	return statuses, m.history
 }
 
-// Withdrawn is the share of the sites of which no server, or not every one, is used.
+// WithdrawnShare returns the share of the sites that have withdrawn servers.
 func (m *Monitor) WithdrawnShare() float64 {
-	n := 0
+	withdrawn := 0
 	for i := range m.sites {
-		if !m.sites[i].open() {
-			n++
+		if !m.sites[i].fullyAdmitted() {
+			withdrawn++
 		}
 	}
-	return float64(n) / float64(len(m.sites))
+	return float64(withdrawn) / float64(len(m.sites))
 }
--- a/internal/site/plan_test.go
+++ b/internal/site/plan_test.go
@@ -9,37 +9,37 @@
 	"example.org/micaline/policy"
 )
 
-// What is in work comes and goes in bursts of two seconds; whether a site can be spared does not hang
-// on the moment at which this is asked.
+// The load alternates in bursts of two seconds. Whether the loss of a site can be carried must not
+// depend on the moment at which it is computed.
 func TestPlanGoesBySustainedLoad(t *testing.T) {
-	const servers, room = 3, 4.0
-	bursts := func(held float64) (least, most float64) {
+	const servers, capacity = 3, 4.0
+	utilizationRange := func(meanInFlight float64) (lowest, highest float64) {
 		m := New(Settings{Names: []string{"a", "b", "c"}}, 1, 0)
-		var list []Server
+		var serverList []Server
 		for i := range servers {
-			list = append(list, Server{ID: policy.ServerID(i + 1), Site: i, Ready: true})
+			serverList = append(serverList, Server{ID: policy.ServerID(i + 1), Site: i, Ready: true})
 		}
-		m.SetServers(0, list)
-		least = 1e9
-		for look := range 300 {
-			uses := make([]Load, servers)
-			for i := range uses {
-				uses[i] = Load{ID: policy.ServerID(i + 1), Capacity: room}
-				if look/10%2 == 0 {
-					uses[i].InFlight = 2 * held
+		m.SetServers(0, serverList)
+		lowest = 1e9
+		for sample := range 300 {
+			loads := make([]Load, servers)
+			for i := range loads {
+				loads[i] = Load{ID: policy.ServerID(i + 1), Capacity: capacity}
+				if sample/10%2 == 0 {
+					loads[i].InFlight = 2 * meanInFlight
 				}
 			}
-			now := time.Duration(look) * 100 * time.Millisecond
-			m.Evaluate(now, uses)
-			if look >= 30 {
-				after := m.plan(0).Utilization
-				least, most = min(least, after), max(most, after)
+			now := time.Duration(sample) * 100 * time.Millisecond
+			m.Evaluate(now, loads)
+			if sample >= 30 {
+				utilization := m.lossImpact(0).Utilization
+				lowest, highest = min(lowest, utilization), max(highest, utilization)
 			}
 		}
-		return least, most
+		return lowest, highest
 	}
-	_, most := bursts(1.6)
-	require.Less(t, most, MaxUtilization, "what would use the others to 60%")
-	least, _ := bursts(3.2)
-	require.Greater(t, least, MaxUtilization, "what would use them to 120%")
+	_, highest := utilizationRange(1.6)
+	require.Less(t, highest, MaxUtilization, "a load that would use 60% of the other sites' capacity")
+	lowest, _ := utilizationRange(3.2)
+	require.Greater(t, lowest, MaxUtilization, "a load that would use 120% of the other sites' capacity")
 }
--- a/internal/site/return.go
+++ b/internal/site/return.go
@@ -5,112 +5,116 @@
 	"time"
 )
 
-// ask has a lost site asked whether it is back.
-func (m *Monitor) ask(i int) {
+// retryLostSite probes a lost site, or begins its recovery, when its retry is due.
+func (m *Monitor) retryLostSite(i int) {
 	s := &m.sites[i]
-	due := s.retry
-	if !m.anyStands() { // whatever became of it before, there is nothing else
-		s.retry = min(s.retry, max(s.since, s.askedAt)+MinRetryWait)
-		due = s.retry
-	} else if w := m.pacer(s); w != nil && w.State == Lost {
-		if s.heard = w.Loss; s.retry > 0 { // else operators have it asked
-			due = max(due, max(s.since, s.askedAt)+MaxRetryWait) // somebody asks for all, but it may be the one that is cut off
+	due := s.retryAt
+	if !m.anySiteUsable() { // no other site is usable: retry soon, whatever happened before
+		s.retryAt = min(s.retryAt, max(s.since, s.lastRetry)+MinRetryWait)
+		due = s.retryAt
+	} else if status := m.currentPacerStatus(s); status != nil && status.State == Lost {
+		if s.pacerLoss = status.Loss; s.retryAt > 0 { // retryAt is 0 if operators asked for a retry
+			due = max(due, max(s.since, s.lastRetry)+MaxRetryWait) // the pacer probes for all agents, but it may itself be isolated
 		}
-	} else if w != nil && w.Loss == s.heard && s.heard > 0 && len(s.servers) > 0 {
-		// Danger: of a return that was before this loss, or that is none to this agent, nothing can be learnt.
-		s.heard = 0
-		m.goBack(i, s.servers[0], "its pacer has let some of it in")
+	} else if status != nil && status.Loss == s.pacerLoss && s.pacerLoss > 0 && len(s.servers) > 0 {
+		// Only a recovery from a loss that the pacer reported while the site was lost here counts.
+		// A recovery from an earlier loss, or one that this agent knows nothing of, says nothing
+		// about this loss.
+		s.pacerLoss = 0
+		m.beginRecovery(i, s.servers[0], "its pacer has let some of it in")
 		return
 	}
 	if m.now < due || len(s.servers) == 0 {
 		return
 	}
-	s.askedAt = m.now
-	s.retry = m.now + time.Duration(float64(m.wait(s))*(0.75+m.rng.Float64()/2))
-	m.turn++
-	at := int(m.turn % uint64(len(s.servers)))
-	if !m.set.Probes {
-		m.goBack(i, s.servers[at], "its time to be tried has come")
+	s.lastRetry = m.now
+	s.retryAt = m.now + time.Duration(float64(m.retryWait(s))*(0.75+m.rng.Float64()/2))
+	m.retries++
+	start := int(m.retries % uint64(len(s.servers)))
+	if !m.settings.Probes {
+		m.beginRecovery(i, s.servers[start], "the wait before its next retry is over")
 		return
 	}
-	s.asked = true
-	for n := range min(probesAtOnce, len(s.servers)) {
-		m.probes = append(m.probes, s.servers[(at+n)%len(s.servers)].ID)
+	s.probing = true
+	for n := range min(concurrentProbes, len(s.servers)) {
+		m.pendingProbes = append(m.pendingProbes, s.servers[(start+n)%len(s.servers)].ID)
 	}
 }
 
-// anyStands says that a site is used that is not cut off.
-func (m *Monitor) anyStands() bool {
+// anySiteUsable reports whether there is a site in use from which the agent is not isolated.
+func (m *Monitor) anySiteUsable() bool {
 	return slices.ContainsFunc(m.sites, func(s site) bool {
 		return len(s.servers) > 0 && (s.state == Healthy || s.state == Suspect || s.state == Overloaded || s.state == Recovering)
 	})
 }
 
-// goBack begins a return, with the server that has shown it.
-func (m *Monitor) goBack(i int, first *server, why string) {
+// beginRecovery starts a recovery with the given server, which is moved to the front of the order.
+func (m *Monitor) beginRecovery(i int, first *server, reason string) {
 	s := &m.sites[i]
-	at := slices.Index(s.servers, first)
-	s.servers = append(append([]*server{first}, s.servers[:at]...), s.servers[at+1:]...)
-	for n, o := range s.servers { // later lists keep the order
-		o.order = uint64(n) << 32
+	position := slices.Index(s.servers, first)
+	s.servers = append(append([]*server{first}, s.servers[:position]...), s.servers[position+1:]...)
+	for n, srv := range s.servers { // keeps the order for later server lists
+		srv.admissionOrder = uint64(n) << 32
 	}
-	s.let, s.stage = 1, m.now
-	m.turnTo(i, Recovering, why)
+	s.switched, s.stepStart = 1, m.now
+	m.setState(i, Recovering, reason)
 }
 
-// proceed passes the step of a return that has proven itself, or takes it back.
-func (m *Monitor) proceed(i int) {
+// continueRecovery advances a recovery whose current step has succeeded, or reverts a step that
+// failed.
+func (m *Monitor) continueRecovery(i int) {
 	s := &m.sites[i]
-	good, bad := 0, 0
-	for n, o := range s.servers {
+	answering, failing := 0, 0
+	for n, srv := range s.servers {
 		switch {
-		case n >= s.let:
-		case o.bad >= s.stage && o.bad > 0:
-			bad++
-		case o.good > s.stage:
-			good++
+		case n >= s.switched:
+		case srv.failingSince >= s.stepStart && srv.failingSince > 0:
+			failing++
+		case srv.lastAnswer > s.stepStart:
+			answering++
 		}
 	}
 	switch {
 	case len(s.servers) == 0:
-		m.turnTo(i, Healthy, "it has no servers")
-	case bad > good && s.let == 1:
-		m.lose(i, "the first server that was let in failed")
-	case bad > good:
-		s.let, s.stage = s.let/2, m.now
-		m.admit(i)
-	case s.let > m.most(s): // its pacer has taken a step back
-		s.let, s.stage = m.most(s), m.now
-		m.admit(i)
-	case m.now-s.stage < step:
-	case s.let >= m.most(s) && s.let < len(s.servers): // as far as the pacer is
-	case good == 0 && !m.proven(s):
-	case s.let >= len(s.servers):
-		m.turnTo(i, Healthy, "all of its servers are let in")
+		m.setState(i, Healthy, "it has no servers")
+	case failing > answering && s.switched == 1:
+		m.markLost(i, "the first admitted server failed")
+	case failing > answering:
+		s.switched, s.stepStart = s.switched/2, m.now
+		m.updateAdmission(i)
+	case s.switched > m.maxAdmitted(s): // the pacer has reverted a step
+		s.switched, s.stepStart = m.maxAdmitted(s), m.now
+		m.updateAdmission(i)
+	case m.now-s.stepStart < minStepTime:
+	case s.switched >= m.maxAdmitted(s) && s.switched < len(s.servers): // the pacer has not advanced yet
+	case answering == 0 && !m.provenByPacer(s):
+	case s.switched >= len(s.servers):
+		m.setState(i, Healthy, "all of its servers are admitted")
 	default:
-		s.let, s.stage = min(2*s.let, m.most(s)), m.now
-		m.admit(i)
+		s.switched, s.stepStart = min(2*s.switched, m.maxAdmitted(s)), m.now
+		m.updateAdmission(i)
 	}
 }
 
-// admit brings into force which servers of a site are used.
-func (m *Monitor) admit(i int) {
+// updateAdmission applies the state of a site to its servers.
+func (m *Monitor) updateAdmission(i int) {
 	s := &m.sites[i]
-	for n, o := range s.servers {
-		in := s.open()
+	for n, srv := range s.servers {
+		admitted := s.fullyAdmitted()
 		switch s.state {
 		case Recovering:
-			in = n < s.let
+			admitted = n < s.switched
 		case Evacuated:
-			in = n >= s.let
+			admitted = n >= s.switched
 		}
-		if in == o.in {
+		if admitted == srv.admitted {
 			continue
 		}
-		if o.in = in; in {
-			// What it failed before says nothing any more. It counts as started: its connections are not there, and its warmth may not be.
-			o.since, o.bad, o.use = m.now, 0, Load{}
+		if srv.admitted = admitted; admitted {
+			// Earlier failures no longer count. The server counts as just started because it has no
+			// open connections and its caches may be cold.
+			srv.admittedAt, srv.failingSince, srv.load = m.now, 0, Load{}
 		}
-		m.changed = append(m.changed, o.ID)
+		m.changedServers = append(m.changedServers, srv.ID)
 	}
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,31 +1,43 @@
-// Package site says what is the matter with each site, a zone whose servers fail together, and which of its servers an agent
-// may use. It does no I/O, has no clock and starts no goroutines.
+// Package site detects zone failures for one agent. A site is a zone whose servers are expected to
+// fail together. The package decides which servers of each site the agent may use. It does no I/O,
+// has no clock and starts no goroutines.
 //
-// A Machine hears what became of attempts and probes at single servers (Heard), what the list says (List) and what is in work
-// where (Step). It calls a site lost when so many of its servers have failed, with so few answers since the first of them
-// did, that servers which fail one by one would hardly ever look like it. What a server's failing alone is worth is learnt
-// from the other sites. One server is never a site. Where no other site has answered since, nothing is lost but the agent
-// itself: it is cut off, and nothing is taken out.
+// A Monitor is given the outcomes of attempts and probes on single servers (ReportOutcome,
+// ReportProbe), the server list (SetServers) and the load on each server (Evaluate). It declares a
+// site lost when so many of its servers have failed, and so few have answered since the first of
+// those failures, that independent failures are a very unlikely explanation. The probability that a
+// server fails independently is estimated from the other sites. A single server never makes a site
+// lost. If no other site has answered since the failures began, the agent itself is taken to be
+// isolated and no server is withdrawn.
 //
-// The servers of a lost site are withdrawn all at once, those too that nobody has tried yet. It is asked again after a wait
-// that doubles each time that it is lost again soon. It comes back in steps: one server, then twice as many each time, in an
-// order that is each agent's own, so that many agents that take their first step at once take it at different servers. A
-// step is passed once the servers that are let in have answered and taken back once they fail; the first that is taken back
-// makes the site lost again. Servers that are let in count as just started, so that the share which all agents together
-// send them is what cold servers bear.
+// All servers of a lost site are withdrawn at once, including those that have not been tried yet.
+// The site is retried after a wait that doubles each time it is lost again soon afterwards. It
+// recovers in steps: one server is admitted first, and each step doubles the number. The order of
+// the servers is random for each agent, so that many agents that start a recovery at the same time
+// begin with different servers. A step succeeds when the admitted servers have answered and is
+// reverted when they fail. If the first step fails, the site is lost again. Admitted servers count
+// as just started, so that the total load from all agents stays within what cold servers can take.
 //
-// Where agents have a group that grants duties one of them paces a site's return (Word): it asks a lost site for all, and the
-// others let in no more of it than it does (Follow). They stay on their guard: what fails them is taken back, whatever the
-// pacer says, and a pacer that says nothing new for long is followed no more.
+// Where agents share a group that grants leases on duties, one agent paces the recovery of a site
+// for all (PacerStatus): it alone probes the lost site, and the others admit no larger part of the
+// site than the pacer has admitted (FollowPacer). The followers keep checking for themselves. They
+// revert steps that fail for them, whatever the pacer reports, and stop following a pacer whose
+// status has not changed for a long time.
 //
-// What is promised, and explored in explore_test.go:
-//   - Standing: there is always a site that is not withdrawn, unless operators said so in so many words.
-//   - Alone: a site is not lost by one server's failures, however many there are.
-//   - Blind: a site is not found lost unless another one has answered since its first failure.
-//   - Whole: a lost site has no server let in, a well one all of them, a returning one some.
-//   - Back: whatever happened, once the servers answer the site is well after mostWait and a step for each doubling.
-//   - Paced: whoever follows a pacer uses no greater part of a site that returns than it does, as long as it says something new.
-//   - Hand: what operators took out comes back when they say so or the time is over, and not before.
+// The package keeps these invariants, among others that explore_test.go and pace_test.go check:
+//   - SiteInUse: at least one site is not withdrawn, unless operators have forced the evacuation of
+//     all.
+//   - SingleServer: failures of a single server never make a site lost, however many there are.
+//   - OtherSiteAnswered: a site is declared lost only if another site has answered since its first
+//     failure.
+//   - AdmittedServers: a lost site has no admitted servers, a recovering site has some, and a
+//     healthy one has all of them.
+//   - Recovery: from any history, once the servers answer, the site is healthy after at most
+//     MaxRetryWait plus one step for each doubling.
+//   - PacerLimit: an agent that follows a pacer admits no larger part of a recovering site than the
+//     pacer does, as long as the pacer's status keeps changing.
+//   - Evacuation: a site that operators evacuated comes back when they end the evacuation or its
+//     time is over, and not earlier.
 package site
 
 import (
@@ -41,44 +53,52 @@
 )
 
 const (
-	// alarm is the chance that servers which fail one by one look like a lost site, on each occasion.
-	alarm = 1e-3
-	// deaf is the part of a lost site's servers that may seem to answer all the same: what was on its way.
-	deaf = 0.02
-	// usualBad of usualOf servers fail one by one before anything is known.
-	usualBad, usualOf = 1, 20
-
-	// FirstWait is until a lost site is asked again; MostWait, to which that doubles.
+	// falseAlarmProbability is the probability, at each evaluation, that independent failures are
+	// mistaken for a lost site.
+	falseAlarmProbability = 1e-3
+	// strayAnswerProbability is the probability that a server of a lost site still seems to answer,
+	// because its answer was already on its way.
+	strayAnswerProbability = 0.02
+	// priorFailures of priorServers servers are assumed to fail independently before there is any
+	// data.
+	priorFailures, priorServers = 1, 20
+
+	// MinRetryWait is the wait before a lost site is first retried. MaxRetryWait is the limit up to
+	// which the wait doubles.
 	MinRetryWait = time.Second
 	MaxRetryWait = 32 * time.Second
-	// step is how long a step of a return takes at least: a server that jams shows it within an aim or two.
-	step = 500 * time.Millisecond
-	// stale is how long a failure is remembered that nothing has confirmed.
-	stale = 10 * time.Second
-	// trustAfter is how long a site is well before an old loss counts half.
-	trustAfter = time.Minute
-	// meanLooks are looks over which what is in work is averaged for plans: some five seconds.
-	meanLooks = 50
-	// leaveOver is how long it takes to take a site out by hand.
-	leaveOver = 4 * time.Second
-	// MostHistory is how many changes are remembered.
+	// minStepTime is the shortest duration of a recovery step. A server that stalls under load
+	// shows it within one or two target latencies.
+	minStepTime = 500 * time.Millisecond
+	// failureExpiry is how long a failure counts without a further failure that confirms it.
+	failureExpiry = 10 * time.Second
+	// lossDecayInterval is how long a site must be healthy before its count of recent losses is
+	// halved.
+	lossDecayInterval = time.Minute
+	// meanSamples is the number of evaluations over which the load is averaged for loss impacts,
+	// some five seconds.
+	meanSamples = 50
+	// evacuationTime is how long the gradual evacuation of a site takes.
+	evacuationTime = 4 * time.Second
+	// MaxHistory is the number of transitions that are kept.
 	MaxHistory = 64
-	// probesAtOnce ask a lost site's servers whether it is back: one may be the one that stays away.
-	probesAtOnce = 2
+	// concurrentProbes is the number of servers of a lost site that are probed at a time. With a
+	// single probe, that server might be the one that stays down.
+	concurrentProbes = 2
 )
 
-// State is what is the matter with a site.
+// State is the condition of a site.
 type State uint8
 
-// The states.
+// States of a site.
 const (
-	Healthy       State = iota
-	Suspect             // several of its servers fail; too few to call it lost
-	Lost                // none of its servers is used
-	AgentIsolated       // its servers fail, and so do all others: it is this agent that is cut off
-	Overloaded          // it turns most of what it is sent away
-	Evacuated           // taken out by hand
-	Recovering          // some of its servers are used
+	Healthy       State = iota // its servers answer
+	Suspect                    // several servers fail, but too few to declare the site lost
+	Lost                       // none of its servers is used
+	AgentIsolated              // its servers fail and no other site answers, so the agent itself is isolated
+	Overloaded                 // most of its servers rejected their last request
+	Evacuated                  // operators have taken it out of use
+	Recovering                 // some of its servers are used
 )
 
 var stateNames = [...]string{
@@ -87,78 +107,78 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Sign is what became of an attempt or a probe.
+// Outcome is the result of an attempt or a probe.
 type Outcome uint8
 
-// The signs.
+// Outcomes of attempts.
 const (
-	Answered Outcome = iota // by its process, be it with an error
-	Rejected                // an answer too, of one that has no room
-	Failed                  // a refused connect, a broken connection, silence
+	Answered Outcome = iota // the server's process answered, possibly with an error
+	Rejected                // the server answered that it has no capacity left
+	Failed                  // the connection was refused or broken, or there was no answer
 )
 
-// Config is the part of the operators' file about sites.
+// Config is the section about sites in the operators' file.
 type Config struct {
-	On bool // sites are watched
+	On bool // whether sites are monitored
 }
 
-// Settings say whose sites they are.
+// Settings describe the sites to be monitored.
 type Settings struct {
-	Names  []string // of sites, by their positions
-	Probes bool     // a lost site's servers may be probed
+	Names  []string // of the sites, by position
+	Probes bool     // whether the servers of a lost site may be probed
 }
 
-// Server is a server as the list has it.
+// Server is an entry of the server list.
 type Server struct {
 	ID    policy.ServerID
-	Site  int // position; others than the settings' are of no site
+	Site  int // position of its site; servers at other positions belong to no site
 	Ready bool
-	Start time.Duration // of its process
+	Start time.Duration // start time of its process
 }
 
-// Use is what a server has in work, and what it serves at once.
+// Load is the load on a server: its requests in flight, and how many it can serve at a time.
 type Load struct {
 	ID                 policy.ServerID
 	InFlight, Capacity float64
 }
 
-// server is what the machine knows of one.
+// server is the state that is kept for one server.
 type server struct {
 	Server
-	order    uint64        // in which it is let in
-	good     time.Duration // when it last answered; 0: never
-	bad      time.Duration // when it began to fail, without an answer since; 0: it does not
-	lastBad  time.Duration
-	rejected bool // its last answer
-	in       bool // used
-	since    time.Duration
-	use      Load
-	looks    int     // that have gone into the mean
-	mean     float64 // of what is in work, over some meanLooks
+	admissionOrder uint64        // servers are admitted in increasing order
+	lastAnswer     time.Duration // time of the last answer; 0: none yet
+	failingSince   time.Duration // time of the first failure since the last answer; 0: it is not failing
+	lastFailure    time.Duration
+	lastRejected   bool          // whether the last answer was a rejection
+	admitted       bool          // whether the agent may use the server
+	admittedAt     time.Duration // time of the last admission
+	load           Load
+	samples        int     // number of samples in meanInFlight, at most meanSamples
+	meanInFlight   float64 // mean of the requests in flight over the last meanSamples
 }
 
-// site is one of them.
+// site is the state that is kept for one site.
 type site struct {
-	state   State
-	since   time.Duration
-	servers []*server // ready ones, in the order in which they are let in
-	let     int       // of these, how many are let in while it returns
-	stage   time.Duration
-	retry   time.Duration // when it is asked again
-	askedAt time.Duration // when it last was
-	asked   bool          // a probe is out
-	losses  uint64        // that were found
-	word    *PacerStatus  // of the site's pacer, if it is followed
-	wordAt  time.Duration // when it last said something new
-	heard   uint64        // the loss of which a pacer has said that it asks
-	times   int           // that it was lost, less what time has healed
-	healed  time.Duration
-	until   time.Duration // taken out by hand until then
-	lastUse float64       // when it was last well: in work,
-	share   float64       // and as a part of all
+	state           State
+	since           time.Duration // when the site entered its state
+	servers         []*server     // ready servers, in the order of their admission
+	switched        int           // servers already switched over: admitted in a recovery, withdrawn in an evacuation
+	stepStart       time.Duration // when the current step of a recovery or an evacuation began
+	retryAt         time.Duration // when a lost site is next retried
+	lastRetry       time.Duration // when a lost site was last retried
+	probing         bool          // whether probes of a lost site are pending
+	lossCount       uint64        // number of times that this agent has declared the site lost
+	pacerStatus     *PacerStatus  // last status of the site's pacer; nil: there is no pacer
+	pacerStatusAt   time.Duration // when the pacer's status last changed
+	pacerLoss       uint64        // loss during which the pacer reported the site as lost; 0: none
+	recentLosses    int           // number of losses, halved for each lossDecayInterval in good health
+	lossesDecayedAt time.Duration // when recentLosses was last increased or halved
+	evacuatedUntil  time.Duration // end of the evacuation
+	lastInFlight    float64       // requests in flight before the site was withdrawn
+	lastLoadShare   float64       // share of the agent's requests in flight before the site was withdrawn
 }
 
-// Change is a change of a site's state.
+// Transition is a change of a site's state.
 type Transition struct {
 	At       time.Duration
 	Site     string
@@ -166,217 +186,227 @@
 	Reason   string
 }
 
-// Machine is what one agent makes of its sites. It is not safe for concurrent use.
+// Monitor tracks the sites of one agent. It is not safe for concurrent use.
 type Monitor struct {
-	set     Settings
-	rng     *rand.Rand
-	now     time.Duration
-	sites   []site
-	servers map[policy.ServerID]*server
-	changed []policy.ServerID // let in or withdrawn since the last Step
-	probes  []policy.ServerID
-	history []Transition
-	news    []Transition // since the last Step
-	turn    uint64
+	settings       Settings
+	rng            *rand.Rand
+	now            time.Duration
+	sites          []site
+	servers        map[policy.ServerID]*server
+	changedServers []policy.ServerID // admitted or withdrawn since the last Evaluate
+	pendingProbes  []policy.ServerID // servers to be probed, collected since the last Evaluate
+	history        []Transition
+	transitions    []Transition // since the last Evaluate
+	retries        uint64       // number of retries, which rotates the server that is tried first
 }
 
-// New returns a machine that knows no server.
+// New returns a Monitor without servers.
 func New(s Settings, seed uint64, now time.Duration) *Monitor {
-	m := &Monitor{set: s, rng: rand.New(rand.NewPCG(seed, 6)), now: now, sites: make([]site, len(s.Names)), servers: map[policy.ServerID]*server{}}
+	m := &Monitor{settings: s, rng: rand.New(rand.NewPCG(seed, 6)), now: now, sites: make([]site, len(s.Names)), servers: map[policy.ServerID]*server{}}
 	for i := range m.sites {
 		m.sites[i].since = now
 	}
 	return m
 }
 
-// Result is what a Step comes to.
+// Evaluation is the result of Evaluate.
 type Evaluation struct {
-	Changed     []policy.ServerID // servers of which Use says something else now
-	Probes      []policy.ServerID // to be probed, and Heard of
+	Changed     []policy.ServerID // servers whose Admitted result has changed
+	Probes      []policy.ServerID // servers to be probed, with the result passed to ReportProbe
 	Transitions []Transition
 }
 
-// Use says whether a server may be used, and since when it counts as started, 0 for as the list says.
-func (m *Monitor) Admitted(id policy.ServerID) (use bool, since time.Duration) {
+// Admitted reports whether a server may be used, and when it was last admitted, which counts as its
+// start time. The time is 0 if the start time in the server list applies. A server that belongs to
+// no site may always be used.
+func (m *Monitor) Admitted(id policy.ServerID) (admitted bool, admittedAt time.Duration) {
 	s := m.servers[id]
 	if s == nil {
 		return true, 0
 	}
-	return s.in, s.since
+	return s.admitted, s.admittedAt
 }
 
-// List takes in the whole list of servers.
-func (m *Monitor) SetServers(now time.Duration, list []Server) {
+// SetServers replaces the list of servers.
+func (m *Monitor) SetServers(now time.Duration, servers []Server) {
 	m.now = max(now, m.now)
 	for i := range m.sites {
 		m.sites[i].servers = m.sites[i].servers[:0]
 	}
-	known := make(map[policy.ServerID]bool, len(list))
-	for _, e := range list {
-		if e.Site < 0 || e.Site >= len(m.sites) || !e.Ready {
-			continue // as long as it is not ready nothing is sent there anyway
+	listed := make(map[policy.ServerID]bool, len(servers))
+	for _, entry := range servers {
+		if entry.Site < 0 || entry.Site >= len(m.sites) || !entry.Ready {
+			continue // servers that are not ready get no requests anyway
 		}
-		known[e.ID] = true
-		s, at := m.servers[e.ID], &m.sites[e.Site]
-		if s == nil || s.Site != e.Site || s.Start != e.Start {
-			// A new process. Where its site is lost, it is the best sign of a return that there is.
-			s = &server{order: m.rng.Uint64(), in: at.open()}
-			m.servers[e.ID] = s
-			if at.state == Lost && at.times <= 1 {
-				at.retry = min(at.retry, m.now+MinRetryWait/2)
+		listed[entry.ID] = true
+		s, home := m.servers[entry.ID], &m.sites[entry.Site]
+		if s == nil || s.Site != entry.Site || s.Start != entry.Start {
+			// This is a new process. If its site is lost, a new process is the best sign of a
+			// recovery.
+			s = &server{admissionOrder: m.rng.Uint64(), admitted: home.fullyAdmitted()}
+			m.servers[entry.ID] = s
+			if home.state == Lost && home.recentLosses <= 1 {
+				home.retryAt = min(home.retryAt, m.now+MinRetryWait/2)
 			}
-			m.changed = append(m.changed, e.ID)
+			m.changedServers = append(m.changedServers, entry.ID)
 		}
-		s.Server = e
-		at.servers = append(at.servers, s)
+		s.Server = entry
+		home.servers = append(home.servers, s)
 	}
 	for id := range m.servers {
-		if !known[id] {
+		if !listed[id] {
 			delete(m.servers, id)
 		}
 	}
 	for i := range m.sites {
-		slices.SortFunc(m.sites[i].servers, func(x, y *server) int { return cmp.Compare(x.order, y.order) })
-		m.admit(i)
+		slices.SortFunc(m.sites[i].servers, func(x, y *server) int { return cmp.Compare(x.admissionOrder, y.admissionOrder) })
+		m.updateAdmission(i)
 	}
 }
 
-// open says that all of a site's servers are used.
-func (s *site) open() bool { return s.state != Lost && s.state != Evacuated && s.state != Recovering }
+// fullyAdmitted reports whether all servers of the site may be used.
+func (s *site) fullyAdmitted() bool {
+	return s.state != Lost && s.state != Evacuated && s.state != Recovering
+}
 
-// Heard takes in what became of an attempt that was sent at a time. A failure tells nothing of a server that has answered
-// something since: what failed was the request, or its connection.
-func (m *Monitor) ReportOutcome(now time.Duration, id policy.ServerID, sign Outcome, sent time.Duration) {
+// ReportOutcome records the outcome of an attempt that was sent at the given time. A failure is
+// ignored if the server has answered since the attempt was sent, because then the request or its
+// connection failed and not the server.
+func (m *Monitor) ReportOutcome(now time.Duration, id policy.ServerID, outcome Outcome, sent time.Duration) {
 	m.now = max(now, m.now)
 	s := m.servers[id]
 	if s == nil {
 		return
 	}
-	if sign == Failed {
-		if s.good > sent || s.since > sent {
+	if outcome == Failed {
+		if s.lastAnswer > sent || s.admittedAt > sent {
 			return
 		}
-		if s.lastBad = m.now; s.bad == 0 {
-			s.bad = m.now
+		if s.lastFailure = m.now; s.failingSince == 0 {
+			s.failingSince = m.now
 		}
 		return
 	}
-	s.good, s.bad, s.rejected = m.now, 0, sign == Rejected
+	s.lastAnswer, s.failingSince, s.lastRejected = m.now, 0, outcome == Rejected
 }
 
-// Probed takes in what became of a probe.
+// ReportProbe records the result of a probe.
 func (m *Monitor) ReportProbe(now time.Duration, id policy.ServerID, ok bool) {
 	m.now = max(now, m.now)
 	s := m.servers[id]
 	if s == nil {
 		return
 	}
-	if at := &m.sites[s.Site]; at.state == Lost && at.asked && ok {
-		at.asked = false
-		m.goBack(s.Site, s, "a probe was answered")
+	if home := &m.sites[s.Site]; home.state == Lost && home.probing && ok {
+		home.probing = false
+		m.beginRecovery(s.Site, s, "a probe was answered")
 	}
 }
 
-// Step looks at all sites. What is in work is told of all servers that are used.
-func (m *Monitor) Evaluate(now time.Duration, uses []Load) Evaluation {
+// Evaluate records the load on all admitted servers and evaluates the state of all sites.
+func (m *Monitor) Evaluate(now time.Duration, loads []Load) Evaluation {
 	m.now = max(now, m.now)
-	for i := range uses {
-		if s := m.servers[uses[i].ID]; s != nil {
-			s.takeUse(&uses[i])
+	for i := range loads {
+		if s := m.servers[loads[i].ID]; s != nil {
+			s.recordLoad(&loads[i])
 		}
 	}
-	m.forget()
+	m.expireFailures()
 	for i := range m.sites {
-		m.look(i)
+		m.evaluateSite(i)
 	}
-	r := Evaluation{Changed: m.changed, Probes: m.probes, Transitions: m.news}
-	m.changed, m.probes, m.news = nil, nil, nil
+	r := Evaluation{Changed: m.changedServers, Probes: m.pendingProbes, Transitions: m.transitions}
+	m.changedServers, m.pendingProbes, m.transitions = nil, nil, nil
 	return r
 }
 
-// forget drops failures that nothing has confirmed for long.
-func (m *Monitor) forget() {
+// expireFailures forgets failures that no later failure has confirmed within failureExpiry.
+func (m *Monitor) expireFailures() {
 	for _, s := range m.servers {
-		if s.bad > 0 && m.now-s.lastBad >= stale {
-			s.bad = 0
+		if s.failingSince > 0 && m.now-s.lastFailure >= failureExpiry {
+			s.failingSince = 0
 		}
 	}
 }
 
-// figures are what is known of the servers of a site that are used.
-type figures struct {
-	bad, good, rejected, of int
-	from                    time.Duration // since when the failures tell
+// evidence summarizes the admitted servers of a site.
+type evidence struct {
+	failed, answered, rejected, total int
+	since                             time.Duration // time of the first failure that counts
 }
 
-// signs weighs the failures of a site against the answers since the first of them. A failure of long ago is no part of what
-// happens now, so as many of the latest are taken as speak most for a loss.
-func (m *Monitor) signs(i int, each, against float64) (best figures, weight float64) {
-	var since, good []time.Duration
-	of, rejected := 0, 0
+// strongestEvidence weighs the failures of a site's servers against the answers since the first of
+// those failures. Failures of long ago do not belong to a current outage, so it chooses the number
+// of latest failures that gives the highest score for a loss.
+func (m *Monitor) strongestEvidence(i int, failureWeight, answerWeight float64) (best evidence, bestScore float64) {
+	var failures, answers []time.Duration
+	total, rejected := 0, 0
 	for _, s := range m.sites[i].servers {
 		switch {
-		case !s.in:
+		case !s.admitted:
 			continue
-		case s.bad > 0:
-			since = append(since, s.bad)
-		case s.good > 0:
-			if good = append(good, s.good); s.rejected {
+		case s.failingSince > 0:
+			failures = append(failures, s.failingSince)
+		case s.lastAnswer > 0:
+			if answers = append(answers, s.lastAnswer); s.lastRejected {
 				rejected++
 			}
 		}
-		of++
+		total++
 	}
-	slices.Sort(since)
-	slices.Sort(good)
-	best, weight = figures{good: len(good), rejected: rejected, of: of}, math.Inf(-1)
-	for k := 1; k <= len(since); k++ {
-		from := since[len(since)-k]
-		before, _ := slices.BinarySearch(good, from+1)
-		f := figures{k, len(good) - before, rejected, of, from}
-		if w := float64(k)*each - float64(f.good)*against; w > weight {
-			best, weight = f, w
+	slices.Sort(failures)
+	slices.Sort(answers)
+	best, bestScore = evidence{answered: len(answers), rejected: rejected, total: total}, math.Inf(-1)
+	for k := 1; k <= len(failures); k++ {
+		since := failures[len(failures)-k]
+		before, _ := slices.BinarySearch(answers, since+1)
+		candidate := evidence{k, len(answers) - before, rejected, total, since}
+		if score := float64(k)*failureWeight - float64(candidate.answered)*answerWeight; score > bestScore {
+			best, bestScore = candidate, score
 		}
 	}
-	return best, weight
+	return best, bestScore
 }
 
-// alone is how often a server fails by itself, as the other sites show it that are not lost.
-func (m *Monitor) alone(but int) float64 {
-	bad, of := float64(usualBad), float64(usualOf)
+// independentFailureRate estimates how often a server fails independently, from the other sites
+// whose servers are all admitted.
+func (m *Monitor) independentFailureRate(excluded int) float64 {
+	failed, total := float64(priorFailures), float64(priorServers)
 	for i := range m.sites {
-		if i == but || !m.sites[i].open() {
+		if i == excluded || !m.sites[i].fullyAdmitted() {
 			continue
 		}
 		for _, s := range m.sites[i].servers {
-			if s.bad > 0 {
-				bad++
+			if s.failingSince > 0 {
+				failed++
 			}
-			if s.bad > 0 || s.good > 0 && m.now-s.good < stale {
-				of++
+			if s.failingSince > 0 || s.lastAnswer > 0 && m.now-s.lastAnswer < failureExpiry {
+				total++
 			}
 		}
 	}
-	return min(bad/of, 0.9)
+	return min(failed/total, 0.9)
 }
 
-// gone weighs whether a site's servers have failed together or one by one, and says whether they would hardly ever one by one.
-func (m *Monitor) gone(i int) (f figures, gone bool) {
-	p := m.alone(i)
-	f, weight := m.signs(i, math.Log((1-deaf)/p), math.Log((1-p)/deaf))
-	// Where all have failed there is nothing to be lost by saying so.
-	return f, f.bad >= 2 && (f.bad == f.of || weight >= math.Log(1/alarm))
+// failedTogether tests whether the servers of a site have failed together, that is, whether
+// independent failures are less likely than falseAlarmProbability.
+func (m *Monitor) failedTogether(i int) (found evidence, together bool) {
+	independentRate := m.independentFailureRate(i)
+	found, score := m.strongestEvidence(i, math.Log((1-strayAnswerProbability)/independentRate), math.Log((1-independentRate)/strayAnswerProbability))
+	// If all servers fail, nothing is lost by withdrawing the site.
+	return found, found.failed >= 2 && (found.failed == found.total || score >= math.Log(1/falseAlarmProbability))
 }
 
-// stands says that a site other than one has answered since a time, and is not gone itself.
-func (m *Monitor) stands(but int, since time.Duration) bool {
+// otherSiteAnswered reports whether a site other than the excluded one has answered after the given
+// time and has not failed itself.
+func (m *Monitor) otherSiteAnswered(excluded int, since time.Duration) bool {
 	for i := range m.sites {
-		if i == but || m.sites[i].state == Lost || m.sites[i].state == Evacuated {
+		if i == excluded || m.sites[i].state == Lost || m.sites[i].state == Evacuated {
 			continue
 		}
 		for _, s := range m.sites[i].servers {
-			if s.in && s.bad == 0 && s.good > since {
-				if _, gone := m.gone(i); !gone {
+			if s.admitted && s.failingSince == 0 && s.lastAnswer > since {
+				if _, together := m.failedTogether(i); !together {
 					return true
 				}
 			}
@@ -385,112 +415,114 @@
 	return false
 }
 
-// look decides on one site.
-func (m *Monitor) look(i int) {
+// evaluateSite updates the state of one site.
+func (m *Monitor) evaluateSite(i int) {
 	s := &m.sites[i]
 	switch s.state {
 	case Lost:
-		m.ask(i)
+		m.retryLostSite(i)
 	case Recovering:
-		m.proceed(i)
+		m.continueRecovery(i)
 	case Evacuated:
-		m.leave(i)
+		m.continueEvacuation(i)
 	default:
-		if s.times > 0 && m.now-max(s.healed, s.since) >= trustAfter {
-			s.times, s.healed = s.times/2, m.now
+		if s.recentLosses > 0 && m.now-max(s.lossesDecayedAt, s.since) >= lossDecayInterval {
+			s.recentLosses, s.lossesDecayedAt = s.recentLosses/2, m.now
 		}
-		f, gone := m.gone(i)
+		found, together := m.failedTogether(i)
 		switch {
-		case gone && m.stands(i, f.from):
-			m.lose(i, fmt.Sprintf("%d of %d servers failed within %v, %d answered", f.bad, f.of, (m.now-f.from).Round(time.Millisecond), f.good))
-		case gone:
-			m.turnTo(i, AgentIsolated, "its servers fail, and no other site answers")
-		case f.bad >= 2 && f.bad > f.good:
-			m.turnTo(i, Suspect, fmt.Sprintf("%d of %d servers failed, %d answered", f.bad, f.of, f.good))
-		case f.rejected > 0 && 2*f.rejected > f.bad+f.good:
-			m.turnTo(i, Overloaded, fmt.Sprintf("%d of %d servers turned away what came last", f.rejected, f.of))
+		case together && m.otherSiteAnswered(i, found.since):
+			m.markLost(i, fmt.Sprintf("%d of %d servers failed within %v, %d answered", found.failed, found.total, (m.now-found.since).Round(time.Millisecond), found.answered))
+		case together:
+			m.setState(i, AgentIsolated, "its servers fail, and no other site answers")
+		case found.failed >= 2 && found.failed > found.answered:
+			m.setState(i, Suspect, fmt.Sprintf("%d of %d servers failed, %d answered", found.failed, found.total, found.answered))
+		case found.rejected > 0 && 2*found.rejected > found.failed+found.answered:
+			m.setState(i, Overloaded, fmt.Sprintf("%d of %d servers turned away what came last", found.rejected, found.total))
 		default:
-			m.turnTo(i, Healthy, "its servers answer")
+			m.setState(i, Healthy, "its servers answer")
 		}
 	}
 }
 
-// turnTo changes a site's state.
-func (m *Monitor) turnTo(i int, to State, why string) {
+// setState moves a site to a state and records the transition.
+func (m *Monitor) setState(i int, to State, reason string) {
 	s := &m.sites[i]
 	if s.state == to {
 		return
 	}
-	c := Transition{m.now, m.set.Names[i], s.state, to, why}
-	if m.history = append(m.history, c); len(m.history) > MaxHistory {
+	transition := Transition{m.now, m.settings.Names[i], s.state, to, reason}
+	if m.history = append(m.history, transition); len(m.history) > MaxHistory {
 		m.history = m.history[1:]
 	}
-	m.news = append(m.news, c)
+	m.transitions = append(m.transitions, transition)
 	s.state, s.since = to, m.now
-	m.admit(i)
+	m.updateAdmission(i)
 }
 
-// lose withdraws a site.
-func (m *Monitor) lose(i int, why string) {
+// markLost withdraws a site and schedules its first retry.
+func (m *Monitor) markLost(i int, reason string) {
 	s := &m.sites[i]
-	m.remember(i)
-	s.times, s.healed, s.let, s.asked, s.heard = s.times+1, m.now, 0, false, 0
-	s.losses++
-	// Agents that found it lost together must not ask together.
-	s.retry = m.now + time.Duration(float64(m.wait(s))*(0.75+m.rng.Float64()/2))
-	m.turnTo(i, Lost, why)
+	m.saveLoad(i)
+	s.recentLosses, s.lossesDecayedAt, s.switched, s.probing, s.pacerLoss = s.recentLosses+1, m.now, 0, false, 0
+	s.lossCount++
+	// Jitter keeps agents that lost the site at the same time from retrying it at the same time.
+	s.retryAt = m.now + time.Duration(float64(m.retryWait(s))*(0.75+m.rng.Float64()/2))
+	m.setState(i, Lost, reason)
 }
 
-// wait is how long a site is left alone that was lost so often.
-func (m *Monitor) wait(s *site) time.Duration {
-	return min(MaxRetryWait, MinRetryWait<<min(s.times-1, 10))
+// retryWait returns how long a site is left alone after its latest loss.
+func (m *Monitor) retryWait(s *site) time.Duration {
+	return min(MaxRetryWait, MinRetryWait<<min(s.recentLosses-1, 10))
 }
 
-// remember notes what a site carried before it is withdrawn.
-func (m *Monitor) remember(i int) {
-	sum := 0.0
+// saveLoad stores the load of a site before it is withdrawn.
+func (m *Monitor) saveLoad(i int) {
+	total := 0.0
 	for j := range m.sites {
-		u, _ := m.sustains(j)
-		sum += u
+		inFlight, _ := m.sustainedLoad(j)
+		total += inFlight
 	}
-	if u, _ := m.sustains(i); sum > 0 && m.sites[i].open() {
-		m.sites[i].lastUse, m.sites[i].share = u, u/sum
+	if inFlight, _ := m.sustainedLoad(i); total > 0 && m.sites[i].fullyAdmitted() {
+		m.sites[i].lastInFlight, m.sites[i].lastLoadShare = inFlight, inFlight/total
 	}
 }
 
-// carries is what a site's servers that are used have in work, and what they serve at once.
-func (m *Monitor) carries(i int) (held, room float64) {
+// currentLoad returns the requests in flight and the capacity of a site's admitted servers.
+func (m *Monitor) currentLoad(i int) (inFlight, capacity float64) {
 	for _, s := range m.sites[i].servers {
-		if s.in {
-			held, room = held+s.use.InFlight, room+s.use.Capacity
+		if s.admitted {
+			inFlight, capacity = inFlight+s.load.InFlight, capacity+s.load.Capacity
 		}
 	}
-	return held, room
+	return inFlight, capacity
 }
 
-// sustains is what a site's servers that are used have in work over a longer time, and what they serve
-// at once. Plans go by it: with few requests a second, what is in work at a moment says little.
-func (m *Monitor) sustains(i int) (held, room float64) {
+// sustainedLoad returns the mean requests in flight over meanSamples and the capacity of a site's
+// admitted servers. Loss impacts use the mean because, at a few requests per second, the current
+// number in flight varies too much.
+func (m *Monitor) sustainedLoad(i int) (inFlight, capacity float64) {
 	for _, s := range m.sites[i].servers {
-		if s.in {
-			held, room = held+s.mean, room+s.use.Capacity
+		if s.admitted {
+			inFlight, capacity = inFlight+s.meanInFlight, capacity+s.load.Capacity
 		}
 	}
-	return held, room
+	return inFlight, capacity
 }
 
-// takeUse takes in what is in work at a server: a moving mean over some ten looks, and one over
-// meanLooks, which at first is the plain mean of those that there are.
-func (s *server) takeUse(u *Load) {
-	s.use.InFlight += 0.1 * (u.InFlight - s.use.InFlight)
-	s.use.Capacity = u.Capacity
-	s.looks = min(s.looks+1, meanLooks)
-	s.mean += (u.InFlight - s.mean) / float64(s.looks)
+// recordLoad updates the moving average of the requests in flight, over about ten samples, and the
+// mean over meanSamples, which starts as the plain mean of the samples so far.
+func (s *server) recordLoad(sample *Load) {
+	s.load.InFlight += 0.1 * (sample.InFlight - s.load.InFlight)
+	s.load.Capacity = sample.Capacity
+	s.samples = min(s.samples+1, meanSamples)
+	s.meanInFlight += (sample.InFlight - s.meanInFlight) / float64(s.samples)
 }
 
 var (
-	// ErrNoSite is a name that no site has.
-	ErrUnknownSite = errors.New("there is no such site")
-	// ErrLast is a site that can't be taken out as the others could not carry what it carries.
+	// ErrUnknownSite reports that no site has the given name.
+	ErrUnknownSite = errors.New("no such site")
+	// ErrInsufficientCapacity reports that a site can't be evacuated because the other sites could
+	// not carry its load.
 	ErrInsufficientCapacity = errors.New("the other sites could not carry the load")
 )
