--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -23,7 +23,7 @@
 	expired     bool             // the deadline of the request has passed; reads no longer wait
 	interrupted bool             // reads do not wait until ResumeRead
 	answerLimit io.LimitedReader // bounds the size of an answer, including its header
-	idleSince   time.Time        // when the connection was last put back; zero before the first time
+	idleSince   time.Time        // when it was last put back; zero before the first time
 }
 
 // IsNew reports whether no request has used the connection before. Anything read from a new
@@ -42,7 +42,8 @@
 	return tcp.ReadWaiting(c.Conn, b)
 }
 
-// ArmReadDeadline sets the read deadline for the next byte from StallTimeout. Read calls it each
+// ArmReadDeadline sets the read deadline for the next byte from StallTimeout, or removes it if
+// StallTimeout is 0. It leaves an expired or interrupted connection as it is. Read calls it each
 // time.
 func (c *Conn) ArmReadDeadline() error {
 	c.mu.Lock()
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -43,7 +43,7 @@
 type Options struct {
 	Network            Network
 	ConnectTimeout     time.Duration
-	BackendIdleTimeout time.Duration // after this time a backend closes an idle connection; 0: never
+	BackendIdleTimeout time.Duration // idle time after which backends close; 0: never
 	MaxConns           int           // limit on open connections, idle ones included
 }
 
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -100,7 +100,7 @@
 		p := New(Options{Network: network, MaxConns: 4, ConnectTimeout: time.Second, BackendIdleTimeout: 30 * time.Second})
 		target := p.NewTarget("x", 0)
 		for i, end := range []func(c *Conn){
-			func(*Conn) { time.Sleep(30*time.Second - idleMargin/2) }, // CloseExpired was not called
+			func(*Conn) { time.Sleep(30*time.Second - idleMargin/2) }, // CloseExpired not called
 			func(c *Conn) {
 				time.Sleep(30*time.Second - idleMargin/2)
 				if p.CloseExpired(); !fakeOf(c).closed || p.openConns != 0 {
@@ -196,7 +196,9 @@
 					before := network.open
 					network.maxOpen = before
 					c, err := p.Get(t.Context(), target)
-					if network.maxOpen > max(maxConns, before) { // after SetMaxConns lowers the limit, more may stay open, but their number must not grow
+					// After SetMaxConns has lowered the limit, more may stay open, but their number
+					// must not grow.
+					if network.maxOpen > max(maxConns, before) {
 						t.Fatalf("%d connections open at once, the limit is %d", network.maxOpen, maxConns)
 					}
 					switch {
--- a/internal/lag/lag.go
+++ b/internal/lag/lag.go
@@ -15,8 +15,10 @@
 	ticksPerTimescale = 20 // a tick every twentieth of the timescale, within the limits below
 	minInterval       = 5 * time.Millisecond
 	maxInterval       = 50 * time.Millisecond
-	toleranceDivisor  = 4   // timers fire late even on an idle machine; a tick may be late by a quarter of the interval
-	meanWeight        = 0.1 // weight of a tick in the mean
+	// A tick may be late by this part of the interval, because timers fire late even on an idle
+	// machine.
+	toleranceDivisor = 4
+	meanWeight       = 0.1 // weight of a tick in the mean
 )
 
 // Detector evaluates the ticks. While the processor keeps up, its error is bounded: it attributes
@@ -59,7 +61,8 @@
 	delay := max(0, now-d.nextTick)
 	d.meanSeconds += meanWeight * (delay.Seconds() - d.meanSeconds)
 	if d.lastTickLate = delay > d.interval/toleranceDivisor; d.lastTickLate {
-		d.lateFrom, d.lateUntil = d.nextTick-d.interval, now // whatever became ready since the previous tick may have waited
+		// Whatever became ready since the previous tick may have waited.
+		d.lateFrom, d.lateUntil = d.nextTick-d.interval, now
 		d.maxDelay = max(d.maxDelay, delay)
 		d.lateTicks++
 	}
@@ -87,7 +90,7 @@
 		return now - d.lateFrom
 	}
 	if d.lastTickLate {
-		return d.lateUntil - d.lateFrom // until the next tick, data is read as late as that tick was
+		return d.lateUntil - d.lateFrom // until the next tick, data is read as late as that one was
 	}
 	return 0
 }
--- a/internal/lag/lag_test.go
+++ b/internal/lag/lag_test.go
@@ -88,7 +88,8 @@
 	simulate(&d, jobs, [][2]time.Duration{stall}, func(j job, at time.Duration) {
 		ownDelay := d.OwnDelay(at)
 		switch {
-		case at < stall[0] || at > stall[1]+d.interval+2*ms+150*ms: // catching up on 214 jobs of 0.1 ms
+		case at < stall[0] || at > stall[1]+d.interval+2*ms+150*ms:
+			// 214 jobs of 0.1 ms waited during the stall and delay the following ones.
 			if ownDelay != 0 {
 				t.Errorf("at %v: own delay %v, want none", at, ownDelay)
 			}
--- a/internal/leave/leave_test.go
+++ b/internal/leave/leave_test.go
@@ -17,7 +17,7 @@
 		leaving := drainedAt >= 0 || shutdownAt >= 0
 		switch {
 		case mode.Ready == leaving, mode.CloseAfterAnswer != leaving:
-			t.Fatalf("at %v, drained at %v, ended at %v: %+v", now, drainedAt, shutdownAt, mode)
+			t.Fatalf("at %v, drained at %v, shut down at %v: %+v", now, drainedAt, shutdownAt, mode)
 		case !mode.Accept && shutdownAt < 0:
 			t.Fatalf("accepts no connections without a shutdown: %+v", mode)
 		case c.SharedSocket && shutdownAt >= 0 && mode.Accept:
--- a/internal/level/config.go
+++ b/internal/level/config.go
@@ -28,30 +28,33 @@
 
 // Level is a named level of reduced service.
 type Level struct {
-	Name           string
-	Shed           []string // names of the classes whose requests are refused
-	Part           float64  // fraction of these requests that is refused; default 1
-	OverShare      float64  `toml:"over_share"`       // refuse accounts that send more than this multiple of their guaranteed share; 0: no limit
-	MostBody       int      `toml:"most_body"`        // refuse requests with larger bodies, in bytes; 0: no limit
-	NoSecondCopies bool     `toml:"no_second_copies"` // the decision module may not hedge requests
-	NoRetries      bool     `toml:"no_retries"`       // the decision module may not retry attempts
-	NoProbes       bool     `toml:"no_probes"`        // the decision module may not send probes
-
-	Enter     Thresholds // reaching any of these enters the level
-	After     Duration   // after the threshold has been reached for this long
-	Emergency Thresholds // reaching any of these enters the level at once, skipping the levels between
-	Exit      Thresholds // when all of these are cleared, the level below is entered
+	Name string
+	Shed []string // names of the classes whose requests are refused
+	Part float64  // fraction of these requests that is refused; default 1
+	// OverShare is the largest multiple of its guaranteed share that an account may send. 0 means
+	// no limit.
+	OverShare      float64 `toml:"over_share"`
+	MostBody       int     `toml:"most_body"`        // largest request body in bytes; 0: no limit
+	NoSecondCopies bool    `toml:"no_second_copies"` // the decision module may not hedge requests
+	NoRetries      bool    `toml:"no_retries"`       // the decision module may not retry attempts
+	NoProbes       bool    `toml:"no_probes"`        // the decision module may not send probes
+
+	Enter     Thresholds // reaching any of these for the time After enters the level
+	After     Duration   // how long a threshold of Enter must have been reached
+	Emergency Thresholds // reaching any of these enters the level at once, also from further below
+	Exit      Thresholds // clearing all of these leaves the level for the one below
 }
 
-// Thresholds are limits for the measured values. A nil threshold is not checked.
+// Thresholds are limits for the measured values. Values from a threshold up reach it, except that
+// InAim is reached from its threshold down. A nil threshold is not checked.
 type Thresholds struct {
-	Pressure *float64  // pressure on the decision module, from 0 to 2; reached from this value up
-	InAim    *float64  `toml:"in_aim"` // share of requests answered within their target latency; reached from this value down
-	Refused  *float64  // share of requests refused by the decision module; reached from this value up
-	Out      *float64  // share of backends ejected; reached from this value up
-	Late     *float64  // delay of the agent itself, relative to the shortest target latency; reached from this value up
-	Sites    *float64  // share of sites withdrawn; reached from this value up
-	ListAge  *Duration `toml:"list_age"` // age of the server list; reached from this value up
+	Pressure *float64  // pressure on the decision module, from 0 to 2
+	InAim    *float64  `toml:"in_aim"` // share of requests answered within the target latency
+	Refused  *float64  // share of requests refused by the decision module
+	Out      *float64  // share of backends ejected
+	Late     *float64  // delay of the agent itself, relative to the shortest target latency
+	Sites    *float64  // share of sites withdrawn
+	ListAge  *Duration `toml:"list_age"` // age of the server list
 }
 
 // Service describes the classes and accounts to which the levels apply.
@@ -169,9 +172,9 @@
 	return "", ""
 }
 
-// checkHysteresis returns the first threshold that the exit conditions lack or do not make easier
-// than these thresholds do. Without a gap between the two, a value that fluctuates around the
-// threshold would enter and leave the level again and again.
+// checkHysteresis returns the first of these thresholds that has no exit threshold which is easier
+// to meet. Without a gap between the two, a value that fluctuates around the threshold would enter
+// and leave the level again and again.
 func (t *Thresholds) checkHysteresis(exit *Thresholds) (field, problem string) {
 	for _, pair := range []struct {
 		field       string
--- a/internal/level/figures.go
+++ b/internal/level/figures.go
@@ -6,11 +6,13 @@
 )
 
 // readings are the measured values over the sample window. A nil value is unknown.
+// requestsPerSample includes the requests that the level refused. allShed is set if requests
+// arrived in the window, but the level refused all of them.
 type readings struct {
 	pressure, inAim, refused, ejected, agentLateness, withdrawnSites *float64
 	listAge                                                          *time.Duration
-	requestsPerSample                                                float64 // received requests per sample, including those that the level refused
-	allShed                                                          bool    // requests arrived in the window, but the level refused all of them
+	requestsPerSample                                                float64
+	allShed                                                          bool
 }
 
 // currentReadings computes the readings over the sample window. Requests that the level itself
@@ -31,7 +33,8 @@
 	r.agentLateness, r.withdrawnSites = &last.AgentLateness, &last.WithdrawnSites
 	if completed >= minRequests {
 		r.inAim, r.refused = ratio(inAim, completed), ratio(refused, completed)
-	} else if len(c.samples) == sampleWindow && shed == 0 { // an instance without requests is healthy
+	} else if len(c.samples) == sampleWindow && shed == 0 {
+		// An instance without requests is healthy.
 		allInAim, noneRefused := 1.0, 0.0
 		r.inAim, r.refused = &allInAim, &noneRefused
 	}
--- a/internal/level/level.go
+++ b/internal/level/level.go
@@ -49,14 +49,14 @@
 // Sample holds the values measured since the previous sample, and the values at this moment.
 type Sample struct {
 	Completed      int           // requests that the decision module has completed
-	InAim          int           // completed requests that were answered within their target latency
+	InAim          int           // completed requests that were answered within the target latency
 	Refused        int           // completed requests that the decision module refused
 	Shed           int           // requests that the level refused
 	Pressure       float64       // pressure on the decision module; negative if unknown
 	ListAge        time.Duration // time since the last message from discovery; negative if unknown
 	Backends       int           // backends listed as ready; 0 if unknown
 	Ejected        int           // ready backends that are ejected for at least one class
-	AgentLateness  float64       // delay of the agent itself, relative to the shortest target latency
+	AgentLateness  float64       // delay of the agent, relative to the shortest target latency
 	WithdrawnSites float64       // share of the sites that are withdrawn
 }
 
@@ -70,7 +70,9 @@
 // Refusal explains why a request is refused.
 type Refusal struct {
 	Level, Reason string
-	RetryAfter    time.Duration // when the client may retry: the soonest that the level may be left, plus jitter of up to a quarter
+	// RetryAfter is when the client may retry: the soonest that the level may be left, plus jitter
+	// of up to a quarter.
+	RetryAfter time.Duration
 }
 
 // Controller selects the level of one instance. It is not safe for concurrent use.
@@ -86,8 +88,8 @@
 	lastLeftAt      time.Duration   // when a level was last left for the one below
 	reentries       int             // how often in a row a level was entered again soon after that
 	samples         []Sample        // the samples in the window, oldest first
-	reachedAt       []time.Duration // by level: since when an entry threshold has been reached; negative if none is
-	answeredAtEntry []float64       // by level: requests per sample that were answered in time when it was entered
+	reachedAt       []time.Duration // by level: when an entry threshold was reached; -1: it is not
+	answeredAtEntry []float64       // by level: requests per sample answered in time at its entry
 	held            bool            // whether operators hold the level
 	holdUntil       time.Duration   // end of the hold
 	history         []Change
@@ -174,8 +176,8 @@
 	if account < 0 || account >= len(c.guaranteedShares) || !(c.guaranteedShares[account] > 0) {
 		return 1
 	}
-	portion := c.guaranteedShares[account]
-	return c.recentRequests.Over(account, portion)
+	guaranteed := c.guaranteedShares[account]
+	return c.recentRequests.Over(account, guaranteed)
 }
 
 // retryAfter returns when a refused client may retry. The jitter keeps clients that were refused
@@ -305,8 +307,8 @@
 // Status is the state of a Controller for display.
 type Status struct {
 	Level     string
-	Levels    []string // from normal service up
-	Since     time.Duration
+	Levels    []string      // from normal service up
+	Since     time.Duration // when the current level was entered
 	MinDwell  time.Duration // least time in the current level, including doublings
 	HeldUntil time.Duration // end of a hold; 0: there is none
 	Readings  []string      // the measured values as text, including unknown ones
--- a/internal/level/level_test.go
+++ b/internal/level/level_test.go
@@ -144,7 +144,7 @@
 	tc.feed(1, sample)
 	tc.requireLevel("essential")
 	if reason := tc.Status().History[0].Reason; !strings.HasPrefix(reason, "emergency: refused 0.95") {
-		t.Errorf("why: %s", reason)
+		t.Errorf("reason: %s", reason)
 	}
 }
 
@@ -184,7 +184,8 @@
 func TestOwnRefusals(t *testing.T) {
 	tc := newTestController(t)
 	tc.Hold(tc.now, "closed", time.Second, "test")
-	sample := Sample{Shed: 1000, Pressure: 1.9, ListAge: time.Second, Backends: 10} // the pressure is out of date
+	// The pressure is out of date.
+	sample := Sample{Shed: 1000, Pressure: 1.9, ListAge: time.Second, Backends: 10}
 	tc.feed(15, sample)
 	tc.requireLevel("essential")
 	sample = healthySample()
@@ -296,7 +297,8 @@
 		t.Errorf("normal service refuses: %+v", r)
 	}
 	tc.Hold(tc.now, "essential", 8*time.Second, "test")
-	for range 1000 { // both accounts send equally many requests, but the guaranteed share of the second is a quarter
+	// Both accounts send equally many requests, but the second is guaranteed only a quarter.
+	for range 1000 {
 		tc.Admit(tc.now, unsafe, 0, 10)
 		tc.Admit(tc.now, unsafe, 1, 10)
 	}
--- a/internal/life/attempt.go
+++ b/internal/life/attempt.go
@@ -14,27 +14,27 @@
 // State is a state in the life cycle of an attempt.
 type State uint8
 
-// States of an attempt.
+// States of an attempt. The states from Served on are final.
 const (
 	Queued               State = iota // scheduled, nothing was done yet
 	Connecting                        // waiting for a connection, reused or new
-	Acquired                          // has a connection on which nothing of the request was written
-	Writing                           // the request is being written; its last byte is not
+	Acquired                          // has a connection; nothing of the request is written
+	Writing                           // the request is being written
 	Sent                              // the last byte of the request is written
-	ReceivingAnswer                   // the request is written and the answer has begun
-	ReceivingEarlyAnswer              // the answer has begun before the last byte of the request was written
-	Cancelling                        // cancelled before the last byte was written; its I/O has not returned
-	CancellingSent                    // cancelled after the last byte was written; its I/O has not returned
-	TimingOut                         // deadline passed before the last byte was written; its I/O has not returned
-	TimingOutSent                     // deadline passed after the last byte was written; its I/O has not returned
-	Served                            // ended with a complete, successful answer; this and all following states are final
-	Failed                            // ended with a complete answer that is not successful
-	Rejected                          // ended with a complete answer that says that the request did not run for lack of capacity
+	ReceivingAnswer                   // the answer has begun after the last byte was written
+	ReceivingEarlyAnswer              // the answer has begun before the last byte was written
+	Cancelling                        // cancelled before the last byte was written; I/O is pending
+	CancellingSent                    // cancelled after the last byte was written; I/O is pending
+	TimingOut                         // timed out before the last byte was written; I/O is pending
+	TimingOutSent                     // timed out after the last byte was written; I/O is pending
+	Served                            // complete and successful answer
+	Failed                            // complete answer that is not successful
+	Rejected                          // complete answer: did not run for lack of capacity
 	NeverSent                         // the connection failed before the last byte was written
 	NotTried                          // the agent itself did not send the request
-	ConnectionLost                    // the connection failed or the answer was invalid after the last byte was written
-	TimedOut                          // the deadline passed after the last byte was written
-	Cancelled                         // ended by cancellation
+	ConnectionLost                    // no valid answer after the last byte was written
+	TimedOut                          // no answer by the deadline after the last byte was written
+	Cancelled                         // cancelled
 	numStates
 )
 
@@ -53,7 +53,8 @@
 func (s State) MayHaveRun() bool {
 	switch s {
 	case Sent, ReceivingAnswer, ReceivingEarlyAnswer, CancellingSent, TimingOutSent, Served, Failed, ConnectionLost, TimedOut, Cancelled:
-		return true // Cancelled covers both cases, because a cancelled attempt does not wait to find out
+		// Cancelled covers both cases, because a cancelled attempt does not wait to find out.
+		return true
 	}
 	return false
 }
@@ -83,7 +84,7 @@
 	Connected                     // it has a connection
 	ConnectFailed                 // no connection could be made
 	NoSocket                      // the agent has no socket left for it
-	TooLateToSend                 // its backend is gone, or backends may have forgotten the idempotency key of a repeated request
+	TooLateToSend                 // the backend is gone, or a repeat may no longer be recognized
 	WriteStarted                  // the first byte of the request is about to be written
 	RequestWritten                // the last byte of the request is written
 	ConnectionBroken              // the connection failed, or the answer is invalid
--- a/internal/life/attempt_test.go
+++ b/internal/life/attempt_test.go
@@ -61,7 +61,8 @@
 	reached := map[State]bool{}
 	transitions := walkTransitions(func(path []Input, s State) {
 		reached[s] = true
-		mayHaveRun := contains(path, RequestWritten) || contains(path, FirstAnswerByte) // an answer that comes early need not have waited for the last byte
+		// An answer that comes early need not have waited for the last byte.
+		mayHaveRun := contains(path, RequestWritten) || contains(path, FirstAnswerByte)
 		switch s {
 		case Cancelled:
 			mayHaveRun = true
--- a/internal/site/explore_test.go
+++ b/internal/site/explore_test.go
@@ -23,15 +23,15 @@
 	monitor        *Monitor
 	now            time.Duration
 	up             [siteCount * serversPerSite]bool
-	failingSince   [siteCount * serversPerSite]time.Duration // time of the first failure since the last answer; 0: none
+	failingSince   [siteCount * serversPerSite]time.Duration // 0: not failing
 	lastAnswer     [siteCount * serversPerSite]time.Duration // time of the last answer
-	probeAnswered  [siteCount]bool                           // whether a probe was answered since the site was lost
+	probeAnswered  [siteCount]bool                           // answered since the last loss
 	lostAt         [siteCount]time.Duration                  // time of the last loss
 	recentLosses   [siteCount]int
 	stepServers    [siteCount]int // servers admitted in the current recovery step
 	stepStart      [siteCount]time.Duration
 	evacuatedUntil [siteCount]time.Duration // end of an operator's evacuation
-	retryRequested bool                     // whether operators asked for an immediate retry of a lost site
+	retryRequested bool                     // operators asked for a retry of a lost site
 	wasAdmitted    [siteCount * serversPerSite]bool
 	probes         bool
 	bug            string
@@ -53,6 +53,7 @@
 // events are all events that explore combines.
 var events = []string{"go on", "rest", "site a", "site b", "site c", "server a1", "evacuate a", "return a"}
 
+// apply applies one of the events. Events that name a site or a server toggle whether it is up.
 func (sim *simulation) apply(event string) error {
 	switch event {
 	case "go on":
@@ -167,13 +168,13 @@
 			}
 		}
 	}
-	elsewhere := false
+	otherSiteAnswered := false
 	for k := range sim.up {
 		if sim.failingSince[k] == 0 && sim.lastAnswer[k] > firstFailure {
 			if k/serversPerSite == i {
 				answering++
 			} else {
-				elsewhere = true
+				otherSiteAnswered = true
 			}
 		}
 	}
@@ -183,7 +184,7 @@
 		return fmt.Errorf("SingleServer: the site is lost with %d failing servers", failing)
 	case s.state == Lost && fullyAdmitted(before) && answering >= failing:
 		return fmt.Errorf("MoreFailures: the site is lost with %d failing servers and %d that answered since", failing, answering)
-	case s.state == Lost && fullyAdmitted(before) && !elsewhere:
+	case s.state == Lost && fullyAdmitted(before) && !otherSiteAnswered:
 		return errors.New("OtherSiteAnswered: no other site has answered since the first failure")
 	case s.state == Lost && admitted > 0, fullyAdmitted(s.state) && admitted < serversPerSite, s.state == Recovering && admitted == 0:
 		return fmt.Errorf("AdmittedServers: %d servers are admitted in a site that is %v", admitted, s.state)
@@ -191,7 +192,7 @@
 		return fmt.Errorf("Evacuation: the site is %v, with %v of its evacuation left", s.state, sim.evacuatedUntil[i]-sim.now)
 	case !sim.otherSiteInUse(-1) && sim.evacuatedUntil[0] == 0:
 		return errors.New("SiteInUse: every site is withdrawn")
-	case fullyAdmitted(s.state) && failing == serversPerSite && elsewhere && sim.now-firstFailure >= 2*tick && fullyAdmitted(before) && s.state != AgentIsolated:
+	case fullyAdmitted(s.state) && failing == serversPerSite && otherSiteAnswered && sim.now-firstFailure >= 2*tick && fullyAdmitted(before) && s.state != AgentIsolated:
 		return errors.New("LossDetected: all servers of a site fail while other sites answer, and the site is not lost")
 	}
 	anyUsable := sim.monitor.anySiteUsable()
@@ -202,7 +203,7 @@
 		sim.lostAt[i], sim.probeAnswered[i] = sim.now, false
 		wait := min(MaxRetryWait, MinRetryWait<<min(sim.recentLosses[i]-1, 10))
 		if anyUsable && s.retryAt-sim.now < wait/2 {
-			return fmt.Errorf("RetryWait: lost %d times in a row and retried after %v", sim.recentLosses[i], s.retryAt-sim.now)
+			return fmt.Errorf("RetryWait: lost %d times in a row, and the next retry is after %v", sim.recentLosses[i], s.retryAt-sim.now)
 		}
 	}
 	if s.state == Lost && s.lastRetry > lastRetry && sim.retryRequested && i == 0 {
@@ -314,27 +315,27 @@
 				err = sim.apply(event)
 			}
 		}
-		for at := 0; at < depth && err == nil; at++ {
-			err = sim.apply(events[path[at]])
+		for position := 0; position < depth && err == nil; position++ {
+			err = sim.apply(events[path[position]])
 		}
 		if err == nil {
 			err = sim.checkRecovery()
 		}
 		if runs++; err != nil {
 			names := slices.Clone(prefix)
-			for _, p := range path {
-				names = append(names, events[p])
+			for _, index := range path {
+				names = append(names, events[index])
 			}
 			return runs, fmt.Errorf("%w; after %s", err, strings.Join(names, ", "))
 		}
-		at := depth - 1
-		for ; at >= 0; at-- {
-			if path[at]++; path[at] < len(events) {
+		position := depth - 1
+		for ; position >= 0; position-- {
+			if path[position]++; path[position] < len(events) {
 				break
 			}
-			path[at] = 0
+			path[position] = 0
 		}
-		if at < 0 {
+		if position < 0 {
 			return runs, nil
 		}
 	}
--- a/internal/site/meter.go
+++ b/internal/site/meter.go
@@ -23,7 +23,7 @@
 	recentRequests limit.Mix
 	requestShare   []float64 // share of the requests, by class
 	retryShare     float64
-	excessShare    []float64 // share of the requests that each account sends beyond its guaranteed share
+	excessShare    []float64 // by account, share of the requests beyond its guaranteed share
 }
 
 // NewDemandMeter returns a meter. The SecondsPerRequest of the classes are its initial estimates.
--- a/internal/site/pace.go
+++ b/internal/site/pace.go
@@ -14,7 +14,7 @@
 
 // PacerStatus is what the agent that paces the recovery of a site reports to the other agents.
 type PacerStatus struct {
-	Loss  uint64  `json:"loss"` // identifies the loss, unique across losses and the epochs of pacers
+	Loss  uint64  `json:"loss"` // identifies the loss; unique across the pacer's losses and epochs
 	State State   `json:"state"`
 	Part  float64 `json:"part"` // fraction of the site's servers that are admitted, from 0 to 1
 }
@@ -71,7 +71,7 @@
 
 // PacerWeight rates how well this agent could pace a site, by its requests in flight, since an
 // agent that sends more requests detects failures sooner. It is 0 if this agent has not found the
-// site lost or can't use any site.
+// site lost or can't use any site, because it then has no evidence about the site.
 func (m *Monitor) PacerWeight(name string) float64 {
 	i := slices.Index(m.settings.Names, name)
 	if i < 0 || m.sites[i].state != Lost && m.sites[i].state != Recovering || !m.anySiteUsable() {
@@ -104,9 +104,11 @@
 func (m *Monitor) maxAdmitted(s *site) int {
 	status := m.currentPacerStatus(s)
 	switch {
-	case status == nil, status.State == Lost && m.now-s.pacerStatusAt >= pacerStatusTimeout: // the pacer itself may be isolated
+	// The pacer itself may be isolated.
+	case status == nil, status.State == Lost && m.now-s.pacerStatusAt >= pacerStatusTimeout:
 		return len(s.servers)
-	case status.State == Lost: // the pacer lost the site again: keep what works here, but admit no more
+	// The pacer has lost the site again: keep what works here, but admit no more.
+	case status.State == Lost:
 		return s.switched
 	}
 	return min(len(s.servers), max(1, int(math.Ceil(status.Part*float64(len(s.servers))))))
--- a/internal/site/pace_bench_test.go
+++ b/internal/site/pace_bench_test.go
@@ -15,21 +15,22 @@
 // share of the site's servers that all agents together use two seconds after the outage ended, and
 // the time until the site is healthy for all agents.
 func BenchmarkPaced(b *testing.B) {
-	const agents, away = 50, time.Minute
+	const agents, outage = 50, time.Minute
 	for _, paced := range []bool{false, true} {
 		b.Run(fmt.Sprintf("paced=%v", paced), func(b *testing.B) {
-			probes, used, recoveryTime := 0, 0.0, time.Duration(0)
+			probes, admittedShare, recoveryTime := 0, 0.0, time.Duration(0)
 			for n := range b.N {
 				var agentSims []*simulation
 				for i := range agents {
 					sim := healthySimulation(time.Hour)
-					sim.paced, sim.monitor.rng = true, rand.New(rand.NewPCG(uint64(1000*n+i), 6)) // each agent has its own server order
+					// Each agent has its own server order.
+					sim.paced, sim.monitor.rng = true, rand.New(rand.NewPCG(uint64(1000*n+i), 6))
 					agentSims = append(agentSims, sim)
 				}
 				start := agentSims[0].now
 				var published []PacerStatus
-				for at := time.Duration(0); ; at += tick {
-					up := at < 5*time.Second || at >= 5*time.Second+away
+				for elapsed := time.Duration(0); ; elapsed += tick {
+					up := elapsed < 5*time.Second || elapsed >= 5*time.Second+outage
 					for i, sim := range agentSims {
 						for k := range serversPerSite {
 							sim.up[k] = up
@@ -48,27 +49,27 @@
 					if status, ok := agentSims[0].monitor.PacerStatus("a"); ok {
 						published = append(published, status)
 					}
-					if at == 7*time.Second+away {
+					if elapsed == 7*time.Second+outage {
 						for _, sim := range agentSims {
 							for k := range serversPerSite {
 								if admitted, _ := sim.monitor.Admitted(policy.ServerID(k)); admitted {
-									used += 1.0 / (agents * serversPerSite)
+									admittedShare += 1.0 / (agents * serversPerSite)
 								}
 							}
 						}
 					}
-					allHealthy := up && at > 5*time.Second
+					allHealthy := up && elapsed > 5*time.Second
 					for _, sim := range agentSims {
 						allHealthy = allHealthy && sim.monitor.sites[0].state == Healthy
 					}
 					if allHealthy {
-						recoveryTime += agentSims[0].now - start - 5*time.Second - away
+						recoveryTime += agentSims[0].now - start - 5*time.Second - outage
 						break
 					}
 				}
 			}
-			b.ReportMetric(float64(probes)/float64(b.N)/away.Seconds(), "probes/s")
-			b.ReportMetric(used/float64(b.N), "used-after-2s")
+			b.ReportMetric(float64(probes)/float64(b.N)/outage.Seconds(), "probes/s")
+			b.ReportMetric(admittedShare/float64(b.N), "used-after-2s")
 			b.ReportMetric(recoveryTime.Seconds()/float64(b.N), "well-after-s")
 		})
 	}
--- a/internal/site/pace_test.go
+++ b/internal/site/pace_test.go
@@ -13,15 +13,19 @@
 // pacedPair is a pacer and an agent that follows it. Each of them can lose its connection to site
 // a.
 type pacedPair struct {
-	pacer, follower                           *simulation
-	rng                                       *rand.Rand
-	siteUp, followerConnected, pacerConnected bool // whether site a is up, and whether each agent can reach it
-	pacerHeard                                bool // whether the follower receives the pacer's status
+	pacer, follower *simulation
+	rng             *rand.Rand
+	// Whether site a is up, and whether each agent can reach it.
+	siteUp, followerConnected, pacerConnected bool
+	pacerHeard                                bool // whether the follower receives the status
 	epoch                                     uint64
-	reportedLosses                            map[PacerStatus]bool // losses that the pacer reported to the follower
-	pacedRecoveries                           int                  // recoveries that the follower began because of the pacer's status
-	pacerReportsLost                          bool                 // whether the follower is told that the site is lost
-	bug                                       string
+	// Losses that the pacer reported to the follower.
+	reportedLosses map[PacerStatus]bool
+	// Recoveries that the follower began because of the pacer's status.
+	pacedRecoveries int
+	// Whether the follower is told that the site is lost.
+	pacerReportsLost bool
+	bug              string
 }
 
 // healthySimulation returns a simulation in which all servers have always answered.
@@ -34,6 +38,7 @@
 	return sim
 }
 
+// applyRandomEvent changes the site, a connection or the pacer at random, or nothing.
 func (p *pacedPair) applyRandomEvent() {
 	switch p.rng.IntN(16) {
 	case 0, 1:
@@ -51,6 +56,7 @@
 	}
 }
 
+// advance moves both simulations on by a tick and checks the invariants of following a pacer.
 func (p *pacedPair) advance() error {
 	for i := range serversPerSite {
 		p.pacer.up[i], p.follower.up[i] = p.siteUp && p.pacerConnected, p.siteUp && p.followerConnected
@@ -58,45 +64,45 @@
 	if err := p.pacer.advance(tick, true); err != nil {
 		return fmt.Errorf("the pacer: %w", err)
 	}
-	m := p.follower.monitor
-	a := &m.sites[0]
+	monitor := p.follower.monitor
+	siteA := &monitor.sites[0]
 	status, hasStatus := p.pacer.monitor.PacerStatus("a")
 	switch {
 	case !p.pacerHeard || !hasStatus:
-		m.FollowPacer(p.follower.now, "a", 0, nil)
+		monitor.FollowPacer(p.follower.now, "a", 0, nil)
 		p.pacerReportsLost, hasStatus = false, false
 	default:
-		m.FollowPacer(p.follower.now, "a", p.epoch, &status)
+		monitor.FollowPacer(p.follower.now, "a", p.epoch, &status)
 		if status.State == Lost {
 			p.reportedLosses[PacerStatus{Loss: p.epoch<<32 + status.Loss}] = true
 		}
 		p.pacerReportsLost = status.State == Lost
 	}
 	switch {
-	case p.bug == "hears no pacer" && a.pacerStatus != nil && a.pacerStatus.State == Recovering:
-		a.pacerStatus = nil
-	case p.bug == "follows every return" && a.state == Lost && a.pacerStatus != nil && a.pacerStatus.State != Lost:
-		a.pacerLoss = a.pacerStatus.Loss
-	case p.bug == "asks as if alone" && a.pacerStatus != nil && a.pacerStatus.State == Lost:
-		a.pacerStatus = nil
-	case p.bug == "waits for its pacer for ever" && a.pacerStatus != nil:
-		a.pacerStatusAt = m.now
-		if a.state == Lost && a.pacerStatus.State == Lost {
-			a.lastRetry = m.now
+	case p.bug == "hears no pacer" && siteA.pacerStatus != nil && siteA.pacerStatus.State == Recovering:
+		siteA.pacerStatus = nil
+	case p.bug == "follows every return" && siteA.state == Lost && siteA.pacerStatus != nil && siteA.pacerStatus.State != Lost:
+		siteA.pacerLoss = siteA.pacerStatus.Loss
+	case p.bug == "asks as if alone" && siteA.pacerStatus != nil && siteA.pacerStatus.State == Lost:
+		siteA.pacerStatus = nil
+	case p.bug == "waits for its pacer for ever" && siteA.pacerStatus != nil:
+		siteA.pacerStatusAt = monitor.now
+		if siteA.state == Lost && siteA.pacerStatus.State == Lost {
+			siteA.lastRetry = monitor.now
 		}
 	}
-	before, lastRetry, otherUsable, retryRequested := a.state, a.lastRetry, m.anySiteUsable(), p.follower.retryRequested
+	before, lastRetry, otherUsable, retryRequested := siteA.state, siteA.lastRetry, monitor.anySiteUsable(), p.follower.retryRequested
 	if err := p.follower.advance(tick, true); err != nil {
 		return err
 	}
 	switch {
-	case a.state == Recovering && before == Recovering && hasStatus && status.State == Recovering && a.switched > int(status.Part*serversPerSite+0.999):
-		return fmt.Errorf("PacerLimit: %d servers are admitted while the pacer has admitted %.0f%%", a.switched, 100*status.Part)
-	case a.state == Recovering && before == Lost && hasStatus && status.State == Lost && !p.follower.probeAnswered[0]:
+	case siteA.state == Recovering && before == Recovering && hasStatus && status.State == Recovering && siteA.switched > int(status.Part*serversPerSite+0.999):
+		return fmt.Errorf("PacerLimit: %d servers are admitted while the pacer has admitted %.0f%%", siteA.switched, 100*status.Part)
+	case siteA.state == Recovering && before == Lost && hasStatus && status.State == Lost && !p.follower.probeAnswered[0]:
 		return errors.New("ProbeAnswered: the site recovers without an answered probe while its pacer reports it as lost")
-	case a.state == Lost && a.lastRetry > lastRetry && p.pacerReportsLost && otherUsable && !retryRequested && a.lastRetry-max(lastRetry, a.since) < MaxRetryWait:
-		return fmt.Errorf("ProbesSaved: retried %v after the last retry although the pacer probes for all", a.lastRetry-max(lastRetry, a.since))
-	case a.state == Recovering && before == Lost && !p.follower.probeAnswered[0]:
+	case siteA.state == Lost && siteA.lastRetry > lastRetry && p.pacerReportsLost && otherUsable && !retryRequested && siteA.lastRetry-max(lastRetry, siteA.since) < MaxRetryWait:
+		return fmt.Errorf("ProbesSaved: retried %v after the last retry although the pacer probes for all", siteA.lastRetry-max(lastRetry, siteA.since))
+	case siteA.state == Recovering && before == Lost && !p.follower.probeAnswered[0]:
 		if p.pacedRecoveries++; p.pacedRecoveries > len(p.reportedLosses) {
 			return fmt.Errorf("OneRecoveryPerLoss: %d recoveries because of pacers that reported %d losses", p.pacedRecoveries, len(p.reportedLosses))
 		}
@@ -125,16 +131,16 @@
 	p.followerConnected, p.siteUp = true, true
 	pacerIsolated := p.rng.IntN(3) == 0
 	p.pacerConnected = !pacerIsolated
-	for end := p.follower.now + 3*MaxRetryWait; p.follower.now < end; {
+	for deadline := p.follower.now + 3*MaxRetryWait; p.follower.now < deadline; {
 		if err := p.advance(); err != nil {
 			return err
 		}
-		if a := &p.follower.monitor.sites[0]; a.state == Healthy && !pacerIsolated {
+		if siteA := &p.follower.monitor.sites[0]; siteA.state == Healthy && !pacerIsolated {
 			return nil
 		}
 	}
-	if a := &p.follower.monitor.sites[0]; a.state != Healthy {
-		return fmt.Errorf("Recovery: the site is %v in the end with %d servers admitted; pacer isolated: %v, status received: %v", a.state, a.switched, pacerIsolated, p.pacerHeard)
+	if siteA := &p.follower.monitor.sites[0]; siteA.state != Healthy {
+		return fmt.Errorf("Recovery: the site is %v in the end with %d servers admitted; pacer isolated: %v, status received: %v", siteA.state, siteA.switched, pacerIsolated, p.pacerHeard)
 	}
 	return nil
 }
--- a/internal/site/plan.go
+++ b/internal/site/plan.go
@@ -41,7 +41,7 @@
 	Site        string
 	State       State
 	LoadShare   float64     // share of the total load that the site carries
-	Utilization float64     // share of their capacity that the other sites would use; infinite if they have none
+	Utilization float64     // utilization of the other sites; infinite if they have no capacity
 	Shifts      []LoadShift // where the load of the site would go
 	ShedShare   float64     // share of the load that would be refused
 	Shed        []ShedItem
--- a/internal/site/return.go
+++ b/internal/site/return.go
@@ -14,7 +14,8 @@
 		due = s.retryAt
 	} else if status := m.currentPacerStatus(s); status != nil && status.State == Lost {
 		if s.pacerLoss = status.Loss; s.retryAt > 0 { // retryAt is 0 if operators asked for a retry
-			due = max(due, max(s.since, s.lastRetry)+MaxRetryWait) // the pacer probes for all agents, but it may itself be isolated
+			// The pacer probes for all agents, but it may itself be isolated.
+			due = max(due, max(s.since, s.lastRetry)+MaxRetryWait)
 		}
 	} else if status != nil && status.Loss == s.pacerLoss && s.pacerLoss > 0 && len(s.servers) > 0 {
 		// Only a recovery from a loss that the pacer reported while the site was lost here counts.
@@ -86,7 +87,8 @@
 		s.switched, s.stepStart = m.maxAdmitted(s), m.now
 		m.updateAdmission(i)
 	case m.now-s.stepStart < minStepTime:
-	case s.switched >= m.maxAdmitted(s) && s.switched < len(s.servers): // the pacer has not advanced yet
+	// The pacer has not advanced yet.
+	case s.switched >= m.maxAdmitted(s) && s.switched < len(s.servers):
 	case answering == 0 && !m.provenByPacer(s):
 	case s.switched >= len(s.servers):
 		m.setState(i, Healthy, "all of its servers are admitted")
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -19,10 +19,11 @@
 // as just started, so that the total load from all agents stays within what cold servers can take.
 //
 // Where agents share a group that grants leases on duties, one agent paces the recovery of a site
-// for all (PacerStatus): it alone probes the lost site, and the others admit no larger part of the
-// site than the pacer has admitted (FollowPacer). The followers keep checking for themselves. They
-// revert steps that fail for them, whatever the pacer reports, and stop following a pacer whose
-// status has not changed for a long time.
+// for all (PacerStatus). It probes the lost site, while the others probe it only at the longest
+// interval, and the others admit no larger part of the site than the pacer has admitted
+// (FollowPacer). The followers keep checking for themselves. They revert steps that fail for them,
+// whatever the pacer reports, and stop following a pacer whose status has not changed for a long
+// time.
 //
 // The package keeps these invariants, among others that explore_test.go and pace_test.go check:
 //   - SiteInUse: at least one site is not withdrawn, unless operators have forced the evacuation of
@@ -95,7 +96,7 @@
 	Healthy       State = iota // its servers answer
 	Suspect                    // several servers fail, but too few to declare the site lost
 	Lost                       // none of its servers is used
-	AgentIsolated              // its servers fail and no other site answers, so the agent itself is isolated
+	AgentIsolated              // its servers fail and no other site answers
 	Overloaded                 // most of its servers rejected their last request
 	Evacuated                  // operators have taken it out of use
 	Recovering                 // some of its servers are used
@@ -107,10 +108,10 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Outcome is the result of an attempt or a probe.
+// Outcome is the result of an attempt.
 type Outcome uint8
 
-// Outcomes of attempts.
+// Outcomes of an attempt.
 const (
 	Answered Outcome = iota // the server's process answered, possibly with an error
 	Rejected                // the server answered that it has no capacity left
@@ -147,14 +148,14 @@
 	Server
 	admissionOrder uint64        // servers are admitted in increasing order
 	lastAnswer     time.Duration // time of the last answer; 0: none yet
-	failingSince   time.Duration // time of the first failure since the last answer; 0: it is not failing
+	failingSince   time.Duration // first failure since the last answer; 0: it is not failing
 	lastFailure    time.Duration
 	lastRejected   bool          // whether the last answer was a rejection
 	admitted       bool          // whether the agent may use the server
 	admittedAt     time.Duration // time of the last admission
-	load           Load
-	samples        int     // number of samples in meanInFlight, at most meanSamples
-	meanInFlight   float64 // mean of the requests in flight over the last meanSamples
+	load           Load          // moving average of requests in flight, and latest capacity
+	samples        int           // number of samples in meanInFlight, at most meanSamples
+	meanInFlight   float64       // mean of the requests in flight over the last meanSamples
 }
 
 // site is the state that is kept for one site.
@@ -162,7 +163,7 @@
 	state           State
 	since           time.Duration // when the site entered its state
 	servers         []*server     // ready servers, in the order of their admission
-	switched        int           // servers already switched over: admitted in a recovery, withdrawn in an evacuation
+	switched        int           // servers admitted in a recovery, or withdrawn in an evacuation
 	stepStart       time.Duration // when the current step of a recovery or an evacuation began
 	retryAt         time.Duration // when a lost site is next retried
 	lastRetry       time.Duration // when a lost site was last retried
@@ -171,11 +172,11 @@
 	pacerStatus     *PacerStatus  // last status of the site's pacer; nil: there is no pacer
 	pacerStatusAt   time.Duration // when the pacer's status last changed
 	pacerLoss       uint64        // loss during which the pacer reported the site as lost; 0: none
-	recentLosses    int           // number of losses, halved for each lossDecayInterval in good health
+	recentLosses    int           // losses, halved after each lossDecayInterval without one
 	lossesDecayedAt time.Duration // when recentLosses was last increased or halved
 	evacuatedUntil  time.Duration // end of the evacuation
-	lastInFlight    float64       // requests in flight before the site was withdrawn
-	lastLoadShare   float64       // share of the agent's requests in flight before the site was withdrawn
+	lastInFlight    float64       // requests in flight before the withdrawal
+	lastLoadShare   float64       // share of the agent's requests in flight before the withdrawal
 }
 
 // Transition is a change of a site's state.
@@ -190,7 +191,7 @@
 type Monitor struct {
 	settings       Settings
 	rng            *rand.Rand
-	now            time.Duration
+	now            time.Duration // latest time that was passed to any method
 	sites          []site
 	servers        map[policy.ServerID]*server
 	changedServers []policy.ServerID // admitted or withdrawn since the last Evaluate
@@ -271,7 +272,7 @@
 
 // ReportOutcome records the outcome of an attempt that was sent at the given time. A failure is
 // ignored if the server has answered since the attempt was sent, because then the request or its
-// connection failed and not the server.
+// connection failed and not the server. It is also ignored if the server was admitted since then.
 func (m *Monitor) ReportOutcome(now time.Duration, id policy.ServerID, outcome Outcome, sent time.Duration) {
 	m.now = max(now, m.now)
 	s := m.servers[id]
@@ -335,9 +336,11 @@
 	since                             time.Duration // time of the first failure that counts
 }
 
-// strongestEvidence weighs the failures of a site's servers against the answers since the first of
-// those failures. Failures of long ago do not belong to a current outage, so it chooses the number
-// of latest failures that gives the highest score for a loss.
+// strongestEvidence scores how strongly the failures of a site's servers speak for a loss, against
+// the answers since the first of those failures. The score is a log-likelihood ratio, to which each
+// failure adds failureWeight and from which each answer subtracts answerWeight. Failures of long
+// ago do not belong to a current outage, so only as many of the latest failures count as give the
+// highest score.
 func (m *Monitor) strongestEvidence(i int, failureWeight, answerWeight float64) (best evidence, bestScore float64) {
 	var failures, answers []time.Duration
 	total, rejected := 0, 0
