--- a/internal/mesh/sidecar/stats.go
+++ b/internal/mesh/sidecar/stats.go
@@ -24,7 +24,7 @@
 func (a *Agent) count(q transport.Question) *transport.Figures {
 	var f meshmetrics.Set
 	f.Process(a.began, a.set.MemoryMB)
-	a.sender.Figures(&f)
+	a.sender.CollectMetrics(&f)
 	a.host.Figures(&f)
 	up := 0
 	for _, feed := range a.feeds {
