--- a/internal/mesh/outbound/age.go
+++ b/internal/mesh/outbound/age.go
@@ -13,24 +13,24 @@
 // It holds two generations of the routes that were asked for. A client that never waits as long as
 // others of its route is taken for an old one: it waits for no slot where there is none free, no
 // more.
-type ages struct {
-	mu     sync.Mutex
-	turned time.Time
-	most   [2]map[string]time.Duration // time left of first tries, by route
+type waitEstimator struct {
+	mu          sync.Mutex
+	rotatedAt   time.Time
+	longestLeft [2]map[string]time.Duration // time left of first tries, by route
 }
 
-const generation = 10 * time.Second
+const estimateGeneration = 10 * time.Second
 
 // of takes in how much time a try of a route has left, and returns for how long its client has
 // waited.
-func (a *ages) of(now time.Time, route string, left time.Duration) time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.most[0] == nil || now.Sub(a.turned) >= generation {
-		a.most[0], a.most[1], a.turned = map[string]time.Duration{}, a.most[0], now
+func (e *waitEstimator) timeWaited(now time.Time, route string, remaining time.Duration) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.longestLeft[0] == nil || now.Sub(e.rotatedAt) >= estimateGeneration {
+		e.longestLeft[0], e.longestLeft[1], e.rotatedAt = map[string]time.Duration{}, e.longestLeft[0], now
 	}
-	if left > a.most[0][route] {
-		a.most[0][route] = left
+	if remaining > e.longestLeft[0][route] {
+		e.longestLeft[0][route] = remaining
 	}
-	return max(a.most[0][route], a.most[1][route]) - left
+	return max(e.longestLeft[0][route], e.longestLeft[1][route]) - remaining
 }
--- a/internal/mesh/outbound/answers_test.go
+++ b/internal/mesh/outbound/answers_test.go
@@ -27,64 +27,64 @@
 
 // recoverWithin is how long it may take, on a machine however busy, until requests are served after
 // a fault.
-const recoverWithin = 10 * time.Second
+const recoveryTimeout = 10 * time.Second
 
 // ran is one request in work at a backend, and the answer that it made.
-type ran struct{ method, uri, caller, body, answer string }
+type backendRun struct{ method, uri, caller, body, answer string }
 
 // node is a gate and the backend beside it. Both are reached through links that break when told to.
-type node struct {
-	host          *inbound.Host
-	link, backend *relay.Link
+type gateNode struct {
+	host                  *inbound.Host
+	gateLink, backendLink *relay.Link
 }
 
 // path is a whole way of requests in one process: a client's link, a sender, two nodes.
-type path struct {
-	t      testing.TB
-	sender *Sender // made anew for each case, with nothing learnt; the connections are kept
-	plant  func(*Sender)
-	nodes  []*node
-	client *relay.Link
-
-	mu    sync.Mutex
-	asked map[string]sent
-	runs  map[string][]ran
-	found []string
-	cases int
+type requestPath struct {
+	t          testing.TB
+	sender     *Sender // made anew for each case, with nothing learnt; the connections are kept
+	injectBug  func(*Sender)
+	nodes      []*gateNode
+	clientLink *relay.Link
+
+	mu         sync.Mutex
+	sent       map[string]clientRequest
+	runs       map[string][]backendRun
+	violations []string
+	cases      int
 }
 
 // request is one of a client.
-type sent struct {
+type clientRequest struct {
 	try, method, uri, body string
 	chunked                bool
 }
 
 // kinds of requests, by name. What a backend does with one its path says.
-var sentKinds = []sent{
+var requestKinds = []clientRequest{
 	{method: "GET", uri: "/safe/length"},
 	{method: "GET", uri: "/safe/chunked"},
 	{method: "POST", uri: "/unsafe/length", body: "book one seat"},
 	{method: "POST", uri: "/unsafe/chunked", body: "book one seat", chunked: true},
 	{method: "POST", uri: "/unsafe/full", body: "book one seat"},
-	{method: "PUT", uri: "/unsafe/upload", body: strings.Repeat("0123456789abcdef", longBody/16+100)},
+	{method: "PUT", uri: "/unsafe/upload", body: strings.Repeat("0123456789abcdef", maxImmediateBody/16+100)},
 }
 
-func newPath(t testing.TB, plant func(*Sender)) *path {
-	p := &path{t: t, plant: plant, asked: map[string]sent{}, runs: map[string][]ran{}}
+func newRequestPath(t testing.TB, injectBug func(*Sender)) *requestPath {
+	p := &requestPath{t: t, injectBug: injectBug, sent: map[string]clientRequest{}, runs: map[string][]backendRun{}}
 	var gates []string
 	for i := range 2 {
-		n := &node{host: inbound.NewHost(inbound.Rules{BeatEvery: time.Hour}, 1<<20, transport.NewByteBudget(1<<30), func() {})}
-		n.backend = p.linkTo(p.listen(func(l net.Listener) { (&http.Server{Handler: http.HandlerFunc(p.work)}).Serve(l) }), uint64(i))
-		n.host.With(func(now time.Duration, g *inbound.Gate) bool {
+		node := &gateNode{host: inbound.NewHost(inbound.Rules{BeatEvery: time.Hour}, 1<<20, transport.NewByteBudget(1<<30), func() {})}
+		node.backendLink = p.relayTo(p.listen(func(l net.Listener) { (&http.Server{Handler: http.HandlerFunc(p.serveBackend)}).Serve(l) }), uint64(i))
+		node.host.With(func(now time.Duration, g *inbound.Gate) bool {
 			g.Named(1)
-			return g.Vouch(now, 0, transport.Backend{ID: fmt.Sprint("b", i), Service: "s", Zone: "z", Capacity: 64, Address: n.backend.Address(), Calls: 1})
+			return g.Vouch(now, 0, transport.Backend{ID: fmt.Sprint("b", i), Service: "s", Zone: "z", Capacity: 64, Address: node.backendLink.Address(), Calls: 1})
 		})
-		n.link = p.linkTo(p.listen(func(l net.Listener) { serveGate(l, n.host) }), uint64(i))
-		p.nodes, gates = append(p.nodes, n), append(gates, n.link.Address())
+		node.gateLink = p.relayTo(p.listen(func(l net.Listener) { serveGate(l, node.host) }), uint64(i))
+		p.nodes, gates = append(p.nodes, node), append(gates, node.gateLink.Address())
 	}
-	p.sender = sender(t.(*testing.T), gates...)
-	limits(p.sender)
-	p.client = p.linkTo(p.listen(func(l net.Listener) { p.clientServer().Serve(l) }), 9)
+	p.sender = newTestSender(t.(*testing.T), gates...)
+	raiseBodyLimit(p.sender)
+	p.clientLink = p.relayTo(p.listen(func(l net.Listener) { p.clientServer().Serve(l) }), 9)
 	return p
 }
 
@@ -94,10 +94,10 @@
 // clientServer serves clients. A connection belongs to the sender that is there when it is accepted,
 // as it belongs to a process: a doubled request that is read once the sender was made anew meets the
 // one that remembers its id.
-func (p *path) clientServer() *http.Server {
+func (p *requestPath) clientServer() *http.Server {
 	return &http.Server{
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
-			return context.WithValue(ctx, senderKey{}, p.current())
+			return context.WithValue(ctx, senderKey{}, p.currentSender())
 		},
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			r.Context().Value(senderKey{}).(*Sender).ServeHTTP(w, r)
@@ -106,12 +106,12 @@
 }
 
 // limits lets long bodies pass, which the other tests' configuration does not.
-func limits(s *Sender) {
+func raiseBodyLimit(s *Sender) {
 	patch := `{"add":{"items":[{"item_kind":"limits","metadata":{"version":"2"},"body":{"header_bytes":16384,"body_bytes":1000000,"header_wait":"3s","idle":"15s"}}]}}`
-	change(s, patch)
+	applyPatch(s, patch)
 }
 
-func (p *path) listen(serve func(net.Listener)) string {
+func (p *requestPath) listen(serve func(net.Listener)) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(p.t, err)
 	p.t.Cleanup(func() { l.Close() })
@@ -119,7 +119,7 @@
 	return l.Addr().String()
 }
 
-func (p *path) linkTo(address string, seed uint64) *relay.Link {
+func (p *requestPath) relayTo(address string, seed uint64) *relay.Link {
 	l, err := relay.Listen("127.0.0.1:0", address, seed)
 	require.NoError(p.t, err)
 	p.t.Cleanup(func() { l.Close() })
@@ -144,26 +144,26 @@
 	}
 }
 
-func (p *path) current() *Sender {
+func (p *requestPath) currentSender() *Sender {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sender
 }
 
 // forget makes the sender anew: what it learnt of gates that broke is not the matter here.
-func (p *path) forget() {
+func (p *requestPath) resetSender() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.sender
-	p.sender = New(old.set, old.host, old.links, old.budget, old.log)
-	p.sender.SetView(old.View())
-	if p.plant != nil {
-		p.plant(p.sender)
+	previous := p.sender
+	p.sender = New(previous.settings, previous.localGate, previous.gateConns, previous.bodyBudget, previous.log)
+	p.sender.SetView(previous.View())
+	if p.injectBug != nil {
+		p.injectBug(p.sender)
 	}
 }
 
 // work is what a backend does with a request.
-func (p *path) work(w http.ResponseWriter, r *http.Request) {
+func (p *requestPath) serveBackend(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return // it is not whole
@@ -177,7 +177,7 @@
 	}
 	p.mu.Lock()
 	answer := fmt.Sprintf("answer %d to %s", len(p.runs[try]), try)
-	p.runs[try] = append(p.runs[try], ran{r.Method, r.RequestURI, r.Header.Get(inbound.CallerHeader), string(body), answer})
+	p.runs[try] = append(p.runs[try], backendRun{r.Method, r.RequestURI, r.Header.Get(inbound.CallerHeader), string(body), answer})
 	p.mu.Unlock()
 	w.Header().Set(inbound.SealHeader, answer)
 	io.WriteString(w, answer[:5])
@@ -188,90 +188,90 @@
 }
 
 // write puts a request on a client's connection.
-func (q *sent) write(c net.Conn, left time.Duration) error {
+func (r *clientRequest) writeTo(c net.Conn, remaining time.Duration) error {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: d\r\n%s: %s\r\n%s: %d\r\n%s: forged\r\n", q.method, q.uri, inbound.TryHeader, q.try,
-		inbound.LeftHeader, left.Milliseconds(), inbound.CallerHeader)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: d\r\n%s: %s\r\n%s: %d\r\n%s: forged\r\n", r.method, r.uri, inbound.TryHeader, r.try,
+		inbound.LeftHeader, remaining.Milliseconds(), inbound.CallerHeader)
 	switch {
-	case q.chunked:
-		fmt.Fprintf(&b, "Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", 4, q.body[:4], len(q.body)-4, q.body[4:])
+	case r.chunked:
+		fmt.Fprintf(&b, "Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", 4, r.body[:4], len(r.body)-4, r.body[4:])
 	default:
-		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(q.body), q.body)
+		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(r.body), r.body)
 	}
 	_, err := c.Write(b.Bytes())
 	return err
 }
 
 // ask sends a request and judges its answer. The status is 0 where there is no whole one.
-func (p *path) ask(c net.Conn, r *bufio.Reader, q sent, left time.Duration) int {
-	if q.write(c, left) != nil {
+func (p *requestPath) sendAndCheck(conn net.Conn, reader *bufio.Reader, request clientRequest, remaining time.Duration) int {
+	if request.writeTo(conn, remaining) != nil {
 		return 0
 	}
-	resp, err := http.ReadResponse(r, &http.Request{Method: q.method})
+	resp, err := http.ReadResponse(reader, &http.Request{Method: request.method})
 	if err != nil {
 		return 0
 	}
-	text, err := io.ReadAll(resp.Body)
+	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	runs := p.runs[q.try]
-	unsafe := strings.HasPrefix(q.uri, "/unsafe/")
-	if resp.StatusCode/100 == 2 && !slices.ContainsFunc(runs, func(run ran) bool {
-		return run.answer == string(text) && resp.Header.Get(inbound.SealHeader) == run.answer && resp.Header.Get(inbound.TryHeader) == q.try
+	runs := p.runs[request.try]
+	unsafe := strings.HasPrefix(request.uri, "/unsafe/")
+	if resp.StatusCode/100 == 2 && !slices.ContainsFunc(runs, func(run backendRun) bool {
+		return run.answer == string(body) && resp.Header.Get(inbound.SealHeader) == run.answer && resp.Header.Get(inbound.TryHeader) == request.try
 	}) {
-		p.breach("MIXED", q, "%d %q, made were %q", resp.StatusCode, text, runs)
+		p.addViolation("MIXED", request, "%d %q, made were %q", resp.StatusCode, body, runs)
 	}
-	if unsafe && promises(resp.StatusCode) && len(runs) > 0 {
-		p.breach("REFUSED", q, "%d, and it ran", resp.StatusCode)
+	if unsafe && promisesNotRun(resp.StatusCode) && len(runs) > 0 {
+		p.addViolation("REFUSED", request, "%d, and it ran", resp.StatusCode)
 	}
 	return resp.StatusCode
 }
 
-func (p *path) hasFound() bool {
+func (p *requestPath) hasViolations() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.found) > 0
+	return len(p.violations) > 0
 }
 
-func (p *path) breach(rule string, q sent, format string, args ...any) {
-	q.body = fmt.Sprint(len(q.body), " bytes")
-	p.found = append(p.found, fmt.Sprintf("%s: %+v: ", rule, q)+fmt.Sprintf(format, args...))
+func (p *requestPath) addViolation(rule string, request clientRequest, format string, args ...any) {
+	request.body = fmt.Sprint(len(request.body), " bytes")
+	p.violations = append(p.violations, fmt.Sprintf("%s: %+v: ", rule, request)+fmt.Sprintf(format, args...))
 }
 
 // settle judges what reached backends, of all that was sent.
-func (p *path) settle() {
+func (p *requestPath) checkRuns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for try, runs := range p.runs {
-		q, known := p.asked[try]
+		request, known := p.sent[try]
 		for _, run := range runs {
-			if !known || run.method != q.method || run.uri != q.uri || run.body != q.body || run.caller != "caller" {
-				p.breach("UNASKED", q, "%s ran as %s %s of %s, %d bytes", try, run.method, run.uri, run.caller, len(run.body))
+			if !known || run.method != request.method || run.uri != request.uri || run.body != request.body || run.caller != "caller" {
+				p.addViolation("UNASKED", request, "%s ran as %s %s of %s, %d bytes", try, run.method, run.uri, run.caller, len(run.body))
 			}
 		}
-		if len(runs) > 1 && strings.HasPrefix(q.uri, "/unsafe/") {
-			p.breach("TWICE", q, "ran %d times", len(runs))
+		if len(runs) > 1 && strings.HasPrefix(request.uri, "/unsafe/") {
+			p.addViolation("TWICE", request, "ran %d times", len(runs))
 		}
 	}
 }
 
 // hop is one direction of one of the links.
 type hop struct {
-	name      string
-	links     []*relay.Link
-	direction relay.Direction
-	doubles   bool // bytes that come twice are somebody's fault here, not the network's
+	name                string
+	links               []*relay.Link
+	direction           relay.Direction
+	toleratesDuplicates bool // bytes that come twice are somebody's fault here, not the network's
 }
 
-func (p *path) hops() []hop {
+func (p *requestPath) hops() []hop {
 	var links, backends []*relay.Link
 	for _, n := range p.nodes {
-		links, backends = append(links, n.link), append(backends, n.backend)
+		links, backends = append(links, n.gateLink), append(backends, n.backendLink)
 	}
-	clients := []*relay.Link{p.client}
+	clients := []*relay.Link{p.clientLink}
 	return []hop{
 		{"from client", clients, relay.ToServer, true}, {"to client", clients, relay.ToClient, false},
 		{"to gate", links, relay.ToServer, true}, {"from gate", links, relay.ToClient, true},
@@ -281,61 +281,61 @@
 
 // mayDouble says whether bytes that come twice on a hop leave the request what it was: in a long
 // body of a client's they make it another.
-func (h *hop) mayDouble(p *path, kind sent) bool {
-	return h.doubles && (h.links[0] != p.client || len(kind.body) <= longBody)
+func (h *hop) allowsDuplicates(p *requestPath, kind clientRequest) bool {
+	return h.toleratesDuplicates && (h.links[0] != p.clientLink || len(kind.body) <= maxImmediateBody)
 }
 
 // disturb has a fault meet what next goes over a hop.
-func (h *hop) disturb(f relay.Fault) {
+func (h *hop) injectFault(fault relay.Fault) {
 	for _, l := range h.links {
-		l.Next(h.direction, f)
+		l.Next(h.direction, fault)
 	}
 }
 
 // calm takes back what has met nothing, and says whether the fault met something.
-func (h *hop) calm() bool {
-	met := false
+func (h *hop) clearFaults() bool {
+	triggered := false
 	for _, l := range h.links {
-		met = l.Clear() == 0 || met
+		triggered = l.Clear() == 0 || triggered
 	}
-	return met
+	return triggered
 }
 
 // play breaks a hop at bytes that are a stride apart, once for each, under one kind of request, on
 // connections that are new or kept. After each break requests must get their own answers again, on
 // the client's connection too if that is there still.
-func (p *path) play(rng *rand.Rand, h hop, kind sent, f relay.Fault, left time.Duration, stride int) {
-	name := func(q sent) sent {
-		q.try = fmt.Sprintf("%016x", rng.Uint64())
+func (p *requestPath) breakHop(rng *rand.Rand, h hop, kind clientRequest, fault relay.Fault, remaining time.Duration, stride int) {
+	withNewID := func(request clientRequest) clientRequest {
+		request.try = fmt.Sprintf("%016x", rng.Uint64())
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.asked[q.try] = q
-		return q
+		p.sent[request.try] = request
+		return request
 	}
-	patience := 5 * time.Second
-	if f.Action == relay.Silence && h.links[0] == p.client {
-		patience = 4 * left // nobody else ends the wait there
+	timeout := 5 * time.Second
+	if fault.Action == relay.Silence && h.links[0] == p.clientLink {
+		timeout = 4 * remaining // nobody else ends the wait there
 	}
-	for f.After = rng.IntN(stride); !p.hasFound(); f.After += stride {
-		p.forget()
-		c, err := net.Dial("tcp4", p.client.Address())
+	for fault.After = rng.IntN(stride); !p.hasViolations(); fault.After += stride {
+		p.resetSender()
+		conn, err := net.Dial("tcp4", p.clientLink.Address())
 		require.NoError(p.t, err)
-		c.SetDeadline(time.Now().Add(patience))
-		r := bufio.NewReader(c)
+		conn.SetDeadline(time.Now().Add(timeout))
+		reader := bufio.NewReader(conn)
 		if rng.IntN(2) == 0 {
-			p.ask(c, r, name(sentKinds[0]), time.Second)
+			p.sendAndCheck(conn, reader, withNewID(requestKinds[0]), time.Second)
 		}
-		h.disturb(f)
-		status := p.ask(c, r, name(kind), left)
-		met := h.calm()
-		sentTwice := f.Action == relay.Duplicate && h.links[0] == p.client // and has two answers, by right
-		if status != 0 && !sentTwice {
-			p.ask(c, r, name(sentKinds[0]), time.Second)
+		h.injectFault(fault)
+		status := p.sendAndCheck(conn, reader, withNewID(kind), remaining)
+		triggered := h.clearFaults()
+		duplicated := fault.Action == relay.Duplicate && h.links[0] == p.clientLink // and has two answers, by right
+		if status != 0 && !duplicated {
+			p.sendAndCheck(conn, reader, withNewID(requestKinds[0]), time.Second)
 		}
-		p.recover(name)
-		c.Close()
+		p.awaitRecovery(withNewID)
+		conn.Close()
 		p.cases++
-		if !met || f.Action == relay.Duplicate {
+		if !triggered || fault.Action == relay.Duplicate {
 			return // the hop carries no more bytes
 		}
 	}
@@ -343,127 +343,127 @@
 
 // recover has requests of a new client served once all is well. What is not safe may meet one more
 // connection that has been broken unheard, so there are several tries of it.
-func (p *path) recover(name func(sent) sent) {
+func (p *requestPath) awaitRecovery(withNewID func(clientRequest) clientRequest) {
 	statuses := []int{}
-	for end := time.Now().Add(recoverWithin); time.Now().Before(end) && !p.hasFound(); {
-		p.forget()
-		c, err := net.Dial("tcp4", p.client.Address())
+	for deadline := time.Now().Add(recoveryTimeout); time.Now().Before(deadline) && !p.hasViolations(); {
+		p.resetSender()
+		conn, err := net.Dial("tcp4", p.clientLink.Address())
 		require.NoError(p.t, err)
-		c.SetDeadline(time.Now().Add(5 * time.Second))
-		r := bufio.NewReader(c)
-		first, second := p.ask(c, r, name(sentKinds[0]), time.Second), p.ask(c, r, name(sentKinds[2]), time.Second)
-		c.Close()
+		conn.SetDeadline(time.Now().Add(5 * time.Second))
+		reader := bufio.NewReader(conn)
+		first, second := p.sendAndCheck(conn, reader, withNewID(requestKinds[0]), time.Second), p.sendAndCheck(conn, reader, withNewID(requestKinds[2]), time.Second)
+		conn.Close()
 		if first == 200 && second == 200 {
 			return
 		}
 		statuses = append(statuses, first, second)
 	}
-	if p.hasFound() {
+	if p.hasViolations() {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.breach("NOT SERVED", sent{}, "after a fault: %d", statuses)
+	p.addViolation("NOT SERVED", clientRequest{}, "after a fault: %d", statuses)
 }
 
 // everyFault is what each byte meets.
-var everyFault = []relay.Action{relay.Reset, relay.Truncate, relay.Duplicate}
+var allFaults = []relay.Action{relay.Reset, relay.Truncate, relay.Duplicate}
 
 // broken plays all hops, kinds and faults, and returns the rules that were broken.
-func broken(t testing.TB, seed uint64, stride int, plant func(*Sender), faults ...relay.Action) []string {
-	p := newPath(t, plant)
+func findViolations(t testing.TB, seed uint64, stride int, injectBug func(*Sender), faults ...relay.Action) []string {
+	p := newRequestPath(t, injectBug)
 	rng := rand.New(rand.NewPCG(seed, 7))
 	for _, h := range p.hops() {
-		for _, kind := range sentKinds {
-			step := stride
-			if len(kind.body) > longBody && h.direction == relay.ToServer {
-				step *= 101 // of so many bytes few differ
+		for _, kind := range requestKinds {
+			hopStride := stride
+			if len(kind.body) > maxImmediateBody && h.direction == relay.ToServer {
+				hopStride *= 101 // of so many bytes few differ
 			}
 			for _, action := range faults {
-				if action != relay.Duplicate || h.mayDouble(p, kind) {
-					p.play(rng, h, kind, relay.Fault{Action: action}, time.Second, step)
+				if action != relay.Duplicate || h.allowsDuplicates(p, kind) {
+					p.breakHop(rng, h, kind, relay.Fault{Action: action}, time.Second, hopStride)
 				}
 			}
 		}
 	}
-	p.settle()
+	p.checkRuns()
 	p.mu.Lock() // what was sent twice may still be at work
 	defer p.mu.Unlock()
-	t.Logf("%d faults, %d requests, %d ran", p.cases, len(p.asked), len(p.runs))
-	return slices.Clone(p.found)
+	t.Logf("%d faults, %d requests, %d ran", p.cases, len(p.sent), len(p.runs))
+	return slices.Clone(p.violations)
 }
 
 // TestEveryByte breaks each hop of a request's way at bytes a stride apart, and judges by what
 // clients and backends saw: MIXED, REFUSED, TWICE, UNASKED.
 func TestEveryByte(t *testing.T) {
-	require.Empty(t, broken(t, 1, *strideFlag, nil, everyFault...))
+	require.Empty(t, findViolations(t, 1, *strideFlag, nil, allFaults...))
 }
 
 // TestSilentHops has bytes swallowed on each hop until the client's time is over.
 func TestSilentHops(t *testing.T) {
-	for i, kind := range sentKinds {
+	for i, kind := range requestKinds {
 		t.Run(kind.uri, func(t *testing.T) {
 			t.Parallel()
-			p := newPath(t, nil)
+			p := newRequestPath(t, nil)
 			rng := rand.New(rand.NewPCG(uint64(i), 8))
 			for _, h := range p.hops() {
-				p.play(rng, h, kind, relay.Fault{Action: relay.Silence}, 60*time.Millisecond, 100*(1+len(kind.body)/100))
+				p.breakHop(rng, h, kind, relay.Fault{Action: relay.Silence}, 60*time.Millisecond, 100*(1+len(kind.body)/100))
 			}
-			p.settle()
-			require.Empty(t, p.found)
+			p.checkRuns()
+			require.Empty(t, p.violations)
 		})
 	}
 }
 
 // careless is an exchange as it must not be: its connections are used again whatever is left on
 // them, and a reply is that to whatever was asked last.
-func careless(s *Sender) {
+func reuseDirtyConns(s *Sender) {
 	var mu sync.Mutex
-	kept := map[transport.Endpoint]*transport.Conn{}
-	s.send = func(j *job, gate transport.Endpoint, ask *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
+	conns := map[transport.Endpoint]*transport.Conn{}
+	s.sendRemote = func(p *pendingRequest, gate transport.Endpoint, request *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
 		mu.Lock()
 		defer mu.Unlock()
-		c := kept[gate]
-		if c == nil {
-			c, _ = transport.Dial(context.Background(), transport.Exchange, "", gate.Address)
-			kept[gate] = c
+		conn := conns[gate]
+		if conn == nil {
+			conn, _ = transport.Dial(context.Background(), transport.Exchange, "", gate.Address)
+			conns[gate] = conn
 		}
 		var reply transport.Reply
-		var text []byte
-		ask.Number, ask.Sum = c.NextNumber(), transport.Sum(j.body)
-		c.SetDeadline(j.deadline)
-		err := c.Send(ask, j.body)
+		var body []byte
+		request.Number, request.Sum = conn.NextNumber(), transport.Sum(p.body)
+		conn.SetDeadline(p.deadline)
+		err := conn.Send(request, p.body)
 		if err == nil {
-			err = c.Receive(&reply)
+			err = conn.Receive(&reply)
 		}
 		if err == nil {
-			text, err = c.Body(reply.Body, mostAnswer)
+			body, err = conn.Body(reply.Body, maxResponseBytes)
 		}
 		if err != nil {
-			c.Close()
-			delete(kept, gate)
+			conn.Close()
+			delete(conns, gate)
 			return nil, nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Broken, Cause: err}
 		}
-		return &reply, text, nil
+		return &reply, body, nil
 	}
 }
 
 // hopeful takes what a broken connection leaves open for not run.
-func hopeful(s *Sender) {
-	exchange := s.send
-	s.send = func(j *job, gate transport.Endpoint, ask *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
-		reply, text, f := exchange(j, gate, ask)
-		if f != nil && f.Reason == transport.Broken {
-			f.Verdict = transport.NotRun
+func treatBrokenAsNotRun(s *Sender) {
+	sendRemote := s.sendRemote
+	s.sendRemote = func(p *pendingRequest, gate transport.Endpoint, request *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
+		reply, body, failure := sendRemote(p, gate, request)
+		if failure != nil && failure.Reason == transport.Broken {
+			failure.Verdict = transport.NotRun
 		}
-		return reply, text, f
+		return reply, body, failure
 	}
 }
 
 func TestEveryByteFindsWhatIsPlanted(t *testing.T) {
-	const unread, again = "a connection with bytes unread is used again", "unsafe work is sent again after a reset"
-	plants := map[string]func(*Sender){unread: careless, again: hopeful}
-	faults := map[string]relay.Action{unread: relay.Duplicate, again: relay.Reset} // those that the plant can fail at
-	mutation.Each(t, map[string]string{unread: "MIXED", again: "TWICE|REFUSED"}, 40,
-		func(seed uint64, bug string) []string { return broken(t, seed, 60, plants[bug], faults[bug]) })
+	const dirtyReuse, unsafeResend = "a connection with bytes unread is used again", "unsafe work is sent again after a reset"
+	bugs := map[string]func(*Sender){dirtyReuse: reuseDirtyConns, unsafeResend: treatBrokenAsNotRun}
+	faults := map[string]relay.Action{dirtyReuse: relay.Duplicate, unsafeResend: relay.Reset} // those that the plant can fail at
+	mutation.Each(t, map[string]string{dirtyReuse: "MIXED", unsafeResend: "TWICE|REFUSED"}, 40,
+		func(seed uint64, bug string) []string { return findViolations(t, seed, 60, bugs[bug], faults[bug]) })
 }
--- a/internal/mesh/outbound/attempt.go
+++ b/internal/mesh/outbound/attempt.go
@@ -9,147 +9,147 @@
 )
 
 // leastFull is how long a gate which refused is passed by at least: it costs a message to ask.
-const leastFull = 20 * time.Millisecond
+const minRefusalBackoff = 20 * time.Millisecond
 
 // attempt is one that is under way for a request.
-type attempt struct {
-	n      int
-	server policy.ServerID
-	to     *target // nil: it went nowhere
-	began  time.Time
-	reply  *transport.Reply
-	body   []byte
-	fail   *transport.Failure
+type backendAttempt struct {
+	number    int
+	server    policy.ServerID
+	target    *backendTarget // nil: it went nowhere
+	startedAt time.Time
+	reply     *transport.Reply
+	body      []byte
+	failure   *transport.Failure
 }
 
 // refuse ends an attempt that went nowhere.
-func (at *attempt) refuse(reason transport.Reason) *attempt {
-	at.fail = &transport.Failure{Verdict: transport.NotRun, Reason: reason}
-	return at
+func (attempt *backendAttempt) failNotRun(reason transport.Reason) *backendAttempt {
+	attempt.failure = &transport.Failure{Verdict: transport.NotRun, Reason: reason}
+	return attempt
 }
 
 // attempt hands the request to a gate and waits for what comes of it.
-func (s *Sender) attempt(j *job, a policy.Action, t *target, n int) *attempt {
-	at := &attempt{n: n, server: a.Server, to: t, began: time.Now()}
-	left := j.deadline.Sub(at.began)
+func (s *Sender) runAttempt(p *pendingRequest, action policy.Action, target *backendTarget, number int) *backendAttempt {
+	attempt := &backendAttempt{number: number, server: action.Server, target: target, startedAt: time.Now()}
+	remaining := p.deadline.Sub(attempt.startedAt)
 	switch {
-	case t == nil:
-		return at.refuse(transport.Unknown)
-	case j.isExpired() || left <= 0:
-		return at.refuse(transport.Late)
-	case j.isOver() || j.clientGone():
-		return at.refuse(transport.Cancelled)
-	case !j.mayStart():
-		return at.refuse(transport.Own) // the route's tries are used up, or it may have run
-	}
-	s.Count.Attempts.Add(1)
-	ask := j.request
-	if ask.Repeat = j.repeated || n > 0; n > 0 {
-		s.Count.Repeats.Add(1)
-	}
-	ask.Target, ask.Life, ask.Left, ask.Aim = t.backend, t.life, j.backendTime(at.began), j.aim.Sub(at.began)
-	if t.local {
-		s.Count.Local.Add(1)
-		at.reply, at.body, at.fail = s.local(j, &ask)
+	case target == nil:
+		return attempt.failNotRun(transport.Unknown)
+	case p.isCutByShutdown() || remaining <= 0:
+		return attempt.failNotRun(transport.Late)
+	case p.isFinished() || p.checkClientLeft():
+		return attempt.failNotRun(transport.Cancelled)
+	case !p.reserveAttempt():
+		return attempt.failNotRun(transport.Own) // the route's tries are used up, or it may have run
+	}
+	s.Counters.Attempts.Add(1)
+	request := p.request
+	if request.Repeat = p.parentRepeated || number > 0; number > 0 {
+		s.Counters.RepeatedAttempts.Add(1)
+	}
+	request.Target, request.Life, request.Left, request.Aim = target.backendID, target.gateIncarnation, p.backendTimeLeft(attempt.startedAt), p.answerTarget.Sub(attempt.startedAt)
+	if target.local {
+		s.Counters.LocalAttempts.Add(1)
+		attempt.reply, attempt.body, attempt.failure = s.sendLocal(p, &request)
 	} else {
-		at.reply, at.body, at.fail = s.send(j, transport.Endpoint{Address: t.gate, Life: t.life}, &ask)
+		attempt.reply, attempt.body, attempt.failure = s.sendRemote(p, transport.Endpoint{Address: target.gateAddress, Life: target.gateIncarnation}, &request)
 	}
-	if at.reply != nil && at.reply.Verdict != transport.Ran {
-		at.fail = &transport.Failure{Verdict: at.reply.Verdict, Reason: at.reply.Reason, After: at.reply.After}
+	if attempt.reply != nil && attempt.reply.Verdict != transport.Ran {
+		attempt.failure = &transport.Failure{Verdict: attempt.reply.Verdict, Reason: attempt.reply.Reason, After: attempt.reply.After}
 	}
-	j.excuse(at)
-	if at.fail != nil && at.fail.Verdict == transport.NotRun {
-		j.provedNotRun(at.reply != nil && at.reply.Arrived)
+	p.markCancelled(attempt)
+	if attempt.failure != nil && attempt.failure.Verdict == transport.NotRun {
+		p.recordNotRun(attempt.reply != nil && attempt.reply.Arrived)
 	}
-	return at
+	return attempt
 }
 
 // backendTime is how long a backend that gets the request now may work on it.
-func (j *job) backendTime(now time.Time) time.Duration {
-	left := j.deadline.Sub(now)
-	if j.doneBy.IsZero() {
-		return left
+func (p *pendingRequest) backendTimeLeft(now time.Time) time.Duration {
+	remaining := p.deadline.Sub(now)
+	if p.backendDeadline.IsZero() {
+		return remaining
 	}
-	return max(min(left, j.doneBy.Sub(now)), time.Millisecond)
+	return max(min(remaining, p.backendDeadline.Sub(now)), time.Millisecond)
 }
 
 // local hands a request to the gate on this machine. Danger: a backend that is silent would have the process end with the request
 // unanswered, so it is waited for only until then. Where a client has left, the gate knows what ends and what goes on.
-func (s *Sender) local(j *job, ask *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
-	type answer struct {
+func (s *Sender) sendLocal(p *pendingRequest, request *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
+	type localReply struct {
 		reply *transport.Reply
 		body  []byte
 	}
-	caller := localCaller{Caller: inbound.Caller{Look: j.clientGone}}
-	if !j.enter(&caller) {
+	caller := localCaller{Caller: inbound.Caller{Look: p.checkClientLeft}}
+	if !p.addWaiter(&caller) {
 		return nil, nil, &transport.Failure{Verdict: transport.NotRun, Reason: transport.Cancelled}
 	}
-	defer j.leave(&caller)
-	came := make(chan answer, 1)
+	defer p.removeWaiter(&caller)
+	replies := make(chan localReply, 1)
 	go func() {
-		reply, body := s.host.Handle(&caller.Caller, ask, j.body)
-		came <- answer{reply, body}
+		reply, body := s.localGate.Handle(&caller.Caller, request, p.body)
+		replies <- localReply{reply, body}
 	}()
 	select {
-	case a := <-came:
-		return a.reply, a.body, nil
-	case <-j.over:
+	case r := <-replies:
+		return r.reply, r.body, nil
+	case <-p.done:
 	}
-	if !j.hasLeft() {
+	if !p.clientLeft() {
 		return nil, nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Silent}
 	}
-	a := <-came
-	return a.reply, a.body, nil
+	r := <-replies
+	return r.reply, r.body, nil
 }
 
 // localCaller is a job as the caller of the gate on this machine.
 type localCaller struct{ inbound.Caller }
 
-func (c *localCaller) withdraw(bool) { c.Leave() }
+func (c *localCaller) cancel(bool) { c.Leave() }
 
 // copy carries out an attempt beside one that is out.
-func (s *Sender) copy(j *job, a policy.Action, t *target) {
-	at := s.attempt(j, a, t, j.started())
-	if s.ended(j, at) {
-		j.win(at)
+func (s *Sender) runHedge(p *pendingRequest, action policy.Action, target *backendTarget) {
+	attempt := s.runAttempt(p, action, target, p.nextAttemptNumber())
+	if s.reportAttempt(p, attempt) {
+		p.setWinner(attempt)
 	}
 }
 
 // ended tells the chooser how an attempt ended, and whether that is the request's answer.
-func (s *Sender) ended(j *job, at *attempt) (answered bool) {
-	how, load, after := policy.OK, policy.Load{}, time.Duration(0)
+func (s *Sender) reportAttempt(p *pendingRequest, attempt *backendAttempt) (answered bool) {
+	outcome, load, retryAfter := policy.OK, policy.Load{}, time.Duration(0)
 	switch {
-	case at.fail != nil:
-		s.Count.unanswered(at.fail)
-		how, after = outcomeOf(at.fail), max(at.fail.After, leastFull)
-	case at.reply.Status >= 500 && at.reply.Inner:
-		how = policy.Cancelled // danger: were it the backend's fault, a service that is out would take out all that call it
-	case at.reply.Status >= 500:
-		how = policy.Error
-	}
-	if at.reply != nil {
-		load = loadOf(&at.reply.Load)
-	}
-	j.record(at, how)
-	final := at.fail == nil && (how == policy.OK || how == policy.Cancelled) // nor would another backend's calls fare better
-	j.chooser.outcome(j.call, at.n, at.server, how, load, after, at.reply != nil && at.reply.Arrived, final || j.owesNothing())
-	return final
+	case attempt.failure != nil:
+		s.Counters.countUnanswered(attempt.failure)
+		outcome, retryAfter = policyOutcome(attempt.failure), max(attempt.failure.After, minRefusalBackoff)
+	case attempt.reply.Status >= 500 && attempt.reply.Inner:
+		outcome = policy.Cancelled // danger: were it the backend's fault, a service that is out would take out all that call it
+	case attempt.reply.Status >= 500:
+		outcome = policy.Error
+	}
+	if attempt.reply != nil {
+		load = policyLoad(&attempt.reply.Load)
+	}
+	p.recordAttempt(attempt, outcome)
+	isFinal := attempt.failure == nil && (outcome == policy.OK || outcome == policy.Cancelled) // nor would another backend's calls fare better
+	p.balancer.reportOutcome(p.balanced, attempt.number, attempt.server, outcome, load, retryAfter, attempt.reply != nil && attempt.reply.Arrived, isFinal || p.isSettled())
+	return isFinal
 }
 
 // record keeps how an attempt ended.
-func (j *job) record(at *attempt, how policy.Outcome) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if how != policy.OK && (j.last == nil || j.last.fail != nil && (at.fail == nil || j.last.fail.Verdict == transport.NotRun)) {
-		j.last = at
+func (p *pendingRequest) recordAttempt(attempt *backendAttempt, outcome policy.Outcome) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if outcome != policy.OK && (p.fallback == nil || p.fallback.failure != nil && (attempt.failure == nil || p.fallback.failure.Verdict == transport.NotRun)) {
+		p.fallback = attempt
 	}
-	if how != policy.OK || j.attempts > 1 {
-		j.step(at)
+	if outcome != policy.OK || p.attemptsStarted > 1 {
+		p.appendTrace(attempt)
 	}
 }
 
 // outcomeOf translates a verdict for the module.
-func outcomeOf(f *transport.Failure) policy.Outcome {
+func policyOutcome(f *transport.Failure) policy.Outcome {
 	switch {
 	case f.Verdict == transport.NotRun && f.Reason == transport.Unreachable:
 		return policy.ConnectFailed
--- a/internal/mesh/outbound/chooser_test.go
+++ b/internal/mesh/outbound/chooser_test.go
@@ -13,32 +13,32 @@
 )
 
 // asked is a request as its client sees it: what the chooser ordered, and how that went.
-type asked struct {
-	*call
-	unsafe, ended bool
-	sent          []policy.ServerID
-	out           []int // attempts under way
-	ran           int   // attempts that ran, or may have
-	turnedAway    int   // arrivals that the backend itself did not run
+type modelRequest struct {
+	*balancedRequest
+	unsafe, ended     bool
+	targets           []policy.ServerID
+	inFlight          []int // attempts under way
+	possibleRuns      int   // attempts that ran, or may have
+	backendRejections int   // arrivals that the backend itself did not run
 }
 
 // load drives a chooser with the decision module as it is, and checks each order.
-type load struct {
+type loadModel struct {
 	*require.Assertions
-	r            *rand.Rand
-	c            *chooser
-	set          policy.Settings
-	open         []*asked
-	by           map[policy.RequestID]*asked
-	targets      map[policy.ServerID]bool
-	taken, extra []time.Time
-	counted      map[string]int
+	rng               *rand.Rand
+	balancer          *serviceBalancer
+	settings          policy.Settings
+	active            []*modelRequest
+	requests          map[policy.RequestID]*modelRequest
+	targets           map[policy.ServerID]bool
+	accepted, repeats []time.Time
+	counts            map[string]int
 }
 
 // within counts what happened in a span that began so long ago.
-func within(list []time.Time, ago, span time.Duration) (n float64) {
-	for _, at := range list {
-		if since := time.Since(at); since < ago && since >= ago-span {
+func countWithin(times []time.Time, startAge, span time.Duration) (n float64) {
+	for _, at := range times {
+		if age := time.Since(at); age < startAge && age >= startAge-span {
 			n++
 		}
 	}
@@ -47,135 +47,135 @@
 
 // sends checks an order to send: the one place where a request leaves. The rule on the budget is
 // counted as RULES.md words it.
-func (l *load) sends(k *asked, a policy.Action, t *target) {
-	l.counted["sent"]++
-	l.True(t != nil && l.targets[t.id], "ROUTE, DRAIN: sent to who is not there, or no longer ready")
-	l.False(k.unsafe && k.ran+len(k.out) > 0, "TWICE: sent again although it may have run")
-	l.False(k.ended || len(k.out) > 1 || len(k.sent) == l.set.MaxAttempts, "sent after its end, or too often")
-	if k.ran+k.turnedAway+len(k.out) > 0 {
-		l.counted["repeated"]++
-		l.extra = append(l.extra, time.Now())
-		w := l.set.ExtraWindow
-		most := max(within(l.taken, w, w), within(l.taken, 2*w, w), within(l.taken, 3*w/2, w))
-		l.LessOrEqual(within(l.extra, w, w), l.set.ExtraRatio*most+l.set.ExtraFloor, "BUDGET")
+func (l *loadModel) checkSend(request *modelRequest, action policy.Action, target *backendTarget) {
+	l.counts["sent"]++
+	l.True(target != nil && l.targets[target.id], "ROUTE, DRAIN: sent to who is not there, or no longer ready")
+	l.False(request.unsafe && request.possibleRuns+len(request.inFlight) > 0, "TWICE: sent again although it may have run")
+	l.False(request.ended || len(request.inFlight) > 1 || len(request.targets) == l.settings.MaxAttempts, "sent after its end, or too often")
+	if request.possibleRuns+request.backendRejections+len(request.inFlight) > 0 {
+		l.counts["repeated"]++
+		l.repeats = append(l.repeats, time.Now())
+		window := l.settings.ExtraWindow
+		mostAccepted := max(countWithin(l.accepted, window, window), countWithin(l.accepted, 2*window, window), countWithin(l.accepted, 3*window/2, window))
+		l.LessOrEqual(countWithin(l.repeats, window, window), l.settings.ExtraRatio*mostAccepted+l.settings.ExtraFloor, "BUDGET")
 	}
-	k.out = append(k.out, len(k.sent))
-	k.sent = append(k.sent, a.Server)
+	request.inFlight = append(request.inFlight, len(request.targets))
+	request.targets = append(request.targets, action.Server)
 }
 
 // obey carries out what is ordered for a request.
-func (l *load) obey(k *asked) {
-	for a, t, ok := l.c.take(k.call); ok; a, t, ok = l.c.take(k.call) {
-		if a.Kind == policy.ActSend {
-			l.sends(k, a, t)
+func (l *loadModel) carryOutActions(request *modelRequest) {
+	for action, target, ok := l.balancer.nextAction(request.balancedRequest); ok; action, target, ok = l.balancer.nextAction(request.balancedRequest) {
+		if action.Kind == policy.ActSend {
+			l.checkSend(request, action, target)
 			continue
 		}
-		l.counted[map[policy.ActionKind]string{policy.ActRefuse: "refused", policy.ActFail: "failed"}[a.Kind]]++
-		l.False(a.Kind == policy.ActRefuse && k.unsafe && k.ran > 0, "REFUSED: a promise for what may have run")
-		l.False(k.ended || len(k.out) > 0, "a request ended twice, or while an attempt was out that might serve it")
-		k.ended = true
-		l.c.forget(k.call, false)
+		l.counts[map[policy.ActionKind]string{policy.ActRefuse: "refused", policy.ActFail: "failed"}[action.Kind]]++
+		l.False(action.Kind == policy.ActRefuse && request.unsafe && request.possibleRuns > 0, "REFUSED: a promise for what may have run")
+		l.False(request.ended || len(request.inFlight) > 0, "a request ended twice, or while an attempt was out that might serve it")
+		request.ended = true
+		l.balancer.endRequest(request.balancedRequest, false)
 	}
-	l.True(k.ended || len(k.out) > 0, "a request is left without an order")
+	l.True(request.ended || len(request.inFlight) > 0, "a request is left without an order")
 }
 
 // comes ends one attempt of a request.
-func (l *load) comes(k *asked) {
-	i := l.r.IntN(len(k.out))
-	n := k.out[i]
-	k.out = slices.Delete(k.out, i, i+1)
-	how := policy.Outcome(l.r.IntN(int(policy.Moot)+1) * l.r.IntN(2))
-	after := time.Duration(20+l.r.IntN(300)) * time.Millisecond
-	if how != policy.Full && how != policy.ConnectFailed && how != policy.Moot {
-		k.ran++
+func (l *loadModel) endAttempt(request *modelRequest) {
+	i := l.rng.IntN(len(request.inFlight))
+	number := request.inFlight[i]
+	request.inFlight = slices.Delete(request.inFlight, i, i+1)
+	outcome := policy.Outcome(l.rng.IntN(int(policy.Moot)+1) * l.rng.IntN(2))
+	retryAfter := time.Duration(20+l.rng.IntN(300)) * time.Millisecond
+	if outcome != policy.Full && outcome != policy.ConnectFailed && outcome != policy.Moot {
+		request.possibleRuns++
 	}
-	arrived := how == policy.Full && l.r.IntN(3) == 0 // the backend itself had no room
-	if arrived {
-		k.turnedAway++
+	reachedBackend := outcome == policy.Full && l.rng.IntN(3) == 0 // the backend itself had no room
+	if reachedBackend {
+		request.backendRejections++
 	}
-	l.counted[how.String()]++
-	final := how == policy.OK || how == policy.Cancelled
-	l.c.outcome(k.call, n, k.sent[n], how, policy.Load{}, after, arrived, final || k.ended)
-	if !final && !k.ended {
-		l.obey(k)
-	} else if !k.ended { // or it is a copy beside the one that won
-		k.ended = true
-		l.c.forget(k.call, false)
+	l.counts[outcome.String()]++
+	isFinal := outcome == policy.OK || outcome == policy.Cancelled
+	l.balancer.reportOutcome(request.balancedRequest, number, request.targets[number], outcome, policy.Load{}, retryAfter, reachedBackend, isFinal || request.ended)
+	if !isFinal && !request.ended {
+		l.carryOutActions(request)
+	} else if !request.ended { // or it is a copy beside the one that won
+		request.ended = true
+		l.balancer.endRequest(request.balancedRequest, false)
 	}
 }
 
-func (l *load) begin() {
-	l.taken = append(l.taken, time.Now())
-	class, left := l.r.IntN(2), time.Duration(1+l.r.IntN(2000))*time.Millisecond
-	k := &asked{unsafe: class == 1}
-	k.call = l.c.begin(class, left, func(a policy.Action, t *target) {
-		l.counted["copies"]++
-		l.sends(l.by[a.Request], a, t)
+func (l *loadModel) beginRequest() {
+	l.accepted = append(l.accepted, time.Now())
+	class, remaining := l.rng.IntN(2), time.Duration(1+l.rng.IntN(2000))*time.Millisecond
+	request := &modelRequest{unsafe: class == 1}
+	request.balancedRequest = l.balancer.beginRequest(class, remaining, func(action policy.Action, target *backendTarget) {
+		l.counts["copies"]++
+		l.checkSend(l.requests[action.Request], action, target)
 	})
-	l.by[k.id] = k
-	l.open = append(l.open, k)
-	l.obey(k)
+	l.requests[request.id] = request
+	l.active = append(l.active, request)
+	l.carryOutActions(request)
 }
 
 // aim says who is ready.
-func (l *load) aim() {
+func (l *loadModel) changeTargets() {
 	l.targets = map[policy.ServerID]bool{}
-	var list []*target
-	for _, n := range l.r.Perm(6)[:min(6, l.r.IntN(12))] {
-		t := &target{id: policy.ServerID(n), backend: fmt.Sprint(l.r.IntN(2)), zone: n % 2, cold: time.Duration(l.r.IntN(2)) * time.Second}
-		l.targets[t.id], list = true, append(list, t)
+	var targets []*backendTarget
+	for _, n := range l.rng.Perm(6)[:min(6, l.rng.IntN(12))] {
+		target := &backendTarget{id: policy.ServerID(n), backendID: fmt.Sprint(l.rng.IntN(2)), zone: n % 2, warmupLeft: time.Duration(l.rng.IntN(2)) * time.Second}
+		l.targets[target.id], targets = true, append(targets, target)
 	}
-	l.c.setTargets(list)
+	l.balancer.setTargets(targets)
 }
 
 // TestChooser provokes TWICE, REFUSED, BUDGET and DRAIN at the sender, on a clock of its own.
 func TestChooser(t *testing.T) {
-	counted := map[string]int{}
+	counts := map[string]int{}
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { play(require.New(t), seed, counted) })
+			synctest.Test(t, func(t *testing.T) { playRandomLoad(require.New(t), seed, counts) })
 		})
 	}
-	for _, what := range []string{"sent", "repeated", "refused", "failed", "copies", "rejected", "reset", "not sent"} {
-		require.Greater(t, counted[what], 50, "the load provokes too few: %s", what)
+	for _, kind := range []string{"sent", "repeated", "refused", "failed", "copies", "rejected", "reset", "not sent"} {
+		require.Greater(t, counts[kind], 50, "the load provokes too few: %s", kind)
 	}
 }
 
-func play(is *require.Assertions, seed uint64, counted map[string]int) {
-	r := rand.New(rand.NewPCG(seed, 5))
-	l := &load{Assertions: is, r: r, by: map[policy.RequestID]*asked{}, counted: counted, set: policy.Settings{
-		Agents: 1 + r.IntN(20), Reports: policy.ReportsInline, Gates: true, Width: 4, Tick: time.Millisecond, MaxAttempts: 6,
-		SecondCopies: true, ColdFrom: coldFrom, OverloadFactor: 2, WarmAfter: 2 * time.Second,
-		ExtraWindow: time.Duration(500+r.IntN(3000)) * time.Millisecond, ExtraFloor: 3 * r.Float64(), ExtraRatio: r.Float64() / 2}}
+func playRandomLoad(assertions *require.Assertions, seed uint64, counts map[string]int) {
+	rng := rand.New(rand.NewPCG(seed, 5))
+	model := &loadModel{Assertions: assertions, rng: rng, requests: map[policy.RequestID]*modelRequest{}, counts: counts, settings: policy.Settings{
+		Agents: 1 + rng.IntN(20), Reports: policy.ReportsInline, Gates: true, Width: 4, Tick: time.Millisecond, MaxAttempts: 6,
+		SecondCopies: true, ColdFrom: initialCapacityShare, OverloadFactor: 2, WarmAfter: 2 * time.Second,
+		ExtraWindow: time.Duration(500+rng.IntN(3000)) * time.Millisecond, ExtraFloor: 3 * rng.Float64(), ExtraRatio: rng.Float64() / 2}}
 	safe := policy.Class{Aim: 200 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, LateWorth: lateWorth}
 	unsafe := safe
 	unsafe.Effect = policy.SideEffect
-	l.set.Classes = []policy.Class{safe, unsafe}
-	l.c, _ = newChooser("s", l.set, func(string) {})
-	l.c.module, _ = policy.New(l.set, seed)  // with a seed that is known
-	l.c.timer = time.AfterFunc(0, func() {}) // timers fall due below, where the test looks
-	l.aim()
+	model.settings.Classes = []policy.Class{safe, unsafe}
+	model.balancer, _ = newServiceBalancer("s", model.settings, func(string) {})
+	model.balancer.balancer, _ = policy.New(model.settings, seed) // with a seed that is known
+	model.balancer.wakeup = time.AfterFunc(0, func() {})          // timers fall due below, where the test looks
+	model.changeTargets()
 	for range 600 {
-		l.open = slices.DeleteFunc(l.open, func(k *asked) bool { return len(k.out) == 0 })
-		switch n := r.IntN(60); {
+		model.active = slices.DeleteFunc(model.active, func(request *modelRequest) bool { return len(request.inFlight) == 0 })
+		switch n := rng.IntN(60); {
 		case n == 0:
-			l.aim()
+			model.changeTargets()
 		case n < 20:
-			l.begin()
+			model.beginRequest()
 		case n < 25:
-			for range r.IntN(15) { // on the test's own clock: nothing waits
+			for range rng.IntN(15) { // on the test's own clock: nothing waits
 				time.Sleep(10 * time.Millisecond)
-				l.c.fire()
+				model.balancer.fireTimers()
 			}
-		case len(l.open) > 0:
-			l.comes(l.open[r.IntN(len(l.open))])
+		case len(model.active) > 0:
+			model.endAttempt(model.active[rng.IntN(len(model.active))])
 		}
 	}
-	for _, k := range l.by {
-		for len(k.out) > 0 {
-			l.comes(k)
+	for _, request := range model.requests {
+		for len(request.inFlight) > 0 {
+			model.endAttempt(request)
 		}
-		is.True(k.ended, "a request has no end")
+		assertions.True(request.ended, "a request has no end")
 	}
-	is.Empty(l.c.calls)
+	assertions.Empty(model.balancer.requests)
 }
--- a/internal/mesh/outbound/client.go
+++ b/internal/mesh/outbound/client.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	headWait  = 30 * time.Second // until the head of a request is whole
-	idleWait  = 75 * time.Second // until a client's connection without a request is closed
-	mostBytes = 64 << 10         // of a request's head
+	headerTimeout  = 30 * time.Second // until the head of a request is whole
+	idleTimeout    = 75 * time.Second // until a client's connection without a request is closed
+	maxHeaderBytes = 64 << 10         // of a request's head
 )
 
 // Server takes the requests of the clients of a sender.
@@ -21,10 +21,10 @@
 // NewServer returns a server whose requests end with their clients' connections.
 func NewServer(s *Sender) *Server {
 	return &Server{http.Server{
-		Handler: s, ReadHeaderTimeout: headWait, IdleTimeout: idleWait, MaxHeaderBytes: mostBytes,
+		Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		DisableGeneralOptionsHandler: true, // danger: its 200 would be none of a backend's
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, clientKey{}, c)
+			return context.WithValue(ctx, connContextKey{}, c)
 		},
 	}}
 }
@@ -33,11 +33,11 @@
 func (s *Server) Serve(l net.Listener) error { return s.Server.Serve(clientListener{l}) }
 
 // clientKey is where a request's context holds its client's connection.
-type clientKey struct{}
+type connContextKey struct{}
 
 // clientOf is the connection that a request came over; nil: it is none that can be looked into.
-func clientOf(r *http.Request) *hangup.Watch {
-	if c, ok := r.Context().Value(clientKey{}).(*clientConn); ok {
+func hangupWatchOf(r *http.Request) *hangup.Watch {
+	if c, ok := r.Context().Value(connContextKey{}).(*clientConn); ok {
 		return c.watch
 	}
 	return nil
@@ -73,8 +73,8 @@
 // the answer to a request that it has not read, and the client's next bytes would make a reset of it
 // that destroys the answer.
 func (c *clientConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return halfCloser.CloseWrite()
 	}
 	return nil
 }
--- a/internal/mesh/outbound/departure_test.go
+++ b/internal/mesh/outbound/departure_test.go
@@ -12,16 +12,16 @@
 
 // TestDeparture: nothing is broken off before the last sixth of the grace, and all ends within it.
 func TestDeparture(t *testing.T) {
-	told := time.Unix(0, 0)
+	startedAt := time.Unix(0, 0)
 	for _, grace := range []time.Duration{time.Second, 4 * time.Second, 6 * time.Second, 30 * time.Second} {
 		t.Run(grace.String(), func(t *testing.T) {
-			d := NewShutdownSchedule(told, grace)
-			order := []time.Time{told, d.AcceptUntil, d.DoneBy, d.GiveUp, d.DrainedBy, d.ExitBy, told.Add(grace)}
-			for i := range order[1:] {
-				require.True(t, order[i].Before(order[i+1]), "step %d", i)
+			schedule := NewShutdownSchedule(startedAt, grace)
+			times := []time.Time{startedAt, schedule.AcceptUntil, schedule.BackendDeadline, schedule.AnswerBy, schedule.DrainedBy, schedule.ExitBy, startedAt.Add(grace)}
+			for i := range times[1:] {
+				require.True(t, times[i].Before(times[i+1]), "step %d", i)
 			}
-			require.GreaterOrEqual(t, d.GiveUp.Sub(told), grace*5/6)
-			require.LessOrEqual(t, d.AcceptUntil.Sub(told), 3*time.Second)
+			require.GreaterOrEqual(t, schedule.AnswerBy.Sub(startedAt), grace*5/6)
+			require.LessOrEqual(t, schedule.AcceptUntil.Sub(startedAt), 3*time.Second)
 		})
 	}
 }
@@ -31,11 +31,11 @@
 func TestLateRequests(t *testing.T) {
 	const aim = 200 * time.Millisecond // of the routes of these tests
 	for _, c := range []struct {
-		name   string
-		taken  time.Duration // until when requests are taken as before, from now on
-		doneBy time.Duration
-		runs   bool
-		most   time.Duration // that its backend is given
+		name        string
+		acceptFor   time.Duration // until when requests are taken as before, from now on
+		backendTime time.Duration
+		runs        bool
+		maxGiven    time.Duration // that its backend is given
 	}{
 		{"as before", time.Minute, 2 * time.Minute, true, time.Hour},
 		{"late, and may be done", -time.Second, 3 * aim, true, 3 * aim},
@@ -45,16 +45,16 @@
 			t.Run(fmt.Sprint(kind, " ", c.name), func(t *testing.T) {
 				s := patientSender(t, aim, "gate")
 				given := time.Duration(0)
-				s.send = func(_ *job, _ transport.Endpoint, ask *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
-					given = ask.Left
+				s.sendRemote = func(_ *pendingRequest, _ transport.Endpoint, request *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
+					given = request.Left
 					return &transport.Reply{Verdict: transport.Ran, Status: 200}, nil, nil
 				}
 				now := time.Now()
-				s.BeginShutdown(ShutdownSchedule{AcceptUntil: now.Add(c.taken), DoneBy: now.Add(c.doneBy), GiveUp: now.Add(time.Hour)})
+				s.BeginShutdown(ShutdownSchedule{AcceptUntil: now.Add(c.acceptFor), BackendDeadline: now.Add(c.backendTime), AnswerBy: now.Add(time.Hour)})
 				w := httptest.NewRecorder()
-				s.ServeHTTP(w, request("GET", "/"+kind+"/", "t", nil))
+				s.ServeHTTP(w, newTestRequest("GET", "/"+kind+"/", "t", nil))
 				require.Equal(t, c.runs, given > 0)
-				require.LessOrEqual(t, given, c.most)
+				require.LessOrEqual(t, given, c.maxGiven)
 				require.Equal(t, "close", w.Header().Get("Connection"))
 				if !c.runs {
 					require.Equal(t, 503, w.Code)
--- a/internal/mesh/outbound/ending.go
+++ b/internal/mesh/outbound/ending.go
@@ -9,121 +9,121 @@
 
 // Why no attempt of a job is needed any more.
 var (
-	errAnswered    = errors.New("the request has its answer")
-	errProcessEnds = errors.New("the process is about to end")
-	errClientLeft  = errors.New("the client has left")
+	errAnswered      = errors.New("the request has its answer")
+	errProcessEnding = errors.New("the process is about to end")
+	errClientLeft    = errors.New("the client has left")
 )
 
 // withdrawer is what an attempt waits in: it can be told that the wait is for nobody.
-type withdrawer interface{ withdraw(clientLeft bool) }
+type waiter interface{ cancel(clientLeft bool) }
 
 // end ends a job: no attempt of it is needed any more. Only the first cause counts.
-func (j *job) end(cause error) {
-	j.mu.Lock()
-	if j.cause != nil {
-		j.mu.Unlock()
+func (p *pendingRequest) finish(cause error) {
+	p.mu.Lock()
+	if p.cause != nil {
+		p.mu.Unlock()
 		return
 	}
-	j.cause = cause
-	out := j.out
-	j.out = nil
-	j.mu.Unlock()
-	close(j.over)
-	for _, w := range out {
+	p.cause = cause
+	waiters := p.waiters
+	p.waiters = nil
+	p.mu.Unlock()
+	close(p.done)
+	for _, w := range waiters {
 		if w != nil {
-			w.withdraw(cause == errClientLeft)
+			w.cancel(cause == errClientLeft)
 		}
 	}
 }
 
 // enter has an attempt's wait withdrawn when the job ends. It says false if that has ended.
-func (j *job) enter(w withdrawer) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.cause != nil {
+func (p *pendingRequest) addWaiter(w waiter) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cause != nil {
 		return false
 	}
-	j.out = append(j.out, w)
+	p.waiters = append(p.waiters, w)
 	return true
 }
 
 // leave takes that back: the attempt waits no more.
-func (j *job) leave(w withdrawer) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if i := slices.Index(j.out, w); i >= 0 {
-		j.out[i] = nil
+func (p *pendingRequest) removeWaiter(w waiter) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if i := slices.Index(p.waiters, w); i >= 0 {
+		p.waiters[i] = nil
 	}
 }
 
-func (j *job) endedBy() error {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.cause
+func (p *pendingRequest) finishCause() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.cause
 }
 
 // isOver says whether no attempt is needed any more.
-func (j *job) isOver() bool { return j.endedBy() != nil }
+func (p *pendingRequest) isFinished() bool { return p.finishCause() != nil }
 
 // hasLeft says whether the client left before there was an answer.
-func (j *job) hasLeft() bool { return j.endedBy() == errClientLeft }
+func (p *pendingRequest) clientLeft() bool { return p.finishCause() == errClientLeft }
 
 // owesNothing says whether the client has its answer or has left. Where the process is about to end
 // an answer is still owed.
-func (j *job) owesNothing() bool {
-	cause := j.endedBy()
+func (p *pendingRequest) isSettled() bool {
+	cause := p.finishCause()
 	return cause == errAnswered || cause == errClientLeft
 }
 
 // isExpired says whether the process is about to end: no answer is waited for any more.
-func (j *job) isExpired() bool { return j.endedBy() == errProcessEnds }
+func (p *pendingRequest) isCutByShutdown() bool { return p.finishCause() == errProcessEnding }
 
 // expire ends the wait for an answer: the process is about to end, and what has not run may be said
 // to have not.
-func (j *job) expire() { j.end(errProcessEnds) }
+func (p *pendingRequest) cutByShutdown() { p.finish(errProcessEnding) }
 
 // clientGone looks whether the client has left. Danger: after the process stood still timers and
 // slots fall due before its close has been read, and what they begin would begin for nobody.
-func (j *job) clientGone() bool {
-	if !j.hasLeft() && j.client.HungUp() {
-		j.end(errClientLeft)
+func (p *pendingRequest) checkClientLeft() bool {
+	if !p.clientLeft() && p.clientWatch.HungUp() {
+		p.finish(errClientLeft)
 	}
-	return j.hasLeft()
+	return p.clientLeft()
 }
 
 // win makes an attempt the request's answer, if it has none yet and its client still waits.
-func (j *job) win(at *attempt) {
-	j.mu.Lock()
-	if j.won == nil && j.cause == nil {
-		j.won = at
+func (p *pendingRequest) setWinner(attempt *backendAttempt) {
+	p.mu.Lock()
+	if p.winner == nil && p.cause == nil {
+		p.winner = attempt
 	}
-	j.mu.Unlock()
-	j.end(errAnswered)
+	p.mu.Unlock()
+	p.finish(errAnswered)
 }
 
 // outcome is what the request ends with: with the answer that an attempt brought, nil for none, if
 // another did not bring one before.
-func (j *job) outcome(answered *attempt) outcome {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (p *pendingRequest) result(attempt *backendAttempt) requestResult {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	switch {
-	case j.won != nil:
-		return outcome{attempt: j.won}
-	case answered != nil:
-		return outcome{attempt: answered}
+	case p.winner != nil:
+		return requestResult{attempt: p.winner}
+	case attempt != nil:
+		return requestResult{attempt: attempt}
 	}
-	return outcome{attempt: j.last, left: j.cause == errClientLeft}
+	return requestResult{attempt: p.fallback, clientLeft: p.cause == errClientLeft}
 }
 
 // excuse marks the failure of an attempt that was ended from here: it says nothing of its backend. One
 // that a later attempt overtook was silent for long, which does.
-func (j *job) excuse(at *attempt) {
-	if at.fail == nil {
+func (p *pendingRequest) markCancelled(attempt *backendAttempt) {
+	if attempt.failure == nil {
 		return
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.cause == errClientLeft || j.won != nil && j.won.n < at.n {
-		at.fail.Reason = transport.Cancelled
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cause == errClientLeft || p.winner != nil && p.winner.number < attempt.number {
+		attempt.failure.Reason = transport.Cancelled
 	}
 }
--- a/internal/mesh/outbound/exchange_test.go
+++ b/internal/mesh/outbound/exchange_test.go
@@ -12,34 +12,34 @@
 
 // stale is a gate that says its last reply once more before the next, when the connection has long
 // been found quiet, and that asks for a body twice.
-func stale(t *testing.T) string {
+func startStaleGate(t *testing.T) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	serve := func(c *transport.Conn) {
-		defer c.Close()
+	serve := func(conn *transport.Conn) {
+		defer conn.Close()
 		var last *transport.Reply
-		if c.Receive(new(transport.Hello)) != nil {
+		if conn.Receive(new(transport.Hello)) != nil {
 			return
 		}
 		for {
-			var a transport.Request
-			if c.Receive(&a) != nil {
+			var request transport.Request
+			if conn.Receive(&request) != nil {
 				return
 			}
-			if last != nil && c.Send(last, []byte(last.Header[1])) != nil {
+			if last != nil && conn.Send(last, []byte(last.Header[1])) != nil {
 				return
 			}
-			if a.ExpectContinue {
-				c.Send(&transport.Reply{Number: a.Number, Continue: true}, nil)
-				c.Send(&transport.Reply{Number: a.Number, Continue: true}, nil)
+			if request.ExpectContinue {
+				conn.Send(&transport.Reply{Number: request.Number, Continue: true}, nil)
+				conn.Send(&transport.Reply{Number: request.Number, Continue: true}, nil)
 			}
-			if _, err := c.Body(a.Body, 1<<20); err != nil {
+			if _, err := conn.Body(request.Body, 1<<20); err != nil {
 				return
 			}
-			last = &transport.Reply{Number: a.Number, Verdict: transport.Ran, Status: 200, Header: []string{"Try-Id", a.Try},
-				Body: int64(len(a.Try)), Sum: transport.Sum([]byte(a.Try))}
-			if c.Send(last, []byte(a.Try)) != nil {
+			last = &transport.Reply{Number: request.Number, Verdict: transport.Ran, Status: 200, Header: []string{"Try-Id", request.Try},
+				Body: int64(len(request.Try)), Sum: transport.Sum([]byte(request.Try))}
+			if conn.Send(last, []byte(request.Try)) != nil {
 				return
 			}
 		}
@@ -59,21 +59,21 @@
 // TestReplyOfAnotherExchange provokes MIXED: a reply that comes once more on a kept connection is
 // not that to the next request, and a connection that has gone out of step is used no more.
 func TestReplyOfAnotherExchange(t *testing.T) {
-	s := sender(t, stale(t))
+	s := newTestSender(t, startStaleGate(t))
 	for _, try := range []string{"a", "b", "c", "d"} {
 		for _, kind := range []string{"safe", "unsafe"} {
 			w := httptest.NewRecorder()
-			s.ServeHTTP(w, request("GET", "/"+kind+"/", kind+try, nil))
+			s.ServeHTTP(w, newTestRequest("GET", "/"+kind+"/", kind+try, nil))
 			require.False(t, w.Code == 200 && w.Body.String() != kind+try, "%s got %q", kind+try, w.Body.String())
-			require.False(t, promises(w.Code) && kind == "unsafe", "%d", w.Code)
-			s = New(s.set, s.host, s.links, s.budget, s.log).with(s.View()) // with nothing learnt of the gate
+			require.False(t, promisesNotRun(w.Code) && kind == "unsafe", "%d", w.Code)
+			s = New(s.settings, s.localGate, s.gateConns, s.bodyBudget, s.log).withView(s.View()) // with nothing learnt of the gate
 		}
 	}
-	_, made := s.links.Counts()
+	_, made := s.gateConns.Counts()
 	require.Greater(t, made, uint64(2), "connections that are out of step are used on")
 }
 
-func (s *Sender) with(v *View) *Sender {
+func (s *Sender) withView(v *View) *Sender {
 	s.SetView(v)
 	return s
 }
@@ -86,27 +86,29 @@
 		"refused":  {Verdict: transport.NotRun, Reason: transport.Full},
 		"broken":   nil,
 	}
-	s := sender(t, gate(t, func(a *transport.Request, _ []byte) (*transport.Reply, []byte) { return replies[a.Try], nil }))
-	at := transport.Endpoint{Address: s.View().Agents[0].Station.Gate, Life: 1}
-	next := &job{over: make(chan struct{}), deadline: time.Now().Add(time.Minute)}
+	s := newTestSender(t, startFakeGate(t, func(request *transport.Request, _ []byte) (*transport.Reply, []byte) {
+		return replies[request.Try], nil
+	}))
+	endpoint := transport.Endpoint{Address: s.View().Agents[0].Station.Gate, Life: 1}
+	nextRequest := &pendingRequest{done: make(chan struct{}), deadline: time.Now().Add(time.Minute)}
 	for try := range replies {
 		for _, state := range []string{"waiting", "done", "cut", "left"} {
-			j := &job{over: make(chan struct{}), deadline: time.Now().Add(time.Minute)}
-			end := func() {
-				j.end(map[string]error{"waiting": errAnswered, "done": errAnswered, "cut": errProcessEnds, "left": errClientLeft}[state])
+			p := &pendingRequest{done: make(chan struct{}), deadline: time.Now().Add(time.Minute)}
+			finish := func() {
+				p.finish(map[string]error{"waiting": errAnswered, "done": errAnswered, "cut": errProcessEnding, "left": errClientLeft}[state])
 			}
 			if state != "waiting" {
-				end()
+				finish()
 			}
-			_, _, f := s.exchange(j, at, &transport.Request{Try: try, Left: time.Minute})
-			require.Equal(t, state != "waiting" || try == "broken", f != nil, "%s, %s", try, state)
-			require.False(t, state != "waiting" && f.Verdict != transport.NotRun, "%s, %s", try, state)
-			c, err := s.links.Get(at, time.Second)
+			_, _, failure := s.exchangeWithGate(p, endpoint, &transport.Request{Try: try, Left: time.Minute})
+			require.Equal(t, state != "waiting" || try == "broken", failure != nil, "%s, %s", try, state)
+			require.False(t, state != "waiting" && failure.Verdict != transport.NotRun, "%s, %s", try, state)
+			conn, err := s.gateConns.Get(endpoint, time.Second)
 			require.NoError(t, err)
-			s.links.Put(at, c)
-			end()
-			_, _, f = s.exchange(next, at, &transport.Request{Try: "answered", Left: time.Minute})
-			require.Nil(t, f, "%s, %s: the next request's connection", try, state)
+			s.gateConns.Put(endpoint, conn)
+			finish()
+			_, _, failure = s.exchangeWithGate(nextRequest, endpoint, &transport.Request{Try: "answered", Left: time.Minute})
+			require.Nil(t, failure, "%s, %s: the next request's connection", try, state)
 		}
 	}
 }
@@ -118,23 +120,23 @@
 		mbps    float64
 		body    int
 		offered bool
-	}{{7.2, 9_001, true}, {7.2, 9_000, false}, {1, leastLong, false}, {1, leastLong + 1, true}, {1000, longBody, false}, {1000, longBody + 1, true}, {0, longBody, false}} {
+	}{{7.2, 9_001, true}, {7.2, 9_000, false}, {1, minImmediateBody, false}, {1, minImmediateBody + 1, true}, {1000, maxImmediateBody, false}, {1000, maxImmediateBody + 1, true}, {0, maxImmediateBody, false}} {
 		ours, theirs := net.Pipe()
 		x := &exchange{conn: transport.NewConn(ours), request: &transport.Request{Body: int64(c.body)}, body: make([]byte, c.body),
-			unasked: unaskedBody(c.mbps), verdict: transport.MayHaveRun}
-		refused := make(chan *transport.Request, 1)
+			immediateLimit: immediateBodyLimit(c.mbps), verdictOnError: transport.MayHaveRun}
+		received := make(chan *transport.Request, 1)
 		go func() {
-			gate, a := transport.NewConn(theirs), new(transport.Request)
-			if gate.Receive(a) == nil && !a.ExpectContinue {
-				gate.Body(a.Body, longBody)
+			gate, request := transport.NewConn(theirs), new(transport.Request)
+			if gate.Receive(request) == nil && !request.ExpectContinue {
+				gate.Body(request.Body, maxImmediateBody)
 			}
-			refused <- a
-			gate.Send(&transport.Reply{Number: a.Number, Verdict: transport.NotRun, Reason: transport.Full}, nil)
+			received <- request
+			gate.Send(&transport.Reply{Number: request.Number, Verdict: transport.NotRun, Reason: transport.Full}, nil)
 		}()
 		reply, _, err := x.run()
 		require.NoError(t, err)
 		require.Equal(t, transport.Full, reply.Reason)
-		require.Equal(t, c.offered, (<-refused).ExpectContinue, "%+v", c)
+		require.Equal(t, c.offered, (<-received).ExpectContinue, "%+v", c)
 		ours.Close()
 	}
 }
--- a/internal/mesh/outbound/job.go
+++ b/internal/mesh/outbound/job.go
@@ -11,122 +11,122 @@
 )
 
 // job is a request on its way.
-type job struct {
-	began    time.Time
-	route    *meshconfig.Route
-	request  transport.Request
-	body     []byte
-	deadline time.Time
-	aim      time.Time
-	doneBy   time.Time // the process ends: backends are given no more time than until then; zero: it does not
-	chooser  *chooser
-	call     *call
-	client   *hangup.Watch // nil: there is none that can be looked into
-	over     chan struct{} // closed once no attempt is needed any more
-	inner    bool          // called by a run of a backend
-	repeated bool          // by a run that was a repeat itself
+type pendingRequest struct {
+	startedAt       time.Time
+	route           *meshconfig.Route
+	request         transport.Request
+	body            []byte
+	deadline        time.Time
+	answerTarget    time.Time
+	backendDeadline time.Time // the process ends: backends are given no more time than until then; zero: it does not
+	balancer        *serviceBalancer
+	balanced        *balancedRequest
+	clientWatch     *hangup.Watch // nil: there is none that can be looked into
+	done            chan struct{} // closed once no attempt is needed any more
+	inner           bool          // called by a run of a backend
+	parentRepeated  bool          // by a run that was a repeat itself
 
-	mu        sync.Mutex
-	attempts  int                 // started
-	reached   int                 // of these, those that reached a backend, or may yet
-	uncertain int                 // of these, those of which nobody has proven that they did not run
-	steps     []transport.Attempt // attempts that have ended, but for one that was all and succeeded
-	last      *attempt            // the best answer that is no success
-	won       *attempt
-	cause     error        // why no attempt is needed any more; nil: one may be
-	out       []withdrawer // attempts that wait; nil stands for one that did
+	mu               sync.Mutex
+	attemptsStarted  int                 // started
+	possibleArrivals int                 // of these, those that reached a backend, or may yet
+	possibleRuns     int                 // of these, those of which nobody has proven that they did not run
+	attemptTraces    []transport.Attempt // attempts that have ended, but for one that was all and succeeded
+	fallback         *backendAttempt     // the best answer that is no success
+	winner           *backendAttempt
+	cause            error    // why no attempt is needed any more; nil: one may be
+	waiters          []waiter // attempts that wait; nil stands for one that did
 }
 
 // run carries out what the chooser orders until the request has its answer, or its client has left.
-func (s *Sender) run(j *job, left time.Duration) outcome {
-	defer j.end(errAnswered) // whatever the answer is: attempts that are still out are for nobody
-	c := j.chooser
-	again := func(a policy.Action, t *target) { go s.copy(j, a, t) }
-	j.call = c.begin(classIndex(c.classes, j.route, j.inner), left, again)
-	defer func() { c.forget(j.call, j.hasLeft()) }()
-	s.register(j)
-	defer s.unregister(j)
+func (s *Sender) runRequest(p *pendingRequest, remaining time.Duration) requestResult {
+	defer p.finish(errAnswered) // whatever the answer is: attempts that are still out are for nobody
+	balancer := p.balancer
+	startHedge := func(action policy.Action, target *backendTarget) { go s.runHedge(p, action, target) }
+	p.balanced = balancer.beginRequest(classIndex(balancer.classes, p.route, p.inner), remaining, startHedge)
+	defer func() { balancer.endRequest(p.balanced, p.clientLeft()) }()
+	s.register(p)
+	defer s.unregister(p)
 	for {
-		a, t, ok := c.take(j.call)
+		action, target, ok := balancer.nextAction(p.balanced)
 		if !ok { // nothing to do but to wait for an attempt that another goroutine carries out
-			if o, over := j.wait(); over {
-				return o
+			if result, finished := p.awaitAction(); finished {
+				return result
 			}
 			continue
 		}
-		switch a.Kind {
+		switch action.Kind {
 		case policy.ActRefuse:
-			return outcome{attempt: j.best(), refused: true, after: a.Wait}
+			return requestResult{attempt: p.fallbackAttempt(), refused: true, retryAfter: action.Wait}
 		case policy.ActFail:
-			return outcome{attempt: j.best()}
+			return requestResult{attempt: p.fallbackAttempt()}
 		}
-		at := s.attempt(j, a, t, j.started())
-		if s.ended(j, at) {
-			return j.outcome(at)
+		attempt := s.runAttempt(p, action, target, p.nextAttemptNumber())
+		if s.reportAttempt(p, attempt) {
+			return p.result(attempt)
 		}
-		if j.owesNothing() {
-			return j.outcome(nil)
+		if p.isSettled() {
+			return p.result(nil)
 		}
 	}
 }
 
 // wait waits for an order, or for the end of the request.
-func (j *job) wait() (o outcome, over bool) {
-	late := time.NewTimer(time.Until(j.deadline))
-	defer late.Stop()
+func (p *pendingRequest) awaitAction() (result requestResult, finished bool) {
+	deadlineTimer := time.NewTimer(time.Until(p.deadline))
+	defer deadlineTimer.Stop()
 	select {
-	case <-j.call.ready:
-		return outcome{}, false
-	case <-j.over:
-	case <-late.C:
+	case <-p.balanced.actionReady:
+		return requestResult{}, false
+	case <-p.done:
+	case <-deadlineTimer.C:
 	}
-	return j.outcome(nil), true
+	return p.result(nil), true
 }
 
-func (j *job) started() int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.attempts++
-	return j.attempts - 1
+func (p *pendingRequest) nextAttemptNumber() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.attemptsStarted++
+	return p.attemptsStarted - 1
 }
 
 // mayStart counts a backend that the request is about to be sent to, and says whether it may go there:
 // while the route allows one more, and never where it must not run twice and an attempt may have
 // run. Danger: an attempt that is out may have reached its backend, so it counts until it is proven
 // that it did not.
-func (j *job) mayStart() bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.reached >= max(1, j.route.Tries) || j.request.Unsafe && j.uncertain > 0 {
+func (p *pendingRequest) reserveAttempt() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.possibleArrivals >= max(1, p.route.Tries) || p.request.Unsafe && p.possibleRuns > 0 {
 		return false
 	}
-	j.reached++
-	j.uncertain++
+	p.possibleArrivals++
+	p.possibleRuns++
 	return true
 }
 
 // provedNotRun takes in that an attempt did not run and never will; arrived says that a backend itself
 // turned it away.
-func (j *job) provedNotRun(arrived bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.uncertain--
-	if !arrived {
-		j.reached--
+func (p *pendingRequest) recordNotRun(reachedBackend bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.possibleRuns--
+	if !reachedBackend {
+		p.possibleArrivals--
 	}
 }
 
 // mayHaveRun says that nothing may be promised about the request: it must not run twice, and an
 // attempt of it ran, is out, or may have run.
-func (j *job) mayHaveRun() bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.request.Unsafe && j.uncertain > 0
+func (p *pendingRequest) mayHaveRun() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.request.Unsafe && p.possibleRuns > 0
 }
 
 // best is the answer to pass on where no attempt succeeded.
-func (j *job) best() *attempt {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.last
+func (p *pendingRequest) fallbackAttempt() *backendAttempt {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.fallback
 }
--- a/internal/mesh/outbound/leave_test.go
+++ b/internal/mesh/outbound/leave_test.go
@@ -23,27 +23,27 @@
 // soon bounds how long a test waits for what must happen, on a machine that is busy; patiently is how
 // long clients, routes and backends wait here, so that nothing but the client's leave ends a run.
 const (
-	soon      = 10 * time.Second
-	patiently = 5 * time.Minute
+	eventTimeout = 10 * time.Second
+	longWait     = 5 * time.Minute
 )
 
 // holdingBackend is a backend that works on each request until it is told to answer, or until its
 // connection has closed.
 type holdingBackend struct {
-	t       *testing.T
-	address string
-	arrived chan string // tries that it began
-	dropped chan string // of these, those whose connection closed
+	t         *testing.T
+	address   string
+	arrived   chan string // tries that it began
+	cancelled chan string // of these, those whose connection closed
 
-	mu      sync.Mutex
-	answers map[string]chan struct{}
+	mu       sync.Mutex
+	releases map[string]chan struct{}
 }
 
 func newHoldingBackend(t *testing.T) *holdingBackend {
-	b := &holdingBackend{t: t, arrived: make(chan string, 1000), dropped: make(chan string, 1000), answers: map[string]chan struct{}{}}
+	b := &holdingBackend{t: t, arrived: make(chan string, 1000), cancelled: make(chan string, 1000), releases: map[string]chan struct{}{}}
 	server := httptest.NewServer(b)
 	t.Cleanup(server.Close)
-	t.Cleanup(func() { b.answer("") })
+	t.Cleanup(func() { b.release("") })
 	b.address = server.Listener.Addr().String()
 	return b
 }
@@ -52,17 +52,17 @@
 	io.Copy(io.Discard, r.Body)
 	try := r.Header.Get(inbound.TryHeader)
 	b.mu.Lock()
-	answer := b.answers[try]
-	if answer == nil {
-		answer = make(chan struct{})
-		b.answers[try] = answer
+	released := b.releases[try]
+	if released == nil {
+		released = make(chan struct{})
+		b.releases[try] = released
 	}
 	b.mu.Unlock()
 	b.arrived <- try
 	select {
-	case <-answer:
+	case <-released:
 	case <-r.Context().Done():
-		b.dropped <- try
+		b.cancelled <- try
 		return
 	}
 	w.Header().Set(inbound.TryHeader, try)
@@ -71,36 +71,36 @@
 }
 
 // answer lets the backend answer a try; an empty one stands for all that it has.
-func (b *holdingBackend) answer(try string) {
+func (b *holdingBackend) release(try string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id, c := range b.answers {
+	for id, c := range b.releases {
 		if try == "" || id == try {
 			close(c)
-			delete(b.answers, id)
+			delete(b.releases, id)
 		}
 	}
 }
 
 func (b *holdingBackend) awaitArrival(try string) { b.await(b.arrived, try, "reaches its backend") }
-func (b *holdingBackend) awaitDrop(try string)    { b.await(b.dropped, try, "is no longer worked on") }
+func (b *holdingBackend) awaitCancel(try string)  { b.await(b.cancelled, try, "is no longer worked on") }
 
-func (b *holdingBackend) await(from chan string, try, what string) {
+func (b *holdingBackend) await(events chan string, try, event string) {
 	b.t.Helper()
 	select {
-	case got := <-from:
-		require.Equal(b.t, try, got, what)
-	case <-time.After(soon):
-		require.Fail(b.t, "never", "%s %s", try, what)
+	case got := <-events:
+		require.Equal(b.t, try, got, event)
+	case <-time.After(eventTimeout):
+		require.Fail(b.t, "never", "%s %s", try, event)
 	}
 }
 
 // gateOf is a gate beside a backend, as others reach it.
-func gateOf(t *testing.T, b *holdingBackend, id string, capacity int) (*inbound.Host, string) {
+func startGate(t *testing.T, backend *holdingBackend, id string, capacity int) (*inbound.Host, string) {
 	host := inbound.NewHost(inbound.Rules{}, 1<<20, transport.NewByteBudget(1<<30), func() {})
 	host.With(func(now time.Duration, g *inbound.Gate) bool {
 		g.Named(1)
-		return g.Vouch(now, 0, transport.Backend{ID: id, Service: "s", Address: b.address, Zone: "z", Capacity: capacity, Calls: 1})
+		return g.Vouch(now, 0, transport.Backend{ID: id, Service: "s", Address: backend.address, Zone: "z", Capacity: capacity, Calls: 1})
 	})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -111,11 +111,11 @@
 }
 
 // patientSender is a sender whose routes wait patiently; target is their target_time.
-func patientSender(t *testing.T, target time.Duration, gates ...string) *Sender {
-	s := sender(t, gates...)
+func patientSender(t *testing.T, targetLatency time.Duration, gates ...string) *Sender {
+	s := newTestSender(t, gates...)
 	for _, kind := range []string{"safe", "unsafe"} {
-		change(s, fmt.Sprintf(`{"add":{"items":[{"item_kind":"routes","metadata":{"name":"%s","version":"2"},"body":{"domain":"d","path_start":"/%[1]s/",
-			"kind":"%[1]s","give_up":"300s","target_time":"%dms","tries":2,"service":"s"}}]}}`, kind, target.Milliseconds()))
+		applyPatch(s, fmt.Sprintf(`{"add":{"items":[{"item_kind":"routes","metadata":{"name":"%s","version":"2"},"body":{"domain":"d","path_start":"/%[1]s/",
+			"kind":"%[1]s","give_up":"300s","target_time":"%dms","tries":2,"service":"s"}}]}}`, kind, targetLatency.Milliseconds()))
 	}
 	return s
 }
@@ -138,34 +138,34 @@
 }
 
 // ask opens a connection and sends a request over it, "kind try".
-func ask(t *testing.T, address, request string) *net.TCPConn {
+func openRequest(t *testing.T, address, request string) *net.TCPConn {
 	c, err := net.Dial("tcp4", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
-	send(t, c, request)
+	writeRequest(t, c, request)
 	return c.(*net.TCPConn)
 }
 
-func send(t *testing.T, c net.Conn, request string) {
+func writeRequest(t *testing.T, c net.Conn, request string) {
 	kind, try, _ := strings.Cut(request, " ")
 	body := ""
 	if kind == "unsafe" {
 		body = "body"
 	}
 	_, err := fmt.Fprintf(c, "POST /%s/ HTTP/1.1\r\nHost: d\r\n%s: %s\r\n%s: %d\r\nContent-Length: %d\r\n\r\n%s",
-		kind, inbound.TryHeader, try, inbound.LeftHeader, patiently.Milliseconds(), len(body), body)
+		kind, inbound.TryHeader, try, inbound.LeftHeader, longWait.Milliseconds(), len(body), body)
 	require.NoError(t, err)
 }
 
 // leaves are the ways in which a client's connection ends.
-var leaves = map[string]func(*net.TCPConn){
+var disconnects = map[string]func(*net.TCPConn){
 	"closes":      func(c *net.TCPConn) { c.Close() },
 	"resets":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	"half-closes": func(c *net.TCPConn) { c.CloseWrite() },
 }
 
 // idle says whether gates hold nothing.
-func idle(hosts ...*inbound.Host) func() bool {
+func allIdle(hosts ...*inbound.Host) func() bool {
 	return func() bool {
 		for _, h := range hosts {
 			if h.Held() > 0 {
@@ -179,43 +179,43 @@
 // TestClientLeaves: work that may be repeated ends at the backend once its client has left, on this
 // machine and on another; other work runs to its end.
 func TestClientLeaves(t *testing.T) {
-	for way, leave := range leaves {
+	for disconnectName, disconnect := range disconnects {
 		for _, place := range []string{"here", "elsewhere"} {
-			t.Run(way+" "+place, func(t *testing.T) {
+			t.Run(disconnectName+" "+place, func(t *testing.T) {
 				t.Parallel()
-				b := newHoldingBackend(t)
-				host, gate := gateOf(t, b, "b0", 4)
+				backend := newHoldingBackend(t)
+				host, gate := startGate(t, backend, "b0", 4)
 				s := patientSender(t, 100*time.Second, gate)
 				if place == "here" {
-					s.host = host
+					s.localGate = host
 					v := *s.View()
-					v.Agents[0].Station.Agent = s.set.IP
+					v.Agents[0].Station.Agent = s.settings.IP
 					s.SetView(&v)
 				}
 				address := serveClients(t, s)
-				c := ask(t, address, "safe t1")
-				b.awaitArrival("t1")
-				leave(c)
-				b.awaitDrop("t1")
-				require.Eventually(t, func() bool { return idle(host)() && s.InFlight() == 0 }, soon, time.Millisecond, "slots are given back")
-
-				c = ask(t, address, "safe t2")
-				b.awaitArrival("t2")
-				send(t, c, "safe t3") // the next request waits behind the one that is worked on
-				leave(c)
-				b.awaitDrop("t2")
-
-				c = ask(t, address, "unsafe t4")
-				b.awaitArrival("t4")
-				leave(c)
-				again := ask(t, address, "unsafe t4") // by now the leave has long been seen, and the id is remembered
-				text, err := io.ReadAll(io.LimitReader(again, 12))
+				client := openRequest(t, address, "safe t1")
+				backend.awaitArrival("t1")
+				disconnect(client)
+				backend.awaitCancel("t1")
+				require.Eventually(t, func() bool { return allIdle(host)() && s.InFlight() == 0 }, eventTimeout, time.Millisecond, "slots are given back")
+
+				client = openRequest(t, address, "safe t2")
+				backend.awaitArrival("t2")
+				writeRequest(t, client, "safe t3") // the next request waits behind the one that is worked on
+				disconnect(client)
+				backend.awaitCancel("t2")
+
+				client = openRequest(t, address, "unsafe t4")
+				backend.awaitArrival("t4")
+				disconnect(client)
+				repeated := openRequest(t, address, "unsafe t4") // by now the leave has long been seen, and the id is remembered
+				text, err := io.ReadAll(io.LimitReader(repeated, 12))
 				require.NoError(t, err)
 				require.Equal(t, "HTTP/1.1 502", string(text))
-				b.answer("t4")
-				require.Eventually(t, func() bool { return host.Answered.Load() == 1 }, soon, time.Millisecond, "it runs to its end")
-				require.Empty(t, b.dropped)
-				require.Eventually(t, func() bool { return idle(host)() && s.InFlight() == 0 }, soon, time.Millisecond)
+				backend.release("t4")
+				require.Eventually(t, func() bool { return host.Answered.Load() == 1 }, eventTimeout, time.Millisecond, "it runs to its end")
+				require.Empty(t, backend.cancelled)
+				require.Eventually(t, func() bool { return allIdle(host)() && s.InFlight() == 0 }, eventTimeout, time.Millisecond)
 			})
 		}
 	}
@@ -224,52 +224,52 @@
 // TestNextRequestWaits: a request that comes while one is worked on is served after it, and so is the
 // one after that; who stays loses nothing by being watched.
 func TestNextRequestWaits(t *testing.T) {
-	b := newHoldingBackend(t)
-	_, gate := gateOf(t, b, "b0", 4)
+	backend := newHoldingBackend(t)
+	_, gate := startGate(t, backend, "b0", 4)
 	s := patientSender(t, 100*time.Second, gate)
 	address := serveClients(t, s)
-	c := ask(t, address, "safe t0")
-	answers := bufio.NewReader(c)
+	client := openRequest(t, address, "safe t0")
+	reader := bufio.NewReader(client)
 	for i := range 20 {
 		try := fmt.Sprint("t", i)
-		b.awaitArrival(try)
-		send(t, c, fmt.Sprintf("%s t%d", []string{"unsafe", "safe"}[i%2], i+1))
-		b.answer(try)
-		resp, err := http.ReadResponse(answers, nil)
+		backend.awaitArrival(try)
+		writeRequest(t, client, fmt.Sprintf("%s t%d", []string{"unsafe", "safe"}[i%2], i+1))
+		backend.release(try)
+		resp, err := http.ReadResponse(reader, nil)
 		require.NoError(t, err)
 		text, err := io.ReadAll(resp.Body)
 		require.NoError(t, err)
 		require.Equal(t, try, string(text))
 	}
-	b.awaitArrival("t20")
-	require.Empty(t, b.dropped)
+	backend.awaitArrival("t20")
+	require.Empty(t, backend.cancelled)
 }
 
 // TestCloseWaitsInSocket: what a process that stood still finds in its sockets with the close behind
 // it is not begun, by the sender or by the gate.
 func TestCloseWaitsInSocket(t *testing.T) {
-	b := newHoldingBackend(t)
-	host, gate := gateOf(t, b, "b0", 100)
+	backend := newHoldingBackend(t)
+	host, gate := startGate(t, backend, "b0", 100)
 	s := patientSender(t, 100*time.Second, gate)
 	address, serve := listenFor(t, s)
 	for i := range 20 {
-		c := ask(t, address, fmt.Sprintf("%s t%d", []string{"safe", "unsafe"}[i%2], i))
-		c.Close()
+		client := openRequest(t, address, fmt.Sprintf("%s t%d", []string{"safe", "unsafe"}[i%2], i))
+		client.Close()
 	}
 	serve()
-	ended := func() uint64 { return s.Count.Left.Load() + s.Count.Bad.Load() }
-	require.Eventually(t, func() bool { return ended()+uint64(len(b.arrived)) >= 20 }, soon, time.Millisecond)
-	require.Empty(t, b.arrived, "requests reached the backend")
+	ended := func() uint64 { return s.Counters.ClientLeft.Load() + s.Counters.BadRequests.Load() }
+	require.Eventually(t, func() bool { return ended()+uint64(len(backend.arrived)) >= 20 }, eventTimeout, time.Millisecond)
+	require.Empty(t, backend.arrived, "requests reached the backend")
 	require.EqualValues(t, 20, ended())
 
 	for i := range 20 { // an exchange that was cancelled when it is read
 		near, far := net.Pipe()
-		c := transport.NewConn(&heldBack{Conn: far})
+		c := transport.NewConn(&delayedWriteConn{Conn: far})
 		go func() {
 			defer far.Close()
-			ask := transport.Request{Number: 1, Life: 1, Try: fmt.Sprint("u", i), Target: "b0", Method: "GET", URI: "/", Host: "d",
-				Unsafe: i%2 == 0, Left: patiently, Aim: time.Second, Patient: time.Second}
-			c.Send(&ask, nil)
+			request := transport.Request{Number: 1, Life: 1, Try: fmt.Sprint("u", i), Target: "b0", Method: "GET", URI: "/", Host: "d",
+				Unsafe: i%2 == 0, Left: longWait, Aim: time.Second, Patient: time.Second}
+			c.Send(&request, nil)
 			c.Send(&transport.Request{Number: 1, Cancel: true}, nil)
 			var reply transport.Reply
 			assert.NoError(t, c.Receive(&reply))
@@ -278,18 +278,18 @@
 		}()
 		host.Serve(transport.NewConn(near))
 	}
-	require.Eventually(t, idle(host), soon, time.Millisecond)
-	require.Empty(t, b.arrived)
+	require.Eventually(t, allIdle(host), eventTimeout, time.Millisecond)
+	require.Empty(t, backend.arrived)
 }
 
 // heldBack is a connection whose first write goes out with the second, as what waits in a socket
 // does.
-type heldBack struct {
+type delayedWriteConn struct {
 	net.Conn
 	first []byte
 }
 
-func (c *heldBack) Write(b []byte) (int, error) {
+func (c *delayedWriteConn) Write(b []byte) (int, error) {
 	if c.first == nil {
 		c.first = slices.Clone(b)
 		return len(b), nil
@@ -300,73 +300,73 @@
 
 // TestLeavesTheQueue: a request that waits at a gate for a slot takes none once its client has left.
 func TestLeavesTheQueue(t *testing.T) {
-	b := newHoldingBackend(t)
-	host, gate := gateOf(t, b, "b0", 1)
+	backend := newHoldingBackend(t)
+	host, gate := startGate(t, backend, "b0", 1)
 	s := patientSender(t, 100*time.Second, gate)
 	address := serveClients(t, s)
-	ask(t, address, "safe first")
-	b.awaitArrival("first")
+	openRequest(t, address, "safe first")
+	backend.awaitArrival("first")
 	for _, kind := range []string{"safe", "unsafe"} {
-		c := ask(t, address, kind+" "+kind)
-		require.Eventually(t, func() bool { return host.Held() == 2 }, soon, time.Millisecond, "it waits")
-		c.Close()
-		require.Eventually(t, func() bool { return host.Held() == 1 }, soon, time.Millisecond, "it waits no more")
+		client := openRequest(t, address, kind+" "+kind)
+		require.Eventually(t, func() bool { return host.Held() == 2 }, eventTimeout, time.Millisecond, "it waits")
+		client.Close()
+		require.Eventually(t, func() bool { return host.Held() == 1 }, eventTimeout, time.Millisecond, "it waits no more")
 	}
-	b.answer("first")
-	ask(t, address, "safe last")
-	b.awaitArrival("last")
-	b.answer("last")
-	require.Eventually(t, func() bool { return idle(host)() && s.InFlight() == 0 }, soon, time.Millisecond)
+	backend.release("first")
+	openRequest(t, address, "safe last")
+	backend.awaitArrival("last")
+	backend.release("last")
+	require.Eventually(t, func() bool { return allIdle(host)() && s.InFlight() == 0 }, eventTimeout, time.Millisecond)
 }
 
 // TestNothingIsSentAnew: a copy that falls due after its client has left is not sent.
 func TestNothingIsSentAnew(t *testing.T) {
-	b := newHoldingBackend(t)
-	_, one := gateOf(t, b, "b0", 4)
-	_, two := gateOf(t, b, "b1", 4)
-	s := patientSender(t, 400*time.Millisecond, one, two)
+	backend := newHoldingBackend(t)
+	_, gateOne := startGate(t, backend, "b0", 4)
+	_, gateTwo := startGate(t, backend, "b1", 4)
+	s := patientSender(t, 400*time.Millisecond, gateOne, gateTwo)
 	address := serveClients(t, s)
-	c := ask(t, address, "safe t1")
-	b.awaitArrival("t1")
-	c.Close()
-	b.awaitDrop("t1")
-	require.Eventually(t, func() bool { return s.InFlight() == 0 }, soon, time.Millisecond)
-	ask(t, address, "safe t2") // whose copy comes: by then that of the first would have come
-	b.awaitArrival("t2")
-	b.awaitArrival("t2")
-	require.Empty(t, b.arrived)
+	client := openRequest(t, address, "safe t1")
+	backend.awaitArrival("t1")
+	client.Close()
+	backend.awaitCancel("t1")
+	require.Eventually(t, func() bool { return s.InFlight() == 0 }, eventTimeout, time.Millisecond)
+	openRequest(t, address, "safe t2") // whose copy comes: by then that of the first would have come
+	backend.awaitArrival("t2")
+	backend.awaitArrival("t2")
+	require.Empty(t, backend.arrived)
 }
 
 // TestLoserOfTwoCopies: the attempt that is still out when another has brought the answer ends.
 func TestLoserOfTwoCopies(t *testing.T) {
 	slow, quick := newHoldingBackend(t), newHoldingBackend(t)
-	one, gateOne := gateOf(t, slow, "b0", 4)
-	two, gateTwo := gateOf(t, quick, "b1", 4)
-	s := patientSender(t, 400*time.Millisecond, gateOne, gateTwo)
+	slowHost, slowGate := startGate(t, slow, "b0", 4)
+	quickHost, quickGate := startGate(t, quick, "b1", 4)
+	s := patientSender(t, 400*time.Millisecond, slowGate, quickGate)
 	address := serveClients(t, s)
-	ask(t, address, "safe t1")
+	openRequest(t, address, "safe t1")
 	slow.awaitArrival("t1")
 	quick.awaitArrival("t1")
-	quick.answer("t1")
-	slow.awaitDrop("t1")
-	require.Eventually(t, idle(one, two), soon, time.Millisecond)
+	quick.release("t1")
+	slow.awaitCancel("t1")
+	require.Eventually(t, allIdle(slowHost, quickHost), eventTimeout, time.Millisecond)
 }
 
 // TestSenderEnds: a process that ends, in order or not, leaves no work behind that may be repeated.
 func TestSenderEnds(t *testing.T) {
-	b := newHoldingBackend(t)
-	host, gate := gateOf(t, b, "b0", 4)
+	backend := newHoldingBackend(t)
+	host, gate := startGate(t, backend, "b0", 4)
 	s := patientSender(t, 100*time.Second, gate)
 	address := serveClients(t, s)
-	c := ask(t, address, "safe t1")
-	b.awaitArrival("t1")
+	client := openRequest(t, address, "safe t1")
+	backend.awaitArrival("t1")
 	now := time.Now()
-	s.BeginShutdown(ShutdownSchedule{AcceptUntil: now, DoneBy: now, GiveUp: now})
-	b.awaitDrop("t1")
-	text, err := io.ReadAll(io.LimitReader(c, 12))
+	s.BeginShutdown(ShutdownSchedule{AcceptUntil: now, BackendDeadline: now, AnswerBy: now})
+	backend.awaitCancel("t1")
+	text, err := io.ReadAll(io.LimitReader(client, 12))
 	require.NoError(t, err)
 	require.Equal(t, "HTTP/1.1 503", string(text), "work that may be repeated is told to come back")
-	require.Eventually(t, idle(host), soon, time.Millisecond)
+	require.Eventually(t, allIdle(host), eventTimeout, time.Millisecond)
 }
 
 // TestTreeOfCalls: what a backend calls through its own agent ends with the run that called it, at
@@ -374,14 +374,14 @@
 func TestTreeOfCalls(t *testing.T) {
 	const depth = 17
 	last := newHoldingBackend(t)
-	host, gate := gateOf(t, last, "b0", 4)
+	host, gate := startGate(t, last, "b0", 4)
 	hosts := []*inbound.Host{host}
 	s := patientSender(t, 100*time.Second, gate)
 	address := serveClients(t, s)
 	for range depth {
-		next := address
+		nextAddress := address
 		caller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			call, _ := http.NewRequestWithContext(r.Context(), "GET", "http://"+next+"/safe/", nil)
+			call, _ := http.NewRequestWithContext(r.Context(), "GET", "http://"+nextAddress+"/safe/", nil)
 			call.Host = "d"
 			call.Header.Set(inbound.TryHeader, r.Header.Get(inbound.TryHeader)+".1")
 			call.Header.Set(inbound.LeftHeader, r.Header.Get(inbound.LeftHeader))
@@ -390,17 +390,17 @@
 			}
 		}))
 		t.Cleanup(caller.Close)
-		host, gate := gateOf(t, &holdingBackend{address: caller.Listener.Addr().String()}, "b0", 4)
+		host, gate := startGate(t, &holdingBackend{address: caller.Listener.Addr().String()}, "b0", 4)
 		hosts = append(hosts, host)
 		s := patientSender(t, 100*time.Second, gate)
 		address = serveClients(t, s)
 	}
-	c := ask(t, address, "safe t")
+	client := openRequest(t, address, "safe t")
 	try := "t" + strings.Repeat(".1", depth)
 	last.awaitArrival(try)
-	c.Close()
-	last.awaitDrop(try)
-	require.Eventually(t, idle(hosts...), soon, time.Millisecond)
+	client.Close()
+	last.awaitCancel(try)
+	require.Eventually(t, allIdle(hosts...), eventTimeout, time.Millisecond)
 }
 
 // TestLeavesAtAnyMoment has clients leave at random moments, about when their answers come. What
@@ -424,7 +424,7 @@
 	var hosts []*inbound.Host
 	var gates []string
 	for i := range 2 {
-		host, gate := gateOf(t, &holdingBackend{address: backend.Listener.Addr().String()}, fmt.Sprint("b", i), 3)
+		host, gate := startGate(t, &holdingBackend{address: backend.Listener.Addr().String()}, fmt.Sprint("b", i), 3)
 		hosts, gates = append(hosts, host), append(gates, gate)
 	}
 	s := patientSender(t, time.Second, gates...)
@@ -434,12 +434,12 @@
 		clients.Go(func() {
 			for i := range 100 {
 				kind, try := []string{"safe", "unsafe"}[rand.N(2)], fmt.Sprintf("c%d-%d", n, i)
-				c := ask(t, address, kind+" "+try)
+				client := openRequest(t, address, kind+" "+try)
 				if rand.N(3) > 0 {
-					c.SetReadDeadline(time.Now().Add(rand.N(3 * time.Millisecond)))
+					client.SetReadDeadline(time.Now().Add(rand.N(3 * time.Millisecond)))
 				}
-				text, _ := io.ReadAll(io.LimitReader(c, 12))
-				c.Close()
+				text, _ := io.ReadAll(io.LimitReader(client, 12))
+				client.Close()
 				if len(text) == 12 && !strings.HasPrefix(string(text), "HTTP/1.1 200") && !strings.HasPrefix(string(text), "HTTP/1.1 503") {
 					t.Errorf("%s %s got %q", kind, try, text)
 				}
@@ -447,8 +447,8 @@
 		})
 	}
 	clients.Wait()
-	require.Eventually(t, func() bool { return idle(hosts...)() && s.InFlight() == 0 }, soon, time.Millisecond)
-	open, made := s.links.Counts()
-	require.Less(t, made, uint64(200), "links are made anew for each that leaves")
-	require.LessOrEqual(t, open, 2*s.links.Most)
+	require.Eventually(t, func() bool { return allIdle(hosts...)() && s.InFlight() == 0 }, eventTimeout, time.Millisecond)
+	open, opened := s.gateConns.Counts()
+	require.Less(t, opened, uint64(200), "links are made anew for each that leaves")
+	require.LessOrEqual(t, open, 2*s.gateConns.Most)
 }
--- a/internal/mesh/outbound/note.go
+++ b/internal/mesh/outbound/note.go
@@ -10,107 +10,107 @@
 )
 
 // answered is a client's answer, and what is recorded of its request.
-type answered struct {
+type responseRecorder struct {
 	http.ResponseWriter
-	began   time.Time
-	view    *View
-	route   *meshconfig.Route
-	tenant  tenant
-	parent  inbound.Parent // the run of the backend here that makes the request
-	service string
-	job     *job
-	status  int  // 0: there is no answer
-	left    bool // the client left before there was one
-	why     string
-	after   time.Duration
+	startedAt  time.Time
+	view       *View
+	route      *meshconfig.Route
+	tenant     tenant
+	parent     inbound.Parent // the run of the backend here that makes the request
+	service    string
+	pending    *pendingRequest
+	status     int  // 0: there is no answer
+	clientLeft bool // the client left before there was one
+	reason     string
+	retryAfter time.Duration
 }
 
 // WriteHeader keeps the status.
-func (w *answered) WriteHeader(status int) {
+func (w *responseRecorder) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // step records an attempt that has ended. The lock is held.
-func (j *job) step(at *attempt) {
-	s := transport.Attempt{N: at.n, Begun: at.began.Sub(j.began), Took: time.Since(at.began), Verdict: transport.Ran}
-	if at.to != nil {
-		s.Backend, s.Agent = at.to.backend, at.to.agent
+func (p *pendingRequest) appendTrace(attempt *backendAttempt) {
+	trace := transport.Attempt{N: attempt.number, Begun: attempt.startedAt.Sub(p.startedAt), Took: time.Since(attempt.startedAt), Verdict: transport.Ran}
+	if attempt.target != nil {
+		trace.Backend, trace.Agent = attempt.target.backendID, attempt.target.agent
 	}
-	if at.fail != nil {
-		s.Verdict, s.Reason, s.After = at.fail.Verdict, at.fail.Reason, at.fail.After
+	if attempt.failure != nil {
+		trace.Verdict, trace.Reason, trace.After = attempt.failure.Verdict, attempt.failure.Reason, attempt.failure.After
 	}
-	if r := at.reply; r != nil {
-		s.Status, s.Inner, s.AtGate, s.InFlight, s.Waiting = r.Status, r.Inner, r.Waited, r.Load.InFlight, r.Load.Waiting
+	if reply := attempt.reply; reply != nil {
+		trace.Status, trace.Inner, trace.AtGate, trace.InFlight, trace.Waiting = reply.Status, reply.Inner, reply.Waited, reply.Load.InFlight, reply.Load.Waiting
 	}
-	j.steps = append(j.steps, s)
+	p.attemptTraces = append(p.attemptTraces, trace)
 }
 
 // note records how a request ended. What simply succeeded at its first attempt is only counted.
-func (s *Sender) note(w *answered, r *http.Request) {
-	j := w.job
-	way := transport.RequestTrace{Side: transport.AtSender, Caller: s.set.Service, Service: w.service, Status: w.status, Why: w.why, After: w.after}
-	if j != nil {
-		j.mu.Lock()
-		way.Steps, way.Started = j.steps, j.attempts // of what is added later nothing is in this slice
-		j.mu.Unlock()
+func (s *Sender) recordTrace(w *responseRecorder, r *http.Request) {
+	p := w.pending
+	trace := transport.RequestTrace{Side: transport.AtSender, Caller: s.settings.Service, Service: w.service, Status: w.status, Why: w.reason, After: w.retryAfter}
+	if p != nil {
+		p.mu.Lock()
+		trace.Steps, trace.Started = p.attemptTraces, p.attemptsStarted // of what is added later nothing is in this slice
+		p.mu.Unlock()
 	}
 	switch {
 	case w.status == 0:
-		way.Result, way.Why = "bad", "the client broke off before its request was whole"
-	case w.left:
-		way.Result = "left"
-	case way.Why != "" && w.after > 0:
-		way.Result = "refused"
-	case way.Why != "" && w.route == nil:
-		way.Result = "no_route"
-	case way.Why != "" && w.status < 500:
-		way.Result = "bad"
-	case way.Why != "":
-		way.Result = "failed"
+		trace.Result, trace.Why = "bad", "the client broke off before its request was whole"
+	case w.clientLeft:
+		trace.Result = "left"
+	case trace.Why != "" && w.retryAfter > 0:
+		trace.Result = "refused"
+	case trace.Why != "" && w.route == nil:
+		trace.Result = "no_route"
+	case trace.Why != "" && w.status < 500:
+		trace.Result = "bad"
+	case trace.Why != "":
+		trace.Result = "failed"
 	case w.status >= 500:
-		way.Result, way.Why = "backend_failed", "the backend's answer"
-	case way.Started == 1:
+		trace.Result, trace.Why = "backend_failed", "the backend's answer"
+	case trace.Started == 1:
 		s.Traces.Plain()
 		return
 	default:
-		way.Result, way.Why = "served", "the backend's answer"
+		trace.Result, trace.Why = "served", "the backend's answer"
 	}
-	if way.Result == "refused" || way.Result == "failed" {
-		way.Why = cause(w, way.Steps)
+	if trace.Result == "refused" || trace.Result == "failed" {
+		trace.Why = unansweredReason(w, trace.Steps)
 	}
-	way.Try, way.Took = r.Header.Get(inbound.TryHeader), time.Since(w.began)
+	trace.Try, trace.Took = r.Header.Get(inbound.TryHeader), time.Since(w.startedAt)
 	if w.view != nil {
-		way.Index = w.view.ConfigIndex
+		trace.Index = w.view.ConfigIndex
 	}
 	if w.route != nil {
-		way.Route, way.Version, way.Unsafe = w.route.Name, w.route.Version, w.route.Kind != meshconfig.Safe
+		trace.Route, trace.Version, trace.Unsafe = w.route.Name, w.route.Version, w.route.Kind != meshconfig.Safe
 	}
-	if j != nil {
-		way.Inner, way.Repeat = j.inner, j.repeated
-		if j.call != nil {
-			way.Open = j.call.open
+	if p != nil {
+		trace.Inner, trace.Repeat = p.inner, p.parentRepeated
+		if p.balanced != nil {
+			trace.Open = p.balanced.candidates
 		}
 	}
-	s.Traces.Add(time.Now(), way)
+	s.Traces.Add(time.Now(), trace)
 }
 
 // cause says why a request got no backend's answer.
-func cause(w *answered, steps []transport.Attempt) string {
+func unansweredReason(w *responseRecorder, attempts []transport.Attempt) string {
 	switch {
 	case w.view == nil:
 		return "no configuration is known yet"
-	case w.job == nil:
+	case w.pending == nil:
 		return "no room for its body"
-	case w.job.call == nil && w.service == "":
+	case w.pending.balanced == nil && w.service == "":
 		return "it came with no time left"
-	case w.job.call == nil:
+	case w.pending.balanced == nil:
 		return "its service is none of the configuration"
-	case len(steps) == 0 && w.job.call.open == 0:
+	case len(attempts) == 0 && w.pending.balanced.candidates == 0:
 		return "no backend of its service is open"
-	case len(steps) == 0:
-		return "no backend was chosen: " + w.why
+	case len(attempts) == 0:
+		return "no backend was chosen: " + w.reason
 	}
-	last := &steps[len(steps)-1]
-	return w.why + "; last attempt: " + last.Reason.String() + ", " + last.Verdict.String()
+	last := &attempts[len(attempts)-1]
+	return w.reason + "; last attempt: " + last.Reason.String() + ", " + last.Verdict.String()
 }
--- a/internal/mesh/outbound/note_test.go
+++ b/internal/mesh/outbound/note_test.go
@@ -16,24 +16,24 @@
 
 // TestTraces: what simply succeeds leaves no record, all else one that tells each attempt.
 func TestTraces(t *testing.T) {
-	var say []transport.Reply
-	g := func() string {
-		return gate(t, func(*transport.Request, []byte) (*transport.Reply, []byte) {
-			r := say[0]
-			say = say[1:]
-			return &r, nil
+	var replies []transport.Reply
+	newGate := func() string {
+		return startFakeGate(t, func(*transport.Request, []byte) (*transport.Reply, []byte) {
+			reply := replies[0]
+			replies = replies[1:]
+			return &reply, nil
 		})
 	}
-	s := sender(t, g(), g())
+	s := newTestSender(t, newGate(), newGate())
 	full := transport.Reply{Verdict: transport.NotRun, Reason: transport.Full, After: 70 * time.Millisecond, Load: transport.Load{InFlight: 9, Waiting: 5}}
 	ran := transport.Reply{Verdict: transport.Ran, Status: 200, Waited: 3 * time.Millisecond}
 	failed := transport.Reply{Verdict: transport.Ran, Status: 500, Inner: true}
 	for _, c := range []struct {
-		path   string
-		say    []transport.Reply
-		status int
-		result string
-		steps  []transport.Attempt
+		path     string
+		replies  []transport.Reply
+		status   int
+		result   string
+		attempts []transport.Attempt
 	}{
 		{"/safe/", []transport.Reply{ran}, 200, "", nil},
 		{"/unsafe/", []transport.Reply{full, ran}, 200, "served", []transport.Attempt{{Verdict: transport.NotRun, Reason: transport.Full, After: full.After,
@@ -42,8 +42,8 @@
 		{"/unsafe/", []transport.Reply{{Reason: transport.Broken}}, 502, "failed", []transport.Attempt{{Reason: transport.Broken}}},
 		{"/none/", nil, 404, "no_route", nil},
 	} {
-		say = c.say
-		r, w := request("GET", c.path, c.path+c.result, nil), httptest.NewRecorder()
+		replies = c.replies
+		r, w := newTestRequest("GET", c.path, c.path+c.result, nil), httptest.NewRecorder()
 		s.ServeHTTP(w, r)
 		require.Equal(t, c.status, w.Code)
 		traces := s.Traces.Ask(time.Now(), &transport.TraceQuery{Try: c.path + c.result, Most: 9})
@@ -52,39 +52,39 @@
 			continue
 		}
 		require.Len(t, traces, 1)
-		way := traces[0]
-		require.Equal(t, []any{c.result, c.status, len(c.steps)}, []any{way.Result, way.Status, way.Started})
-		for i, got := range way.Steps {
+		trace := traces[0]
+		require.Equal(t, []any{c.result, c.status, len(c.attempts)}, []any{trace.Result, trace.Status, trace.Started})
+		for i, got := range trace.Steps {
 			require.NotEmpty(t, got.Backend)
-			require.Less(t, got.Begun+got.Took, way.Took)
+			require.Less(t, got.Begun+got.Took, trace.Took)
 			got.Backend, got.Agent, got.Begun, got.Took = "", "", 0, 0
-			require.Equal(t, c.steps[i], got)
+			require.Equal(t, c.attempts[i], got)
 		}
 	}
 	require.EqualValues(t, 1, s.Traces.Plains())
 }
 
-var kept http.ResponseWriter
+var benchmarkSink http.ResponseWriter
 
 // BenchmarkNote is what records cost a request: nearly all are plain.
 func BenchmarkNote(b *testing.B) {
 	s := New(&bootstrap.Settings{}, inbound.NewHost(inbound.Rules{}, 1, transport.NewByteBudget(1), func() {}), nil, nil, &log.Logger{Handler: discard.New()})
-	r := request("GET", "/safe/", "9c41d07be2a35f68", nil)
+	r := newTestRequest("GET", "/safe/", "9c41d07be2a35f68", nil)
 	out := httptest.NewRecorder()
-	for name, steps := range map[string]int{"plain": 0, "two-attempts": 2} {
+	for name, attempts := range map[string]int{"plain": 0, "two-attempts": 2} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
-			j := &job{attempts: max(1, steps)}
-			at := &attempt{reply: &transport.Reply{}, to: &target{backend: "b", agent: "10.0.0.1"}, began: time.Now()}
+			p := &pendingRequest{attemptsStarted: max(1, attempts)}
+			attempt := &backendAttempt{reply: &transport.Reply{}, target: &backendTarget{backendID: "b", agent: "10.0.0.1"}, startedAt: time.Now()}
 			for b.Loop() {
-				w := &answered{ResponseWriter: out, began: time.Now(), job: j}
-				for range steps {
-					j.step(at)
+				w := &responseRecorder{ResponseWriter: out, startedAt: time.Now(), pending: p}
+				for range attempts {
+					p.appendTrace(attempt)
 				}
-				kept = w // as it outlives the stack of a real request's handler
+				benchmarkSink = w // as it outlives the stack of a real request's handler
 				w.WriteHeader(http.StatusOK)
-				s.note(w, r)
-				j.steps = j.steps[:0]
+				s.recordTrace(w, r)
+				p.attemptTraces = p.attemptTraces[:0]
 			}
 		})
 	}
--- a/internal/mesh/outbound/once_test.go
+++ b/internal/mesh/outbound/once_test.go
@@ -15,38 +15,38 @@
 // the first went to another one: while the first is under way, after it ran, and after it was
 // refused with the promise that it never will.
 func TestOnce(t *testing.T) {
-	ran, release := make(chan string, 8), make(chan bool)
-	say := func(a *transport.Request, _ []byte) (*transport.Reply, []byte) {
-		if a.Try == "refused" {
+	started, release := make(chan string, 8), make(chan bool)
+	respond := func(request *transport.Request, _ []byte) (*transport.Reply, []byte) {
+		if request.Try == "refused" {
 			return &transport.Reply{Verdict: transport.NotRun, Reason: transport.Full}, nil
 		}
-		ran <- a.Try
+		started <- request.Try
 		<-release
 		return &transport.Reply{Verdict: transport.Ran, Status: 200}, nil
 	}
-	s := sender(t, gate(t, say), gate(t, say))
-	ask := func(kind, try string) int {
+	s := newTestSender(t, startFakeGate(t, respond), startFakeGate(t, respond))
+	post := func(kind, try string) int {
 		w := httptest.NewRecorder()
-		s.ServeHTTP(w, request("POST", "/"+kind+"/", try, nil))
+		s.ServeHTTP(w, newTestRequest("POST", "/"+kind+"/", try, nil))
 		return w.Code
 	}
 	first := make(chan int)
-	go func() { first <- ask("unsafe", "t") }()
-	require.Equal(t, "t", <-ran)
-	require.Equal(t, 502, ask("unsafe", "t"), "the first is under way")
+	go func() { first <- post("unsafe", "t") }()
+	require.Equal(t, "t", <-started)
+	require.Equal(t, 502, post("unsafe", "t"), "the first is under way")
 	close(release)
 	require.Equal(t, 200, <-first)
-	require.Equal(t, 502, ask("unsafe", "t"), "the first ran")
-	require.Equal(t, 503, ask("unsafe", "refused"))
-	require.Equal(t, 502, ask("unsafe", "refused"), "it was promised never to run")
-	require.Empty(t, ran)
-	require.Equal(t, []int{200, 200}, []int{ask("safe", "u"), ask("safe", "u")}, "what is safe may come again")
+	require.Equal(t, 502, post("unsafe", "t"), "the first ran")
+	require.Equal(t, 503, post("unsafe", "refused"))
+	require.Equal(t, 502, post("unsafe", "refused"), "it was promised never to run")
+	require.Empty(t, started)
+	require.Equal(t, []int{200, 200}, []int{post("safe", "u"), post("safe", "u")}, "what is safe may come again")
 }
 
 // TestClassOfAnotherConfiguration provokes TWICE: a request of a route that the module's
 // configuration does not have, or has with another aim, keeps its effect.
 func TestClassOfAnotherConfiguration(t *testing.T) {
-	classes := classesOf(nil)
+	classes := classesFor(nil)
 	for _, aim := range []time.Duration{0, time.Millisecond, 300 * time.Millisecond, time.Second, 20 * time.Second} {
 		for kind, effect := range map[meshconfig.Kind]policy.Effect{meshconfig.Safe: policy.Pure, meshconfig.Unsafe: policy.SideEffect, meshconfig.Upload: policy.SideEffect} {
 			for _, inner := range []bool{false, true} {
@@ -60,23 +60,23 @@
 // TestNothingIsPromisedForWhatMayHaveRun provokes TWICE and REFUSED at the last place before each:
 // whatever the module orders, what may have run goes nowhere else and is refused nothing.
 func TestNothingIsPromisedForWhatMayHaveRun(t *testing.T) {
-	asks := 0
-	s := sender(t, gate(t, func(*transport.Request, []byte) (*transport.Reply, []byte) {
-		asks++
+	sends := 0
+	s := newTestSender(t, startFakeGate(t, func(*transport.Request, []byte) (*transport.Reply, []byte) {
+		sends++
 		return &transport.Reply{Reason: transport.Broken}, nil
 	}))
 	for _, unsafe := range []bool{true, false} {
-		asks = 0
+		sends = 0
 		route := *s.View().Config.Route("d", "/safe/")
 		route.Tries = 3
-		j := &job{over: make(chan struct{}), route: &route, request: transport.Request{Unsafe: unsafe}, deadline: time.Now().Add(time.Minute)}
-		to := s.chooser("s").targets[idOf("10.0.1.0")]
+		p := &pendingRequest{done: make(chan struct{}), route: &route, request: transport.Request{Unsafe: unsafe}, deadline: time.Now().Add(time.Minute)}
+		target := s.balancer("s").targets[serverIDOf("10.0.1.0")]
 		for n := range 2 {
-			s.attempt(j, policy.Action{Server: to.id}, to, n)
+			s.runAttempt(p, policy.Action{Server: target.id}, target, n)
 		}
-		require.Equal(t, map[bool]int{true: 1, false: 2}[unsafe], asks)
+		require.Equal(t, map[bool]int{true: 1, false: 2}[unsafe], sends)
 		w := httptest.NewRecorder()
-		s.answer(&answered{ResponseWriter: w}, j, outcome{refused: true})
+		s.respond(&responseRecorder{ResponseWriter: w}, p, requestResult{refused: true})
 		require.Equal(t, unsafe, w.Code != 503, "%d", w.Code)
 	}
 }
--- a/internal/mesh/outbound/path_bench_test.go
+++ b/internal/mesh/outbound/path_bench_test.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	answerBytes = 2000
-	gates       = 5
-	width       = 64
+	responseBytes = 2000
+	gateCount     = 5
+	backendSlots  = 64
 )
 
 // listen takes connections on a free port of loopback.
@@ -46,10 +46,10 @@
 }
 
 // backend answers each request at once and costs as little as can be.
-func backend(c net.Conn) {
+func serveBackend(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
-	body := bytes.Repeat([]byte("x"), answerBytes)
+	body := bytes.Repeat([]byte("x"), responseBytes)
 	var out, try []byte
 	for {
 		for try = try[:0]; ; {
@@ -72,7 +72,7 @@
 }
 
 // drive sends requests one after the other from each of several clients, and reports times and processor time of the whole process.
-func drive(b *testing.B, address string, clients int) {
+func driveClients(b *testing.B, address string, clients int) {
 	var next atomic.Int64
 	times := make([][]time.Duration, clients)
 	var wg sync.WaitGroup
@@ -105,7 +105,7 @@
 				for len(head) != 2 && err == nil {
 					head, err = r.ReadSlice('\n')
 				}
-				if _, err := r.Discard(answerBytes); err != nil {
+				if _, err := r.Discard(responseBytes); err != nil {
 					b.Error(err)
 					return
 				}
@@ -118,8 +118,8 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &after)
 	all := slices.Concat(times...)
 	slices.Sort(all)
-	busy := func(u *syscall.Rusage) int64 { return u.Utime.Nano() + u.Stime.Nano() }
-	b.ReportMetric(float64(busy(&after)-busy(&before))/float64(b.N)/1e3, "cpu-µs/op")
+	cpuTime := func(u *syscall.Rusage) int64 { return u.Utime.Nano() + u.Stime.Nano() }
+	b.ReportMetric(float64(cpuTime(&after)-cpuTime(&before))/float64(b.N)/1e3, "cpu-µs/op")
 	b.ReportMetric(float64(all[len(all)/2].Microseconds()), "p50-µs")
 	b.ReportMetric(float64(all[len(all)*99/100].Microseconds()), "p99-µs")
 }
@@ -127,19 +127,19 @@
 // BenchmarkDirect is what client and backend cost without the mesh, to be taken off BenchmarkPath.
 func BenchmarkDirect(b *testing.B) {
 	for _, clients := range []int{1, 8} {
-		b.Run(fmt.Sprint("clients=", clients), func(b *testing.B) { drive(b, listen(b, backend), clients) })
+		b.Run(fmt.Sprint("clients=", clients), func(b *testing.B) { driveClients(b, listen(b, serveBackend), clients) })
 	}
 }
 
 // BenchmarkPath is a request's way from a client through sender and gate to a backend and back, all on loopback in one process.
 func BenchmarkPath(b *testing.B) {
 	for _, clients := range []int{1, 8} {
-		b.Run(fmt.Sprint("clients=", clients), func(b *testing.B) { drive(b, mesh(b), clients) })
+		b.Run(fmt.Sprint("clients=", clients), func(b *testing.B) { driveClients(b, startMesh(b), clients) })
 	}
 }
 
 // mesh is a sender and some gates, each with a backend; it returns where clients reach the sender.
-func mesh(b *testing.B) string {
+func startMesh(b *testing.B) string {
 	patch, err := meshconfig.ParsePatch([]byte(`{"add":{"items":[{"item_kind":"services","metadata":{"name":"s","version":"00000001"},` +
 		`"body":{"health_path":"/health"}},{"item_kind":"routes","metadata":{"name":"r","version":"00000001"},"body":{"domain":` +
 		`"host.example","path_start":"/part/","kind":"safe","give_up":"5000ms","target_time":"800ms","service":"s","tries":2}}]}}`))
@@ -148,24 +148,24 @@
 	require.NoError(b, err)
 	view := &outbound.View{Config: config, ConfigIndex: 1}
 	rules := inbound.Rules{BeatEvery: time.Hour}
-	for i := range gates {
+	for i := range gateCount {
 		host := inbound.NewHost(rules, 1<<20, transport.NewByteBudget(1<<30), func() {})
-		at := listen(b, func(raw net.Conn) {
+		address := listen(b, func(raw net.Conn) {
 			c := transport.NewConn(raw)
 			var hello transport.Hello
 			if c.Receive(&hello) == nil {
 				host.Serve(c)
 			}
 		})
-		life := transport.Backend{ID: fmt.Sprint("i-", i), Service: "s", Address: listen(b, backend), Zone: "z", Capacity: width, Calls: 1}
-		host.With(func(now time.Duration, g *inbound.Gate) bool { g.Named(1); return g.Vouch(now, 0, life) })
-		view.Agents = append(view.Agents, transport.Heard{Station: transport.Station{Agent: fmt.Sprint("10.0.0.", i), Gate: at, Zone: "z",
-			Life: 1, Seq: 1, Open: true, Backend: &life}})
+		backend := transport.Backend{ID: fmt.Sprint("i-", i), Service: "s", Address: listen(b, serveBackend), Zone: "z", Capacity: backendSlots, Calls: 1}
+		host.With(func(now time.Duration, g *inbound.Gate) bool { g.Named(1); return g.Vouch(now, 0, backend) })
+		view.Agents = append(view.Agents, transport.Heard{Station: transport.Station{Agent: fmt.Sprint("10.0.0.", i), Gate: address, Zone: "z",
+			Life: 1, Seq: 1, Open: true, Backend: &backend}})
 	}
-	set := &bootstrap.Settings{IP: "10.0.1.1", Zone: "z", Zones: map[string]string{"z": "r"}, Service: "caller"}
-	set.Bounds.RetryRatio, set.Bounds.RetryWindow, set.Bounds.ExtraTries = 0.2, 10*time.Second, 60
-	links := &transport.Pool{From: "10.0.1.1:1", Connect: time.Second, Idle: time.Minute, Most: 64}
-	s := outbound.New(set, inbound.NewHost(rules, 1<<20, transport.NewByteBudget(1<<30), func() {}), links, transport.NewByteBudget(1<<30), &log.Logger{Handler: discard.New()})
+	settings := &bootstrap.Settings{IP: "10.0.1.1", Zone: "z", Zones: map[string]string{"z": "r"}, Service: "caller"}
+	settings.Bounds.RetryRatio, settings.Bounds.RetryWindow, settings.Bounds.ExtraTries = 0.2, 10*time.Second, 60
+	gateConns := &transport.Pool{From: "10.0.1.1:1", Connect: time.Second, Idle: time.Minute, Most: 64}
+	s := outbound.New(settings, inbound.NewHost(rules, 1<<20, transport.NewByteBudget(1<<30), func() {}), gateConns, transport.NewByteBudget(1<<30), &log.Logger{Handler: discard.New()})
 	s.SetView(view)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/internal/mesh/outbound/sender.go
+++ b/internal/mesh/outbound/sender.go
@@ -35,49 +35,49 @@
 }
 
 const (
-	budgetShare = 0.5  // of the retry budget that agents spend by themselves: repeats make calls, which are repeats too
-	floorShare  = 0.5  // of the tries that are free for all: agents come and go, and start with a budget each
-	coldFrom    = 0.25 // of its capacity that a backend has at its start, until gates tell otherwise
-	innerWorth  = 10.0 // of what a backend calls: all the work of its run hangs on it
-	lateWorth   = 0.1  // not nothing: a late answer is worth sending for
-	usualAim    = time.Second
-	alike       = 0.7 // by how much the logarithms of aims may differ: twice
+	retryRatioShare      = 0.5  // of the retry budget that agents spend by themselves: repeats make calls, which are repeats too
+	retryFloorShare      = 0.5  // of the tries that are free for all: agents come and go, and start with a budget each
+	initialCapacityShare = 0.25 // of its capacity that a backend has at its start, until gates tell otherwise
+	innerWorth           = 10.0 // of what a backend calls: all the work of its run hangs on it
+	lateWorth            = 0.1  // not nothing: a late answer is worth sending for
+	defaultTargetLatency = time.Second
+	maxTargetLogRatio    = 0.7 // by how much the logarithms of aims may differ: twice
 )
 
 // Sender is the data plane beside a caller.
 type Sender struct {
-	set    *bootstrap.Settings
-	host   *inbound.Host // the gate on this machine
-	links  *transport.Pool
-	send   func(j *job, gate transport.Endpoint, ask *transport.Request) (*transport.Reply, []byte, *transport.Failure)
-	budget *transport.ByteBudget // for bodies
-	log    log.Interface
-	zones  map[string]int
+	settings    *bootstrap.Settings
+	localGate   *inbound.Host // the gate on this machine
+	gateConns   *transport.Pool
+	sendRemote  func(p *pendingRequest, gate transport.Endpoint, ask *transport.Request) (*transport.Reply, []byte, *transport.Failure)
+	bodyBudget  *transport.ByteBudget // for bodies
+	log         log.Interface
+	zoneNumbers map[string]int
 
-	view    atomic.Pointer[View]
-	mu      sync.RWMutex // guards serves, jobs and over
-	jobs    map[*job]struct{}
-	over    bool
-	serves  map[string]*chooser
-	agents  int
-	leaving atomic.Pointer[ShutdownSchedule] // nil: it was not told to end
-	held    atomic.Int64
-	away    atomic.Bool // clients are to go elsewhere: see TurnClientsAway
-	ages    ages
-	began   time.Time
-	idsMu   sync.Mutex   // guards ids
-	ids     *seenids.Set // of the requests begun that must not run twice
-	Count   Counters
-	Traces  flightrecorder.Ring // of what did not simply succeed
+	view         atomic.Pointer[View]
+	mu           sync.RWMutex // guards serves, jobs and over
+	pending      map[*pendingRequest]struct{}
+	pastAnswerBy bool
+	balancers    map[string]*serviceBalancer
+	agentCount   int
+	shutdown     atomic.Pointer[ShutdownSchedule] // nil: it was not told to end
+	inFlight     atomic.Int64
+	draining     atomic.Bool // clients are to go elsewhere: see TurnClientsAway
+	waits        waitEstimator
+	startedAt    time.Time
+	seenIDsMu    sync.Mutex   // guards ids
+	seenIDs      *seenids.Set // of the requests begun that must not run twice
+	Counters     Counters
+	Traces       flightrecorder.Ring // of what did not simply succeed
 }
 
 // New returns a sender that knows nothing and refuses all.
-func New(set *bootstrap.Settings, host *inbound.Host, links *transport.Pool, budget *transport.ByteBudget, l log.Interface) *Sender {
-	s := &Sender{set: set, budget: budget, host: host, links: links, log: l, zones: map[string]int{}, jobs: map[*job]struct{}{}, serves: map[string]*chooser{},
-		began: time.Now(), ids: seenids.New(0, idsLast, mostIDs)}
-	s.send = s.exchange
-	for _, z := range sortedKeys(set.Zones) {
-		s.zones[z] = len(s.zones)
+func New(settings *bootstrap.Settings, localGate *inbound.Host, gateConns *transport.Pool, bodyBudget *transport.ByteBudget, logger log.Interface) *Sender {
+	s := &Sender{settings: settings, bodyBudget: bodyBudget, localGate: localGate, gateConns: gateConns, log: logger, zoneNumbers: map[string]int{}, pending: map[*pendingRequest]struct{}{}, balancers: map[string]*serviceBalancer{},
+		startedAt: time.Now(), seenIDs: seenids.New(0, seenIDsGeneration, maxSeenIDs)}
+	s.sendRemote = s.exchangeWithGate
+	for _, z := range sortedKeys(settings.Zones) {
+		s.zoneNumbers[z] = len(s.zoneNumbers)
 	}
 	return s
 }
@@ -96,170 +96,170 @@
 
 // TurnClientsAway has it tell clients to go elsewhere, or no longer. What they send is served all the
 // same.
-func (s *Sender) SetDraining(yes bool) { s.away.Store(yes) }
+func (s *Sender) SetDraining(draining bool) { s.draining.Store(draining) }
 
 // Leave has it tell clients to go elsewhere, and serve what comes all the same as far as the schedule
 // lets it.
-func (s *Sender) BeginShutdown(d ShutdownSchedule) {
-	s.leaving.Store(&d)
-	time.AfterFunc(time.Until(d.GiveUp), func() {
+func (s *Sender) BeginShutdown(schedule ShutdownSchedule) {
+	s.shutdown.Store(&schedule)
+	time.AfterFunc(time.Until(schedule.AnswerBy), func() {
 		s.mu.Lock()
-		s.over = true
-		jobs := slices.Collect(maps.Keys(s.jobs))
+		s.pastAnswerBy = true
+		pending := slices.Collect(maps.Keys(s.pending))
 		s.mu.Unlock()
-		for _, j := range jobs {
-			j.expire()
+		for _, p := range pending {
+			p.cutByShutdown()
 		}
 	})
 }
 
 // register counts a job in, so that it can be ended.
-func (s *Sender) register(j *job) {
+func (s *Sender) register(p *pendingRequest) {
 	s.mu.Lock()
-	s.jobs[j] = struct{}{}
-	over := s.over
+	s.pending[p] = struct{}{}
+	pastAnswerBy := s.pastAnswerBy
 	s.mu.Unlock()
-	if over {
-		j.expire()
+	if pastAnswerBy {
+		p.cutByShutdown()
 	}
 }
 
-func (s *Sender) unregister(j *job) {
+func (s *Sender) unregister(p *pendingRequest) {
 	s.mu.Lock()
-	delete(s.jobs, j)
+	delete(s.pending, p)
 	s.mu.Unlock()
 }
 
 // Held is how many requests it has in hand.
-func (s *Sender) InFlight() int { return int(s.held.Load()) }
+func (s *Sender) InFlight() int { return int(s.inFlight.Load()) }
 
 // SetView exchanges what the sender knows. Only its owner calls it.
 func (s *Sender) SetView(v *View) {
-	byService := map[string][]*target{}
-	agents, width := 0, map[string]int{}
+	targetsByService := map[string][]*backendTarget{}
+	agentCount, concurrency := 0, map[string]int{}
 	for i := range v.Agents {
-		h := &v.Agents[i]
-		agents++
-		b := h.Station.Backend
-		if b == nil || b.Draining || !h.Station.Open || h.Lost || v.Config.Evacuated(b.Zone) ||
-			v.Config.Stage(b.Zone, h.Station.Agent) >= meshconfig.StageCalls {
+		agent := &v.Agents[i]
+		agentCount++
+		backend := agent.Station.Backend
+		if backend == nil || backend.Draining || !agent.Station.Open || agent.Lost || v.Config.Evacuated(backend.Zone) ||
+			v.Config.Stage(backend.Zone, agent.Station.Agent) >= meshconfig.StageCalls {
 			continue
 		}
-		t := &target{id: idOf(h.Station.Agent), gate: h.Station.Gate, backend: b.ID, agent: h.Station.Agent,
-			life: h.Station.Life, told: h.Station.Seq, zone: s.zones[b.Zone], local: h.Station.Agent == s.set.IP, cold: b.ColdLeft}
-		byService[b.Service] = append(byService[b.Service], t)
-		width[b.Service] = max(width[b.Service], b.Capacity)
+		target := &backendTarget{id: serverIDOf(agent.Station.Agent), gateAddress: agent.Station.Gate, backendID: backend.ID, agent: agent.Station.Agent,
+			gateIncarnation: agent.Station.Life, announcementSeq: agent.Station.Seq, zone: s.zoneNumbers[backend.Zone], local: agent.Station.Agent == s.settings.IP, warmupLeft: backend.ColdLeft}
+		targetsByService[backend.Service] = append(targetsByService[backend.Service], target)
+		concurrency[backend.Service] = max(concurrency[backend.Service], backend.Capacity)
 	}
 	s.mu.Lock()
-	s.agents = max(agents, 1)
-	before := s.view.Load()
-	moved := before == nil || before.Config != v.Config
+	s.agentCount = max(agentCount, 1)
+	previous := s.view.Load()
+	configChanged := previous == nil || previous.Config != v.Config
 	var routes map[string][]*meshconfig.Route // by service; sorted only where they have moved, as stations do far more often
-	if moved {
-		routes = routesOf(v.Config)
+	if configChanged {
+		routes = routesByService(v.Config)
 	}
 	for _, name := range v.Config.Services() {
-		c := s.serves[name]
-		wide := width[name]
-		if wide == 0 && c != nil {
-			wide = c.width
+		balancer := s.balancers[name]
+		serviceConcurrency := concurrency[name]
+		if serviceConcurrency == 0 && balancer != nil {
+			serviceConcurrency = balancer.concurrency
 		}
-		if c == nil || c.width != wide || moved && !serves(c.classes, classesOf(routes[name])) {
+		if balancer == nil || balancer.concurrency != serviceConcurrency || configChanged && !coversClasses(balancer.classes, classesFor(routes[name])) {
 			if routes == nil {
-				routes = routesOf(v.Config)
+				routes = routesByService(v.Config)
 			}
-			classes := classesOf(routes[name])
+			classes := classesFor(routes[name])
 			var err error
-			if c, err = newChooser(name, s.settings(v.Config, name, classes, wide), s.line(name)); err != nil {
+			if balancer, err = newServiceBalancer(name, s.balancerSettings(v.Config, name, classes, serviceConcurrency), s.balancerLog(name)); err != nil {
 				s.log.WithError(err).Error("decision module")
 				continue
 			}
-			s.serves[name] = c
+			s.balancers[name] = balancer
 		}
-		list := byService[name]
-		slices.SortFunc(list, func(x, y *target) int { return cmp.Compare(x.id, y.id) })
-		c.setTargets(list)
+		targets := targetsByService[name]
+		slices.SortFunc(targets, func(x, y *backendTarget) int { return cmp.Compare(x.id, y.id) })
+		balancer.setTargets(targets)
 	}
 	s.mu.Unlock()
 	s.view.Store(v)
 }
 
-func (s *Sender) line(service string) func(string) {
+func (s *Sender) balancerLog(service string) func(string) {
 	return func(text string) { s.log.WithField("service", service).Info(text) }
 }
 
-func (s *Sender) chooser(service string) *chooser {
+func (s *Sender) balancer(service string) *serviceBalancer {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.serves[service]
+	return s.balancers[service]
 }
 
 // settings are the decision module's for one service.
-func (s *Sender) settings(c *meshconfig.Config, name string, classes []policy.Class, width int) policy.Settings {
-	b := &s.set.Bounds
-	set := policy.Settings{
-		Agents: s.agents, Zone: s.zones[s.set.Zone], Classes: classes, Reports: policy.ReportsInline, Gates: true, HomeFirst: true, Width: float64(width),
+func (s *Sender) balancerSettings(config *meshconfig.Config, name string, classes []policy.Class, concurrency int) policy.Settings {
+	bounds := &s.settings.Bounds
+	settings := policy.Settings{
+		Agents: s.agentCount, Zone: s.zoneNumbers[s.settings.Zone], Classes: classes, Reports: policy.ReportsInline, Gates: true, HomeFirst: true, Width: float64(concurrency),
 		Tick: time.Millisecond, MaxAttempts: 6, SecondCopies: true,
-		ColdFrom: coldFrom, OverloadFactor: 2,
-		ExtraWindow: b.RetryWindow, ExtraFloor: floorShare * b.ExtraTries / float64(s.agents), ExtraRatio: budgetShare * b.RetryRatio,
+		ColdFrom: initialCapacityShare, OverloadFactor: 2,
+		ExtraWindow: bounds.RetryWindow, ExtraFloor: retryFloorShare * bounds.ExtraTries / float64(s.agentCount), ExtraRatio: retryRatioShare * bounds.RetryRatio,
 	}
-	if sv := c.Service(name); sv != nil {
-		set.WarmAfter = sv.Warmup
+	if service := config.Service(name); service != nil {
+		settings.WarmAfter = service.Warmup
 	}
-	return set
+	return settings
 }
 
 // classesOf lists the kinds of requests that a service gets, by what the module tells apart: whether they may run twice, whether a
 // backend calls, and about how long they may take. Danger: a module that is made anew has forgotten all speeds and failures, so what
 // changes often makes no class of its own: each request brings the time that it has, and aims that are alike are one.
-func classesOf(routes []*meshconfig.Route) []policy.Class {
+func classesFor(routes []*meshconfig.Route) []policy.Class {
 	var classes []policy.Class
-	add := func(effect policy.Effect, aim time.Duration) {
+	add := func(effect policy.Effect, targetLatency time.Duration) {
 		for _, worth := range []float64{1, innerWorth} {
-			k := policy.Class{Aim: aim, Deadline: 8 * aim, Worth: worth, LateWorth: lateWorth, Effect: effect}
-			if !fits(classes, effect, worth, aim) {
-				classes = append(classes, k)
+			class := policy.Class{Aim: targetLatency, Deadline: 8 * targetLatency, Worth: worth, LateWorth: lateWorth, Effect: effect}
+			if !hasClass(classes, effect, worth, targetLatency) {
+				classes = append(classes, class)
 			}
 		}
 	}
-	add(policy.Pure, usualAim)
-	add(policy.SideEffect, usualAim)
+	add(policy.Pure, defaultTargetLatency)
+	add(policy.SideEffect, defaultTargetLatency)
 	for _, r := range routes {
-		add(effectOf(r), aimOf(r))
+		add(effectOf(r), targetLatencyOf(r))
 	}
 	return classes
 }
 
 // routesOf lists the routes to each service in the order of their aims.
-func routesOf(c *meshconfig.Config) map[string][]*meshconfig.Route {
-	all := c.Routes()
+func routesByService(config *meshconfig.Config) map[string][]*meshconfig.Route {
+	all := config.Routes()
 	slices.SortFunc(all, func(x, y *meshconfig.Route) int { return cmp.Compare(x.TargetTime, y.TargetTime) })
-	to := map[string][]*meshconfig.Route{}
+	byService := map[string][]*meshconfig.Route{}
 	for _, r := range all {
 		for _, share := range r.Shares {
-			if n := len(to[share.Service]); n == 0 || to[share.Service][n-1] != r {
-				to[share.Service] = append(to[share.Service], r)
+			if n := len(byService[share.Service]); n == 0 || byService[share.Service][n-1] != r {
+				byService[share.Service] = append(byService[share.Service], r)
 			}
 		}
 	}
-	return to
+	return byService
 }
 
 // nearest finds the class for a request whose aim is nearest, and how far that is.
-func nearest(classes []policy.Class, effect policy.Effect, worth float64, aim time.Duration) (best int, far float64) {
-	best, far = -1, math.Inf(1)
-	for i, k := range classes {
-		if d := math.Abs(math.Log(k.Aim.Seconds() / aim.Seconds())); k.Effect == effect && k.Worth == worth && d <= far {
-			best, far = i, d
+func nearestClass(classes []policy.Class, effect policy.Effect, worth float64, targetLatency time.Duration) (best int, distance float64) {
+	best, distance = -1, math.Inf(1)
+	for i, class := range classes {
+		if d := math.Abs(math.Log(class.Aim.Seconds() / targetLatency.Seconds())); class.Effect == effect && class.Worth == worth && d <= distance {
+			best, distance = i, d
 		}
 	}
-	return best, far
+	return best, distance
 }
 
 // fits says whether there is a class with an aim that is alike.
-func fits(classes []policy.Class, effect policy.Effect, worth float64, aim time.Duration) bool {
-	_, far := nearest(classes, effect, worth, aim)
-	return far <= alike
+func hasClass(classes []policy.Class, effect policy.Effect, worth float64, targetLatency time.Duration) bool {
+	_, distance := nearestClass(classes, effect, worth, targetLatency)
+	return distance <= maxTargetLogRatio
 }
 
 func effectOf(r *meshconfig.Route) policy.Effect {
@@ -269,9 +269,9 @@
 	return policy.SideEffect
 }
 
-func aimOf(r *meshconfig.Route) time.Duration {
+func targetLatencyOf(r *meshconfig.Route) time.Duration {
 	if r.TargetTime <= 0 {
-		return usualAim
+		return defaultTargetLatency
 	}
 	return r.TargetTime
 }
@@ -284,17 +284,17 @@
 	if inner {
 		worth = innerWorth
 	}
-	index, _ := nearest(classes, effectOf(r), worth, aimOf(r))
+	index, _ := nearestClass(classes, effectOf(r), worth, targetLatencyOf(r))
 	return index
 }
 
 // serves says whether all that goes to a service finds a class among these.
-func serves(classes, wanted []policy.Class) bool {
-	return !slices.ContainsFunc(wanted, func(k policy.Class) bool { return !fits(classes, k.Effect, k.Worth, k.Aim) })
+func coversClasses(classes, wanted []policy.Class) bool {
+	return !slices.ContainsFunc(wanted, func(k policy.Class) bool { return !hasClass(classes, k.Effect, k.Worth, k.Aim) })
 }
 
 // idOf derives a backend's number from its machine, the same at each agent and in each life.
-func idOf(agent string) policy.ServerID {
+func serverIDOf(agent string) policy.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(agent))
 	return policy.ServerID(h.Sum32() & math.MaxInt32)
--- a/internal/mesh/outbound/tenant.go
+++ b/internal/mesh/outbound/tenant.go
@@ -21,13 +21,13 @@
 // authenticate finds out for whom a request runs, or answers it. Where the configuration has
 // customers a request needs the key of one, but for those of public routes and those that a backend
 // makes for a run of its own, which are its tenant's.
-func (s *Sender) authenticate(w *answered, r *http.Request) bool {
-	w.parent = s.host.Parent(r.Header.Get(inbound.TryHeader))
+func (s *Sender) authenticate(w *responseRecorder, r *http.Request) bool {
+	w.parent = s.localGate.Parent(r.Header.Get(inbound.TryHeader))
 	w.tenant = tenant{rank: w.route.Rank}
 	if !w.view.Config.HasCustomers() {
 		return true
 	}
-	switch customer := w.view.Config.CustomerOf(keyOf(r.Header)); {
+	switch customer := w.view.Config.CustomerOf(apiKey(r.Header)); {
 	case customer != nil:
 		w.tenant.name = customer.Name
 		if customer.Ranked {
@@ -36,20 +36,20 @@
 	case w.parent.Known:
 		w.tenant.name = w.parent.Customer
 	case w.route.Public:
-	case isCall(r):
-		s.refuse(w, unknownYet)
+	case isOrphanedCall(r):
+		s.respondRefused(w, unknownConfigRetryAfter)
 		return false
 	default:
-		s.Count.Unknown.Add(1)
+		s.Counters.Unauthenticated.Add(1)
 		w.Header().Set("WWW-Authenticate", strings.TrimSpace(keyScheme))
-		s.say(w, http.StatusUnauthorized, "no key of a customer")
+		s.respondText(w, http.StatusUnauthorized, "no key of a customer")
 		return false
 	}
 	return true
 }
 
 // keyOf is the key that a request brings, empty if it brings none.
-func keyOf(h http.Header) string {
+func apiKey(h http.Header) string {
 	key, ok := strings.CutPrefix(h.Get(keyHeader), keyScheme)
 	if !ok {
 		return ""
@@ -59,6 +59,6 @@
 
 // isCall says whether a request is a call of a backend's run that is not known, as the process that
 // handed it over has ended since. It brings no key, and is refused without a word on that.
-func isCall(r *http.Request) bool {
+func isOrphanedCall(r *http.Request) bool {
 	return r.Header.Get(keyHeader) == "" && strings.Contains(r.Header.Get(inbound.TryHeader), ".")
 }
--- a/internal/mesh/outbound/tenant_test.go
+++ b/internal/mesh/outbound/tenant_test.go
@@ -24,13 +24,13 @@
 // one nothing does, but on public routes.
 func TestKeys(t *testing.T) {
 	var got *transport.Request
-	s := sender(t, gate(t, func(a *transport.Request, _ []byte) (*transport.Reply, []byte) {
-		got = a
+	s := newTestSender(t, startFakeGate(t, func(request *transport.Request, _ []byte) (*transport.Reply, []byte) {
+		got = request
 		return &transport.Reply{Verdict: transport.Ran, Status: 200}, nil
 	}))
-	ask := func(path, try, authorization string) (status int, customer string) {
+	send := func(path, try, authorization string) (status int, customer string) {
 		got = nil
-		r := request("GET", path, try, nil)
+		r := newTestRequest("GET", path, try, nil)
 		r.Header.Set(inbound.CustomerHeader, "whoever")
 		if authorization != "" {
 			r.Header.Set(keyHeader, authorization)
@@ -68,10 +68,10 @@
 		{noTenants, "/unsafe/1", "m", "", 200, ""},
 	} {
 		if c.change != "" {
-			change(s, c.change)
+			applyPatch(s, c.change)
 		}
-		status, customer := ask(c.path, c.try, c.authorization)
+		status, customer := send(c.path, c.try, c.authorization)
 		require.Equal(t, []any{c.status, c.customer}, []any{status, customer}, "%+v", c)
 	}
-	require.Equal(t, uint64(5), s.Count.Unknown.Load())
+	require.Equal(t, uint64(5), s.Counters.Unauthenticated.Load())
 }
