--- a/internal/mesh/outbound/age.go
+++ b/internal/mesh/outbound/age.go
@@ -5,24 +5,27 @@
 	"time"
 )
 
-// ages tells how long a client has waited for a request already, over its tries before this one. A
-// client names its tries anew, so each looks like a new request but for the time that it still has:
-// a first try of a route has the most. Danger: without it those that come back after a refusal,
-// past their aim, take the slots of those that may yet be in time, who then come back late too.
+// waitEstimator estimates how long a client has already waited for a request in tries before this
+// one. Each try has an id of its own, so the only sign of earlier tries is the remaining time that
+// the client states: the first tries of a route have the most. Without the estimate, clients that
+// return after a refusal, too late for the target latency, would take the slots of those that can
+// still be served in time, which then return late too.
 //
-// It holds two generations of the routes that were asked for. A client that never waits as long as
-// others of its route is taken for an old one: it waits for no slot where there is none free, no
-// more.
+// The longest remaining times are kept by route, in two generations. A client that always waits
+// less than others of its route is taken for one that has waited before. The only consequence is
+// that it doesn't queue when no slot is free.
 type waitEstimator struct {
 	mu          sync.Mutex
-	rotatedAt   time.Time
-	longestLeft [2]map[string]time.Duration // time left of first tries, by route
+	rotatedAt   time.Time                   // of the current generation
+	longestLeft [2]map[string]time.Duration // longest remaining time by route; the current generation comes first
 }
 
+// estimateGeneration is how long a generation lasts. A route's longest remaining time is kept for
+// one to two of these.
 const estimateGeneration = 10 * time.Second
 
-// of takes in how much time a try of a route has left, and returns for how long its client has
-// waited.
+// timeWaited records the remaining time of a try on a route, and returns how long its client has
+// already waited.
 func (e *waitEstimator) timeWaited(now time.Time, route string, remaining time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/mesh/outbound/answer.go
+++ b/internal/mesh/outbound/answer.go
@@ -9,21 +9,21 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// retryAfter is the header that tells a client when to come back.
+// retryAfterHeader tells a client how many seconds to wait before the next try.
 const retryAfterHeader = "Retry-After"
 
-// outcome is how a request ended: an attempt, or a refusal, which promises that the request did not
-// run or may run again.
+// requestResult is how a request ended: with the attempt that answers it, with a refusal, or with
+// neither. A refusal promises that the request did not run, or that it may run again.
 type requestResult struct {
-	attempt    *backendAttempt // nil: none came to an end
+	attempt    *backendAttempt // nil: no attempt has ended
 	refused    bool
-	clientLeft bool // the client left before there was an answer
-	retryAfter time.Duration
+	clientLeft bool          // the client left before there was a response
+	retryAfter time.Duration // with refused: how long the client should wait before the next try
 }
 
-// answer tells the client what came of its request, and says whether that is a success. Here every
-// promise is made, so it is checked here too: whatever was decided, what may have run and may not
-// run twice gets none.
+// respond writes the response to the client and reports whether the request succeeded. This is the
+// only place where a client is promised that its request did not run, so the promise is checked
+// here again: whatever the balancer decided, an unsafe request that may have run gets none.
 func (s *Sender) respond(w *responseRecorder, p *pendingRequest, result requestResult) bool {
 	attempt := result.attempt
 	switch {
@@ -43,8 +43,8 @@
 	return s.forwardResponse(w, p, attempt)
 }
 
-// left ends a request whose client has left. It says what is true all the same: a client that has
-// closed only its own side of the connection still reads.
+// respondClientLeft ends a request whose client has left. The response must be true all the same,
+// because a client that has closed only its own side of the connection still reads it.
 func (s *Sender) respondClientLeft(w *responseRecorder, p *pendingRequest) {
 	s.Counters.ClientLeft.Add(1)
 	w.clientLeft = true
@@ -56,7 +56,7 @@
 	s.respondText(w, http.StatusServiceUnavailable, "the client has left")
 }
 
-// fail says that there is no answer, and promises nothing.
+// respondFailed responds that there is no answer, without a promise that the request did not run.
 func (s *Sender) respondFailed(w *responseRecorder, attempt *backendAttempt) {
 	status, message := http.StatusBadGateway, "no answer"
 	if attempt != nil {
@@ -69,7 +69,7 @@
 	s.respondText(w, status, message)
 }
 
-// pass passes a backend's answer on.
+// forwardResponse forwards a backend's response, and reports whether it is a success.
 func (s *Sender) forwardResponse(w *responseRecorder, p *pendingRequest, attempt *backendAttempt) (success bool) {
 	header := w.Header()
 	for i := 0; i+1 < len(attempt.reply.Header); i += 2 {
@@ -77,7 +77,8 @@
 	}
 	status := attempt.reply.Status
 	if promisesNotRun(status) {
-		status = http.StatusBadGateway // danger: it ran, and these say that it did not
+		// The request ran, and the backend's status would tell the client that it did not.
+		status = http.StatusBadGateway
 		header.Del(retryAfterHeader)
 	}
 	if status < 500 {
@@ -97,7 +98,8 @@
 	return status < 500
 }
 
-// promises says whether a status says that the request did not run and never will.
+// promisesNotRun reports whether a status tells the client that the request did not run and never
+// will.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -106,20 +108,20 @@
 	return false
 }
 
-// refuse promises that the request did not run and tells when to come back.
+// respondRefused promises that the request did not run, and tells the client when to try again.
 func (s *Sender) respondRefused(w *responseRecorder, retryAfter time.Duration) {
 	s.Counters.Refused.Add(1)
 	w.setRetryAfter(min(max(retryAfter, minRetryAfter), maxRetryAfter))
 	s.respondText(w, http.StatusServiceUnavailable, "no room; the request did not run")
 }
 
-// comeBack tells when to come back.
+// setRetryAfter sets and records when the client should try again.
 func (w *responseRecorder) setRetryAfter(retryAfter time.Duration) {
 	w.retryAfter = retryAfter
 	w.Header().Set(retryAfterHeader, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 }
 
-// say answers with a line of the sender's own.
+// respondText writes a response of the sender's own, with a line of text.
 func (s *Sender) respondText(w *responseRecorder, status int, message string) {
 	w.reason = message
 	header := w.Header()
--- a/internal/mesh/outbound/answers_test.go
+++ b/internal/mesh/outbound/answers_test.go
@@ -23,43 +23,44 @@
 	"github.com/stretchr/testify/require"
 )
 
-var strideFlag = flag.Int("stride", 37, "each hop is broken at every so many bytes; 1: at every byte")
+var strideFlag = flag.Int("stride", 37, "distance in bytes between the faults on a hop; 1: a fault at every byte")
 
-// recoverWithin is how long it may take, on a machine however busy, until requests are served after
-// a fault.
+// recoveryTimeout is how long it may take, even on a busy machine, until requests succeed again
+// after a fault.
 const recoveryTimeout = 10 * time.Second
 
-// ran is one request in work at a backend, and the answer that it made.
+// backendRun is one execution of a request by a backend, and the response that it made.
 type backendRun struct{ method, uri, caller, body, answer string }
 
-// node is a gate and the backend beside it. Both are reached through links that break when told to.
+// gateNode is a gate and the backend beside it. Both are reached through relays that inject faults.
 type gateNode struct {
 	host                  *inbound.Host
 	gateLink, backendLink *relay.Link
 }
 
-// path is a whole way of requests in one process: a client's link, a sender, two nodes.
+// requestPath is all that a request passes, in one process: the relay to the clients, a sender, and
+// two gates with their backends.
 type requestPath struct {
 	t          testing.TB
-	sender     *Sender // made anew for each case, with nothing learnt; the connections are kept
-	injectBug  func(*Sender)
+	sender     *Sender       // replaced for each case, so that it has learnt nothing; the connections are kept
+	injectBug  func(*Sender) // plants a bug in a new sender; nil: none
 	nodes      []*gateNode
 	clientLink *relay.Link
 
 	mu         sync.Mutex
-	sent       map[string]clientRequest
-	runs       map[string][]backendRun
-	violations []string
+	sent       map[string]clientRequest // what clients sent, by the id of the try
+	runs       map[string][]backendRun  // what backends ran, by the id of the try
+	violations []string                 // of the rules
 	cases      int
 }
 
-// request is one of a client.
+// clientRequest is a request of a client.
 type clientRequest struct {
 	try, method, uri, body string
 	chunked                bool
 }
 
-// kinds of requests, by name. What a backend does with one its path says.
+// requestKinds are the kinds of requests that are sent. The path tells the backend how to respond.
 var requestKinds = []clientRequest{
 	{method: "GET", uri: "/safe/length"},
 	{method: "GET", uri: "/safe/chunked"},
@@ -88,12 +89,12 @@
 	return p
 }
 
-// senderKey is the key of a connection's context under which its sender stands.
+// senderKey is the key of the sender in the context of a client's connection.
 type senderKey struct{}
 
-// clientServer serves clients. A connection belongs to the sender that is there when it is accepted,
-// as it belongs to a process: a doubled request that is read once the sender was made anew meets the
-// one that remembers its id.
+// clientServer serves clients. A connection belongs to the sender at the time when it is accepted,
+// as it would belong to one process: a duplicated request that is read after the sender was
+// replaced reaches the one that remembers its id.
 func (p *requestPath) clientServer() *http.Server {
 	return &http.Server{
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
@@ -105,7 +106,7 @@
 	}
 }
 
-// limits lets long bodies pass, which the other tests' configuration does not.
+// raiseBodyLimit allows long bodies, which the other tests' configuration does not.
 func raiseBodyLimit(s *Sender) {
 	patch := `{"add":{"items":[{"item_kind":"limits","metadata":{"version":"2"},"body":{"header_bytes":16384,"body_bytes":1000000,"header_wait":"3s","idle":"15s"}}]}}`
 	applyPatch(s, patch)
@@ -126,7 +127,7 @@
 	return l
 }
 
-// serveGate takes the connections of senders, as an agent does.
+// serveGate accepts the connections of senders, as an agent does.
 func serveGate(l net.Listener, h *inbound.Host) {
 	for {
 		raw, err := l.Accept()
@@ -150,7 +151,7 @@
 	return p.sender
 }
 
-// forget makes the sender anew: what it learnt of gates that broke is not the matter here.
+// resetSender replaces the sender by one that has learnt nothing about gates that broke.
 func (p *requestPath) resetSender() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,11 +163,11 @@
 	}
 }
 
-// work is what a backend does with a request.
+// serveBackend responds as a backend does.
 func (p *requestPath) serveBackend(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // it is not whole
+		return // incomplete request
 	}
 	try := r.Header.Get(inbound.TryHeader)
 	w.Header().Set(inbound.TryHeader, try)
@@ -187,7 +188,7 @@
 	io.WriteString(w, answer[5:])
 }
 
-// write puts a request on a client's connection.
+// writeTo writes a request to a client's connection.
 func (r *clientRequest) writeTo(c net.Conn, remaining time.Duration) error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: d\r\n%s: %s\r\n%s: %d\r\n%s: forged\r\n", r.method, r.uri, inbound.TryHeader, r.try,
@@ -202,7 +203,8 @@
 	return err
 }
 
-// ask sends a request and judges its answer. The status is 0 where there is no whole one.
+// sendAndCheck sends a request and checks its response against the rules. It returns the status, 0
+// if there is no complete response.
 func (p *requestPath) sendAndCheck(conn net.Conn, reader *bufio.Reader, request clientRequest, remaining time.Duration) int {
 	if request.writeTo(conn, remaining) != nil {
 		return 0
@@ -222,10 +224,10 @@
 	if resp.StatusCode/100 == 2 && !slices.ContainsFunc(runs, func(run backendRun) bool {
 		return run.answer == string(body) && resp.Header.Get(inbound.SealHeader) == run.answer && resp.Header.Get(inbound.TryHeader) == request.try
 	}) {
-		p.addViolation("MIXED", request, "%d %q, made were %q", resp.StatusCode, body, runs)
+		p.addViolation("MIXED", request, "got %d %q, the backends' runs were %q", resp.StatusCode, body, runs)
 	}
 	if unsafe && promisesNotRun(resp.StatusCode) && len(runs) > 0 {
-		p.addViolation("REFUSED", request, "%d, and it ran", resp.StatusCode)
+		p.addViolation("REFUSED", request, "got %d although it ran", resp.StatusCode)
 	}
 	return resp.StatusCode
 }
@@ -241,7 +243,7 @@
 	p.violations = append(p.violations, fmt.Sprintf("%s: %+v: ", rule, request)+fmt.Sprintf(format, args...))
 }
 
-// settle judges what reached backends, of all that was sent.
+// checkRuns checks all runs of the backends against what clients sent.
 func (p *requestPath) checkRuns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -258,12 +260,12 @@
 	}
 }
 
-// hop is one direction of one of the links.
+// hop is one direction of one kind of link.
 type hop struct {
-	name                string
-	links               []*relay.Link
-	direction           relay.Direction
-	toleratesDuplicates bool // bytes that come twice are somebody's fault here, not the network's
+	name             string
+	links            []*relay.Link
+	direction        relay.Direction
+	injectDuplicates bool // duplicated bytes stand for a fault of the sending process, not of the network
 }
 
 func (p *requestPath) hops() []hop {
@@ -279,20 +281,20 @@
 	}
 }
 
-// mayDouble says whether bytes that come twice on a hop leave the request what it was: in a long
-// body of a client's they make it another.
+// allowsDuplicates reports whether duplicated bytes on the hop leave the request what it was. In a
+// client's long body they would make it another request.
 func (h *hop) allowsDuplicates(p *requestPath, kind clientRequest) bool {
-	return h.toleratesDuplicates && (h.links[0] != p.clientLink || len(kind.body) <= maxImmediateBody)
+	return h.injectDuplicates && (h.links[0] != p.clientLink || len(kind.body) <= maxImmediateBody)
 }
 
-// disturb has a fault meet what next goes over a hop.
+// injectFault lets a fault hit what passes the hop next.
 func (h *hop) injectFault(fault relay.Fault) {
 	for _, l := range h.links {
 		l.Next(h.direction, fault)
 	}
 }
 
-// calm takes back what has met nothing, and says whether the fault met something.
+// clearFaults removes faults that have hit nothing, and reports whether one has hit something.
 func (h *hop) clearFaults() bool {
 	triggered := false
 	for _, l := range h.links {
@@ -301,9 +303,9 @@
 	return triggered
 }
 
-// play breaks a hop at bytes that are a stride apart, once for each, under one kind of request, on
-// connections that are new or kept. After each break requests must get their own answers again, on
-// the client's connection too if that is there still.
+// breakHop breaks a hop at offsets that are a stride apart, once for each, under one kind of
+// request, on new or reused connections. After each fault, requests must get their own responses
+// again, also on the same client connection if it is still open.
 func (p *requestPath) breakHop(rng *rand.Rand, h hop, kind clientRequest, fault relay.Fault, remaining time.Duration, stride int) {
 	withNewID := func(request clientRequest) clientRequest {
 		request.try = fmt.Sprintf("%016x", rng.Uint64())
@@ -314,7 +316,7 @@
 	}
 	timeout := 5 * time.Second
 	if fault.Action == relay.Silence && h.links[0] == p.clientLink {
-		timeout = 4 * remaining // nobody else ends the wait there
+		timeout = 4 * remaining // here only the client's own timeout ends the wait
 	}
 	for fault.After = rng.IntN(stride); !p.hasViolations(); fault.After += stride {
 		p.resetSender()
@@ -328,7 +330,7 @@
 		h.injectFault(fault)
 		status := p.sendAndCheck(conn, reader, withNewID(kind), remaining)
 		triggered := h.clearFaults()
-		duplicated := fault.Action == relay.Duplicate && h.links[0] == p.clientLink // and has two answers, by right
+		duplicated := fault.Action == relay.Duplicate && h.links[0] == p.clientLink // two responses are due
 		if status != 0 && !duplicated {
 			p.sendAndCheck(conn, reader, withNewID(requestKinds[0]), time.Second)
 		}
@@ -341,8 +343,8 @@
 	}
 }
 
-// recover has requests of a new client served once all is well. What is not safe may meet one more
-// connection that has been broken unheard, so there are several tries of it.
+// awaitRecovery sends requests of new clients until they are served again. Unsafe requests may meet
+// one more connection whose break was not noticed, so they are sent several times.
 func (p *requestPath) awaitRecovery(withNewID func(clientRequest) clientRequest) {
 	statuses := []int{}
 	for deadline := time.Now().Add(recoveryTimeout); time.Now().Before(deadline) && !p.hasViolations(); {
@@ -366,10 +368,11 @@
 	p.addViolation("NOT SERVED", clientRequest{}, "after a fault: %d", statuses)
 }
 
-// everyFault is what each byte meets.
+// allFaults are the faults injected at each offset.
 var allFaults = []relay.Action{relay.Reset, relay.Truncate, relay.Duplicate}
 
-// broken plays all hops, kinds and faults, and returns the rules that were broken.
+// findViolations injects the faults on all hops under all kinds of requests, and returns the
+// violations of the rules.
 func findViolations(t testing.TB, seed uint64, stride int, injectBug func(*Sender), faults ...relay.Action) []string {
 	p := newRequestPath(t, injectBug)
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -377,7 +380,7 @@
 		for _, kind := range requestKinds {
 			hopStride := stride
 			if len(kind.body) > maxImmediateBody && h.direction == relay.ToServer {
-				hopStride *= 101 // of so many bytes few differ
+				hopStride *= 101 // most offsets in a long body are alike
 			}
 			for _, action := range faults {
 				if action != relay.Duplicate || h.allowsDuplicates(p, kind) {
@@ -387,19 +390,19 @@
 		}
 	}
 	p.checkRuns()
-	p.mu.Lock() // what was sent twice may still be at work
+	p.mu.Lock() // a request that was sent twice may still be running
 	defer p.mu.Unlock()
 	t.Logf("%d faults, %d requests, %d ran", p.cases, len(p.sent), len(p.runs))
 	return slices.Clone(p.violations)
 }
 
-// TestEveryByte breaks each hop of a request's way at bytes a stride apart, and judges by what
-// clients and backends saw: MIXED, REFUSED, TWICE, UNASKED.
+// TestEveryByte breaks each hop of a request's path at offsets a stride apart, and checks what
+// clients and backends saw against the rules MIXED, REFUSED, TWICE and UNASKED.
 func TestEveryByte(t *testing.T) {
 	require.Empty(t, findViolations(t, 1, *strideFlag, nil, allFaults...))
 }
 
-// TestSilentHops has bytes swallowed on each hop until the client's time is over.
+// TestSilentHops lets each hop swallow bytes until the client's time is over.
 func TestSilentHops(t *testing.T) {
 	for i, kind := range requestKinds {
 		t.Run(kind.uri, func(t *testing.T) {
@@ -415,8 +418,8 @@
 	}
 }
 
-// careless is an exchange as it must not be: its connections are used again whatever is left on
-// them, and a reply is that to whatever was asked last.
+// reuseDirtyConns plants a bug: connections are reused whatever is unread on them, and a reply
+// counts as the one to the last request.
 func reuseDirtyConns(s *Sender) {
 	var mu sync.Mutex
 	conns := map[transport.Endpoint]*transport.Conn{}
@@ -448,7 +451,7 @@
 	}
 }
 
-// hopeful takes what a broken connection leaves open for not run.
+// treatBrokenAsNotRun plants a bug: after a broken connection, a request counts as not run.
 func treatBrokenAsNotRun(s *Sender) {
 	sendRemote := s.sendRemote
 	s.sendRemote = func(p *pendingRequest, gate transport.Endpoint, request *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
@@ -460,10 +463,11 @@
 	}
 }
 
+// TestEveryByteFindsWhatIsPlanted shows that the checks of TestEveryByte detect planted bugs.
 func TestEveryByteFindsWhatIsPlanted(t *testing.T) {
 	const dirtyReuse, unsafeResend = "a connection with bytes unread is used again", "unsafe work is sent again after a reset"
 	bugs := map[string]func(*Sender){dirtyReuse: reuseDirtyConns, unsafeResend: treatBrokenAsNotRun}
-	faults := map[string]relay.Action{dirtyReuse: relay.Duplicate, unsafeResend: relay.Reset} // those that the plant can fail at
+	faults := map[string]relay.Action{dirtyReuse: relay.Duplicate, unsafeResend: relay.Reset} // faults under which the bug shows
 	mutation.Each(t, map[string]string{dirtyReuse: "MIXED", unsafeResend: "TWICE|REFUSED"}, 40,
 		func(seed uint64, bug string) []string { return findViolations(t, seed, 60, bugs[bug], faults[bug]) })
 }
--- a/internal/mesh/outbound/attempt.go
+++ b/internal/mesh/outbound/attempt.go
@@ -8,27 +8,28 @@
 	"example.org/micaline/policy"
 )
 
-// leastFull is how long a gate which refused is passed by at least: it costs a message to ask.
+// minRefusalBackoff is the shortest time for which a gate that refused a request is avoided. Asking
+// again costs a message.
 const minRefusalBackoff = 20 * time.Millisecond
 
-// attempt is one that is under way for a request.
+// backendAttempt is one attempt of a request: its handing over to one backend, and how that ended.
 type backendAttempt struct {
-	number    int
+	number    int // index among the request's attempts, from 0
 	server    policy.ServerID
-	target    *backendTarget // nil: it went nowhere
+	target    *backendTarget // nil: the backend is no longer known, nothing was sent
 	startedAt time.Time
 	reply     *transport.Reply
 	body      []byte
-	failure   *transport.Failure
+	failure   *transport.Failure // nil: reply is a backend's response
 }
 
-// refuse ends an attempt that went nowhere.
-func (attempt *backendAttempt) failNotRun(reason transport.Reason) *backendAttempt {
-	attempt.failure = &transport.Failure{Verdict: transport.NotRun, Reason: reason}
-	return attempt
+// failNotRun ends an attempt that has not been sent.
+func (a *backendAttempt) failNotRun(reason transport.Reason) *backendAttempt {
+	a.failure = &transport.Failure{Verdict: transport.NotRun, Reason: reason}
+	return a
 }
 
-// attempt hands the request to a gate and waits for what comes of it.
+// runAttempt hands the request to a backend's gate and waits for the reply.
 func (s *Sender) runAttempt(p *pendingRequest, action policy.Action, target *backendTarget, number int) *backendAttempt {
 	attempt := &backendAttempt{number: number, server: action.Server, target: target, startedAt: time.Now()}
 	remaining := p.deadline.Sub(attempt.startedAt)
@@ -40,7 +41,7 @@
 	case p.isFinished() || p.checkClientLeft():
 		return attempt.failNotRun(transport.Cancelled)
 	case !p.reserveAttempt():
-		return attempt.failNotRun(transport.Own) // the route's tries are used up, or it may have run
+		return attempt.failNotRun(transport.Own) // the route's attempts are used up, or an earlier one may have run
 	}
 	s.Counters.Attempts.Add(1)
 	request := p.request
@@ -64,7 +65,7 @@
 	return attempt
 }
 
-// backendTime is how long a backend that gets the request now may work on it.
+// backendTimeLeft returns how long a backend that gets the request now may work on it.
 func (p *pendingRequest) backendTimeLeft(now time.Time) time.Duration {
 	remaining := p.deadline.Sub(now)
 	if p.backendDeadline.IsZero() {
@@ -73,8 +74,10 @@
 	return max(min(remaining, p.backendDeadline.Sub(now)), time.Millisecond)
 }
 
-// local hands a request to the gate on this machine. Danger: a backend that is silent would have the process end with the request
-// unanswered, so it is waited for only until then. Where a client has left, the gate knows what ends and what goes on.
+// sendLocal hands a request to the gate on this machine. A silent backend must not keep the process
+// from responding before it ends, so the wait for it stops when the shutdown ends the request. If
+// the client has left, the wait goes on: the gate decides whether the work is cancelled or runs to
+// its end.
 func (s *Sender) sendLocal(p *pendingRequest, request *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
 	type localReply struct {
 		reply *transport.Reply
@@ -102,12 +105,12 @@
 	return r.reply, r.body, nil
 }
 
-// localCaller is a job as the caller of the gate on this machine.
+// localCaller stands for a request at the gate on this machine.
 type localCaller struct{ inbound.Caller }
 
 func (c *localCaller) cancel(bool) { c.Leave() }
 
-// copy carries out an attempt beside one that is out.
+// runHedge makes an attempt that runs beside another one of the same request.
 func (s *Sender) runHedge(p *pendingRequest, action policy.Action, target *backendTarget) {
 	attempt := s.runAttempt(p, action, target, p.nextAttemptNumber())
 	if s.reportAttempt(p, attempt) {
@@ -115,7 +118,8 @@
 	}
 }
 
-// ended tells the chooser how an attempt ended, and whether that is the request's answer.
+// reportAttempt reports to the balancer how an attempt ended, and returns whether it answers the
+// request.
 func (s *Sender) reportAttempt(p *pendingRequest, attempt *backendAttempt) (answered bool) {
 	outcome, load, retryAfter := policy.OK, policy.Load{}, time.Duration(0)
 	switch {
@@ -123,7 +127,9 @@
 		s.Counters.countUnanswered(attempt.failure)
 		outcome, retryAfter = policyOutcome(attempt.failure), max(attempt.failure.After, minRefusalBackoff)
 	case attempt.reply.Status >= 500 && attempt.reply.Inner:
-		outcome = policy.Cancelled // danger: were it the backend's fault, a service that is out would take out all that call it
+		// The backend's own inner request failed. If that were counted as the backend's error, an
+		// unavailable service would make all services that call it look unavailable too.
+		outcome = policy.Cancelled
 	case attempt.reply.Status >= 500:
 		outcome = policy.Error
 	}
@@ -131,12 +137,14 @@
 		load = policyLoad(&attempt.reply.Load)
 	}
 	p.recordAttempt(attempt, outcome)
-	isFinal := attempt.failure == nil && (outcome == policy.OK || outcome == policy.Cancelled) // nor would another backend's calls fare better
+	// After a failed inner request, another backend would fail in the same way.
+	isFinal := attempt.failure == nil && (outcome == policy.OK || outcome == policy.Cancelled)
 	p.balancer.reportOutcome(p.balanced, attempt.number, attempt.server, outcome, load, retryAfter, attempt.reply != nil && attempt.reply.Arrived, isFinal || p.isSettled())
 	return isFinal
 }
 
-// record keeps how an attempt ended.
+// recordAttempt keeps an attempt that has ended: for the trace, and as the fallback if it is the
+// best failure so far. A failure is better if it may have run.
 func (p *pendingRequest) recordAttempt(attempt *backendAttempt, outcome policy.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,7 +156,7 @@
 	}
 }
 
-// outcomeOf translates a verdict for the module.
+// policyOutcome translates a failure into the balancer's terms.
 func policyOutcome(f *transport.Failure) policy.Outcome {
 	switch {
 	case f.Verdict == transport.NotRun && f.Reason == transport.Unreachable:
--- a/internal/mesh/outbound/chooser.go
+++ b/internal/mesh/outbound/chooser.go
@@ -11,51 +11,56 @@
 	"example.org/micaline/policy"
 )
 
-// grain is what timers are rounded up to, so that several fall due at once: each wake-up costs.
+// timerGranularity is what timers are rounded up to. Timers that fall due together cost a single
+// wake-up.
 const timerGranularity = 20 * time.Millisecond
 
-// target is a backend that requests may be sent to.
+// backendTarget is a backend that requests may be sent to, with its gate.
 type backendTarget struct {
 	id              policy.ServerID
 	gateAddress     string
-	backendID       string // id of its life
-	gateIncarnation uint64 // of its gate
-	agent           string
+	backendID       string // id of the backend's process
+	gateIncarnation uint64 // number of the gate's process, higher for a later one
+	agent           string // IP address of the agent that runs the gate
 	zone            int
-	local           bool          // beside this agent
-	announcementSeq uint64        // number of its gate's word
-	warmupLeft      time.Duration // that was left of its warm-up then
-	warmupStart     time.Duration // on the chooser's clock, when its warm-up began; 0: long ago
+	local           bool          // the gate is on this machine
+	announcementSeq uint64        // sequence number of the agent's announcement that described the backend
+	warmupLeft      time.Duration // remaining warm-up time at that announcement
+	warmupStart     time.Duration // when the warm-up began, on the balancer's clock; negative: long ago
 }
 
-// call is a request that the chooser decides about.
+// balancedRequest is a request that a balancer decides about.
 type balancedRequest struct {
 	id          policy.RequestID
-	candidates  int           // backends to choose from at its begin
-	actionReady chan struct{} // signalled when there is an order
-	actions     []policy.Action
-	startHedge  func(policy.Action, *backendTarget) // starts an attempt beside one that is out; the chooser's lock is held
+	candidates  int             // backends to choose from when the request began
+	actionReady chan struct{}   // signalled when actions is no longer empty
+	actions     []policy.Action // to be carried out by the request's goroutine
+	// startHedge starts an attempt beside one that is in flight. It is called with the balancer's
+	// lock held.
+	startHedge func(policy.Action, *backendTarget)
 }
 
-// chooser runs the decision module for one service. It is a mutex and no goroutine of its own: a request's own goroutine brings
-// its events and carries out its orders, which spares two changes of goroutine each.
+// serviceBalancer runs the decision module, a policy.Balancer, for one service. It is protected by
+// a mutex and has no goroutine of its own: the goroutine of each request delivers the events and
+// carries out the actions, which saves two goroutine switches for each of them.
 type serviceBalancer struct {
 	service     string
 	classes     []policy.Class
 	concurrency int // requests that a backend works on at once
 	warmup      time.Duration
-	clockStart  time.Time
+	clockStart  time.Time // when the balancer's clock shows one second
 	log         func(string)
 
-	mu           sync.Mutex
-	balancer     *policy.Balancer
-	requests     map[policy.RequestID]*balancedRequest
-	targets      map[policy.ServerID]*backendTarget
-	lastID       policy.RequestID
-	timers       timerHeap
-	wakeup       *time.Timer
-	wakeupAt     time.Duration // of the timer, 0 if it is not set
-	actionBuffer []policy.Action
+	mu       sync.Mutex
+	balancer *policy.Balancer
+	requests map[policy.RequestID]*balancedRequest
+	targets  map[policy.ServerID]*backendTarget
+	lastID   policy.RequestID
+	timers   timerHeap
+	wakeup   *time.Timer
+	wakeupAt time.Duration // when wakeup fires, on the balancer's clock; 0: it is not set
+
+	actionBuffer []policy.Action // reused for the actions of each event
 }
 
 func newServiceBalancer(service string, settings policy.Settings, log func(string)) (*serviceBalancer, error) {
@@ -67,9 +72,11 @@
 		requests: map[policy.RequestID]*balancedRequest{}, targets: map[policy.ServerID]*backendTarget{}}, nil
 }
 
-func (b *serviceBalancer) now() time.Duration { return time.Since(b.clockStart) + time.Second } // never 0, which is long ago
+// now reads the balancer's clock. It starts at one second, because to the policy a start time of 0
+// means long ago.
+func (b *serviceBalancer) now() time.Duration { return time.Since(b.clockStart) + time.Second }
 
-// setTargets tells the module which backends are ready.
+// setTargets replaces the backends that requests may be sent to.
 func (b *serviceBalancer) setTargets(targets []*backendTarget) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,9 +88,11 @@
 		switch {
 		case previous != nil && previous.backendID == target.backendID && previous.gateIncarnation == target.gateIncarnation && (target.announcementSeq == previous.announcementSeq || target.warmupLeft == 0 && previous.warmupStart < 0):
 			target.warmupStart = previous.warmupStart
-		case target.warmupLeft > 0: // it began to warm up when this much was left of its time
+		case target.warmupLeft > 0: // the warm-up began when this much of it was left
 			target.warmupStart = max(1, now-max(0, b.warmup-target.warmupLeft))
-		default: // danger: what was learnt of another life, by broken connections mostly, would keep this one out
+		default:
+			// A new start time tells the policy that this is another process. The failures of the
+			// previous one, mostly broken connections, would otherwise keep it out.
 			target.warmupStart = min(now-2*b.warmup-1, -1)
 		}
 		byID[target.id] = target
@@ -93,7 +102,7 @@
 	b.handleEvent(policy.Event{Kind: policy.EventList, ListMode: policy.ListFull, Servers: entries})
 }
 
-// begin takes a request in; its first order is there when it returns.
+// beginRequest registers a request. Its first action is there when the function returns.
 func (b *serviceBalancer) beginRequest(class int, remaining time.Duration, startHedge func(policy.Action, *backendTarget)) *balancedRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -105,7 +114,8 @@
 	return request
 }
 
-// take returns the next order of a call, if there is one, and the target that it names.
+// nextAction removes and returns the next action for a request, if there is one, and the target
+// that it names.
 func (b *serviceBalancer) nextAction(request *balancedRequest) (action policy.Action, target *backendTarget, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -120,15 +130,15 @@
 	return action, target, true
 }
 
-// outcome says how an attempt ended, and whether the request has its answer already.
+// reportOutcome reports how an attempt ended, and whether the request has its final response.
 func (b *serviceBalancer) reportOutcome(request *balancedRequest, attempt int, server policy.ServerID, outcome policy.Outcome, load policy.Load, retryAfter time.Duration, reachedBackend, answered bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.handleEvent(policy.Event{Kind: policy.EventOutcome, Request: request.id, Attempt: attempt, Server: server, Outcome: outcome, Load: load, After: retryAfter, Arrived: reachedBackend, Closed: answered})
 }
 
-// forget ends a call's orders: it has its answer, or its client has left and nothing more is owed.
-// Attempts that are out are still told to the module.
+// endRequest ends the actions for a request: it has been answered, or its client has left. Attempts
+// that are still in flight are reported as they end.
 func (b *serviceBalancer) endRequest(request *balancedRequest, clientLeft bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -142,7 +152,8 @@
 	b.armWakeup()
 }
 
-// handle brings an event to the module and hands out what it orders. The lock is held.
+// handleEvent delivers an event to the policy and hands out the resulting actions. The lock is
+// held.
 func (b *serviceBalancer) handleEvent(event policy.Event) {
 	b.actionBuffer = b.balancer.Handle(b.now(), event, b.actionBuffer[:0])
 	for i := range b.actionBuffer {
@@ -172,13 +183,14 @@
 	b.armWakeup()
 }
 
-// stale says whether a timer is of a call that has its answer.
+// isStale reports whether a timer belongs to a request that has ended. The top byte of a token is
+// its kind; only kind 1 belongs to no request.
 func (b *serviceBalancer) isStale(t *timer) bool {
 	kind := t.token >> 56
 	return kind != 1 && b.requests[policy.RequestID(t.token)] == nil
 }
 
-// arm sets the timer for what falls due first. The lock is held.
+// armWakeup sets the wake-up for the timer that is due first. The lock is held.
 func (b *serviceBalancer) armWakeup() {
 	if len(b.timers) == 0 {
 		return
@@ -196,6 +208,7 @@
 	}
 }
 
+// fireTimers delivers the timers that are due.
 func (b *serviceBalancer) fireTimers() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -210,7 +223,8 @@
 	b.armWakeup()
 }
 
-// loadOf translates what a gate knows of its backend.
+// policyLoad translates a gate's report about its backend into the policy's terms, where -1 stands
+// for unknown.
 func policyLoad(l *transport.Load) policy.Load {
 	if l.Recent <= 0 {
 		return policy.Load{Known: true, InFlight: float64(l.InFlight), Queue: float64(l.Waiting), Recent: -1, Rate: -1, Errors: -1}
@@ -218,11 +232,13 @@
 	return policy.Load{Known: true, InFlight: float64(l.InFlight), Queue: float64(l.Waiting), Recent: l.Recent, Rate: l.Rate, Errors: l.Errors}
 }
 
+// timer is a timer event that the policy has asked for.
 type timer struct {
 	dueAt time.Duration
 	token uint64
 }
 
+// timerHeap orders timers by the time that they are due. It implements heap.Interface.
 type timerHeap []timer
 
 func (t timerHeap) Len() int           { return len(t) }
--- a/internal/mesh/outbound/chooser_test.go
+++ b/internal/mesh/outbound/chooser_test.go
@@ -12,17 +12,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// asked is a request as its client sees it: what the chooser ordered, and how that went.
+// modelRequest is a request as its client sees it: what the balancer decided, and how that went.
 type modelRequest struct {
 	*balancedRequest
-	unsafe, ended     bool
-	targets           []policy.ServerID
-	inFlight          []int // attempts under way
-	possibleRuns      int   // attempts that ran, or may have
-	backendRejections int   // arrivals that the backend itself did not run
+	unsafe, ended bool
+	targets       []policy.ServerID // of each attempt, by its number
+	inFlight      []int             // numbers of the attempts in flight
+	possibleRuns  int               // attempts that ran, or may have
+
+	backendRejections int // attempts that reached a backend, which turned them away
 }
 
-// load drives a chooser with the decision module as it is, and checks each order.
+// loadModel drives a serviceBalancer with its real policy, and checks each action.
 type loadModel struct {
 	*require.Assertions
 	rng               *rand.Rand
@@ -31,11 +32,11 @@
 	active            []*modelRequest
 	requests          map[policy.RequestID]*modelRequest
 	targets           map[policy.ServerID]bool
-	accepted, repeats []time.Time
+	accepted, repeats []time.Time // when requests began, and when attempts beyond the first were sent
 	counts            map[string]int
 }
 
-// within counts what happened in a span that began so long ago.
+// countWithin counts the times within a span that began startAge ago.
 func countWithin(times []time.Time, startAge, span time.Duration) (n float64) {
 	for _, at := range times {
 		if age := time.Since(at); age < startAge && age >= startAge-span {
@@ -45,11 +46,11 @@
 	return n
 }
 
-// sends checks an order to send: the one place where a request leaves. The rule on the budget is
-// counted as RULES.md words it.
+// checkSend checks an action to send, which is the only way for a request to leave. The retry
+// budget is counted in the words of its rule in RULES.md.
 func (l *loadModel) checkSend(request *modelRequest, action policy.Action, target *backendTarget) {
 	l.counts["sent"]++
-	l.True(target != nil && l.targets[target.id], "ROUTE, DRAIN: sent to who is not there, or no longer ready")
+	l.True(target != nil && l.targets[target.id], "ROUTE, DRAIN: sent to a backend that is unknown or no longer ready")
 	l.False(request.unsafe && request.possibleRuns+len(request.inFlight) > 0, "TWICE: sent again although it may have run")
 	l.False(request.ended || len(request.inFlight) > 1 || len(request.targets) == l.settings.MaxAttempts, "sent after its end, or too often")
 	if request.possibleRuns+request.backendRejections+len(request.inFlight) > 0 {
@@ -63,7 +64,7 @@
 	request.targets = append(request.targets, action.Server)
 }
 
-// obey carries out what is ordered for a request.
+// carryOutActions carries out the actions for a request.
 func (l *loadModel) carryOutActions(request *modelRequest) {
 	for action, target, ok := l.balancer.nextAction(request.balancedRequest); ok; action, target, ok = l.balancer.nextAction(request.balancedRequest) {
 		if action.Kind == policy.ActSend {
@@ -72,14 +73,14 @@
 		}
 		l.counts[map[policy.ActionKind]string{policy.ActRefuse: "refused", policy.ActFail: "failed"}[action.Kind]]++
 		l.False(action.Kind == policy.ActRefuse && request.unsafe && request.possibleRuns > 0, "REFUSED: a promise for what may have run")
-		l.False(request.ended || len(request.inFlight) > 0, "a request ended twice, or while an attempt was out that might serve it")
+		l.False(request.ended || len(request.inFlight) > 0, "a request ended twice, or while an attempt in flight might still serve it")
 		request.ended = true
 		l.balancer.endRequest(request.balancedRequest, false)
 	}
-	l.True(request.ended || len(request.inFlight) > 0, "a request is left without an order")
+	l.True(request.ended || len(request.inFlight) > 0, "a request is left without an action")
 }
 
-// comes ends one attempt of a request.
+// endAttempt ends one attempt of a request, with a random outcome.
 func (l *loadModel) endAttempt(request *modelRequest) {
 	i := l.rng.IntN(len(request.inFlight))
 	number := request.inFlight[i]
@@ -98,7 +99,7 @@
 	l.balancer.reportOutcome(request.balancedRequest, number, request.targets[number], outcome, policy.Load{}, retryAfter, reachedBackend, isFinal || request.ended)
 	if !isFinal && !request.ended {
 		l.carryOutActions(request)
-	} else if !request.ended { // or it is a copy beside the one that won
+	} else if !request.ended { // otherwise it is a hedge of a request that has been answered
 		request.ended = true
 		l.balancer.endRequest(request.balancedRequest, false)
 	}
@@ -117,7 +118,7 @@
 	l.carryOutActions(request)
 }
 
-// aim says who is ready.
+// changeTargets draws the backends that are ready.
 func (l *loadModel) changeTargets() {
 	l.targets = map[policy.ServerID]bool{}
 	var targets []*backendTarget
@@ -128,7 +129,7 @@
 	l.balancer.setTargets(targets)
 }
 
-// TestChooser provokes TWICE, REFUSED, BUDGET and DRAIN at the sender, on a clock of its own.
+// TestChooser checks the rules TWICE, REFUSED, BUDGET and DRAIN at the balancer, in virtual time.
 func TestChooser(t *testing.T) {
 	counts := map[string]int{}
 	for seed := range uint64(60) {
@@ -137,7 +138,7 @@
 		})
 	}
 	for _, kind := range []string{"sent", "repeated", "refused", "failed", "copies", "rejected", "reset", "not sent"} {
-		require.Greater(t, counts[kind], 50, "the load provokes too few: %s", kind)
+		require.Greater(t, counts[kind], 50, "too few cases of: %s", kind)
 	}
 }
 
@@ -152,8 +153,8 @@
 	unsafe.Effect = policy.SideEffect
 	model.settings.Classes = []policy.Class{safe, unsafe}
 	model.balancer, _ = newServiceBalancer("s", model.settings, func(string) {})
-	model.balancer.balancer, _ = policy.New(model.settings, seed) // with a seed that is known
-	model.balancer.wakeup = time.AfterFunc(0, func() {})          // timers fall due below, where the test looks
+	model.balancer.balancer, _ = policy.New(model.settings, seed) // with a known seed
+	model.balancer.wakeup = time.AfterFunc(0, func() {})          // the test itself calls fireTimers, below
 	model.changeTargets()
 	for range 600 {
 		model.active = slices.DeleteFunc(model.active, func(request *modelRequest) bool { return len(request.inFlight) == 0 })
@@ -163,7 +164,7 @@
 		case n < 20:
 			model.beginRequest()
 		case n < 25:
-			for range rng.IntN(15) { // on the test's own clock: nothing waits
+			for range rng.IntN(15) { // virtual time: nothing waits
 				time.Sleep(10 * time.Millisecond)
 				model.balancer.fireTimers()
 			}
@@ -175,7 +176,7 @@
 		for len(request.inFlight) > 0 {
 			model.endAttempt(request)
 		}
-		assertions.True(request.ended, "a request has no end")
+		assertions.True(request.ended, "a request has not ended")
 	}
 	assertions.Empty(model.balancer.requests)
 }
--- a/internal/mesh/outbound/client.go
+++ b/internal/mesh/outbound/client.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	headerTimeout  = 30 * time.Second // until the head of a request is whole
+	headerTimeout  = 30 * time.Second // for a request's headers to be complete
 	idleTimeout    = 75 * time.Second // until a client's connection without a request is closed
-	maxHeaderBytes = 64 << 10         // of a request's head
+	maxHeaderBytes = 64 << 10
 )
 
-// Server takes the requests of the clients of a sender.
+// Server accepts the connections of a sender's clients.
 type Server struct{ http.Server }
 
-// NewServer returns a server whose requests end with their clients' connections.
+// NewServer returns a server that cancels a request when its client closes the connection.
 func NewServer(s *Sender) *Server {
 	return &Server{http.Server{
 		Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		DisableGeneralOptionsHandler: true, // danger: its 200 would be none of a backend's
+		DisableGeneralOptionsHandler: true, // net/http would answer "OPTIONS *" with a 200 that no backend gave
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connContextKey{}, c)
 		},
 	}}
 }
 
-// Serve takes clients until the listener is closed.
+// Serve accepts clients until the listener is closed.
 func (s *Server) Serve(l net.Listener) error { return s.Server.Serve(clientListener{l}) }
 
-// clientKey is where a request's context holds its client's connection.
+// connContextKey is the key of the client's connection in a request's context.
 type connContextKey struct{}
 
-// clientOf is the connection that a request came over; nil: it is none that can be looked into.
+// hangupWatchOf returns the watch of the connection that a request came over, nil if the connection
+// can't be watched.
 func hangupWatchOf(r *http.Request) *hangup.Watch {
 	if c, ok := r.Context().Value(connContextKey{}).(*clientConn); ok {
 		return c.watch
@@ -43,9 +44,9 @@
 	return nil
 }
 
+// clientListener accepts connections that detect when the client closes them.
 type clientListener struct{ net.Listener }
 
-// Accept returns a connection that is watched.
 func (l clientListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -54,13 +55,13 @@
 	return &clientConn{Conn: c, watch: hangup.New(c)}, nil
 }
 
-// clientConn is a client's connection.
+// clientConn is a client's connection, with a watch that detects when the client closes it.
 type clientConn struct {
 	net.Conn
 	watch *hangup.Watch
 }
 
-// Read reads, and has the watch know.
+// Read reads from the connection and notifies the watch.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -69,9 +70,9 @@
 	return n, err
 }
 
-// CloseWrite ends what the sender sends. Danger: without it net/http can't end a connection behind
-// the answer to a request that it has not read, and the client's next bytes would make a reset of it
-// that destroys the answer.
+// CloseWrite closes the sending side of the connection. Without it, net/http can't end a connection
+// properly after answering a request that it has not read whole: the client's next bytes would
+// cause a reset that destroys the response.
 func (c *clientConn) CloseWrite() error {
 	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return halfCloser.CloseWrite()
--- a/internal/mesh/outbound/departure.go
+++ b/internal/mesh/outbound/departure.go
@@ -3,27 +3,34 @@
 import "time"
 
 const (
-	// takeFor is how long a process that was told to end takes requests as before, at most. What comes
-	// later must have its answer, however long its backend works.
+	// maxAcceptTime is the longest time for which a terminating process accepts requests as usual.
+	// A request that comes later must be answered before the process ends, however long its backend
+	// works.
 	maxAcceptTime = 3 * time.Second
-	// mostReserve is how long before the process must be gone all that is in hand gets its answer, and
-	// reservePart bounds it by a part of the time: less than a sixth, before which nothing may be broken off.
+	// maxAnswerReserve is how long before the process is killed all requests are answered. It is
+	// bounded by the grace period divided by answerReserveDivisor: less than a sixth, as nothing
+	// may be cut off in the first five sixths.
 	maxAnswerReserve     = 900 * time.Millisecond
 	answerReserveDivisor = 6.5
-	// answerBack is how long before that backends are told to be done: their answers need to get here.
+	// backendTransitTime is how much earlier than that backends must have finished, for their
+	// responses to get here.
 	backendTransitTime = 150 * time.Millisecond
 )
 
-// Departure is the schedule of a process that was told to end.
+// ShutdownSchedule is the schedule of a process that has been told to terminate.
 type ShutdownSchedule struct {
-	AcceptUntil     time.Time // requests are taken as before, and by the gate those of others
-	BackendDeadline time.Time // of what comes later: it is handed over if it can be done by then, and its backend is given no more time
-	AnswerBy        time.Time // all that is in hand gets its answer
-	DrainedBy       time.Time // the process has nothing in hand any more
-	ExitBy          time.Time // it has ended
+	// Until then requests are accepted as usual, also by the gate on this machine.
+	AcceptUntil time.Time
+	// Applies to requests that come later: they are sent only if their target latency lets them
+	// finish by then, and their backends get no more time.
+	BackendDeadline time.Time
+	AnswerBy        time.Time // requests that are still in flight are answered
+	DrainedBy       time.Time // no request is in flight any more
+	ExitBy          time.Time // the process has exited
 }
 
-// NewDeparture returns the schedule of a process that was told to end and is killed after a grace.
+// NewShutdownSchedule returns the schedule of a process that was told to terminate at startedAt and
+// is killed once the grace period is over.
 func NewShutdownSchedule(startedAt time.Time, grace time.Duration) ShutdownSchedule {
 	answerReserve := min(maxAnswerReserve, time.Duration(float64(grace)/answerReserveDivisor))
 	answerBy := startedAt.Add(grace - answerReserve)
@@ -36,9 +43,9 @@
 	}
 }
 
-// bounds says until when the backend of a request that is about to be handed over may work, zero for
-// as long as the request has, and whether it may be handed over at all. Aim is how long it usually
-// takes at most.
+// admit reports whether a request may be handed to a backend now, and until when the backend may
+// work on it. A zero time means as long as the request has. A request is expected to take no longer
+// than its target latency.
 func (s *ShutdownSchedule) admit(now time.Time, targetLatency time.Duration) (backendDeadline time.Time, ok bool) {
 	if s == nil || now.Before(s.AcceptUntil) {
 		return time.Time{}, true
--- a/internal/mesh/outbound/ending.go
+++ b/internal/mesh/outbound/ending.go
@@ -7,17 +7,18 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// Why no attempt of a job is needed any more.
+// Why a request needs no more attempts.
 var (
 	errAnswered      = errors.New("the request has its answer")
 	errProcessEnding = errors.New("the process is about to end")
 	errClientLeft    = errors.New("the client has left")
 )
 
-// withdrawer is what an attempt waits in: it can be told that the wait is for nobody.
+// waiter is an attempt that waits for its reply. It is told when the reply is no longer needed.
 type waiter interface{ cancel(clientLeft bool) }
 
-// end ends a job: no attempt of it is needed any more. Only the first cause counts.
+// finish ends the request: it needs no more attempts, and those in flight are cancelled. Only the
+// first cause counts.
 func (p *pendingRequest) finish(cause error) {
 	p.mu.Lock()
 	if p.cause != nil {
@@ -36,7 +37,8 @@
 	}
 }
 
-// enter has an attempt's wait withdrawn when the job ends. It says false if that has ended.
+// addWaiter registers an attempt to be cancelled when the request is finished. It returns false if
+// the request is already finished.
 func (p *pendingRequest) addWaiter(w waiter) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,7 +49,7 @@
 	return true
 }
 
-// leave takes that back: the attempt waits no more.
+// removeWaiter unregisters an attempt that has its reply.
 func (p *pendingRequest) removeWaiter(w waiter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,34 +58,36 @@
 	}
 }
 
+// finishCause returns why the request is finished, nil if it is not.
 func (p *pendingRequest) finishCause() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cause
 }
 
-// isOver says whether no attempt is needed any more.
+// isFinished reports whether the request needs no more attempts.
 func (p *pendingRequest) isFinished() bool { return p.finishCause() != nil }
 
-// hasLeft says whether the client left before there was an answer.
+// clientLeft reports whether the client left before there was a response.
 func (p *pendingRequest) clientLeft() bool { return p.finishCause() == errClientLeft }
 
-// owesNothing says whether the client has its answer or has left. Where the process is about to end
-// an answer is still owed.
+// isSettled reports whether the client needs no response any more: it has one or has left. A
+// request that a shutdown cut off still needs one.
 func (p *pendingRequest) isSettled() bool {
 	cause := p.finishCause()
 	return cause == errAnswered || cause == errClientLeft
 }
 
-// isExpired says whether the process is about to end: no answer is waited for any more.
+// isCutByShutdown reports whether the shutdown has ended the wait for a response.
 func (p *pendingRequest) isCutByShutdown() bool { return p.finishCause() == errProcessEnding }
 
-// expire ends the wait for an answer: the process is about to end, and what has not run may be said
-// to have not.
+// cutByShutdown ends the wait for a response because the process is about to end. A request that
+// has not run can still be refused with that promise.
 func (p *pendingRequest) cutByShutdown() { p.finish(errProcessEnding) }
 
-// clientGone looks whether the client has left. Danger: after the process stood still timers and
-// slots fall due before its close has been read, and what they begin would begin for nobody.
+// checkClientLeft looks at the socket to find out whether the client has left. After the process
+// has been paused, timers and slots may fall due before the client's close has been read; work that
+// they began would have no client.
 func (p *pendingRequest) checkClientLeft() bool {
 	if !p.clientLeft() && p.clientWatch.HungUp() {
 		p.finish(errClientLeft)
@@ -91,7 +95,8 @@
 	return p.clientLeft()
 }
 
-// win makes an attempt the request's answer, if it has none yet and its client still waits.
+// setWinner makes an attempt the answer to the request, if it has none yet and its client still
+// waits.
 func (p *pendingRequest) setWinner(attempt *backendAttempt) {
 	p.mu.Lock()
 	if p.winner == nil && p.cause == nil {
@@ -101,8 +106,8 @@
 	p.finish(errAnswered)
 }
 
-// outcome is what the request ends with: with the answer that an attempt brought, nil for none, if
-// another did not bring one before.
+// result returns how the request ended. The attempt is one that brought an answer, nil for none; an
+// answer that another attempt brought before takes precedence.
 func (p *pendingRequest) result(attempt *backendAttempt) requestResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,8 +120,9 @@
 	return requestResult{attempt: p.fallback, clientLeft: p.cause == errClientLeft}
 }
 
-// excuse marks the failure of an attempt that was ended from here: it says nothing of its backend. One
-// that a later attempt overtook was silent for long, which does.
+// markCancelled marks the failure of an attempt that the sender itself ended, which says nothing
+// about the backend: the client left, or an earlier attempt brought the answer. An attempt that a
+// later one overtook keeps its reason, as its backend was silent for long.
 func (p *pendingRequest) markCancelled(attempt *backendAttempt) {
 	if attempt.failure == nil {
 		return
--- a/internal/mesh/outbound/exchange.go
+++ b/internal/mesh/outbound/exchange.go
@@ -12,19 +12,22 @@
 
 const (
 	maxConnectTime     = 250 * time.Millisecond
-	cancelReplyTimeout = 250 * time.Millisecond // that a gate has to say that it has ended what was cancelled
-	// longBody is the length in bytes above which a body is offered before it is sent, on any link: a
-	// refusal would have carried it for nothing. On a thin link it is what passes in offerTime, as what
-	// is sent unasked fills the link before small calls, whoever refuses it; but no less than leastLong.
+	cancelReplyTimeout = 250 * time.Millisecond // for a gate to confirm a cancellation
+	// These bound the length in bytes of a body that is sent at once with its request. A longer
+	// body is sent only after the gate has agreed to it, because the link would carry the body of a
+	// refused request in vain. On a slow link the bound is what the link carries in
+	// maxImmediateTransfer, but at least minImmediateBody: a body that is sent at once delays small
+	// requests on the link, whether it is refused or not.
 	maxImmediateBody     = 48 << 10
 	minImmediateBody     = 4 << 10
 	maxImmediateTransfer = 10 * time.Millisecond
-	maxResponseBytes     = 64 << 20 // bytes of a backend's answer
+	maxResponseBytes     = 64 << 20 // of a backend's response body
 	maxStatus            = 599
 )
 
-// exchange hands a request to the gate on another machine. Danger: once a byte of it has gone out only the gate's word proves
-// that it did not run. The connection is used again only after a whole exchange.
+// exchangeWithGate hands a request to the gate on another machine. Once a byte of it has been sent,
+// only the gate's reply proves that it did not run. The connection is reused only after a complete
+// exchange.
 func (s *Sender) exchangeWithGate(p *pendingRequest, gate transport.Endpoint, request *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
 	conn, err := s.gateConns.Get(gate, min(request.Left, maxConnectTime))
 	if err != nil {
@@ -38,7 +41,7 @@
 	}
 	reply, body, err := x.run()
 	p.removeWaiter(x)
-	x.close() // from here on the connection may be another request's
+	x.close() // from here on the connection may belong to another request
 	if err != nil {
 		s.gateConns.Discard(conn)
 		return nil, nil, x.failureFor(err)
@@ -47,8 +50,8 @@
 	return reply, body, nil
 }
 
-// unaskedBody is the length up to which a body is sent without an offer, where machines have links of a
-// width in Mbit/s; 0 is unknown.
+// immediateBodyLimit returns the length up to which a body is sent at once with its request, for
+// machines with links of a bandwidth in Mbit/s; 0 is unknown.
 func immediateBodyLimit(linkMbps float64) int {
 	if linkMbps <= 0 {
 		return maxImmediateBody
@@ -56,7 +59,7 @@
 	return int(min(maxImmediateBody, max(minImmediateBody, linkMbps*1e6/8*maxImmediateTransfer.Seconds())))
 }
 
-// giveBack gives a connection on which nothing is due to the next request.
+// releaseConn returns a connection on which no reply is outstanding to the pool.
 func (s *Sender) releaseConn(gate transport.Endpoint, conn *transport.Conn) {
 	conn.SetDeadline(time.Time{})
 	s.gateConns.Put(gate, conn)
@@ -67,18 +70,18 @@
 	conn           *transport.Conn
 	request        *transport.Request
 	body           []byte
-	immediateLimit int               // bytes of a body that go out without an offer
-	verdictOnError transport.Verdict // that holds if the connection breaks now
+	immediateLimit int               // longest body that is sent before the gate agrees to it
+	verdictOnError transport.Verdict // holds if the connection breaks now
 
 	mu          sync.Mutex
-	requestSent bool // all of the request has gone out
+	requestSent bool // all of the request has been sent, with its body
 	closed      bool // the exchange is over
 }
 
-// withdraw ends the wait for a reply that is for nobody. To a gate the end of the connection says so;
-// where a client has left, which many may do at once, a message does, and the connection goes on.
-// What may not run twice and is under way runs to its end, and is waited for, as a client that has
-// closed only its own side still reads.
+// cancel ends the wait for a reply that is no longer needed. The gate learns of it by the end of
+// the connection. If the client has left, which many may do at once, it is told by a message
+// instead, and the connection is kept. Unsafe work that has been sent runs to its end and is waited
+// for, because a client that has closed only its own side still reads.
 func (x *exchange) cancel(clientLeft bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -96,28 +99,28 @@
 	}
 }
 
-// wentOut notes that all of the request has gone out.
+// markRequestSent records that all of the request has been sent.
 func (x *exchange) markRequestSent() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.requestSent = true
 }
 
-// close ends the exchange: once it returns nothing is said or set for it any more.
+// close ends the exchange. Once it returns, cancel no longer touches the connection.
 func (x *exchange) close() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.closed = true
 }
 
-// errProtocol says that a gate said what it may not say here.
-var errProtocol = errors.New("not the reply that is due")
+// errProtocol is the error of a reply that the protocol doesn't allow at this point.
+var errProtocol = errors.New("unexpected reply from the gate")
 
-// run sends the request, and its body when it may go, and reads the reply.
+// run sends the request, sends its body when the gate allows it, and reads the reply.
 func (x *exchange) run() (*transport.Reply, []byte, error) {
 	immediateBody := x.body
 	if x.request.ExpectContinue = len(x.body) > x.immediateLimit; x.request.ExpectContinue {
-		immediateBody, x.verdictOnError = nil, transport.NotRun // nothing can run before its body has gone out
+		immediateBody, x.verdictOnError = nil, transport.NotRun // nothing can run before its body has been sent
 	}
 	x.request.Number, x.request.Sum = x.conn.NextNumber(), transport.Sum(x.body)
 	if err := x.conn.Send(x.request, immediateBody); err != nil {
@@ -141,26 +144,28 @@
 	return reply, body, err
 }
 
-// receive reads the next reply, and checks that it is one to this request and to this part of it.
+// receiveReply reads the next reply, and checks that it belongs to this request and that the
+// protocol allows it now.
 func (x *exchange) receiveReply() (*transport.Reply, error) {
 	reply := new(transport.Reply)
 	if err := x.conn.Receive(reply); err != nil {
 		return nil, err
 	}
-	bodyWithheld := x.verdictOnError == transport.NotRun // the body has not gone out
+	bodyWithheld := x.verdictOnError == transport.NotRun // the body has not been sent
 	ran := reply.Verdict == transport.Ran
 	switch {
 	case reply.Number != x.request.Number:
-		return nil, oops.Code("number").Wrapf(errProtocol, "a reply to exchange %d at exchange %d", reply.Number, x.request.Number)
+		return nil, oops.Code("number").Wrapf(errProtocol, "reply to exchange %d received during exchange %d", reply.Number, x.request.Number)
 	case reply.Continue && !bodyWithheld:
-		return nil, oops.Code("go").Wrapf(errProtocol, "a body is wanted that has gone out")
+		return nil, oops.Code("go").Wrapf(errProtocol, "the gate asked for a body that has been sent")
 	case ran && (bodyWithheld || reply.Status < http.StatusOK || reply.Status > maxStatus):
-		return nil, oops.Code("status").Wrapf(errProtocol, "an answer with status %d", reply.Status)
+		return nil, oops.Code("status").Wrapf(errProtocol, "response with status %d", reply.Status)
 	}
 	return reply, nil
 }
 
-// failure is what an error proves.
+// failureFor returns the failure that an error stands for, with the verdict that holds at this
+// point.
 func (x *exchange) failureFor(err error) *transport.Failure {
 	f := &transport.Failure{Verdict: x.verdictOnError, Reason: transport.Broken, Cause: err}
 	if isTimeout(err) {
--- a/internal/mesh/outbound/exchange_test.go
+++ b/internal/mesh/outbound/exchange_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stale is a gate that says its last reply once more before the next, when the connection has long
-// been found quiet, and that asks for a body twice.
+// startStaleGate starts a gate that repeats its last reply before the next one, long after the
+// connection was found quiet, and that asks for a body twice.
 func startStaleGate(t *testing.T) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -56,8 +56,9 @@
 	return l.Addr().String()
 }
 
-// TestReplyOfAnotherExchange provokes MIXED: a reply that comes once more on a kept connection is
-// not that to the next request, and a connection that has gone out of step is used no more.
+// TestReplyOfAnotherExchange checks the rule MIXED: a reply that is repeated on a reused connection
+// must not be taken for the reply to the next request, and a connection that has lost its order
+// must not be reused.
 func TestReplyOfAnotherExchange(t *testing.T) {
 	s := newTestSender(t, startStaleGate(t))
 	for _, try := range []string{"a", "b", "c", "d"} {
@@ -66,11 +67,11 @@
 			s.ServeHTTP(w, newTestRequest("GET", "/"+kind+"/", kind+try, nil))
 			require.False(t, w.Code == 200 && w.Body.String() != kind+try, "%s got %q", kind+try, w.Body.String())
 			require.False(t, promisesNotRun(w.Code) && kind == "unsafe", "%d", w.Code)
-			s = New(s.settings, s.localGate, s.gateConns, s.bodyBudget, s.log).withView(s.View()) // with nothing learnt of the gate
+			s = New(s.settings, s.localGate, s.gateConns, s.bodyBudget, s.log).withView(s.View()) // which has learnt nothing about the gate
 		}
 	}
-	_, made := s.gateConns.Counts()
-	require.Greater(t, made, uint64(2), "connections that are out of step are used on")
+	_, opened := s.gateConns.Counts()
+	require.Greater(t, opened, uint64(2), "connections that have lost their order are reused")
 }
 
 func (s *Sender) withView(v *View) *Sender {
@@ -78,8 +79,8 @@
 	return s
 }
 
-// TestConnectionIsReleased: once a request is done with a connection, nobody can end a wait on it in
-// its name, as it may be another request's by then.
+// TestConnectionIsReleased: once a request has released its connection, ending the request must not
+// touch the connection, which may be another request's by then.
 func TestConnectionIsReleased(t *testing.T) {
 	replies := map[string]*transport.Reply{
 		"answered": {Verdict: transport.Ran, Status: 200},
@@ -113,8 +114,9 @@
 	}
 }
 
-// A body that a thin link takes long for is offered first: a gate that refuses it has been sent none of
-// it. On a wide link the same body goes out at once.
+// TestThinLinkOffers: a body that takes long on a slow link is sent only after the gate's
+// agreement, so that a gate that refuses it gets none of it. On a fast link the same body is sent
+// at once.
 func TestThinLinkOffers(t *testing.T) {
 	for _, c := range []struct {
 		mbps    float64
--- a/internal/mesh/outbound/figures.go
+++ b/internal/mesh/outbound/figures.go
@@ -8,20 +8,20 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// verdictLabels are in the order of the verdicts.
+// verdictLabels are the metric labels of the verdicts, in their order.
 var verdictLabels = [...]string{"may_have_run", "not_run", "ran"}
 
-// unanswered counts an attempt that brought no answer. Danger: its verdict and reason may be the
-// word of a gate of another version.
+// countUnanswered counts an attempt that brought no response from a backend. The verdict and the
+// reason may come from a gate of another version, so unknown values are counted as the last ones.
 func (c *Counters) countUnanswered(f *transport.Failure) {
 	verdict := min(int(f.Verdict), len(c.UnansweredAttempts)-1)
 	c.UnansweredAttempts[verdict][min(int(f.Reason), len(c.UnansweredAttempts[verdict])-1)].Add(1)
 }
 
-// Figures adds what the sender counts.
+// CollectMetrics adds the sender's metrics to a set.
 func (s *Sender) CollectMetrics(metrics *meshmetrics.Set) {
 	counters := &s.Counters
-	metrics.Add("micaline_mesh_requests_taken_total", float64(counters.Accepted.Load()))
+	metrics.Add("micaline_mesh_requests_taken_total", float64(counters.Received.Load()))
 	for i, n := range []uint64{counters.Served.Load(), counters.BackendFailed.Load(), counters.Refused.Load(), counters.Failed.Load(), counters.NoRoute.Load(), counters.BadRequests.Load(), counters.ClientLeft.Load(), counters.Unauthenticated.Load()} {
 		metrics.Add("micaline_mesh_requests_ended_total", float64(n), meshmetrics.Results[i])
 	}
--- a/internal/mesh/outbound/job.go
+++ b/internal/mesh/outbound/job.go
@@ -10,36 +10,37 @@
 	"example.org/micaline/policy"
 )
 
-// job is a request on its way.
+// pendingRequest is the state of a client's request while the sender serves it.
 type pendingRequest struct {
 	startedAt       time.Time
 	route           *meshconfig.Route
 	request         transport.Request
 	body            []byte
 	deadline        time.Time
-	answerTarget    time.Time
-	backendDeadline time.Time // the process ends: backends are given no more time than until then; zero: it does not
+	answerTarget    time.Time // until when a response earns its full worth
+	backendDeadline time.Time // no backend works on the request beyond this; zero: no shutdown limits it
 	balancer        *serviceBalancer
-	balanced        *balancedRequest
-	clientWatch     *hangup.Watch // nil: there is none that can be looked into
-	done            chan struct{} // closed once no attempt is needed any more
-	inner           bool          // called by a run of a backend
-	parentRepeated  bool          // by a run that was a repeat itself
+	balanced        *balancedRequest // nil until runRequest has begun it
+	clientWatch     *hangup.Watch    // nil: the connection can't be watched
+	done            chan struct{}    // closed once the request needs no more attempts
+	inner           bool             // made by a backend in the course of a run
+	parentRepeated  bool             // the run that made the request was a repeat
 
 	mu               sync.Mutex
-	attemptsStarted  int                 // started
-	possibleArrivals int                 // of these, those that reached a backend, or may yet
-	possibleRuns     int                 // of these, those of which nobody has proven that they did not run
-	attemptTraces    []transport.Attempt // attempts that have ended, but for one that was all and succeeded
-	fallback         *backendAttempt     // the best answer that is no success
-	winner           *backendAttempt
-	cause            error    // why no attempt is needed any more; nil: one may be
-	waiters          []waiter // attempts that wait; nil stands for one that did
+	attemptsStarted  int
+	possibleArrivals int                 // attempts that reached a backend, or may yet
+	possibleRuns     int                 // attempts that ran, or may have
+	attemptTraces    []transport.Attempt // ended attempts; a single one that succeeded is left out
+	fallback         *backendAttempt     // the best failure so far, to be forwarded if no attempt succeeds
+	winner           *backendAttempt     // the hedge that answered the request; nil: none
+	cause            error               // why the request needs no more attempts; nil: it may need more
+	waiters          []waiter            // attempts in flight; an entry is nil once its attempt has ended
 }
 
-// run carries out what the chooser orders until the request has its answer, or its client has left.
+// runRequest carries out the balancer's actions until the request is answered or its client has
+// left.
 func (s *Sender) runRequest(p *pendingRequest, remaining time.Duration) requestResult {
-	defer p.finish(errAnswered) // whatever the answer is: attempts that are still out are for nobody
+	defer p.finish(errAnswered) // attempts that are still in flight are no longer needed
 	balancer := p.balancer
 	startHedge := func(action policy.Action, target *backendTarget) { go s.runHedge(p, action, target) }
 	p.balanced = balancer.beginRequest(classIndex(balancer.classes, p.route, p.inner), remaining, startHedge)
@@ -48,7 +49,7 @@
 	defer s.unregister(p)
 	for {
 		action, target, ok := balancer.nextAction(p.balanced)
-		if !ok { // nothing to do but to wait for an attempt that another goroutine carries out
+		if !ok { // wait for an attempt that another goroutine carries out
 			if result, finished := p.awaitAction(); finished {
 				return result
 			}
@@ -70,7 +71,7 @@
 	}
 }
 
-// wait waits for an order, or for the end of the request.
+// awaitAction waits for the next action, or for the end of the request.
 func (p *pendingRequest) awaitAction() (result requestResult, finished bool) {
 	deadlineTimer := time.NewTimer(time.Until(p.deadline))
 	defer deadlineTimer.Stop()
@@ -83,6 +84,7 @@
 	return p.result(nil), true
 }
 
+// nextAttemptNumber numbers a new attempt.
 func (p *pendingRequest) nextAttemptNumber() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,10 +92,10 @@
 	return p.attemptsStarted - 1
 }
 
-// mayStart counts a backend that the request is about to be sent to, and says whether it may go there:
-// while the route allows one more, and never where it must not run twice and an attempt may have
-// run. Danger: an attempt that is out may have reached its backend, so it counts until it is proven
-// that it did not.
+// reserveAttempt counts an attempt that is about to be sent, and reports whether it may be. The
+// route limits how many backends a request reaches, and an unsafe request is never sent while
+// another attempt may have run. An attempt in flight may have reached its backend, so it counts
+// until it is proven that it has not.
 func (p *pendingRequest) reserveAttempt() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,8 +107,8 @@
 	return true
 }
 
-// provedNotRun takes in that an attempt did not run and never will; arrived says that a backend itself
-// turned it away.
+// recordNotRun records that an attempt did not run and never will. If it reached the backend, which
+// turned it away, it still counts against the route's limit.
 func (p *pendingRequest) recordNotRun(reachedBackend bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,15 +118,15 @@
 	}
 }
 
-// mayHaveRun says that nothing may be promised about the request: it must not run twice, and an
-// attempt of it ran, is out, or may have run.
+// mayHaveRun reports whether the request is unsafe and an attempt of it ran, may have run or is in
+// flight. Nothing may be promised about it then.
 func (p *pendingRequest) mayHaveRun() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.request.Unsafe && p.possibleRuns > 0
 }
 
-// best is the answer to pass on where no attempt succeeded.
+// fallbackAttempt returns the failure to forward if no attempt succeeds.
 func (p *pendingRequest) fallbackAttempt() *backendAttempt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/mesh/outbound/leave_test.go
+++ b/internal/mesh/outbound/leave_test.go
@@ -20,23 +20,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// soon bounds how long a test waits for what must happen, on a machine that is busy; patiently is how
-// long clients, routes and backends wait here, so that nothing but the client's leave ends a run.
+// eventTimeout bounds how long a test waits for an expected event on a busy machine. longWait is
+// the timeout of clients, routes and backends here, so that only the client's leaving ends a run.
 const (
 	eventTimeout = 10 * time.Second
 	longWait     = 5 * time.Minute
 )
 
-// holdingBackend is a backend that works on each request until it is told to answer, or until its
-// connection has closed.
+// holdingBackend is a backend that works on each request until the test releases it or its
+// connection is closed.
 type holdingBackend struct {
 	t         *testing.T
 	address   string
-	arrived   chan string // tries that it began
-	cancelled chan string // of these, those whose connection closed
+	arrived   chan string // tries whose runs began
+	cancelled chan string // tries whose connection was closed
 
 	mu       sync.Mutex
-	releases map[string]chan struct{}
+	releases map[string]chan struct{} // closed when the backend may respond, by try
 }
 
 func newHoldingBackend(t *testing.T) *holdingBackend {
@@ -70,7 +70,7 @@
 	io.WriteString(w, try)
 }
 
-// answer lets the backend answer a try; an empty one stands for all that it has.
+// release lets the backend respond to a try, or to all that it has if the id is empty.
 func (b *holdingBackend) release(try string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,8 +82,10 @@
 	}
 }
 
-func (b *holdingBackend) awaitArrival(try string) { b.await(b.arrived, try, "reaches its backend") }
-func (b *holdingBackend) awaitCancel(try string)  { b.await(b.cancelled, try, "is no longer worked on") }
+func (b *holdingBackend) awaitArrival(try string) { b.await(b.arrived, try, "to reach its backend") }
+func (b *holdingBackend) awaitCancel(try string) {
+	b.await(b.cancelled, try, "to be cancelled at its backend")
+}
 
 func (b *holdingBackend) await(events chan string, try, event string) {
 	b.t.Helper()
@@ -91,11 +93,11 @@
 	case got := <-events:
 		require.Equal(b.t, try, got, event)
 	case <-time.After(eventTimeout):
-		require.Fail(b.t, "never", "%s %s", try, event)
+		require.Fail(b.t, "timeout", "waited for %s %s", try, event)
 	}
 }
 
-// gateOf is a gate beside a backend, as others reach it.
+// startGate starts a gate with a backend and returns it with its address.
 func startGate(t *testing.T, backend *holdingBackend, id string, capacity int) (*inbound.Host, string) {
 	host := inbound.NewHost(inbound.Rules{}, 1<<20, transport.NewByteBudget(1<<30), func() {})
 	host.With(func(now time.Duration, g *inbound.Gate) bool {
@@ -110,7 +112,7 @@
 	return host, l.Addr().String()
 }
 
-// patientSender is a sender whose routes wait patiently; target is their target_time.
+// patientSender returns a sender whose routes wait longWait. targetLatency is their target_time.
 func patientSender(t *testing.T, targetLatency time.Duration, gates ...string) *Sender {
 	s := newTestSender(t, gates...)
 	for _, kind := range []string{"safe", "unsafe"} {
@@ -120,8 +122,8 @@
 	return s
 }
 
-// listenFor serves clients of a sender and returns its address. Those that connect before serve is
-// called wait in the listener's queue, as they do while a process stands still.
+// listenFor returns the address at which clients reach a sender. Clients that connect before serve
+// is called wait in the listener's queue, as they do while a process is paused.
 func listenFor(t *testing.T, s *Sender) (address string, serve func()) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -130,14 +132,14 @@
 	return l.Addr().String(), func() { go server.Serve(l) }
 }
 
-// serveClients serves clients of a sender at once.
+// serveClients serves clients of a sender right away, and returns the address.
 func serveClients(t *testing.T, s *Sender) (address string) {
 	address, serve := listenFor(t, s)
 	serve()
 	return address
 }
 
-// ask opens a connection and sends a request over it, "kind try".
+// openRequest opens a connection and sends a request over it: "kind try".
 func openRequest(t *testing.T, address, request string) *net.TCPConn {
 	c, err := net.Dial("tcp4", address)
 	require.NoError(t, err)
@@ -146,6 +148,7 @@
 	return c.(*net.TCPConn)
 }
 
+// writeRequest sends a request over a connection: "kind try".
 func writeRequest(t *testing.T, c net.Conn, request string) {
 	kind, try, _ := strings.Cut(request, " ")
 	body := ""
@@ -157,14 +160,14 @@
 	require.NoError(t, err)
 }
 
-// leaves are the ways in which a client's connection ends.
+// disconnects are the ways in which a client ends its connection.
 var disconnects = map[string]func(*net.TCPConn){
 	"closes":      func(c *net.TCPConn) { c.Close() },
 	"resets":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	"half-closes": func(c *net.TCPConn) { c.CloseWrite() },
 }
 
-// idle says whether gates hold nothing.
+// allIdle returns a condition: the gates have no requests in flight.
 func allIdle(hosts ...*inbound.Host) func() bool {
 	return func() bool {
 		for _, h := range hosts {
@@ -176,8 +179,8 @@
 	}
 }
 
-// TestClientLeaves: work that may be repeated ends at the backend once its client has left, on this
-// machine and on another; other work runs to its end.
+// TestClientLeaves: safe work is cancelled at the backend once its client has left, on this machine
+// and on another; unsafe work runs to its end.
 func TestClientLeaves(t *testing.T) {
 	for disconnectName, disconnect := range disconnects {
 		for _, place := range []string{"here", "elsewhere"} {
@@ -197,23 +200,23 @@
 				backend.awaitArrival("t1")
 				disconnect(client)
 				backend.awaitCancel("t1")
-				require.Eventually(t, func() bool { return allIdle(host)() && s.InFlight() == 0 }, eventTimeout, time.Millisecond, "slots are given back")
+				require.Eventually(t, func() bool { return allIdle(host)() && s.InFlight() == 0 }, eventTimeout, time.Millisecond, "slots are released")
 
 				client = openRequest(t, address, "safe t2")
 				backend.awaitArrival("t2")
-				writeRequest(t, client, "safe t3") // the next request waits behind the one that is worked on
+				writeRequest(t, client, "safe t3") // the next request waits behind the one in flight
 				disconnect(client)
 				backend.awaitCancel("t2")
 
 				client = openRequest(t, address, "unsafe t4")
 				backend.awaitArrival("t4")
 				disconnect(client)
-				repeated := openRequest(t, address, "unsafe t4") // by now the leave has long been seen, and the id is remembered
+				repeated := openRequest(t, address, "unsafe t4") // by now the sender has noticed that the client left, and remembers the id
 				text, err := io.ReadAll(io.LimitReader(repeated, 12))
 				require.NoError(t, err)
 				require.Equal(t, "HTTP/1.1 502", string(text))
 				backend.release("t4")
-				require.Eventually(t, func() bool { return host.Answered.Load() == 1 }, eventTimeout, time.Millisecond, "it runs to its end")
+				require.Eventually(t, func() bool { return host.Answered.Load() == 1 }, eventTimeout, time.Millisecond, "the unsafe request must run to its end")
 				require.Empty(t, backend.cancelled)
 				require.Eventually(t, func() bool { return allIdle(host)() && s.InFlight() == 0 }, eventTimeout, time.Millisecond)
 			})
@@ -221,8 +224,9 @@
 	}
 }
 
-// TestNextRequestWaits: a request that comes while one is worked on is served after it, and so is the
-// one after that; who stays loses nothing by being watched.
+// TestNextRequestWaits: a request that arrives while another one of the connection is in flight is
+// served after it, and so is the next one. Watching the connection for a close must lose no bytes
+// of a client that stays.
 func TestNextRequestWaits(t *testing.T) {
 	backend := newHoldingBackend(t)
 	_, gate := startGate(t, backend, "b0", 4)
@@ -245,8 +249,8 @@
 	require.Empty(t, backend.cancelled)
 }
 
-// TestCloseWaitsInSocket: what a process that stood still finds in its sockets with the close behind
-// it is not begun, by the sender or by the gate.
+// TestCloseWaitsInSocket: requests that a paused process finds in its sockets, with the client's
+// close behind them, must be begun neither by the sender nor by the gate.
 func TestCloseWaitsInSocket(t *testing.T) {
 	backend := newHoldingBackend(t)
 	host, gate := startGate(t, backend, "b0", 100)
@@ -262,7 +266,7 @@
 	require.Empty(t, backend.arrived, "requests reached the backend")
 	require.EqualValues(t, 20, ended())
 
-	for i := range 20 { // an exchange that was cancelled when it is read
+	for i := range 20 { // exchanges whose cancellation has arrived when they are read
 		near, far := net.Pipe()
 		c := transport.NewConn(&delayedWriteConn{Conn: far})
 		go func() {
@@ -282,8 +286,8 @@
 	require.Empty(t, backend.arrived)
 }
 
-// heldBack is a connection whose first write goes out with the second, as what waits in a socket
-// does.
+// delayedWriteConn is a connection whose first write is sent together with the second, like bytes
+// that wait in a socket.
 type delayedWriteConn struct {
 	net.Conn
 	first []byte
@@ -298,7 +302,8 @@
 	return len(b), err
 }
 
-// TestLeavesTheQueue: a request that waits at a gate for a slot takes none once its client has left.
+// TestLeavesTheQueue: a request that queues at a gate for a slot takes none once its client has
+// left.
 func TestLeavesTheQueue(t *testing.T) {
 	backend := newHoldingBackend(t)
 	host, gate := startGate(t, backend, "b0", 1)
@@ -308,9 +313,9 @@
 	backend.awaitArrival("first")
 	for _, kind := range []string{"safe", "unsafe"} {
 		client := openRequest(t, address, kind+" "+kind)
-		require.Eventually(t, func() bool { return host.Held() == 2 }, eventTimeout, time.Millisecond, "it waits")
+		require.Eventually(t, func() bool { return host.Held() == 2 }, eventTimeout, time.Millisecond, "the request must queue")
 		client.Close()
-		require.Eventually(t, func() bool { return host.Held() == 1 }, eventTimeout, time.Millisecond, "it waits no more")
+		require.Eventually(t, func() bool { return host.Held() == 1 }, eventTimeout, time.Millisecond, "the request must leave the queue")
 	}
 	backend.release("first")
 	openRequest(t, address, "safe last")
@@ -319,7 +324,7 @@
 	require.Eventually(t, func() bool { return allIdle(host)() && s.InFlight() == 0 }, eventTimeout, time.Millisecond)
 }
 
-// TestNothingIsSentAnew: a copy that falls due after its client has left is not sent.
+// TestNothingIsSentAnew: a hedge that is due after the client has left is not sent.
 func TestNothingIsSentAnew(t *testing.T) {
 	backend := newHoldingBackend(t)
 	_, gateOne := startGate(t, backend, "b0", 4)
@@ -331,13 +336,14 @@
 	client.Close()
 	backend.awaitCancel("t1")
 	require.Eventually(t, func() bool { return s.InFlight() == 0 }, eventTimeout, time.Millisecond)
-	openRequest(t, address, "safe t2") // whose copy comes: by then that of the first would have come
+	openRequest(t, address, "safe t2") // by the time of its hedge, the first request's would have come
 	backend.awaitArrival("t2")
 	backend.awaitArrival("t2")
 	require.Empty(t, backend.arrived)
 }
 
-// TestLoserOfTwoCopies: the attempt that is still out when another has brought the answer ends.
+// TestLoserOfTwoCopies: once one of two attempts has brought the answer, the other one is
+// cancelled.
 func TestLoserOfTwoCopies(t *testing.T) {
 	slow, quick := newHoldingBackend(t), newHoldingBackend(t)
 	slowHost, slowGate := startGate(t, slow, "b0", 4)
@@ -352,7 +358,7 @@
 	require.Eventually(t, allIdle(slowHost, quickHost), eventTimeout, time.Millisecond)
 }
 
-// TestSenderEnds: a process that ends, in order or not, leaves no work behind that may be repeated.
+// TestSenderEnds: a process that ends leaves no safe work behind at the backends.
 func TestSenderEnds(t *testing.T) {
 	backend := newHoldingBackend(t)
 	host, gate := startGate(t, backend, "b0", 4)
@@ -365,12 +371,12 @@
 	backend.awaitCancel("t1")
 	text, err := io.ReadAll(io.LimitReader(client, 12))
 	require.NoError(t, err)
-	require.Equal(t, "HTTP/1.1 503", string(text), "work that may be repeated is told to come back")
+	require.Equal(t, "HTTP/1.1 503", string(text), "safe work must be refused with a Retry-After")
 	require.Eventually(t, allIdle(host), eventTimeout, time.Millisecond)
 }
 
-// TestTreeOfCalls: what a backend calls through its own agent ends with the run that called it, at
-// each level.
+// TestTreeOfCalls: the requests that a backend makes through its own agent end with the run that
+// made them, at each level.
 func TestTreeOfCalls(t *testing.T) {
 	const depth = 17
 	last := newHoldingBackend(t)
@@ -403,8 +409,9 @@
 	require.Eventually(t, allIdle(hosts...), eventTimeout, time.Millisecond)
 }
 
-// TestLeavesAtAnyMoment has clients leave at random moments, about when their answers come. What
-// stays gets its own answer, nothing is left behind, and links to gates last.
+// TestLeavesAtAnyMoment has clients leave at random moments around the time of their response.
+// Clients that stay must get their own response, nothing may be left behind, and the connections to
+// gates must be kept.
 func TestLeavesAtAnyMoment(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -449,6 +456,6 @@
 	clients.Wait()
 	require.Eventually(t, func() bool { return allIdle(hosts...)() && s.InFlight() == 0 }, eventTimeout, time.Millisecond)
 	open, opened := s.gateConns.Counts()
-	require.Less(t, opened, uint64(200), "links are made anew for each that leaves")
+	require.Less(t, opened, uint64(200), "a connection is opened for each client that leaves")
 	require.LessOrEqual(t, open, 2*s.gateConns.Most)
 }
--- a/internal/mesh/outbound/note.go
+++ b/internal/mesh/outbound/note.go
@@ -9,29 +9,30 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// answered is a client's answer, and what is recorded of its request.
+// responseRecorder passes the response on to the client and keeps what is recorded about the
+// request.
 type responseRecorder struct {
 	http.ResponseWriter
 	startedAt  time.Time
 	view       *View
 	route      *meshconfig.Route
 	tenant     tenant
-	parent     inbound.Parent // the run of the backend here that makes the request
+	parent     inbound.Parent // the run on this machine that made the request, if there is one
 	service    string
 	pending    *pendingRequest
-	status     int  // 0: there is no answer
-	clientLeft bool // the client left before there was one
-	reason     string
-	retryAfter time.Duration
+	status     int           // 0: no response yet
+	clientLeft bool          // the client left before there was a response
+	reason     string        // text of a response of the sender's own; "": a backend's response
+	retryAfter time.Duration // when the client was told to try again; 0: it was not
 }
 
-// WriteHeader keeps the status.
+// WriteHeader records the status and sends it.
 func (w *responseRecorder) WriteHeader(status int) {
 	w.status = status
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// step records an attempt that has ended. The lock is held.
+// appendTrace adds an attempt that has ended to the trace. The request's lock is held.
 func (p *pendingRequest) appendTrace(attempt *backendAttempt) {
 	trace := transport.Attempt{N: attempt.number, Begun: attempt.startedAt.Sub(p.startedAt), Took: time.Since(attempt.startedAt), Verdict: transport.Ran}
 	if attempt.target != nil {
@@ -46,18 +47,18 @@
 	p.attemptTraces = append(p.attemptTraces, trace)
 }
 
-// note records how a request ended. What simply succeeded at its first attempt is only counted.
+// recordTrace records how a request ended. A success at the first attempt is only counted.
 func (s *Sender) recordTrace(w *responseRecorder, r *http.Request) {
 	p := w.pending
 	trace := transport.RequestTrace{Side: transport.AtSender, Caller: s.settings.Service, Service: w.service, Status: w.status, Why: w.reason, After: w.retryAfter}
 	if p != nil {
 		p.mu.Lock()
-		trace.Steps, trace.Started = p.attemptTraces, p.attemptsStarted // of what is added later nothing is in this slice
+		trace.Steps, trace.Started = p.attemptTraces, p.attemptsStarted // not the attempts that are added later
 		p.mu.Unlock()
 	}
 	switch {
 	case w.status == 0:
-		trace.Result, trace.Why = "bad", "the client broke off before its request was whole"
+		trace.Result, trace.Why = "bad", "the client disconnected before its request was complete"
 	case w.clientLeft:
 		trace.Result = "left"
 	case trace.Why != "" && w.retryAfter > 0:
@@ -95,17 +96,17 @@
 	s.Traces.Add(time.Now(), trace)
 }
 
-// cause says why a request got no backend's answer.
+// unansweredReason tells why a request got no response from a backend.
 func unansweredReason(w *responseRecorder, attempts []transport.Attempt) string {
 	switch {
 	case w.view == nil:
 		return "no configuration is known yet"
 	case w.pending == nil:
-		return "no room for its body"
+		return "no memory left for its body"
 	case w.pending.balanced == nil && w.service == "":
-		return "it came with no time left"
+		return "it arrived with no time left"
 	case w.pending.balanced == nil:
-		return "its service is none of the configuration"
+		return "its service is not in the configuration"
 	case len(attempts) == 0 && w.pending.balanced.candidates == 0:
 		return "no backend of its service is open"
 	case len(attempts) == 0:
--- a/internal/mesh/outbound/note_test.go
+++ b/internal/mesh/outbound/note_test.go
@@ -14,7 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTraces: what simply succeeds leaves no record, all else one that tells each attempt.
+// TestTraces: a success at the first attempt leaves no record; any other request leaves one that
+// lists each attempt.
 func TestTraces(t *testing.T) {
 	var replies []transport.Reply
 	newGate := func() string {
@@ -64,24 +65,25 @@
 	require.EqualValues(t, 1, s.Traces.Plains())
 }
 
+// benchmarkSink keeps the recorder on the heap.
 var benchmarkSink http.ResponseWriter
 
-// BenchmarkNote is what records cost a request: nearly all are plain.
+// BenchmarkNote measures what records cost a request. Nearly all requests are of the plain kind.
 func BenchmarkNote(b *testing.B) {
 	s := New(&bootstrap.Settings{}, inbound.NewHost(inbound.Rules{}, 1, transport.NewByteBudget(1), func() {}), nil, nil, &log.Logger{Handler: discard.New()})
 	r := newTestRequest("GET", "/safe/", "9c41d07be2a35f68", nil)
-	out := httptest.NewRecorder()
+	response := httptest.NewRecorder()
 	for name, attempts := range map[string]int{"plain": 0, "two-attempts": 2} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			p := &pendingRequest{attemptsStarted: max(1, attempts)}
 			attempt := &backendAttempt{reply: &transport.Reply{}, target: &backendTarget{backendID: "b", agent: "10.0.0.1"}, startedAt: time.Now()}
 			for b.Loop() {
-				w := &responseRecorder{ResponseWriter: out, startedAt: time.Now(), pending: p}
+				w := &responseRecorder{ResponseWriter: response, startedAt: time.Now(), pending: p}
 				for range attempts {
 					p.appendTrace(attempt)
 				}
-				benchmarkSink = w // as it outlives the stack of a real request's handler
+				benchmarkSink = w // as in a real request, it must not stay on the handler's stack
 				w.WriteHeader(http.StatusOK)
 				s.recordTrace(w, r)
 				p.attemptTraces = p.attemptTraces[:0]
--- a/internal/mesh/outbound/once_test.go
+++ b/internal/mesh/outbound/once_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOnce provokes TWICE and REFUSED by a client that uses an id again, which no gate can know if
-// the first went to another one: while the first is under way, after it ran, and after it was
-// refused with the promise that it never will.
+// TestOnce checks the rules TWICE and REFUSED when a client reuses an id, which a gate can't detect
+// if the first request went to another gate: while the first is in flight, after it ran, and after
+// it was refused with the promise that it never will run.
 func TestOnce(t *testing.T) {
 	started, release := make(chan string, 8), make(chan bool)
 	respond := func(request *transport.Request, _ []byte) (*transport.Reply, []byte) {
@@ -33,32 +33,33 @@
 	first := make(chan int)
 	go func() { first <- post("unsafe", "t") }()
 	require.Equal(t, "t", <-started)
-	require.Equal(t, 502, post("unsafe", "t"), "the first is under way")
+	require.Equal(t, 502, post("unsafe", "t"), "the first is in flight")
 	close(release)
 	require.Equal(t, 200, <-first)
 	require.Equal(t, 502, post("unsafe", "t"), "the first ran")
 	require.Equal(t, 503, post("unsafe", "refused"))
-	require.Equal(t, 502, post("unsafe", "refused"), "it was promised never to run")
+	require.Equal(t, 502, post("unsafe", "refused"), "the client was told that it will never run")
 	require.Empty(t, started)
-	require.Equal(t, []int{200, 200}, []int{post("safe", "u"), post("safe", "u")}, "what is safe may come again")
+	require.Equal(t, []int{200, 200}, []int{post("safe", "u"), post("safe", "u")}, "a safe request may be repeated")
 }
 
-// TestClassOfAnotherConfiguration provokes TWICE: a request of a route that the module's
-// configuration does not have, or has with another aim, keeps its effect.
+// TestClassOfAnotherConfiguration checks the rule TWICE: a request keeps its effect if the
+// balancer's configuration lacks its route or has it with another target latency.
 func TestClassOfAnotherConfiguration(t *testing.T) {
 	classes := classesFor(nil)
-	for _, aim := range []time.Duration{0, time.Millisecond, 300 * time.Millisecond, time.Second, 20 * time.Second} {
+	for _, targetLatency := range []time.Duration{0, time.Millisecond, 300 * time.Millisecond, time.Second, 20 * time.Second} {
 		for kind, effect := range map[meshconfig.Kind]policy.Effect{meshconfig.Safe: policy.Pure, meshconfig.Unsafe: policy.SideEffect, meshconfig.Upload: policy.SideEffect} {
 			for _, inner := range []bool{false, true} {
-				r := &meshconfig.Route{Kind: kind, TargetTime: aim}
-				require.Equal(t, effect, classes[classIndex(classes, r, inner)].Effect, "kind %d, aim %v", kind, aim)
+				r := &meshconfig.Route{Kind: kind, TargetTime: targetLatency}
+				require.Equal(t, effect, classes[classIndex(classes, r, inner)].Effect, "kind %d, aim %v", kind, targetLatency)
 			}
 		}
 	}
 }
 
-// TestNothingIsPromisedForWhatMayHaveRun provokes TWICE and REFUSED at the last place before each:
-// whatever the module orders, what may have run goes nowhere else and is refused nothing.
+// TestNothingIsPromisedForWhatMayHaveRun checks the rules TWICE and REFUSED at the last place that
+// can enforce them: whatever the balancer decides, an unsafe request that may have run is neither
+// sent again nor refused.
 func TestNothingIsPromisedForWhatMayHaveRun(t *testing.T) {
 	sends := 0
 	s := newTestSender(t, startFakeGate(t, func(*transport.Request, []byte) (*transport.Reply, []byte) {
--- a/internal/mesh/outbound/order_test.go
+++ b/internal/mesh/outbound/order_test.go
@@ -21,20 +21,20 @@
 )
 
 var (
-	orderTable = flag.Bool("order-table", false, "have TestOrder play all loads and orders, and print a table")
-	orderPlot  = flag.String("order-plot", "", "file, as SVG, for the course of that table")
+	orderTable = flag.Bool("order-table", false, "let TestOrder run all loads and queue orders, and print a table")
+	orderPlot  = flag.String("order-plot", "", "SVG file to plot that table to")
 )
 
-// order is who goes first at a gate. It is tried by telling the gate something else of a request,
-// so that the gate stays as it is.
+// queueOrder is an order in which a gate's queue serves requests. The gate is used as it is; an
+// order is tried by modifying what it is told about a request.
 type queueOrder struct {
 	name             string
 	modify           func(request *transport.Request, now time.Duration)
-	rejectLate       bool // what can't be in time any more is refused at once
-	ignoreTimeWaited bool // a client that comes back is taken for a new one
+	rejectLate       bool // requests that can't be in time any more are refused at once
+	ignoreTimeWaited bool // a client that returns counts as a new one
 }
 
-const distantTarget = time.Hour // an aim that nobody misses
+const distantTarget = time.Hour // a target latency that no request misses
 
 var queueOrders = []queueOrder{
 	{name: "as it is", modify: func(*transport.Request, time.Duration) {}},
@@ -48,23 +48,26 @@
 		if request.Aim < 100*time.Millisecond {
 			return
 		}
-		if request.Aim += 2 * distantTarget; request.Unsafe { // 2 for 210 ms of a slot, where a safe one brings 1 for as much
+		// Worth 2 for 210 ms of a slot, where a safe request brings worth 1 for as much.
+		if request.Aim += 2 * distantTarget; request.Unsafe {
 			request.Aim -= distantTarget
 		}
 	}},
 	{name: "late out", modify: func(*transport.Request, time.Duration) {}, rejectLate: true},
 }
 
-// sort is a kind of requests.
+// requestKind is a kind of requests, with its route.
 type requestKind struct {
 	path, service         string
 	unsafe                bool
 	targetLatency, giveUp time.Duration
-	meanWork, worth       float64
-	ratePerS              float64 // at load 1 of their deployment
+	// Mean seconds of work at speed 1, and the worth of a response in time.
+	meanWork, worth float64
+	ratePerS        float64 // requests a second at load 1 of their deployment
 }
 
-// The courier mesh, but that both services have six backends, so that a zone is a third of each.
+// The services of the test network named courier, but each with six backends, so that a zone is a
+// third of each.
 var (
 	pickupKind   = requestKind{path: "/pickup", service: "riders", targetLatency: 600 * time.Millisecond, giveUp: 4 * time.Second, meanWork: 0.16, worth: 1, ratePerS: 234}
 	deliveryKind = requestKind{path: "/delivery", service: "billing", unsafe: true, targetLatency: 800 * time.Millisecond, giveUp: 5 * time.Second, meanWork: 0.21, worth: 2, ratePerS: 101}
@@ -74,45 +77,49 @@
 )
 
 const (
-	callerShare, callsPerCaller       = 0.7, 2 // of pickups that make calls, and how many
+	// Share of the pickup requests whose run makes inner requests, and how many.
+	callerShare, callsPerCaller       = 0.7, 2
 	lateWorthShare                    = 0.1
-	workSpread                        = 0.5 // of work, log-normal
-	backendsPerService                = 6   // backends
+	workSpread                        = 0.5 // standard deviation of the logarithm of the work
+	backendsPerService                = 6
 	clientLatency                     = 8 * time.Millisecond
 	crossZoneLatency, sameZoneLatency = 1400 * time.Microsecond, 100 * time.Microsecond
-	zoneLossDelay                     = 100 * time.Millisecond // until agents know that a zone is gone
+	zoneLossDelay                     = 100 * time.Millisecond // until agents learn that a zone is lost or back
 	measureFrom, zoneLostAt           = 4 * time.Second, 8 * time.Second
 	zoneLostUntil, measureUntil       = 16 * time.Second, 22 * time.Second
 )
 
-// spot is a backend and its gate.
+// modelNode is a backend with its gate and its sender.
 type modelNode struct {
 	gate      *inbound.Gate
-	sender    *Sender // beside it
+	sender    *Sender
 	zone      int
 	speed     float64
 	backendID string
 }
 
-// meshModel is a mesh in virtual time: real senders with their decision modules, and real gates;
-// links, backends and clients are sleeps.
+// meshModel is a mesh in virtual time, with real senders, balancers and gates. Links, backends and
+// clients are modelled by sleeps.
 type meshModel struct {
 	*require.Assertions
-	began      time.Time
-	queueOrder queueOrder
-	nodes      map[string]*modelNode
+	startedAt time.Time
+	order     queueOrder
+	nodes     map[string]*modelNode
 
-	mu                                                        sync.Mutex
-	rng                                                       *rand.Rand
-	pickupRuns, pickupCallFailures                            float64 // of pickups, and those that failed for a call of their own
-	begun, ended                                              int
-	offeredWorth, earnedWorth, onTargetWorth, delayedUnserved [2]float64 // in all, and begun while a zone was lost
+	mu  sync.Mutex
+	rng *rand.Rand
+	// Runs of pickup requests, and those of them that failed because of an inner request.
+	pickupRuns, pickupCallFailures float64
+	requestsBegun, requestsEnded   int
+	// Sums of worth: over all clients, and over those that began while a zone was lost. Delayed
+	// clients are those that one try held for more than a quarter of the target latency.
+	offeredWorth, earnedWorth, onTargetWorth, delayedUnserved [2]float64
 }
 
-func (m *meshModel) now() time.Duration { return time.Since(m.began) }
+func (m *meshModel) now() time.Duration { return time.Since(m.startedAt) }
 
-func newMeshModel(t *testing.T, queueOrder queueOrder, seed uint64) *meshModel {
-	m := &meshModel{Assertions: require.New(t), began: time.Now(), queueOrder: queueOrder, nodes: map[string]*modelNode{}, rng: rand.New(rand.NewPCG(seed, 1))}
+func newMeshModel(t *testing.T, order queueOrder, seed uint64) *meshModel {
+	m := &meshModel{Assertions: require.New(t), startedAt: time.Now(), order: order, nodes: map[string]*modelNode{}, rng: rand.New(rand.NewPCG(seed, 1))}
 	items := `{"item_kind":"limits","metadata":{"version":"1"},"body":{"header_bytes":16384,"body_bytes":1000,"header_wait":"3s","idle":"15s"}}`
 	for name := range backendSlots {
 		items += fmt.Sprintf(`,{"item_kind":"services","metadata":{"name":"%s","version":"1"},"body":{}}`, name)
@@ -127,13 +134,13 @@
 	config, _, err := meshconfig.New().Apply(patch)
 	m.NoError(err)
 	var agents []transport.Heard
-	for service, width := range backendSlots {
+	for service, slots := range backendSlots {
 		for i := range backendsPerService {
 			name := fmt.Sprint(service, i)
 			settings := &bootstrap.Settings{IP: "sender of " + name, Zone: fmt.Sprint(i % 3), Zones: map[string]string{"0": "r", "1": "r", "2": "r"}, Service: service}
 			settings.Bounds.RetryWindow, settings.Bounds.RetryRatio, settings.Bounds.ExtraTries = 10*time.Second, 0.2, 62
 			node := &modelNode{gate: inbound.New(0, inbound.Rules{BeatEvery: distantTarget}), zone: i % 3, speed: speeds[(i+i/3)%3], backendID: name}
-			backend := transport.Backend{ID: name, Service: service, Zone: settings.Zone, Capacity: width, Calls: 1}
+			backend := transport.Backend{ID: name, Service: service, Zone: settings.Zone, Capacity: slots, Calls: 1}
 			node.gate.Named(1)
 			node.gate.Vouch(0, 0, backend)
 			node.sender = New(settings, inbound.NewHost(inbound.Rules{}, 1, transport.NewByteBudget(1), func() {}), nil, transport.NewByteBudget(1), &log.Logger{Handler: discard.New(), Level: log.FatalLevel})
@@ -144,7 +151,7 @@
 			agents = append(agents, transport.Heard{Station: transport.Station{Agent: name, Gate: name, Zone: settings.Zone, Life: 1, Seq: 1, Open: true, Backend: &backend}})
 		}
 	}
-	view := func(zoneLost bool) {
+	updateViews := func(zoneLost bool) {
 		reported := make([]transport.Heard, len(agents))
 		for i, agent := range agents {
 			agent.Lost = zoneLost && agent.Station.Zone == "0"
@@ -154,7 +161,7 @@
 			node.sender.SetView(&View{Config: config, ConfigIndex: 1, Agents: reported})
 		}
 	}
-	view(false)
+	updateViews(false)
 	setZoneLost := func(at time.Duration, zoneLost bool) {
 		time.AfterFunc(at, func() {
 			m.mu.Lock()
@@ -163,14 +170,14 @@
 			}
 			m.mu.Unlock()
 		})
-		time.AfterFunc(at+zoneLossDelay, func() { view(zoneLost) })
+		time.AfterFunc(at+zoneLossDelay, func() { updateViews(zoneLost) })
 	}
 	setZoneLost(zoneLostAt, true)
 	setZoneLost(zoneLostUntil, false)
 	return m
 }
 
-// send is the link to a gate, the gate's host and the backend.
+// sendToGate models the link to a gate, and the gate's host and backend behind it.
 func (m *meshModel) sendToGate(from *modelNode, p *pendingRequest, gate string, request *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
 	node, latency := m.nodes[gate], crossZoneLatency
 	if node.zone == from.zone {
@@ -194,7 +201,7 @@
 	return nil, nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Silent}
 }
 
-// handle is what a gate's host does.
+// handleAtGate models a gate's host.
 func (m *meshModel) handleAtGate(node *modelNode, p *pendingRequest, request *transport.Request) *transport.Reply {
 	failureReply := func(failure *transport.Failure) *transport.Reply {
 		return &transport.Reply{Verdict: failure.Verdict, Reason: failure.Reason, After: failure.After, Load: node.gate.Load(m.now())}
@@ -202,8 +209,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	modified := *request
-	m.queueOrder.modify(&modified, m.now())
-	if m.queueOrder.rejectLate && !request.Inner && request.Aim < node.gate.Load(m.now()).Recent {
+	m.order.modify(&modified, m.now())
+	if m.order.rejectLate && !request.Inner && request.Aim < node.gate.Load(m.now()).Recent {
 		return failureReply(&transport.Failure{Verdict: transport.NotRun, Reason: transport.Late})
 	}
 	ticket, failure := node.gate.Admit(m.now(), &modified)
@@ -269,31 +276,32 @@
 	return reply
 }
 
+// work draws the time that the node works on a request.
 func (n *modelNode) work(rng *rand.Rand, path string) time.Duration {
 	mean := map[string]float64{pickupKind.path: pickupKind.meanWork, deliveryKind.path: deliveryKind.meanWork, statusKind.path: statusKind.meanWork}[path]
 	return time.Duration(mean / n.speed * math.Exp(workSpread*rng.NormFloat64()-workSpread*workSpread/2) * float64(time.Second))
 }
 
-// request is what a sender does with a request that has come whole: its status, and when to come
-// back.
+// runRequest runs a complete request at a node's sender. It returns the status, and when the client
+// should try again.
 func (m *meshModel) runRequest(node *modelNode, kind *requestKind, remaining time.Duration, inner bool) (status int, retryAfter time.Duration) {
 	sender := node.sender
 	view := sender.View()
 	now := time.Now()
 	p := &pendingRequest{route: view.Config.Route("d", kind.path), startedAt: now, done: make(chan struct{}), deadline: now.Add(remaining), answerTarget: now.Add(kind.targetLatency), inner: inner, balancer: sender.balancer(kind.service)}
-	if !m.queueOrder.ignoreTimeWaited && !inner {
+	if !m.order.ignoreTimeWaited && !inner {
 		p.answerTarget = p.answerTarget.Add(-sender.waits.timeWaited(now, p.route.Name, remaining))
 	}
 	m.mu.Lock()
-	m.begun++
-	p.request = transport.Request{Try: fmt.Sprint(m.begun), URI: kind.path, Unsafe: kind.unsafe, Inner: inner, Patient: max(kind.targetLatency/queueWaitDivisor, 10*time.Millisecond)}
+	m.requestsBegun++
+	p.request = transport.Request{Try: fmt.Sprint(m.requestsBegun), URI: kind.path, Unsafe: kind.unsafe, Inner: inner, Patient: max(kind.targetLatency/queueWaitDivisor, 10*time.Millisecond)}
 	m.mu.Unlock()
 	if inner {
 		p.request.Patient = remaining / innerQueueWaitDivisor
 	}
 	result := sender.runRequest(p, remaining)
 	m.mu.Lock()
-	m.ended++
+	m.requestsEnded++
 	m.mu.Unlock()
 	switch attempt := result.attempt; {
 	case result.refused:
@@ -308,12 +316,12 @@
 	}
 }
 
-// client is one that asks until it is served or may not.
+// runClient models a client that tries until it is served or may not try again.
 func (m *meshModel) runClient(kind *requestKind) {
-	began, refusedEarly, tries := m.now(), false, 0
+	startedAt, refusedEarly, tries := m.now(), false, 0
 	served, delayed := false, false
 	for ; tries < 3 && !served; tries++ {
-		remaining := kind.giveUp - (m.now() - began) - clientLatency
+		remaining := kind.giveUp - (m.now() - startedAt) - clientLatency
 		if remaining <= clientTransitTime {
 			break
 		}
@@ -329,14 +337,14 @@
 		switch {
 		case served:
 		case status == 503:
-			refusedEarly = tries == 0 && m.now()-began <= kind.targetLatency/4
-			time.Sleep(min(retryAfter, (kind.giveUp-(m.now()-began))/3))
+			refusedEarly = tries == 0 && m.now()-startedAt <= kind.targetLatency/4
+			time.Sleep(min(retryAfter, (kind.giveUp-(m.now()-startedAt))/3))
 		case kind.unsafe:
 			tries = 3
 		}
 	}
-	took := m.now() - began
-	if began < measureFrom || began >= measureUntil {
+	took := m.now() - startedAt
+	if startedAt < measureFrom || startedAt >= measureUntil {
 		return
 	}
 	earnedShare, onTargetShare := 0.0, 0.0
@@ -354,7 +362,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i := range m.offeredWorth {
-		if i == 0 || began >= zoneLostAt && began < zoneLostUntil {
+		if i == 0 || startedAt >= zoneLostAt && startedAt < zoneLostUntil {
 			m.offeredWorth[i] += kind.worth
 			m.earnedWorth[i] += earnedShare * kind.worth
 			m.onTargetWorth[i] += onTargetShare * kind.worth
@@ -365,15 +373,15 @@
 	}
 }
 
-// figures are of one run. Shares are weighted by worth.
+// simulationResult holds the figures of one simulation. Shares are weighted by worth.
 type simulationResult struct{ worth, onTarget, failedCalls, worthDuringLoss, delayedUnserved float64 }
 
-// playOrder offers a load, as a part of what the called service can work on, and returns what came
-// of it.
-func simulateOrder(t *testing.T, queueOrder queueOrder, offered float64, seed uint64) (result simulationResult) {
+// simulateOrder runs a simulation under a load, given as a share of what the backends of the called
+// service can work on.
+func simulateOrder(t *testing.T, order queueOrder, offered float64, seed uint64) (result simulationResult) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMeshModel(t, queueOrder, seed)
-		slotsAtLoadOne := deliveryKind.ratePerS*deliveryKind.meanWork + pickupKind.ratePerS*callerShare*callsPerCaller*statusKind.meanWork // slots at their deployment's load
+		m := newMeshModel(t, order, seed)
+		slotsAtLoadOne := deliveryKind.ratePerS*deliveryKind.meanWork + pickupKind.ratePerS*callerShare*callsPerCaller*statusKind.meanWork
 		availableSlots := float64(backendSlots["billing"]*backendsPerService) / 3 * (speeds[0] + speeds[1] + speeds[2])
 		ratePerS := offered * availableSlots / slotsAtLoadOne * (pickupKind.ratePerS + deliveryKind.ratePerS)
 		arrivals := rand.New(rand.NewPCG(seed, 2))
@@ -388,23 +396,24 @@
 		time.Sleep(10 * time.Second)
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.Equal(m.begun, m.ended, "a request has no answer")
+		m.Equal(m.requestsBegun, m.requestsEnded, "a request has no response")
 		for name, node := range m.nodes {
-			m.Zero(node.gate.Load(m.now()).InFlight, "%s has work that nobody waits for", name)
+			m.Zero(node.gate.Load(m.now()).InFlight, "%s has work in flight that no client waits for", name)
 		}
 		result = simulationResult{m.earnedWorth[0] / m.offeredWorth[0], m.onTargetWorth[0] / m.offeredWorth[0], m.pickupCallFailures / m.pickupRuns, m.earnedWorth[1] / m.offeredWorth[1], m.delayedUnserved[0] / m.offeredWorth[0]}
 	})
 	return result
 }
 
-// TestOrder plays a mesh of two levels of which a third is lost for 8 s. By itself it is one load
-// and the order as it is, where each request must get its answer and each slot be given back; the
-// gates check themselves.
+// TestOrder simulates a mesh with two levels of services that loses a third of its backends for 8
+// seconds. By default it runs one load with the real queue order: each request must get its
+// response and each slot must be released. The gates check themselves. The flags run and plot all
+// loads and orders:
 //
 //	go test ./internal/mesh/outbound -v -run TestOrder -order-table -order-plot $PWD/docs/mesh-overload.svg
 func TestOrder(t *testing.T) {
 	if !*orderTable {
-		result := simulateOrder(t, queueOrders[0], 1, 1) // 0.59 where those that come back are taken for new
+		result := simulateOrder(t, queueOrders[0], 1, 1) // 0.59 on target if returning clients counted as new ones
 		require.Greater(t, result.onTarget, 0.75, "%+v", result)
 		require.Less(t, result.failedCalls, 0.1, "%+v", result)
 		return
@@ -415,12 +424,12 @@
 	for i := range charts {
 		charts[i].Lines = map[string][]float64{}
 	}
-	for _, queueOrder := range queueOrders {
+	for _, order := range queueOrders {
 		for load := 0.6; load < 1.7; load += 0.2 {
 			var sum simulationResult
 			var worths []float64
 			for seed := range uint64(seeds) {
-				result := simulateOrder(t, queueOrder, load, seed)
+				result := simulateOrder(t, order, load, seed)
 				sum.worth, sum.onTarget, sum.failedCalls, sum.worthDuringLoss = sum.worth+result.worth/seeds, sum.onTarget+result.onTarget/seeds, sum.failedCalls+result.failedCalls/seeds, sum.worthDuringLoss+result.worthDuringLoss/seeds
 				sum.delayedUnserved += result.delayedUnserved / seeds
 				worths = append(worths, result.worth)
@@ -429,9 +438,9 @@
 			for _, worth := range worths {
 				deviation = max(deviation, math.Abs(worth-sum.worth))
 			}
-			fmt.Printf("%-12s  %4.1f  %5.3f  %6.3f  %6.4f  %5.3f  %5.3f  %5.3f\n", queueOrder.name, load, sum.worth, sum.onTarget, sum.failedCalls, sum.worthDuringLoss, sum.delayedUnserved, deviation)
+			fmt.Printf("%-12s  %4.1f  %5.3f  %6.3f  %6.4f  %5.3f  %5.3f  %5.3f\n", order.name, load, sum.worth, sum.onTarget, sum.failedCalls, sum.worthDuringLoss, sum.delayedUnserved, deviation)
 			for i, v := range []float64{sum.worth, sum.worthDuringLoss, sum.failedCalls} {
-				charts[i].Lines[queueOrder.name] = append(charts[i].Lines[queueOrder.name], v)
+				charts[i].Lines[order.name] = append(charts[i].Lines[order.name], v)
 			}
 		}
 	}
--- a/internal/mesh/outbound/path_bench_test.go
+++ b/internal/mesh/outbound/path_bench_test.go
@@ -28,7 +28,7 @@
 	backendSlots  = 64
 )
 
-// listen takes connections on a free port of loopback.
+// listen accepts connections on a free loopback port.
 func listen(b *testing.B, serve func(net.Conn)) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(b, err)
@@ -45,12 +45,12 @@
 	return l.Addr().String()
 }
 
-// backend answers each request at once and costs as little as can be.
+// serveBackend responds to each request at once, at as little cost as possible.
 func serveBackend(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	body := bytes.Repeat([]byte("x"), responseBytes)
-	var out, try []byte
+	var response, try []byte
 	for {
 		for try = try[:0]; ; {
 			line, err := r.ReadSlice('\n')
@@ -64,14 +64,15 @@
 				try = append(try, bytes.TrimSpace(value)...)
 			}
 		}
-		out = fmt.Appendf(out[:0], "HTTP/1.1 200 OK\r\nTry-Id: %s\r\nServer-Seal: 3e1b.07\r\nContent-Length: %d\r\n\r\n%s", try, len(body), body)
-		if _, err := c.Write(out); err != nil {
+		response = fmt.Appendf(response[:0], "HTTP/1.1 200 OK\r\nTry-Id: %s\r\nServer-Seal: 3e1b.07\r\nContent-Length: %d\r\n\r\n%s", try, len(body), body)
+		if _, err := c.Write(response); err != nil {
 			return
 		}
 	}
 }
 
-// drive sends requests one after the other from each of several clients, and reports times and processor time of the whole process.
+// driveClients sends requests from several clients, each one request at a time. It reports
+// latencies and the CPU time of the whole process.
 func driveClients(b *testing.B, address string, clients int) {
 	var next atomic.Int64
 	times := make([][]time.Duration, clients)
@@ -89,27 +90,27 @@
 			}
 			defer c.Close()
 			r := bufio.NewReader(c)
-			var out []byte
+			var request []byte
 			for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
-				out = fmt.Appendf(out[:0], "GET /part/way/%d HTTP/1.1\r\nHost: host.example\r\nTry-Id: %016x\r\nTime-Left: 5000\r\nTarget-Server: i-1\r\n\r\n", n, n)
-				began := time.Now()
-				if _, err := c.Write(out); err != nil {
+				request = fmt.Appendf(request[:0], "GET /part/way/%d HTTP/1.1\r\nHost: host.example\r\nTry-Id: %016x\r\nTime-Left: 5000\r\nTarget-Server: i-1\r\n\r\n", n, n)
+				startedAt := time.Now()
+				if _, err := c.Write(request); err != nil {
 					b.Error(err)
 					return
 				}
-				head, err := r.ReadSlice('\n')
-				if err != nil || !bytes.HasPrefix(head, []byte("HTTP/1.1 200")) {
-					b.Errorf("%q %v", head, err)
+				line, err := r.ReadSlice('\n')
+				if err != nil || !bytes.HasPrefix(line, []byte("HTTP/1.1 200")) {
+					b.Errorf("%q %v", line, err)
 					return
 				}
-				for len(head) != 2 && err == nil {
-					head, err = r.ReadSlice('\n')
+				for len(line) != 2 && err == nil {
+					line, err = r.ReadSlice('\n')
 				}
 				if _, err := r.Discard(responseBytes); err != nil {
 					b.Error(err)
 					return
 				}
-				times[i] = append(times[i], time.Since(began))
+				times[i] = append(times[i], time.Since(startedAt))
 			}
 		})
 	}
@@ -124,21 +125,24 @@
 	b.ReportMetric(float64(all[len(all)*99/100].Microseconds()), "p99-µs")
 }
 
-// BenchmarkDirect is what client and backend cost without the mesh, to be taken off BenchmarkPath.
+// BenchmarkDirect measures the cost of client and backend without the mesh, to be subtracted from
+// BenchmarkPath.
 func BenchmarkDirect(b *testing.B) {
 	for _, clients := range []int{1, 8} {
 		b.Run(fmt.Sprint("clients=", clients), func(b *testing.B) { driveClients(b, listen(b, serveBackend), clients) })
 	}
 }
 
-// BenchmarkPath is a request's way from a client through sender and gate to a backend and back, all on loopback in one process.
+// BenchmarkPath measures a request's path from a client through sender and gate to a backend and
+// back, on loopback in one process.
 func BenchmarkPath(b *testing.B) {
 	for _, clients := range []int{1, 8} {
 		b.Run(fmt.Sprint("clients=", clients), func(b *testing.B) { driveClients(b, startMesh(b), clients) })
 	}
 }
 
-// mesh is a sender and some gates, each with a backend; it returns where clients reach the sender.
+// startMesh starts a sender and some gates, each with a backend. It returns the address at which
+// clients reach the sender.
 func startMesh(b *testing.B) string {
 	patch, err := meshconfig.ParsePatch([]byte(`{"add":{"items":[{"item_kind":"services","metadata":{"name":"s","version":"00000001"},` +
 		`"body":{"health_path":"/health"}},{"item_kind":"routes","metadata":{"name":"r","version":"00000001"},"body":{"domain":` +
--- a/internal/mesh/outbound/request.go
+++ b/internal/mesh/outbound/request.go
@@ -12,14 +12,15 @@
 	"example.org/micaline/internal/mesh/inbound"
 )
 
-const initialBodyBuffer = 16 << 10 // bytes that a body without a length is given room for at first
+const initialBodyBuffer = 16 << 10 // initial buffer, in bytes, for a body of unknown length
 
 var (
 	errNoBodyBudget = errors.New("no room for the body")
 	errBodyTooLarge = errors.New("the body is too large")
 )
 
-// readBody reads a request's body whole, and returns how much room it holds, also with an error.
+// readBody reads a request's whole body. It also returns how many bytes of the budget are reserved
+// for it, even with an error; the caller releases them.
 func (s *Sender) readBody(r *http.Request, maxBytes int64) (body []byte, reserved int64, err error) {
 	switch {
 	case r.ContentLength > maxBytes:
@@ -37,7 +38,7 @@
 	return s.readUnsizedBody(r.Body, maxBytes)
 }
 
-// readChunks reads a body without a length: room is taken as the buffer grows.
+// readUnsizedBody reads a body of unknown length. It reserves memory as the buffer grows.
 func (s *Sender) readUnsizedBody(source io.Reader, maxBytes int64) (body []byte, reserved int64, err error) {
 	for {
 		if len(body) == cap(body) {
@@ -61,8 +62,9 @@
 	}
 }
 
-// timeLeft reads how long the client of a request waits. The longest that the route allows holds
-// where that is shorter, or where the client does not say; told is what it said, 0 if nothing.
+// timeLeft returns how much longer the client of a request waits. The route's limit applies if it
+// is shorter or if the client states no time. The second result is the time that the client stated,
+// 0 for none.
 func timeLeft(h http.Header, routeLimit time.Duration) (remaining, stated time.Duration) {
 	remaining = routeLimit
 	millis, err := strconv.ParseFloat(h.Get(inbound.LeftHeader), 64)
@@ -76,8 +78,9 @@
 	return remaining, stated
 }
 
-// passedOn lists the headers of a request that go on to the backend. Where requests need a tenant's
-// key, neither the key nor what the client says of the tenant does.
+// forwardedHeaders lists the headers that go on to the backend, names and values in turn. Where
+// customers authenticate with a key, neither the key nor the client's statement of the customer is
+// forwarded.
 func forwardedHeaders(h http.Header, stripCredentials bool) []string {
 	forwarded := make([]string, 0, 2*len(h))
 	connectionHeaders := connectionOptions(h)
@@ -100,7 +103,7 @@
 	return forwarded
 }
 
-// connectionOptions names the headers that concern this connection alone, as the client says.
+// connectionOptions lists the headers that the client declared to be for this connection only.
 func connectionOptions(h http.Header) (names []string) {
 	for _, line := range h["Connection"] {
 		for option := range strings.SplitSeq(line, ",") {
--- a/internal/mesh/outbound/sender.go
+++ b/internal/mesh/outbound/sender.go
@@ -1,10 +1,19 @@
-// Package outbound is the sender: the data plane beside a caller.
+// Package outbound is the outbound side of a sidecar: it sends the requests of the clients and of
+// the backend on its machine to the services that they call.
 //
-// It takes the requests of the clients and of the backend on its machine, finds the route and the service, has the decision module
-// (package policy) choose a backend, and hands the request to the gate beside that backend. It keeps one module for each service. What
-// comes back is passed on unchanged, or ends in the answer that promises as much as is proven: see transport.Verdict.
+// For each request the Sender finds the route and the service and has the balancer of that service
+// (package policy, the decision module) choose a backend. It hands the request to the gate of that
+// backend, which is the inbound side of the sidecar there (package inbound). A backend's response
+// is forwarded unchanged. Where there is none, the response promises only what is proven: a status
+// that says that the request did not run is sent only if no attempt can have run it. See
+// transport.Verdict.
 //
-// What the sender may use is a View, which never changes and is exchanged whole.
+// Words used here: an agent is a sidecar process. A try is one request of a client, with an id of
+// its own. The sender may make several attempts for a try, each of which hands it to one backend. A
+// run is the execution of a request by a backend, and an inner request is one that a backend makes
+// in the course of a run. An unsafe request must not run twice.
+//
+// The Sender learns about the mesh through a View, which is immutable and replaced as a whole.
 package outbound
 
 import (
@@ -27,51 +36,63 @@
 	"github.com/apex/log"
 )
 
-// View is what a sender knows of the mesh.
+// View is what a sender knows about the mesh.
 type View struct {
 	Config      *meshconfig.Config
-	ConfigIndex uint64 // of the configuration
-	Agents      []transport.Heard
+	ConfigIndex uint64            // version of Config
+	Agents      []transport.Heard // the latest announcement of every agent
 }
 
 const (
-	retryRatioShare      = 0.5  // of the retry budget that agents spend by themselves: repeats make calls, which are repeats too
-	retryFloorShare      = 0.5  // of the tries that are free for all: agents come and go, and start with a budget each
-	initialCapacityShare = 0.25 // of its capacity that a backend has at its start, until gates tell otherwise
-	innerWorth           = 10.0 // of what a backend calls: all the work of its run hangs on it
-	lateWorth            = 0.1  // not nothing: a late answer is worth sending for
+	// Share of the configured retry ratio that each agent may use. The rest is a reserve: a
+	// repeated attempt may make inner requests, which count as repeats too.
+	retryRatioShare = 0.5
+	// Share of the configured extra tries, allowed regardless of the load, that is split among the
+	// agents. The rest is a reserve: agents come and go, and each one starts with a full budget.
+	retryFloorShare = 0.5
+	// Share of its capacity that a starting backend is assumed to have, until its gate reports
+	// otherwise.
+	initialCapacityShare = 0.25
+	// Worth of an inner request, where a client's is 1: the whole work of its run depends on it.
+	innerWorth = 10.0
+	// Share of the worth that a late response keeps. It is not zero, so that a request is still
+	// sent if only a late response can be expected.
+	lateWorth            = 0.1
 	defaultTargetLatency = time.Second
-	maxTargetLogRatio    = 0.7 // by how much the logarithms of aims may differ: twice
+	// Largest difference between the logarithms of two target latencies that share a class: a
+	// factor of two.
+	maxTargetLogRatio = 0.7
 )
 
-// Sender is the data plane beside a caller.
+// Sender is the outbound side of a sidecar. It is an http.Handler for the clients' requests.
 type Sender struct {
 	settings    *bootstrap.Settings
-	localGate   *inbound.Host // the gate on this machine
+	localGate   *inbound.Host // the inbound side on this machine
 	gateConns   *transport.Pool
 	sendRemote  func(p *pendingRequest, gate transport.Endpoint, ask *transport.Request) (*transport.Reply, []byte, *transport.Failure)
-	bodyBudget  *transport.ByteBudget // for bodies
+	bodyBudget  *transport.ByteBudget // for request bodies
 	log         log.Interface
-	zoneNumbers map[string]int
+	zoneNumbers map[string]int // number of each zone, for the balancers
 
 	view         atomic.Pointer[View]
-	mu           sync.RWMutex // guards serves, jobs and over
+	mu           sync.RWMutex // guards pending, pastAnswerBy, balancers and agentCount
 	pending      map[*pendingRequest]struct{}
-	pastAnswerBy bool
-	balancers    map[string]*serviceBalancer
+	pastAnswerBy bool                        // the shutdown has reached ShutdownSchedule.AnswerBy
+	balancers    map[string]*serviceBalancer // by service
 	agentCount   int
-	shutdown     atomic.Pointer[ShutdownSchedule] // nil: it was not told to end
-	inFlight     atomic.Int64
-	draining     atomic.Bool // clients are to go elsewhere: see TurnClientsAway
+	shutdown     atomic.Pointer[ShutdownSchedule] // nil until the shutdown begins
+	inFlight     atomic.Int64                     // requests that have not been answered
+	draining     atomic.Bool                      // see SetDraining
 	waits        waitEstimator
 	startedAt    time.Time
-	seenIDsMu    sync.Mutex   // guards ids
-	seenIDs      *seenids.Set // of the requests begun that must not run twice
+	seenIDsMu    sync.Mutex   // guards seenIDs
+	seenIDs      *seenids.Set // ids of the unsafe requests that were begun
 	Counters     Counters
-	Traces       flightrecorder.Ring // of what did not simply succeed
+	// Traces holds the latest requests that did not succeed at their first attempt.
+	Traces flightrecorder.Ring
 }
 
-// New returns a sender that knows nothing and refuses all.
+// New returns a sender that refuses every request until SetView is called.
 func New(settings *bootstrap.Settings, localGate *inbound.Host, gateConns *transport.Pool, bodyBudget *transport.ByteBudget, logger log.Interface) *Sender {
 	s := &Sender{settings: settings, bodyBudget: bodyBudget, localGate: localGate, gateConns: gateConns, log: logger, zoneNumbers: map[string]int{}, pending: map[*pendingRequest]struct{}{}, balancers: map[string]*serviceBalancer{},
 		startedAt: time.Now(), seenIDs: seenids.New(0, seenIDsGeneration, maxSeenIDs)}
@@ -91,15 +112,16 @@
 	return keys
 }
 
-// View returns what the sender knows, nil if it knows nothing.
+// View returns the current view, nil before the first SetView.
 func (s *Sender) View() *View { return s.view.Load() }
 
-// TurnClientsAway has it tell clients to go elsewhere, or no longer. What they send is served all the
-// same.
+// SetDraining sets whether clients are asked to move to another machine, by a "Connection: close"
+// header in every response. Requests that still arrive are served.
 func (s *Sender) SetDraining(draining bool) { s.draining.Store(draining) }
 
-// Leave has it tell clients to go elsewhere, and serve what comes all the same as far as the schedule
-// lets it.
+// BeginShutdown asks clients to move to another machine and serves the requests that still arrive,
+// as far as the schedule allows. At AnswerBy, requests without a response get one that tells how
+// far they got.
 func (s *Sender) BeginShutdown(schedule ShutdownSchedule) {
 	s.shutdown.Store(&schedule)
 	time.AfterFunc(time.Until(schedule.AnswerBy), func() {
@@ -113,7 +135,8 @@
 	})
 }
 
-// register counts a job in, so that it can be ended.
+// register makes a request known to BeginShutdown, which ends it at AnswerBy. If that has passed,
+// register ends it at once.
 func (s *Sender) register(p *pendingRequest) {
 	s.mu.Lock()
 	s.pending[p] = struct{}{}
@@ -130,10 +153,10 @@
 	s.mu.Unlock()
 }
 
-// Held is how many requests it has in hand.
+// InFlight returns the number of requests that have not been answered.
 func (s *Sender) InFlight() int { return int(s.inFlight.Load()) }
 
-// SetView exchanges what the sender knows. Only its owner calls it.
+// SetView replaces the view and updates the balancers. It must not be called concurrently.
 func (s *Sender) SetView(v *View) {
 	targetsByService := map[string][]*backendTarget{}
 	agentCount, concurrency := 0, map[string]int{}
@@ -154,7 +177,8 @@
 	s.agentCount = max(agentCount, 1)
 	previous := s.view.Load()
 	configChanged := previous == nil || previous.Config != v.Config
-	var routes map[string][]*meshconfig.Route // by service; sorted only where they have moved, as stations do far more often
+	// By service. Only computed when the configuration has changed: agents change far more often.
+	var routes map[string][]*meshconfig.Route
 	if configChanged {
 		routes = routesByService(v.Config)
 	}
@@ -184,17 +208,21 @@
 	s.view.Store(v)
 }
 
+// balancerLog returns the log function of the balancer for one service.
 func (s *Sender) balancerLog(service string) func(string) {
 	return func(text string) { s.log.WithField("service", service).Info(text) }
 }
 
+// balancer returns the balancer for a service, nil if the service is not in the configuration.
 func (s *Sender) balancer(service string) *serviceBalancer {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.balancers[service]
 }
 
-// settings are the decision module's for one service.
+// balancerSettings returns the settings of the balancer for one service. The classes are those of
+// the requests that the service gets, and the concurrency is the number of requests that one of its
+// backends works on at once.
 func (s *Sender) balancerSettings(config *meshconfig.Config, name string, classes []policy.Class, concurrency int) policy.Settings {
 	bounds := &s.settings.Bounds
 	settings := policy.Settings{
@@ -209,9 +237,13 @@
 	return settings
 }
 
-// classesOf lists the kinds of requests that a service gets, by what the module tells apart: whether they may run twice, whether a
-// backend calls, and about how long they may take. Danger: a module that is made anew has forgotten all speeds and failures, so what
-// changes often makes no class of its own: each request brings the time that it has, and aims that are alike are one.
+// classesFor lists the classes of the requests that a service gets. A class is made of what the
+// balancer distinguishes: whether a request may run twice, whether a backend made it, and roughly
+// how long it may take.
+//
+// A balancer that is replaced forgets all measured speeds and failures. Values that change often
+// therefore don't make classes: the remaining time comes with each request, and similar target
+// latencies share a class.
 func classesFor(routes []*meshconfig.Route) []policy.Class {
 	var classes []policy.Class
 	add := func(effect policy.Effect, targetLatency time.Duration) {
@@ -230,7 +262,7 @@
 	return classes
 }
 
-// routesOf lists the routes to each service in the order of their aims.
+// routesByService lists the routes to each service, sorted by target latency.
 func routesByService(config *meshconfig.Config) map[string][]*meshconfig.Route {
 	all := config.Routes()
 	slices.SortFunc(all, func(x, y *meshconfig.Route) int { return cmp.Compare(x.TargetTime, y.TargetTime) })
@@ -245,7 +277,9 @@
 	return byService
 }
 
-// nearest finds the class for a request whose aim is nearest, and how far that is.
+// nearestClass returns the index of the class for a request whose target latency is nearest, and
+// the distance between the logarithms of the two. The index is -1 if no class has this effect and
+// worth.
 func nearestClass(classes []policy.Class, effect policy.Effect, worth float64, targetLatency time.Duration) (best int, distance float64) {
 	best, distance = -1, math.Inf(1)
 	for i, class := range classes {
@@ -256,12 +290,13 @@
 	return best, distance
 }
 
-// fits says whether there is a class with an aim that is alike.
+// hasClass reports whether there is a class with a similar target latency.
 func hasClass(classes []policy.Class, effect policy.Effect, worth float64, targetLatency time.Duration) bool {
 	_, distance := nearestClass(classes, effect, worth, targetLatency)
 	return distance <= maxTargetLogRatio
 }
 
+// effectOf tells the balancer whether a route's requests may run twice.
 func effectOf(r *meshconfig.Route) policy.Effect {
 	if r.Kind == meshconfig.Safe {
 		return policy.Pure
@@ -269,6 +304,7 @@
 	return policy.SideEffect
 }
 
+// targetLatencyOf returns a route's target latency, or the default if it has none.
 func targetLatencyOf(r *meshconfig.Route) time.Duration {
 	if r.TargetTime <= 0 {
 		return defaultTargetLatency
@@ -276,9 +312,10 @@
 	return r.TargetTime
 }
 
-// classIndex is the class of a route's requests. Danger: a module may be of another configuration
-// than the route, and have no class with an aim that is alike. One with the same effect there always
-// is; with another, what must not run twice would be repeated.
+// classIndex returns the class of a route's requests. The balancer may have been made for another
+// configuration than the route's, and then have no class with a similar target latency. It always
+// has one with the same effect, which must be used: with another effect, an unsafe request would be
+// repeated.
 func classIndex(classes []policy.Class, r *meshconfig.Route, inner bool) int {
 	worth := 1.0
 	if inner {
@@ -288,12 +325,13 @@
 	return index
 }
 
-// serves says whether all that goes to a service finds a class among these.
+// coversClasses reports whether each wanted class has a similar one among classes.
 func coversClasses(classes, wanted []policy.Class) bool {
 	return !slices.ContainsFunc(wanted, func(k policy.Class) bool { return !hasClass(classes, k.Effect, k.Worth, k.Aim) })
 }
 
-// idOf derives a backend's number from its machine, the same at each agent and in each life.
+// serverIDOf derives the balancer's id of a backend from the agent beside it. It is the same at
+// each sender and for each process that the backend runs as.
 func serverIDOf(agent string) policy.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(agent))
--- a/internal/mesh/outbound/serve.go
+++ b/internal/mesh/outbound/serve.go
@@ -14,31 +14,38 @@
 )
 
 const (
-	clientTransitTime       = 20 * time.Millisecond // of a client's time that its answer needs to get there
-	queueWaitDivisor        = 4                     // a request waits for a slot for this part of its aim at most: held longer for nothing it is priced
-	innerQueueWaitDivisor   = 2                     // a backend's own call waits for this part of its time
-	minRetryAfter           = 50 * time.Millisecond
-	maxRetryAfter           = 2 * time.Second
-	unknownConfigRetryAfter = 200 * time.Millisecond // until a configuration, or a service of it, may be known
+	// Part of a client's remaining time that is reserved for the response's way back to it.
+	clientTransitTime = 20 * time.Millisecond
+	// Divides the target latency: the longest that a request queues for a slot. A request that is
+	// held longer and then not served incurs a penalty.
+	queueWaitDivisor = 4
+	// Divides the remaining time: the longest that an inner request queues for a slot.
+	innerQueueWaitDivisor = 2
+	// Range of the Retry-After times that the sender sends.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
+	// Retry-After while there is no configuration, or none that has the service.
+	unknownConfigRetryAfter = 200 * time.Millisecond
 
-	seenIDsGeneration = 30 * time.Second // that a generation of ids lasts: longer than any client waits
-	maxSeenIDs        = 1 << 15          // of a generation, as many as a gate remembers
+	// How long a generation of seen ids lasts: longer than any client waits.
+	seenIDsGeneration = 30 * time.Second
+	maxSeenIDs        = 1 << 15 // in a generation, as many as a gate remembers
 )
 
-// Counters count what became of requests. They are read at any time.
+// Counters count requests and attempts by what became of them. They may be read at any time.
 type Counters struct {
-	Accepted, Served, BackendFailed, Refused, Failed, NoRoute, Unauthenticated, BadRequests, ClientLeft, LocalAttempts atomic.Uint64
+	Received, Served, BackendFailed, Refused, Failed, NoRoute, Unauthenticated, BadRequests, ClientLeft, LocalAttempts atomic.Uint64
 	Attempts, RepeatedAttempts                                                                                         atomic.Uint64
-	UnansweredAttempts                                                                                                 [3][32]atomic.Uint64 // attempts without an answer, by verdict and reason
+	UnansweredAttempts                                                                                                 [3][32]atomic.Uint64 // attempts without a backend's response, by verdict and reason
 }
 
-// ServeHTTP takes a request of a client, or of the backend on this machine.
+// ServeHTTP serves a request of a client, or of the backend on this machine.
 func (s *Sender) ServeHTTP(response http.ResponseWriter, r *http.Request) {
 	w := &responseRecorder{ResponseWriter: response, startedAt: time.Now()}
 	defer s.recordTrace(w, r)
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	s.Counters.Accepted.Add(1)
+	s.Counters.Received.Add(1)
 	if s.shutdown.Load() != nil || s.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -70,7 +77,7 @@
 	}
 }
 
-// serve has a request run for as long as its client waits.
+// runForClient runs a request for as long as its client waits.
 func (s *Sender) runForClient(clientContext context.Context, p *pendingRequest, remaining time.Duration) requestResult {
 	onClientLeft := func() { p.finish(errClientLeft) }
 	stop := context.AfterFunc(clientContext, onClientLeft)
@@ -80,7 +87,7 @@
 	return s.runRequest(p, remaining)
 }
 
-// route finds the route of a request, or answers it.
+// findRoute finds the route of a request. Without one it responds and returns false.
 func (s *Sender) findRoute(w *responseRecorder, r *http.Request) bool {
 	if w.view = s.view.Load(); w.view == nil {
 		s.respondRefused(w, unknownConfigRetryAfter)
@@ -94,22 +101,22 @@
 	return true
 }
 
-// unread answers a request of which the body was not read whole.
+// respondBodyError responds to a request whose body could not be read whole.
 func (s *Sender) respondBodyError(w *responseRecorder, err error) {
 	switch {
 	case errors.Is(err, errNoBodyBudget):
-		w.Header().Set("Connection", "close") // the rest of the body is not waited for
+		w.Header().Set("Connection", "close") // don't wait for the rest of the body
 		s.respondRefused(w, minRetryAfter)
 	case errors.Is(err, errBodyTooLarge):
 		s.Counters.BadRequests.Add(1)
 		s.respondText(w, http.StatusRequestEntityTooLarge, "the body is longer than limits.body_bytes")
 	default:
 		s.Counters.BadRequests.Add(1)
-		panic(http.ErrAbortHandler) // the client broke off: there is no whole request to answer
+		panic(http.ErrAbortHandler) // the client disconnected: there is no complete request to answer
 	}
 }
 
-// job makes a job of a request, and says how much time it has.
+// newPendingRequest prepares a request for its attempts, and returns how much time it has left.
 func (s *Sender) newPendingRequest(w *responseRecorder, r *http.Request, body []byte) (*pendingRequest, time.Duration) {
 	route := w.route
 	p := &pendingRequest{startedAt: w.startedAt, route: route, body: body, clientWatch: hangupWatchOf(r), done: make(chan struct{})}
@@ -131,18 +138,21 @@
 	}
 	if p.inner, p.parentRepeated = w.parent.Known, w.parent.Repeat; p.inner {
 		p.request.Inner, p.request.Patient = true, remaining/innerQueueWaitDivisor
-	} else if stated > 0 && remaining > 0 { // not left, which falls for first tries too when the operators shorten give_up
+	} else if stated > 0 && remaining > 0 {
+		// The stated time is used and not the remaining one, which also falls for first tries when
+		// the operators shorten give_up.
 		p.answerTarget = p.answerTarget.Add(-s.waits.timeWaited(now, route.Name, stated))
 	}
 	return p, remaining
 }
 
-// first says whether a request may be begun: one that must not run twice is begun once in the life
-// of the process, however it came again. Danger: a gate knows only what it has handed over itself,
-// so the second of two with one id would run at another one; or one that was refused would run after
-// all. Nothing is promised, as the other may be under way.
+// admitOnce reports whether a request may be begun. An unsafe request is begun only once in the
+// lifetime of the process, however often its id arrives. A gate recognizes only the requests that
+// it handed over itself, so of two requests with one id the second could run at another gate, or a
+// refused one could run after all. The response promises nothing, because the other request may be
+// in flight.
 func (s *Sender) admitOnce(w *responseRecorder, p *pendingRequest) bool {
-	if !p.request.Unsafe || p.request.Try == "" { // without an id the backend turns it away
+	if !p.request.Unsafe || p.request.Try == "" { // without an id, the backend rejects the request
 		return true
 	}
 	s.seenIDsMu.Lock()
--- a/internal/mesh/outbound/serve_test.go
+++ b/internal/mesh/outbound/serve_test.go
@@ -24,8 +24,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// gate is one on loopback that says what it is told to. No reply closes the connection.
-func startFakeGate(t *testing.T, respond func(a *transport.Request, body []byte) (*transport.Reply, []byte)) string {
+// startFakeGate starts a gate that replies as the function says; without a reply it closes the
+// connection. It returns the address.
+func startFakeGate(t *testing.T, respond func(request *transport.Request, body []byte) (*transport.Reply, []byte)) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -56,7 +57,7 @@
 	return l.Addr().String()
 }
 
-// sender is one that knows two routes, of which one may not run twice, and the gates given.
+// newTestSender returns a sender with the given gates and two routes, one safe and one unsafe.
 func newTestSender(t *testing.T, gates ...string) *Sender {
 	route := `{"item_kind":"routes","metadata":{"name":"%s","version":"1"},"body":{"domain":"d","path_start":"/%[1]s/",
 		"kind":"%[1]s","give_up":"5s","target_time":"4s","tries":2,"service":"s"}}`
@@ -79,7 +80,7 @@
 	return s
 }
 
-// change applies a patch to what a sender knows.
+// applyPatch applies a patch to a sender's configuration.
 func applyPatch(s *Sender, patchText string) {
 	patch, err := meshconfig.ParsePatch([]byte(patchText))
 	if err != nil {
@@ -100,16 +101,17 @@
 	return r
 }
 
-// told is what gates said to one request.
+// gateRecord is what gates replied to one request.
 type gateRecord struct {
-	possibleRuns, status int // times that it ran or may have
+	possibleRuns, status int // possibleRuns counts runs, and breaks after which a run is possible
 	body                 string
 }
 
+// notRunStatuses promise that the request did not run.
 var notRunStatuses = []int{408, 421, 429, 503}
 
-// TestServe provokes TWICE, REFUSED, MIXED, UNASKED and ROUTE through gates that refuse, break off,
-// and pass on backends which answer with a promise although they ran.
+// TestServe checks the rules TWICE, REFUSED, MIXED, UNASKED and ROUTE with gates that refuse, close
+// the connection, or pass on responses with a status that denies the run.
 func TestServe(t *testing.T) {
 	var mu sync.Mutex
 	records := map[string]*gateRecord{}
@@ -121,7 +123,7 @@
 			record := records[request.Try]
 			if record == nil || request.Target != fmt.Sprint("b", n) || request.Caller != "caller" || string(body) != "asked "+request.Try ||
 				request.Unsafe != strings.HasPrefix(request.URI, "/unsafe/") || record.possibleRuns > 0 && !request.Repeat || request.Left >= 4*time.Second {
-				panic(fmt.Sprintf("asked what was not meant: %+v", request))
+				panic(fmt.Sprintf("unexpected request at the gate: %+v", request))
 			}
 			k := rng.IntN(20)
 			if k < 4 {
@@ -143,7 +145,7 @@
 	s := newTestSender(t, newGate(0), newGate(1), dead.Addr().String(), newGate(3), newGate(4))
 	view, statusCounts := s.View(), map[int]int{}
 	for i := range 1500 {
-		if i%20 == 0 { // with nothing learnt of gates that failed
+		if i%20 == 0 { // a sender that has learnt nothing about gates that failed
 			s = New(s.settings, s.localGate, s.gateConns, s.bodyBudget, s.log)
 			s.SetView(view)
 		}
@@ -166,11 +168,11 @@
 		}
 		mu.Unlock()
 	}
-	require.Greater(t, min(statusCounts[200], statusCounts[404], statusCounts[502], statusCounts[503]), 20, "the load provokes too few: %v", statusCounts)
+	require.Greater(t, min(statusCounts[200], statusCounts[404], statusCounts[502], statusCounts[503]), 20, "too few cases: %v", statusCounts)
 }
 
-// TestOneRequest provokes UNASKED and DENIED: what passes unchanged, what is set whatever was sent,
-// and what the sender says itself.
+// TestOneRequest checks the rules UNASKED and DENIED: which parts of a request are forwarded
+// unchanged, which are set whatever the client sent, and what the sender itself responds.
 func TestOneRequest(t *testing.T) {
 	var got transport.Request
 	s := newTestSender(t, startFakeGate(t, func(request *transport.Request, body []byte) (*transport.Reply, []byte) {
@@ -190,7 +192,7 @@
 	w := serve(r)
 	require.Equal(t, 200, w.Code)
 	require.Equal(t, "seal", w.Header().Get(inbound.SealHeader))
-	require.Empty(t, w.Header().Get("Content-Length"), "a HEAD has no body, and its length is not known here")
+	require.Empty(t, w.Header().Get("Content-Length"), "a response to HEAD has no body, and its length is unknown here")
 	require.Equal(t, []string{"HEAD", "/safe/%41?q=%42", "d", "caller", "b0", "t"}, []string{got.Method, got.URI, got.Host, got.Caller, got.Target, got.Try})
 	require.InDelta(t, 3.5, got.Left.Seconds(), 0.5-clientTransitTime.Seconds(), "Time-Left counts down")
 	require.ElementsMatch(t, []string{"X-Kept", "yes", "Cookie", "c"}, got.Header)
@@ -207,16 +209,15 @@
 	require.Equal(t, 503, serve(late).Code)
 	cut := newTestRequest("POST", "/unsafe/", "t", strings.NewReader("half"))
 	cut.ContentLength = 8
-	require.PanicsWithValue(t, http.ErrAbortHandler, func() { serve(cut) }, "half a request has no answer")
+	require.PanicsWithValue(t, http.ErrAbortHandler, func() { serve(cut) }, "an incomplete request gets no response")
 	s = New(s.settings, s.localGate, s.gateConns, s.bodyBudget, s.log)
 	w = serve(newTestRequest("GET", "/safe/", "t", nil))
-	require.Equal(t, 503, w.Code, "nothing is known yet")
+	require.Equal(t, 503, w.Code, "there is no configuration yet")
 	require.NotEmpty(t, w.Header().Get("Retry-After"))
 	require.Zero(t, got, "one of these reached a gate")
 }
 
-// TestTries: a copy beside one that is out counts as one of the route's tries; what did not run
-// does not.
+// TestTries: a hedge counts as one of the route's tries; an attempt that did not run doesn't.
 func TestTries(t *testing.T) {
 	var sendOnce func() transport.Reason
 	sends, hedgeReason := 0, transport.NoReason
@@ -238,7 +239,8 @@
 	require.Equal(t, transport.Full, sendOnce())
 }
 
-// TestSilent provokes MIXED: nothing more is asked where an answer is still due.
+// TestSilent checks the rule MIXED: a connection on which a reply is still outstanding is not
+// reused.
 func TestSilent(t *testing.T) {
 	release := make(chan bool)
 	defer close(release)
@@ -256,7 +258,8 @@
 	}
 }
 
-// TestAges: the aim counts from a client's first try, of which each later one tells only what time it has left.
+// TestAges: the target latency counts from a client's first try. Later tries tell of it only by
+// their remaining time.
 func TestAges(t *testing.T) {
 	var targetLatency time.Duration
 	s := newTestSender(t, startFakeGate(t, func(request *transport.Request, _ []byte) (*transport.Reply, []byte) {
@@ -264,25 +267,25 @@
 		return &transport.Reply{Verdict: transport.Ran, Status: 200}, nil
 	}))
 	for _, c := range []struct {
-		path, left string
-		aim        float64
+		path, statedMillis string
+		wantSeconds        float64
 	}{{"/safe/", "3000", 4}, {"/safe/", "4000", 4}, {"/safe/", "3000", 3}, {"/safe/", "500", 0.5}, {"/unsafe/", "500", 4}} {
 		r := newTestRequest("GET", c.path, "t", nil)
-		r.Header.Set(inbound.LeftHeader, c.left)
+		r.Header.Set(inbound.LeftHeader, c.statedMillis)
 		s.ServeHTTP(httptest.NewRecorder(), r)
-		require.InDelta(t, c.aim, targetLatency.Seconds(), 0.2, "%+v", c)
+		require.InDelta(t, c.wantSeconds, targetLatency.Seconds(), 0.2, "%+v", c)
 	}
 	var estimator waitEstimator
-	for i, want := range []time.Duration{0, 3, 3, 0, 0} { // what nobody has told for two generations is forgotten
+	for i, want := range []time.Duration{0, 3, 3, 0, 0} { // a time that nobody has stated for two generations is forgotten
 		elapsed := []time.Duration{0, estimateGeneration - 1, estimateGeneration, 2 * estimateGeneration, 3 * estimateGeneration}[i]
 		require.Equal(t, want, estimator.timeWaited(time.Unix(0, 0).Add(elapsed), "r", []time.Duration{5, 2, 2, 2, 2}[i]))
 	}
 }
 
-// TestLeave provokes LOST: what a silent gate, or the silent backend on this machine, holds when the
-// process ends is answered before, and without a promise.
+// TestLeave checks the rule LOST: requests that a silent gate, or the silent backend on this
+// machine, holds at the end of the process are answered before, and without a promise.
 func TestLeave(t *testing.T) {
-	silent, err := net.Listen("tcp4", "127.0.0.1:0") // takes connections and says nothing
+	silent, err := net.Listen("tcp4", "127.0.0.1:0") // accepts connections and sends nothing
 	require.NoError(t, err)
 	defer silent.Close()
 	for _, local := range []bool{false, true} {
@@ -304,6 +307,6 @@
 		require.Equal(t, "close", w.Header().Get("Connection"))
 		w = httptest.NewRecorder()
 		s.ServeHTTP(w, newTestRequest("POST", "/unsafe/", "u", nil))
-		require.Equal(t, 503, w.Code, "what comes after the end is not begun")
+		require.Equal(t, 503, w.Code, "a request after the end must not be begun")
 	}
 }
--- a/internal/mesh/outbound/tenant.go
+++ b/internal/mesh/outbound/tenant.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	keyHeader = "Authorization" // that brings a tenant's key
+	keyHeader = "Authorization" // carries a customer's API key
 	keyScheme = "Bearer "
 )
 
-// tenant is for whom a request runs, and how urgent it is. The zero value is nobody.
+// tenant is the customer for whom a request runs, and the request's priority. The name is empty for
+// a request without a customer.
 type tenant struct {
 	name string
 	rank int
 }
 
-// authenticate finds out for whom a request runs, or answers it. Where the configuration has
-// customers a request needs the key of one, but for those of public routes and those that a backend
-// makes for a run of its own, which are its tenant's.
+// authenticate finds the tenant of a request. If that fails it responds and returns false. Where
+// the configuration has customers, a request needs the key of one of them. The exceptions are
+// public routes and inner requests, which run for the tenant of the run that made them.
 func (s *Sender) authenticate(w *responseRecorder, r *http.Request) bool {
 	w.parent = s.localGate.Parent(r.Header.Get(inbound.TryHeader))
 	w.tenant = tenant{rank: w.route.Rank}
@@ -48,7 +49,7 @@
 	return true
 }
 
-// keyOf is the key that a request brings, empty if it brings none.
+// apiKey returns the key that a request brings, empty if there is none.
 func apiKey(h http.Header) string {
 	key, ok := strings.CutPrefix(h.Get(keyHeader), keyScheme)
 	if !ok {
@@ -57,8 +58,9 @@
 	return strings.TrimSpace(key)
 }
 
-// isCall says whether a request is a call of a backend's run that is not known, as the process that
-// handed it over has ended since. It brings no key, and is refused without a word on that.
+// isOrphanedCall reports whether a request looks like an inner one whose run is unknown because the
+// process that handed the run over has ended. Such a request has no key; it is refused, with a
+// Retry-After, rather than rejected as unauthenticated.
 func isOrphanedCall(r *http.Request) bool {
 	return r.Header.Get(keyHeader) == "" && strings.Contains(r.Header.Get(inbound.TryHeader), ".")
 }
--- a/internal/mesh/outbound/tenant_test.go
+++ b/internal/mesh/outbound/tenant_test.go
@@ -20,8 +20,8 @@
 	noTenants = `{"remove":{"customers":[{"name":"acme","version":"3"},{"name":"bravo","version":"3"}]}}`
 )
 
-// Requests run for whom their key is at the moment, whatever they say; no key gets to a gate, and without
-// one nothing does, but on public routes.
+// TestKeys: a request runs for the customer whose key it brings at that moment, whatever it states
+// itself. No key reaches a gate. Without a key, only requests of public routes do.
 func TestKeys(t *testing.T) {
 	var got *transport.Request
 	s := newTestSender(t, startFakeGate(t, func(request *transport.Request, _ []byte) (*transport.Reply, []byte) {
@@ -58,7 +58,7 @@
 		{"", "/safe/1", "d", "Bearer k9", 401, ""},
 		{"", "/safe/1", "e", "k1", 401, ""},
 		{"", "/safe/1", "f", "", 401, ""},
-		{"", "/safe/1", "f.1", "", 503, ""}, // a call of a run that is not known
+		{"", "/safe/1", "f.1", "", 503, ""}, // a call of an unknown run
 		{"", "/nowhere/", "g", "", 404, ""},
 		{keyMoves, "/safe/1", "h", "Bearer k2", 200, "bravo"},
 		{"", "/safe/1", "i", "Bearer k3", 401, ""},
