--- a/internal/mesh/outbound/answers_test.go
+++ b/internal/mesh/outbound/answers_test.go
@@ -397,7 +397,8 @@
 }
 
 // TestEveryByte breaks each hop of a request's path at offsets a stride apart, and checks what
-// clients and backends saw against the rules MIXED, REFUSED, TWICE and UNASKED.
+// clients and backends saw against the rules MIXED, REFUSED, TWICE and UNASKED (see
+// meshtest.Rules).
 func TestEveryByte(t *testing.T) {
 	require.Empty(t, findViolations(t, 1, *strideFlag, nil, allFaults...))
 }
@@ -467,7 +468,8 @@
 func TestEveryByteFindsWhatIsPlanted(t *testing.T) {
 	const dirtyReuse, unsafeResend = "a connection with bytes unread is used again", "unsafe work is sent again after a reset"
 	bugs := map[string]func(*Sender){dirtyReuse: reuseDirtyConns, unsafeResend: treatBrokenAsNotRun}
-	faults := map[string]relay.Action{dirtyReuse: relay.Duplicate, unsafeResend: relay.Reset} // faults under which the bug shows
+	// Faults under which the bugs show.
+	faults := map[string]relay.Action{dirtyReuse: relay.Duplicate, unsafeResend: relay.Reset}
 	mutation.Each(t, map[string]string{dirtyReuse: "MIXED", unsafeResend: "TWICE|REFUSED"}, 40,
 		func(seed uint64, bug string) []string { return findViolations(t, seed, 60, bugs[bug], faults[bug]) })
 }
--- a/internal/mesh/outbound/attempt.go
+++ b/internal/mesh/outbound/attempt.go
@@ -41,7 +41,8 @@
 	case p.isFinished() || p.checkClientLeft():
 		return attempt.failNotRun(transport.Cancelled)
 	case !p.reserveAttempt():
-		return attempt.failNotRun(transport.Own) // the route's attempts are used up, or an earlier one may have run
+		// The route's attempts are used up, or an earlier one may have run.
+		return attempt.failNotRun(transport.Own)
 	}
 	s.Counters.Attempts.Add(1)
 	request := p.request
--- a/internal/mesh/outbound/chooser_test.go
+++ b/internal/mesh/outbound/chooser_test.go
@@ -47,7 +47,7 @@
 }
 
 // checkSend checks an action to send, which is the only way for a request to leave. The retry
-// budget is counted in the words of its rule in RULES.md.
+// budget is computed as RULES.md words it.
 func (l *loadModel) checkSend(request *modelRequest, action policy.Action, target *backendTarget) {
 	l.counts["sent"]++
 	l.True(target != nil && l.targets[target.id], "ROUTE, DRAIN: sent to a backend that is unknown or no longer ready")
--- a/internal/mesh/outbound/exchange_test.go
+++ b/internal/mesh/outbound/exchange_test.go
@@ -67,7 +67,8 @@
 			s.ServeHTTP(w, newTestRequest("GET", "/"+kind+"/", kind+try, nil))
 			require.False(t, w.Code == 200 && w.Body.String() != kind+try, "%s got %q", kind+try, w.Body.String())
 			require.False(t, promisesNotRun(w.Code) && kind == "unsafe", "%d", w.Code)
-			s = New(s.settings, s.localGate, s.gateConns, s.bodyBudget, s.log).withView(s.View()) // which has learnt nothing about the gate
+			// The new sender has learnt nothing about the gate.
+			s = New(s.settings, s.localGate, s.gateConns, s.bodyBudget, s.log).withView(s.View())
 		}
 	}
 	_, opened := s.gateConns.Counts()
--- a/internal/mesh/outbound/leave_test.go
+++ b/internal/mesh/outbound/leave_test.go
@@ -211,7 +211,8 @@
 				client = openRequest(t, address, "unsafe t4")
 				backend.awaitArrival("t4")
 				disconnect(client)
-				repeated := openRequest(t, address, "unsafe t4") // by now the sender has noticed that the client left, and remembers the id
+				// By now the sender has noticed that the client left, and it remembers the id.
+				repeated := openRequest(t, address, "unsafe t4")
 				text, err := io.ReadAll(io.LimitReader(repeated, 12))
 				require.NoError(t, err)
 				require.Equal(t, "HTTP/1.1 502", string(text))
--- a/internal/mesh/outbound/order_test.go
+++ b/internal/mesh/outbound/order_test.go
@@ -66,8 +66,8 @@
 	ratePerS        float64 // requests a second at load 1 of their deployment
 }
 
-// The services of the test network named courier, but each with six backends, so that a zone is a
-// third of each.
+// The requests of the courier mesh, except that both services have six backends here, so that a
+// zone is a third of each.
 var (
 	pickupKind   = requestKind{path: "/pickup", service: "riders", targetLatency: 600 * time.Millisecond, giveUp: 4 * time.Second, meanWork: 0.16, worth: 1, ratePerS: 234}
 	deliveryKind = requestKind{path: "/delivery", service: "billing", unsafe: true, targetLatency: 800 * time.Millisecond, giveUp: 5 * time.Second, meanWork: 0.21, worth: 2, ratePerS: 101}
@@ -112,7 +112,7 @@
 	pickupRuns, pickupCallFailures float64
 	requestsBegun, requestsEnded   int
 	// Sums of worth: over all clients, and over those that began while a zone was lost. Delayed
-	// clients are those that one try held for more than a quarter of the target latency.
+	// clients are those that a try held for more than a quarter of the target latency.
 	offeredWorth, earnedWorth, onTargetWorth, delayedUnserved [2]float64
 }
 
--- a/internal/mesh/outbound/serve.go
+++ b/internal/mesh/outbound/serve.go
@@ -36,7 +36,8 @@
 type Counters struct {
 	Received, Served, BackendFailed, Refused, Failed, NoRoute, Unauthenticated, BadRequests, ClientLeft, LocalAttempts atomic.Uint64
 	Attempts, RepeatedAttempts                                                                                         atomic.Uint64
-	UnansweredAttempts                                                                                                 [3][32]atomic.Uint64 // attempts without a backend's response, by verdict and reason
+	// Attempts without a backend's response, by verdict and reason.
+	UnansweredAttempts [3][32]atomic.Uint64
 }
 
 // ServeHTTP serves a request of a client, or of the backend on this machine.
--- a/internal/mesh/outbound/serve_test.go
+++ b/internal/mesh/outbound/serve_test.go
@@ -111,7 +111,8 @@
 var notRunStatuses = []int{408, 421, 429, 503}
 
 // TestServe checks the rules TWICE, REFUSED, MIXED, UNASKED and ROUTE with gates that refuse, close
-// the connection, or pass on responses with a status that denies the run.
+// the connection, or pass on responses with a status that denies the run. The rules are those of
+// meshtest.Rules.
 func TestServe(t *testing.T) {
 	var mu sync.Mutex
 	records := map[string]*gateRecord{}
