--- a/internal/mesh/outbound/answer.go
+++ b/internal/mesh/outbound/answer.go
@@ -32,7 +32,7 @@
 		return false
 	case result.refused && !p.mayHaveRun():
 		if attempt != nil && attempt.failure != nil {
-			result.retryAfter = max(result.retryAfter, attempt.failure.After)
+			result.retryAfter = max(result.retryAfter, attempt.failure.RetryAfter)
 		}
 		s.respondRefused(w, result.retryAfter)
 		return false
@@ -62,7 +62,7 @@
 	if attempt != nil {
 		message = attempt.failure.Reason.String()
 	}
-	if attempt == nil || attempt.failure.Reason == transport.Silent {
+	if attempt == nil || attempt.failure.Reason == transport.ResponseTimeout {
 		status = http.StatusGatewayTimeout
 	}
 	s.Counters.Failed.Add(1)
--- a/internal/mesh/outbound/answers_test.go
+++ b/internal/mesh/outbound/answers_test.go
@@ -74,11 +74,11 @@
 	p := &requestPath{t: t, injectBug: injectBug, sent: map[string]clientRequest{}, runs: map[string][]backendRun{}}
 	var gates []string
 	for i := range 2 {
-		node := &gateNode{host: inbound.NewHost(inbound.Rules{BeatEvery: time.Hour}, 1<<20, transport.NewByteBudget(1<<30), func() {})}
+		node := &gateNode{host: inbound.NewHost(inbound.Rules{HeartbeatInterval: time.Hour}, 1<<20, transport.NewByteBudget(1<<30), func() {})}
 		node.backendLink = p.relayTo(p.listen(func(l net.Listener) { (&http.Server{Handler: http.HandlerFunc(p.serveBackend)}).Serve(l) }), uint64(i))
-		node.host.With(func(now time.Duration, g *inbound.Gate) bool {
-			g.Named(1)
-			return g.Vouch(now, 0, transport.Backend{ID: fmt.Sprint("b", i), Service: "s", Zone: "z", Capacity: 64, Address: node.backendLink.Address(), Calls: 1})
+		node.host.WithGate(func(now time.Duration, g *inbound.Gate) bool {
+			g.SetLife(1)
+			return g.ProbeSucceeded(now, 0, transport.Backend{ID: fmt.Sprint("b", i), Service: "s", Zone: "z", Capacity: 64, Address: node.backendLink.Address(), Calls: 1})
 		})
 		node.gateLink = p.relayTo(p.listen(func(l net.Listener) { serveGate(l, node.host) }), uint64(i))
 		p.nodes, gates = append(p.nodes, node), append(gates, node.gateLink.Address())
@@ -169,8 +169,8 @@
 	if err != nil {
 		return // incomplete request
 	}
-	try := r.Header.Get(inbound.TryHeader)
-	w.Header().Set(inbound.TryHeader, try)
+	try := r.Header.Get(inbound.TryIDHeader)
+	w.Header().Set(inbound.TryIDHeader, try)
 	if r.URL.Path == "/unsafe/full" {
 		w.Header().Set(inbound.NotRunHeader, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -178,7 +178,7 @@
 	}
 	p.mu.Lock()
 	answer := fmt.Sprintf("answer %d to %s", len(p.runs[try]), try)
-	p.runs[try] = append(p.runs[try], backendRun{r.Method, r.RequestURI, r.Header.Get(inbound.CallerHeader), string(body), answer})
+	p.runs[try] = append(p.runs[try], backendRun{r.Method, r.RequestURI, r.Header.Get(inbound.CallingServiceHeader), string(body), answer})
 	p.mu.Unlock()
 	w.Header().Set(inbound.SealHeader, answer)
 	io.WriteString(w, answer[:5])
@@ -191,8 +191,8 @@
 // writeTo writes a request to a client's connection.
 func (r *clientRequest) writeTo(c net.Conn, remaining time.Duration) error {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: d\r\n%s: %s\r\n%s: %d\r\n%s: forged\r\n", r.method, r.uri, inbound.TryHeader, r.try,
-		inbound.LeftHeader, remaining.Milliseconds(), inbound.CallerHeader)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: d\r\n%s: %s\r\n%s: %d\r\n%s: forged\r\n", r.method, r.uri, inbound.TryIDHeader, r.try,
+		inbound.TimeLeftHeader, remaining.Milliseconds(), inbound.CallingServiceHeader)
 	switch {
 	case r.chunked:
 		fmt.Fprintf(&b, "Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", 4, r.body[:4], len(r.body)-4, r.body[4:])
@@ -222,7 +222,7 @@
 	runs := p.runs[request.try]
 	unsafe := strings.HasPrefix(request.uri, "/unsafe/")
 	if resp.StatusCode/100 == 2 && !slices.ContainsFunc(runs, func(run backendRun) bool {
-		return run.answer == string(body) && resp.Header.Get(inbound.SealHeader) == run.answer && resp.Header.Get(inbound.TryHeader) == request.try
+		return run.answer == string(body) && resp.Header.Get(inbound.SealHeader) == run.answer && resp.Header.Get(inbound.TryIDHeader) == request.try
 	}) {
 		p.addViolation("MIXED", request, "got %d %q, the backends' runs were %q", resp.StatusCode, body, runs)
 	}
@@ -429,19 +429,19 @@
 		defer mu.Unlock()
 		conn := conns[gate]
 		if conn == nil {
-			conn, _ = transport.Dial(context.Background(), transport.Exchange, "", gate.Address)
+			conn, _ = transport.Dial(context.Background(), transport.UseExchange, "", gate.Address)
 			conns[gate] = conn
 		}
 		var reply transport.Reply
 		var body []byte
-		request.Number, request.Sum = conn.NextNumber(), transport.Sum(p.body)
+		request.Number, request.Sum = conn.NextExchangeNumber(), transport.Checksum(p.body)
 		conn.SetDeadline(p.deadline)
 		err := conn.Send(request, p.body)
 		if err == nil {
 			err = conn.Receive(&reply)
 		}
 		if err == nil {
-			body, err = conn.Body(reply.Body, maxResponseBytes)
+			body, err = conn.ReceiveBody(reply.Body, maxResponseBytes)
 		}
 		if err != nil {
 			conn.Close()
--- a/internal/mesh/outbound/attempt.go
+++ b/internal/mesh/outbound/attempt.go
@@ -35,14 +35,14 @@
 	remaining := p.deadline.Sub(attempt.startedAt)
 	switch {
 	case target == nil:
-		return attempt.failNotRun(transport.Unknown)
+		return attempt.failNotRun(transport.UnknownBackend)
 	case p.isCutByShutdown() || remaining <= 0:
-		return attempt.failNotRun(transport.Late)
+		return attempt.failNotRun(transport.TooLate)
 	case p.isFinished() || p.checkClientLeft():
 		return attempt.failNotRun(transport.Cancelled)
 	case !p.reserveAttempt():
 		// The route's attempts are used up, or an earlier one may have run.
-		return attempt.failNotRun(transport.Own)
+		return attempt.failNotRun(transport.LocalShortage)
 	}
 	s.Counters.Attempts.Add(1)
 	request := p.request
@@ -57,7 +57,7 @@
 		attempt.reply, attempt.body, attempt.failure = s.sendRemote(p, transport.Endpoint{Address: target.gateAddress, Life: target.gateIncarnation}, &request)
 	}
 	if attempt.reply != nil && attempt.reply.Verdict != transport.Ran {
-		attempt.failure = &transport.Failure{Verdict: attempt.reply.Verdict, Reason: attempt.reply.Reason, After: attempt.reply.After}
+		attempt.failure = &transport.Failure{Verdict: attempt.reply.Verdict, Reason: attempt.reply.Reason, RetryAfter: attempt.reply.After}
 	}
 	p.markCancelled(attempt)
 	if attempt.failure != nil && attempt.failure.Verdict == transport.NotRun {
@@ -84,7 +84,7 @@
 		reply *transport.Reply
 		body  []byte
 	}
-	caller := localCaller{Caller: inbound.Caller{Look: p.checkClientLeft}}
+	caller := localCaller{Caller: inbound.Caller{Disconnected: p.checkClientLeft}}
 	if !p.addWaiter(&caller) {
 		return nil, nil, &transport.Failure{Verdict: transport.NotRun, Reason: transport.Cancelled}
 	}
@@ -100,7 +100,7 @@
 	case <-p.done:
 	}
 	if !p.clientLeft() {
-		return nil, nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Silent}
+		return nil, nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.ResponseTimeout}
 	}
 	r := <-replies
 	return r.reply, r.body, nil
@@ -109,7 +109,7 @@
 // localCaller stands for a request at the gate on this machine.
 type localCaller struct{ inbound.Caller }
 
-func (c *localCaller) cancel(bool) { c.Leave() }
+func (c *localCaller) cancel(bool) { c.MarkGone() }
 
 // runHedge makes an attempt that runs beside another one of the same request.
 func (s *Sender) runHedge(p *pendingRequest, action policy.Action, target *backendTarget) {
@@ -126,7 +126,7 @@
 	switch {
 	case attempt.failure != nil:
 		s.Counters.countUnanswered(attempt.failure)
-		outcome, retryAfter = policyOutcome(attempt.failure), max(attempt.failure.After, minRefusalBackoff)
+		outcome, retryAfter = policyOutcome(attempt.failure), max(attempt.failure.RetryAfter, minRefusalBackoff)
 	case attempt.reply.Status >= 500 && attempt.reply.Inner:
 		// The backend's own inner request failed. If that were counted as the backend's error, an
 		// unavailable service would make all services that call it look unavailable too.
@@ -164,11 +164,11 @@
 		return policy.ConnectFailed
 	case f.Reason == transport.Cancelled && f.Verdict != transport.NotRun:
 		return policy.Cancelled
-	case f.Verdict == transport.NotRun && (f.Reason == transport.Own || f.Reason == transport.Cancelled):
+	case f.Verdict == transport.NotRun && (f.Reason == transport.LocalShortage || f.Reason == transport.Cancelled):
 		return policy.Moot
 	case f.Verdict == transport.NotRun:
 		return policy.Full
-	case f.Reason == transport.Silent:
+	case f.Reason == transport.ResponseTimeout:
 		return policy.Timeout
 	}
 	return policy.Reset
--- a/internal/mesh/outbound/exchange.go
+++ b/internal/mesh/outbound/exchange.go
@@ -122,7 +122,7 @@
 	if x.request.ExpectContinue = len(x.body) > x.immediateLimit; x.request.ExpectContinue {
 		immediateBody, x.verdictOnError = nil, transport.NotRun // nothing can run before its body has been sent
 	}
-	x.request.Number, x.request.Sum = x.conn.NextNumber(), transport.Sum(x.body)
+	x.request.Number, x.request.Sum = x.conn.NextExchangeNumber(), transport.Checksum(x.body)
 	if err := x.conn.Send(x.request, immediateBody); err != nil {
 		return nil, nil, err
 	}
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	body, err := x.conn.SummedBody(reply.Body, maxResponseBytes, reply.Sum)
+	body, err := x.conn.ReceiveVerifiedBody(reply.Body, maxResponseBytes, reply.Sum)
 	return reply, body, err
 }
 
@@ -169,7 +169,7 @@
 func (x *exchange) failureFor(err error) *transport.Failure {
 	f := &transport.Failure{Verdict: x.verdictOnError, Reason: transport.Broken, Cause: err}
 	if isTimeout(err) {
-		f.Reason = transport.Silent
+		f.Reason = transport.ResponseTimeout
 	}
 	return f
 }
--- a/internal/mesh/outbound/exchange_test.go
+++ b/internal/mesh/outbound/exchange_test.go
@@ -34,11 +34,11 @@
 				conn.Send(&transport.Reply{Number: request.Number, Continue: true}, nil)
 				conn.Send(&transport.Reply{Number: request.Number, Continue: true}, nil)
 			}
-			if _, err := conn.Body(request.Body, 1<<20); err != nil {
+			if _, err := conn.ReceiveBody(request.Body, 1<<20); err != nil {
 				return
 			}
 			last = &transport.Reply{Number: request.Number, Verdict: transport.Ran, Status: 200, Header: []string{"Try-Id", request.Try},
-				Body: int64(len(request.Try)), Sum: transport.Sum([]byte(request.Try))}
+				Body: int64(len(request.Try)), Sum: transport.Checksum([]byte(request.Try))}
 			if conn.Send(last, []byte(request.Try)) != nil {
 				return
 			}
@@ -131,7 +131,7 @@
 		go func() {
 			gate, request := transport.NewConn(theirs), new(transport.Request)
 			if gate.Receive(request) == nil && !request.ExpectContinue {
-				gate.Body(request.Body, maxImmediateBody)
+				gate.ReceiveBody(request.Body, maxImmediateBody)
 			}
 			received <- request
 			gate.Send(&transport.Reply{Number: request.Number, Verdict: transport.NotRun, Reason: transport.Full}, nil)
--- a/internal/mesh/outbound/figures.go
+++ b/internal/mesh/outbound/figures.go
@@ -30,7 +30,7 @@
 	metrics.Add("micaline_mesh_attempts_repeated_total", float64(counters.RepeatedAttempts.Load()))
 	metrics.Add("micaline_mesh_attempts_local_total", float64(counters.LocalAttempts.Load()))
 	for verdict := range counters.UnansweredAttempts {
-		for reason, name := range transport.Reasons() {
+		for reason, name := range transport.ReasonNames() {
 			if n := counters.UnansweredAttempts[verdict][reason].Load(); n > 0 {
 				metrics.Add("micaline_mesh_attempts_unanswered_total", float64(n), verdictLabels[verdict], name)
 			}
--- a/internal/mesh/outbound/leave_test.go
+++ b/internal/mesh/outbound/leave_test.go
@@ -50,7 +50,7 @@
 
 func (b *holdingBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
-	try := r.Header.Get(inbound.TryHeader)
+	try := r.Header.Get(inbound.TryIDHeader)
 	b.mu.Lock()
 	released := b.releases[try]
 	if released == nil {
@@ -65,7 +65,7 @@
 		b.cancelled <- try
 		return
 	}
-	w.Header().Set(inbound.TryHeader, try)
+	w.Header().Set(inbound.TryIDHeader, try)
 	w.Header().Set(inbound.SealHeader, "s")
 	io.WriteString(w, try)
 }
@@ -100,15 +100,15 @@
 // startGate starts a gate with a backend and returns it with its address.
 func startGate(t *testing.T, backend *holdingBackend, id string, capacity int) (*inbound.Host, string) {
 	host := inbound.NewHost(inbound.Rules{}, 1<<20, transport.NewByteBudget(1<<30), func() {})
-	host.With(func(now time.Duration, g *inbound.Gate) bool {
-		g.Named(1)
-		return g.Vouch(now, 0, transport.Backend{ID: id, Service: "s", Address: backend.address, Zone: "z", Capacity: capacity, Calls: 1})
+	host.WithGate(func(now time.Duration, g *inbound.Gate) bool {
+		g.SetLife(1)
+		return g.ProbeSucceeded(now, 0, transport.Backend{ID: id, Service: "s", Address: backend.address, Zone: "z", Capacity: capacity, Calls: 1})
 	})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
 	serve := func(_ transport.Hello, c *transport.Conn) { host.Serve(c) }
-	go (&transport.Server{Uses: map[string]func(transport.Hello, *transport.Conn){transport.Exchange: serve}}).Serve(l)
+	go (&transport.Server{Handlers: map[string]func(transport.Hello, *transport.Conn){transport.UseExchange: serve}}).Serve(l)
 	return host, l.Addr().String()
 }
 
@@ -156,7 +156,7 @@
 		body = "body"
 	}
 	_, err := fmt.Fprintf(c, "POST /%s/ HTTP/1.1\r\nHost: d\r\n%s: %s\r\n%s: %d\r\nContent-Length: %d\r\n\r\n%s",
-		kind, inbound.TryHeader, try, inbound.LeftHeader, longWait.Milliseconds(), len(body), body)
+		kind, inbound.TryIDHeader, try, inbound.TimeLeftHeader, longWait.Milliseconds(), len(body), body)
 	require.NoError(t, err)
 }
 
@@ -171,7 +171,7 @@
 func allIdle(hosts ...*inbound.Host) func() bool {
 	return func() bool {
 		for _, h := range hosts {
-			if h.Held() > 0 {
+			if h.Outstanding() > 0 {
 				return false
 			}
 		}
@@ -314,9 +314,9 @@
 	backend.awaitArrival("first")
 	for _, kind := range []string{"safe", "unsafe"} {
 		client := openRequest(t, address, kind+" "+kind)
-		require.Eventually(t, func() bool { return host.Held() == 2 }, eventTimeout, time.Millisecond, "the request must queue")
+		require.Eventually(t, func() bool { return host.Outstanding() == 2 }, eventTimeout, time.Millisecond, "the request must queue")
 		client.Close()
-		require.Eventually(t, func() bool { return host.Held() == 1 }, eventTimeout, time.Millisecond, "the request must leave the queue")
+		require.Eventually(t, func() bool { return host.Outstanding() == 1 }, eventTimeout, time.Millisecond, "the request must leave the queue")
 	}
 	backend.release("first")
 	openRequest(t, address, "safe last")
@@ -390,8 +390,8 @@
 		caller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			call, _ := http.NewRequestWithContext(r.Context(), "GET", "http://"+nextAddress+"/safe/", nil)
 			call.Host = "d"
-			call.Header.Set(inbound.TryHeader, r.Header.Get(inbound.TryHeader)+".1")
-			call.Header.Set(inbound.LeftHeader, r.Header.Get(inbound.LeftHeader))
+			call.Header.Set(inbound.TryIDHeader, r.Header.Get(inbound.TryIDHeader)+".1")
+			call.Header.Set(inbound.TimeLeftHeader, r.Header.Get(inbound.TimeLeftHeader))
 			if resp, err := http.DefaultTransport.RoundTrip(call); err == nil {
 				resp.Body.Close()
 			}
@@ -416,7 +416,7 @@
 func TestLeavesAtAnyMoment(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		try := r.Header.Get(inbound.TryHeader)
+		try := r.Header.Get(inbound.TryIDHeader)
 		timer := time.NewTimer(rand.N(2 * time.Millisecond))
 		defer timer.Stop()
 		select {
@@ -424,7 +424,7 @@
 		case <-r.Context().Done():
 			return
 		}
-		w.Header().Set(inbound.TryHeader, try)
+		w.Header().Set(inbound.TryIDHeader, try)
 		w.Header().Set(inbound.SealHeader, "s")
 		io.WriteString(w, try)
 	}))
@@ -458,5 +458,5 @@
 	require.Eventually(t, func() bool { return allIdle(hosts...)() && s.InFlight() == 0 }, eventTimeout, time.Millisecond)
 	open, opened := s.gateConns.Counts()
 	require.Less(t, opened, uint64(200), "a connection is opened for each client that leaves")
-	require.LessOrEqual(t, open, 2*s.gateConns.Most)
+	require.LessOrEqual(t, open, 2*s.gateConns.MaxIdlePerGate)
 }
--- a/internal/mesh/outbound/note.go
+++ b/internal/mesh/outbound/note.go
@@ -17,7 +17,7 @@
 	view       *View
 	route      *meshconfig.Route
 	tenant     tenant
-	parent     inbound.Parent // the run on this machine that made the request, if there is one
+	parent     inbound.ParentRun // the run on this machine that made the request, if there is one
 	service    string
 	pending    *pendingRequest
 	status     int           // 0: no response yet
@@ -39,7 +39,7 @@
 		trace.Backend, trace.Agent = attempt.target.backendID, attempt.target.agent
 	}
 	if attempt.failure != nil {
-		trace.Verdict, trace.Reason, trace.After = attempt.failure.Verdict, attempt.failure.Reason, attempt.failure.After
+		trace.Verdict, trace.Reason, trace.After = attempt.failure.Verdict, attempt.failure.Reason, attempt.failure.RetryAfter
 	}
 	if reply := attempt.reply; reply != nil {
 		trace.Status, trace.Inner, trace.AtGate, trace.InFlight, trace.Waiting = reply.Status, reply.Inner, reply.Waited, reply.Load.InFlight, reply.Load.Waiting
@@ -50,7 +50,7 @@
 // recordTrace records how a request ended. A success at the first attempt is only counted.
 func (s *Sender) recordTrace(w *responseRecorder, r *http.Request) {
 	p := w.pending
-	trace := transport.RequestTrace{Side: transport.AtSender, Caller: s.settings.Service, Service: w.service, Status: w.status, Why: w.reason, After: w.retryAfter}
+	trace := transport.RequestTrace{Side: transport.SideSender, Caller: s.settings.Service, Service: w.service, Status: w.status, Why: w.reason, After: w.retryAfter}
 	if p != nil {
 		p.mu.Lock()
 		trace.Steps, trace.Started = p.attemptTraces, p.attemptsStarted // not the attempts that are added later
@@ -80,7 +80,7 @@
 	if trace.Result == "refused" || trace.Result == "failed" {
 		trace.Why = unansweredReason(w, trace.Steps)
 	}
-	trace.Try, trace.Took = r.Header.Get(inbound.TryHeader), time.Since(w.startedAt)
+	trace.Try, trace.Took = r.Header.Get(inbound.TryIDHeader), time.Since(w.startedAt)
 	if w.view != nil {
 		trace.Index = w.view.ConfigIndex
 	}
--- a/internal/mesh/outbound/order_test.go
+++ b/internal/mesh/outbound/order_test.go
@@ -133,26 +133,26 @@
 	m.NoError(err)
 	config, _, err := meshconfig.New().Apply(patch)
 	m.NoError(err)
-	var agents []transport.Heard
+	var agents []transport.StationStatus
 	for service, slots := range backendSlots {
 		for i := range backendsPerService {
 			name := fmt.Sprint(service, i)
 			settings := &bootstrap.Settings{IP: "sender of " + name, Zone: fmt.Sprint(i % 3), Zones: map[string]string{"0": "r", "1": "r", "2": "r"}, Service: service}
 			settings.Bounds.RetryWindow, settings.Bounds.RetryRatio, settings.Bounds.ExtraTries = 10*time.Second, 0.2, 62
-			node := &modelNode{gate: inbound.New(0, inbound.Rules{BeatEvery: distantTarget}), zone: i % 3, speed: speeds[(i+i/3)%3], backendID: name}
+			node := &modelNode{gate: inbound.NewGate(0, inbound.Rules{HeartbeatInterval: distantTarget}), zone: i % 3, speed: speeds[(i+i/3)%3], backendID: name}
 			backend := transport.Backend{ID: name, Service: service, Zone: settings.Zone, Capacity: slots, Calls: 1}
-			node.gate.Named(1)
-			node.gate.Vouch(0, 0, backend)
+			node.gate.SetLife(1)
+			node.gate.ProbeSucceeded(0, 0, backend)
 			node.sender = New(settings, inbound.NewHost(inbound.Rules{}, 1, transport.NewByteBudget(1), func() {}), nil, transport.NewByteBudget(1), &log.Logger{Handler: discard.New(), Level: log.FatalLevel})
 			node.sender.sendRemote = func(p *pendingRequest, gate transport.Endpoint, request *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
 				return m.sendToGate(node, p, gate.Address, request)
 			}
 			m.nodes[name] = node
-			agents = append(agents, transport.Heard{Station: transport.Station{Agent: name, Gate: name, Zone: settings.Zone, Life: 1, Seq: 1, Open: true, Backend: &backend}})
+			agents = append(agents, transport.StationStatus{Station: transport.Station{Agent: name, Gate: name, Zone: settings.Zone, Life: 1, Seq: 1, Open: true, Backend: &backend}})
 		}
 	}
 	updateViews := func(zoneLost bool) {
-		reported := make([]transport.Heard, len(agents))
+		reported := make([]transport.StationStatus, len(agents))
 		for i, agent := range agents {
 			agent.Lost = zoneLost && agent.Station.Zone == "0"
 			reported[i] = agent
@@ -166,7 +166,7 @@
 		time.AfterFunc(at, func() {
 			m.mu.Lock()
 			for _, node := range m.nodes {
-				node.gate.Configure(m.now(), inbound.Rules{BeatEvery: distantTarget, Evacuated: zoneLost && node.zone == 0})
+				node.gate.Configure(m.now(), inbound.Rules{HeartbeatInterval: distantTarget, Evacuated: zoneLost && node.zone == 0})
 			}
 			m.mu.Unlock()
 		})
@@ -198,20 +198,20 @@
 	case <-deadlineTimer.C:
 	case <-p.done:
 	}
-	return nil, nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Silent}
+	return nil, nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.ResponseTimeout}
 }
 
 // handleAtGate models a gate's host.
 func (m *meshModel) handleAtGate(node *modelNode, p *pendingRequest, request *transport.Request) *transport.Reply {
 	failureReply := func(failure *transport.Failure) *transport.Reply {
-		return &transport.Reply{Verdict: failure.Verdict, Reason: failure.Reason, After: failure.After, Load: node.gate.Load(m.now())}
+		return &transport.Reply{Verdict: failure.Verdict, Reason: failure.Reason, After: failure.RetryAfter, Load: node.gate.Load(m.now())}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	modified := *request
 	m.order.modify(&modified, m.now())
 	if m.order.rejectLate && !request.Inner && request.Aim < node.gate.Load(m.now()).Recent {
-		return failureReply(&transport.Failure{Verdict: transport.NotRun, Reason: transport.Late})
+		return failureReply(&transport.Failure{Verdict: transport.NotRun, Reason: transport.TooLate})
 	}
 	ticket, failure := node.gate.Admit(m.now(), &modified)
 	if failure != nil {
@@ -219,14 +219,14 @@
 	}
 	if ticket != nil {
 		granted := make(chan *transport.Failure, 1)
-		ticket.Grant = func(_ bool, f *transport.Failure) { granted <- f }
+		ticket.OnDecision = func(_ bool, f *transport.Failure) { granted <- f }
 		m.mu.Unlock()
 		timer := time.NewTimer(request.Patient)
 		select {
 		case failure = <-granted:
 		case <-timer.C:
 			m.mu.Lock()
-			if failure = (&transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, After: request.Patient}); !node.gate.Abandon(m.now(), ticket, failure.Reason) {
+			if failure = (&transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: request.Patient}); !node.gate.Abandon(m.now(), ticket, failure.Reason) {
 				failure = <-granted
 			}
 			m.mu.Unlock()
@@ -263,14 +263,14 @@
 	m.mu.Lock()
 	took := m.now() - startedAt
 	timedOut := took >= limit
-	node.gate.Done(m.now(), took, !timedOut, !timedOut)
+	node.gate.Complete(m.now(), took, !timedOut, !timedOut)
 	if request.URI == pickupKind.path {
 		if m.pickupRuns++; reply.Inner {
 			m.pickupCallFailures++
 		}
 	}
 	if timedOut {
-		return failureReply(&transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Silent})
+		return failureReply(&transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.ResponseTimeout})
 	}
 	reply.Load = node.gate.Load(m.now())
 	return reply
@@ -306,7 +306,7 @@
 	switch attempt := result.attempt; {
 	case result.refused:
 		if attempt != nil && attempt.failure != nil {
-			result.retryAfter = max(result.retryAfter, attempt.failure.After)
+			result.retryAfter = max(result.retryAfter, attempt.failure.RetryAfter)
 		}
 		return 503, min(max(result.retryAfter, minRetryAfter), maxRetryAfter)
 	case attempt == nil || attempt.failure != nil:
--- a/internal/mesh/outbound/path_bench_test.go
+++ b/internal/mesh/outbound/path_bench_test.go
@@ -151,7 +151,7 @@
 	config, _, err := meshconfig.New().Apply(patch)
 	require.NoError(b, err)
 	view := &outbound.View{Config: config, ConfigIndex: 1}
-	rules := inbound.Rules{BeatEvery: time.Hour}
+	rules := inbound.Rules{HeartbeatInterval: time.Hour}
 	for i := range gateCount {
 		host := inbound.NewHost(rules, 1<<20, transport.NewByteBudget(1<<30), func() {})
 		address := listen(b, func(raw net.Conn) {
@@ -162,13 +162,13 @@
 			}
 		})
 		backend := transport.Backend{ID: fmt.Sprint("i-", i), Service: "s", Address: listen(b, serveBackend), Zone: "z", Capacity: backendSlots, Calls: 1}
-		host.With(func(now time.Duration, g *inbound.Gate) bool { g.Named(1); return g.Vouch(now, 0, backend) })
-		view.Agents = append(view.Agents, transport.Heard{Station: transport.Station{Agent: fmt.Sprint("10.0.0.", i), Gate: address, Zone: "z",
+		host.WithGate(func(now time.Duration, g *inbound.Gate) bool { g.SetLife(1); return g.ProbeSucceeded(now, 0, backend) })
+		view.Agents = append(view.Agents, transport.StationStatus{Station: transport.Station{Agent: fmt.Sprint("10.0.0.", i), Gate: address, Zone: "z",
 			Life: 1, Seq: 1, Open: true, Backend: &backend}})
 	}
 	settings := &bootstrap.Settings{IP: "10.0.1.1", Zone: "z", Zones: map[string]string{"z": "r"}, Service: "caller"}
 	settings.Bounds.RetryRatio, settings.Bounds.RetryWindow, settings.Bounds.ExtraTries = 0.2, 10*time.Second, 60
-	gateConns := &transport.Pool{From: "10.0.1.1:1", Connect: time.Second, Idle: time.Minute, Most: 64}
+	gateConns := &transport.Pool{ControlAddress: "10.0.1.1:1", ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxIdlePerGate: 64}
 	s := outbound.New(settings, inbound.NewHost(rules, 1<<20, transport.NewByteBudget(1<<30), func() {}), gateConns, transport.NewByteBudget(1<<30), &log.Logger{Handler: discard.New()})
 	s.SetView(view)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/mesh/outbound/request.go
+++ b/internal/mesh/outbound/request.go
@@ -67,7 +67,7 @@
 // 0 for none.
 func timeLeft(h http.Header, routeLimit time.Duration) (remaining, stated time.Duration) {
 	remaining = routeLimit
-	millis, err := strconv.ParseFloat(h.Get(inbound.LeftHeader), 64)
+	millis, err := strconv.ParseFloat(h.Get(inbound.TimeLeftHeader), 64)
 	if err != nil || !(millis >= 0 && millis < 1e9) {
 		return remaining, 0
 	}
@@ -86,14 +86,14 @@
 	connectionHeaders := connectionOptions(h)
 	for name, values := range h {
 		switch name {
-		case inbound.TryHeader, inbound.LeftHeader, inbound.TargetHeader, inbound.CallerHeader:
+		case inbound.TryIDHeader, inbound.TimeLeftHeader, inbound.TargetServerHeader, inbound.CallingServiceHeader:
 			continue
 		case keyHeader, inbound.CustomerHeader:
 			if stripCredentials {
 				continue
 			}
 		}
-		if !inbound.Passes(name) || slices.Contains(connectionHeaders, name) {
+		if !inbound.IsEndToEndHeader(name) || slices.Contains(connectionHeaders, name) {
 			continue
 		}
 		for _, v := range values {
--- a/internal/mesh/outbound/sender.go
+++ b/internal/mesh/outbound/sender.go
@@ -39,8 +39,8 @@
 // View is what a sender knows about the mesh.
 type View struct {
 	Config      *meshconfig.Config
-	ConfigIndex uint64            // version of Config
-	Agents      []transport.Heard // the latest announcement of every agent
+	ConfigIndex uint64                    // version of Config
+	Agents      []transport.StationStatus // the latest announcement of every agent
 }
 
 const (
--- a/internal/mesh/outbound/serve.go
+++ b/internal/mesh/outbound/serve.go
@@ -74,7 +74,7 @@
 	}
 	result := s.runForClient(r.Context(), p, remaining)
 	if !s.respond(w, p, result) && p.inner {
-		s.localGate.CallFailed(p.request.Try)
+		s.localGate.RecordCallFailure(p.request.Try)
 	}
 }
 
@@ -132,7 +132,7 @@
 	}
 	p.deadline, p.answerTarget = now.Add(remaining), now.Add(route.TargetTime)
 	p.request = transport.Request{
-		Try: r.Header.Get(inbound.TryHeader), Method: r.Method, URI: r.RequestURI, Host: r.Host, Caller: s.settings.Service,
+		Try: r.Header.Get(inbound.TryIDHeader), Method: r.Method, URI: r.RequestURI, Host: r.Host, Caller: s.settings.Service,
 		Unsafe: route.Kind != meshconfig.Safe, Rank: w.tenant.rank, Customer: w.tenant.name, Body: int64(len(body)),
 		Header:  forwardedHeaders(r.Header, w.view.Config.HasCustomers()),
 		Patient: max(route.TargetTime/queueWaitDivisor, 10*time.Millisecond),
@@ -158,7 +158,7 @@
 	}
 	s.seenIDsMu.Lock()
 	defer s.seenIDsMu.Unlock()
-	s.seenIDs.Step(time.Since(s.startedAt))
+	s.seenIDs.Advance(time.Since(s.startedAt))
 	switch {
 	case s.seenIDs.Contains(p.request.Try):
 		s.Counters.Failed.Add(1)
--- a/internal/mesh/outbound/serve_test.go
+++ b/internal/mesh/outbound/serve_test.go
@@ -44,10 +44,10 @@
 					if c.Receive(&request) != nil {
 						return
 					}
-					body, _ := c.Body(request.Body, 1<<20)
+					body, _ := c.ReceiveBody(request.Body, 1<<20)
 					reply, replyBody := respond(&request, body)
 					if ok = reply != nil; ok {
-						reply.Number, reply.Body, reply.Sum = request.Number, int64(len(replyBody)), transport.Sum(replyBody)
+						reply.Number, reply.Body, reply.Sum = request.Number, int64(len(replyBody)), transport.Checksum(replyBody)
 						c.Send(reply, replyBody)
 					}
 				}
@@ -69,11 +69,11 @@
 	require.NoError(t, err)
 	settings := &bootstrap.Settings{IP: "10.0.0.1", Zone: "z", Zones: map[string]string{"z": "r"}, Service: "caller"}
 	settings.Bounds.RetryWindow, settings.Bounds.RetryRatio, settings.Bounds.ExtraTries = 10*time.Second, 0.2, 50
-	gateConns := &transport.Pool{Connect: time.Second, Idle: time.Minute, Most: 8}
+	gateConns := &transport.Pool{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxIdlePerGate: 8}
 	s := New(settings, inbound.NewHost(inbound.Rules{}, 1<<20, transport.NewByteBudget(1<<30), func() {}), gateConns, transport.NewByteBudget(1<<30), &log.Logger{Handler: discard.New(), Level: log.FatalLevel})
 	view := &View{Config: config, ConfigIndex: 1}
 	for i, g := range gates {
-		view.Agents = append(view.Agents, transport.Heard{Station: transport.Station{Agent: fmt.Sprint("10.0.1.", i), Gate: g, Zone: "z",
+		view.Agents = append(view.Agents, transport.StationStatus{Station: transport.Station{Agent: fmt.Sprint("10.0.1.", i), Gate: g, Zone: "z",
 			Life: 1, Seq: 1, Open: true, Backend: &transport.Backend{ID: fmt.Sprint("b", i), Service: "s", Zone: "z", Capacity: 4}}})
 	}
 	s.SetView(view)
@@ -96,8 +96,8 @@
 func newTestRequest(method, path, try string, body io.Reader) *http.Request {
 	r := httptest.NewRequest(method, path, body)
 	r.Host = "d"
-	r.Header.Set(inbound.TryHeader, try)
-	r.Header.Set(inbound.LeftHeader, "4000")
+	r.Header.Set(inbound.TryIDHeader, try)
+	r.Header.Set(inbound.TimeLeftHeader, "4000")
 	return r
 }
 
@@ -186,7 +186,7 @@
 		return w
 	}
 	r := newTestRequest("HEAD", "/safe/%41?q=%42", "t", nil)
-	for name, value := range map[string]string{inbound.CallerHeader: "forged", inbound.TargetHeader: "forged", "X-Kept": "yes", "Cookie": "c",
+	for name, value := range map[string]string{inbound.CallingServiceHeader: "forged", inbound.TargetServerHeader: "forged", "X-Kept": "yes", "Cookie": "c",
 		"Connection": "x-hop", "X-Hop": "no", "Te": "trailers"} {
 		r.Header.Set(name, value)
 	}
@@ -203,7 +203,7 @@
 	chunked := newTestRequest("POST", "/safe/", "t", strings.NewReader(long))
 	chunked.ContentLength = -1
 	late := newTestRequest("POST", "/unsafe/", "t", nil)
-	late.Header.Set(inbound.LeftHeader, "0")
+	late.Header.Set(inbound.TimeLeftHeader, "0")
 	require.Equal(t, 404, serve(newTestRequest("GET", "/none/", "t", nil)).Code)
 	require.Equal(t, 413, serve(newTestRequest("POST", "/safe/", "t", strings.NewReader(long))).Code)
 	require.Equal(t, 413, serve(chunked).Code)
@@ -236,7 +236,7 @@
 		return s.runAttempt(p, policy.Action{Server: target.id}, target, 0).failure.Reason
 	}
 	require.Equal(t, transport.Full, sendOnce())
-	require.Equal(t, transport.Own, hedgeReason, "sent to a second backend on a route of one try")
+	require.Equal(t, transport.LocalShortage, hedgeReason, "sent to a second backend on a route of one try")
 	require.Equal(t, transport.Full, sendOnce())
 }
 
@@ -253,7 +253,7 @@
 	}))
 	for _, left := range []string{"100", "2000"} {
 		w, r := httptest.NewRecorder(), newTestRequest("GET", "/unsafe/", left, nil)
-		r.Header.Set(inbound.LeftHeader, left)
+		r.Header.Set(inbound.TimeLeftHeader, left)
 		s.ServeHTTP(w, r)
 		require.Equal(t, map[string]int{"100": 504, "2000": 200}[left], w.Code)
 	}
@@ -272,7 +272,7 @@
 		wantSeconds        float64
 	}{{"/safe/", "3000", 4}, {"/safe/", "4000", 4}, {"/safe/", "3000", 3}, {"/safe/", "500", 0.5}, {"/unsafe/", "500", 4}} {
 		r := newTestRequest("GET", c.path, "t", nil)
-		r.Header.Set(inbound.LeftHeader, c.statedMillis)
+		r.Header.Set(inbound.TimeLeftHeader, c.statedMillis)
 		s.ServeHTTP(httptest.NewRecorder(), r)
 		require.InDelta(t, c.wantSeconds, targetLatency.Seconds(), 0.2, "%+v", c)
 	}
@@ -294,9 +294,9 @@
 		if local {
 			view := *s.View()
 			view.Agents[0].Station.Agent = s.settings.IP
-			s.localGate.With(func(now time.Duration, g *inbound.Gate) bool {
-				g.Named(view.Agents[0].Station.Life)
-				return g.Vouch(now, 0, transport.Backend{ID: "b0", Service: "s", Address: silent.Addr().String(), Capacity: 4, Calls: 1})
+			s.localGate.WithGate(func(now time.Duration, g *inbound.Gate) bool {
+				g.SetLife(view.Agents[0].Station.Life)
+				return g.ProbeSucceeded(now, 0, transport.Backend{ID: "b0", Service: "s", Address: silent.Addr().String(), Capacity: 4, Calls: 1})
 			})
 			s.SetView(&view)
 		}
--- a/internal/mesh/outbound/tenant.go
+++ b/internal/mesh/outbound/tenant.go
@@ -23,7 +23,7 @@
 // the configuration has customers, a request needs the key of one of them. The exceptions are
 // public routes and inner requests, which run for the tenant of the run that made them.
 func (s *Sender) authenticate(w *responseRecorder, r *http.Request) bool {
-	w.parent = s.localGate.Parent(r.Header.Get(inbound.TryHeader))
+	w.parent = s.localGate.FindParent(r.Header.Get(inbound.TryIDHeader))
 	w.tenant = tenant{rank: w.route.Rank}
 	if !w.view.Config.HasCustomers() {
 		return true
@@ -62,5 +62,5 @@
 // process that handed the run over has ended. Such a request has no key; it is refused, with a
 // Retry-After, rather than rejected as unauthenticated.
 func isOrphanedCall(r *http.Request) bool {
-	return r.Header.Get(keyHeader) == "" && strings.Contains(r.Header.Get(inbound.TryHeader), ".")
+	return r.Header.Get(keyHeader) == "" && strings.Contains(r.Header.Get(inbound.TryIDHeader), ".")
 }
