--- a/internal/mesh/outbound/client.go
+++ b/internal/mesh/outbound/client.go
@@ -37,7 +37,7 @@
 
 // hangupWatchOf returns the watch of the connection that a request came over, nil if the connection
 // can't be watched.
-func hangupWatchOf(r *http.Request) *hangup.Watch {
+func hangupWatchOf(r *http.Request) *hangup.Watcher {
 	if c, ok := r.Context().Value(connContextKey{}).(*clientConn); ok {
 		return c.watch
 	}
@@ -58,14 +58,14 @@
 // clientConn is a client's connection, with a watch that detects when the client closes it.
 type clientConn struct {
 	net.Conn
-	watch *hangup.Watch
+	watch *hangup.Watcher
 }
 
 // Read reads from the connection and notifies the watch.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.watch.ReadAhead()
+		c.watch.RecordReadAhead()
 	}
 	return n, err
 }
--- a/internal/mesh/outbound/ending.go
+++ b/internal/mesh/outbound/ending.go
@@ -89,7 +89,7 @@
 // has been paused, timers and slots may fall due before the client's close has been read; work that
 // they began would have no client.
 func (p *pendingRequest) checkClientLeft() bool {
-	if !p.clientLeft() && p.clientWatch.HungUp() {
+	if !p.clientLeft() && p.clientWatch.ClientClosed() {
 		p.finish(errClientLeft)
 	}
 	return p.clientLeft()
--- a/internal/mesh/outbound/job.go
+++ b/internal/mesh/outbound/job.go
@@ -21,7 +21,7 @@
 	backendDeadline time.Time // no backend works on the request beyond this; zero: no shutdown limits it
 	balancer        *serviceBalancer
 	balanced        *balancedRequest // nil until runRequest has begun it
-	clientWatch     *hangup.Watch    // nil: the connection can't be watched
+	clientWatch     *hangup.Watcher  // nil: the connection can't be watched
 	done            chan struct{}    // closed once the request needs no more attempts
 	inner           bool             // made by a backend in the course of a run
 	parentRepeated  bool             // the run that made the request was a repeat
--- a/internal/mesh/outbound/serve.go
+++ b/internal/mesh/outbound/serve.go
@@ -83,7 +83,7 @@
 	onClientLeft := func() { p.finish(errClientLeft) }
 	stop := context.AfterFunc(clientContext, onClientLeft)
 	defer stop()
-	stopWatching := p.clientWatch.Serving(onClientLeft)
+	stopWatching := p.clientWatch.NotifyOnClose(onClientLeft)
 	defer stopWatching()
 	return s.runRequest(p, remaining)
 }
