--- a/internal/mesh/outbound/client.go
+++ b/internal/mesh/outbound/client.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	headWait  = 30 * time.Second // until the head of a request is whole
-	idleWait  = 75 * time.Second // until a client's connection without a request is closed
-	mostBytes = 64 << 10         // of a request's head
+	headerTimeout  = 30 * time.Second // for a request's headers to be complete
+	idleTimeout    = 75 * time.Second // until a client's connection without a request is closed
+	maxHeaderBytes = 64 << 10
 )
 
-// Server takes the requests of the clients of a sender.
+// Server accepts the connections of a sender's clients.
 type Server struct{ http.Server }
 
-// NewServer returns a server whose requests end with their clients' connections.
+// NewServer returns a server that cancels a request when its client closes the connection.
 func NewServer(s *Sender) *Server {
 	return &Server{http.Server{
-		Handler: s, ReadHeaderTimeout: headWait, IdleTimeout: idleWait, MaxHeaderBytes: mostBytes,
-		DisableGeneralOptionsHandler: true, // danger: its 200 would be none of a backend's
+		Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		DisableGeneralOptionsHandler: true, // net/http would answer "OPTIONS *" with a 200 that no backend gave
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, clientKey{}, c)
+			return context.WithValue(ctx, connContextKey{}, c)
 		},
 	}}
 }
 
-// Serve takes clients until the listener is closed.
+// Serve accepts clients until the listener is closed.
 func (s *Server) Serve(l net.Listener) error { return s.Server.Serve(clientListener{l}) }
 
-// clientKey is where a request's context holds its client's connection.
-type clientKey struct{}
+// connContextKey is the key of the client's connection in a request's context.
+type connContextKey struct{}
 
-// clientOf is the connection that a request came over; nil: it is none that can be looked into.
-func clientOf(r *http.Request) *hangup.Watcher {
-	if c, ok := r.Context().Value(clientKey{}).(*clientConn); ok {
+// hangupWatchOf returns the watch of the connection that a request came over, nil if the connection
+// can't be watched.
+func hangupWatchOf(r *http.Request) *hangup.Watcher {
+	if c, ok := r.Context().Value(connContextKey{}).(*clientConn); ok {
 		return c.watch
 	}
 	return nil
 }
 
+// clientListener accepts connections that detect when the client closes them.
 type clientListener struct{ net.Listener }
 
-// Accept returns a connection that is watched.
 func (l clientListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -54,13 +55,13 @@
 	return &clientConn{Conn: c, watch: hangup.New(c)}, nil
 }
 
-// clientConn is a client's connection.
+// clientConn is a client's connection, with a watch that detects when the client closes it.
 type clientConn struct {
 	net.Conn
 	watch *hangup.Watcher
 }
 
-// Read reads, and has the watch know.
+// Read reads from the connection and notifies the watch.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -69,12 +70,12 @@
 	return n, err
 }
 
-// CloseWrite ends what the sender sends. Danger: without it net/http can't end a connection behind
-// the answer to a request that it has not read, and the client's next bytes would make a reset of it
-// that destroys the answer.
+// CloseWrite closes the sending side of the connection. Without it, net/http can't end a connection
+// properly after answering a request that it has not read whole: the client's next bytes would
+// cause a reset that destroys the response.
 func (c *clientConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return halfCloser.CloseWrite()
 	}
 	return nil
 }
--- a/internal/mesh/outbound/path_bench_test.go
+++ b/internal/mesh/outbound/path_bench_test.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	answerBytes = 2000
-	gates       = 5
-	width       = 64
+	responseBytes = 2000
+	gateCount     = 5
+	backendSlots  = 64
 )
 
-// listen takes connections on a free port of loopback.
+// listen accepts connections on a free loopback port.
 func listen(b *testing.B, serve func(net.Conn)) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(b, err)
@@ -45,12 +45,12 @@
 	return l.Addr().String()
 }
 
-// backend answers each request at once and costs as little as can be.
-func backend(c net.Conn) {
+// serveBackend responds to each request at once, at as little cost as possible.
+func serveBackend(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
-	body := bytes.Repeat([]byte("x"), answerBytes)
-	var out, try []byte
+	body := bytes.Repeat([]byte("x"), responseBytes)
+	var response, try []byte
 	for {
 		for try = try[:0]; ; {
 			line, err := r.ReadSlice('\n')
@@ -64,15 +64,16 @@
 				try = append(try, bytes.TrimSpace(value)...)
 			}
 		}
-		out = fmt.Appendf(out[:0], "HTTP/1.1 200 OK\r\nTry-Id: %s\r\nServer-Seal: 3e1b.07\r\nContent-Length: %d\r\n\r\n%s", try, len(body), body)
-		if _, err := c.Write(out); err != nil {
+		response = fmt.Appendf(response[:0], "HTTP/1.1 200 OK\r\nTry-Id: %s\r\nServer-Seal: 3e1b.07\r\nContent-Length: %d\r\n\r\n%s", try, len(body), body)
+		if _, err := c.Write(response); err != nil {
 			return
 		}
 	}
 }
 
-// drive sends requests one after the other from each of several clients, and reports times and processor time of the whole process.
-func drive(b *testing.B, address string, clients int) {
+// driveClients sends requests from several clients, each one request at a time. It reports
+// latencies and the CPU time of the whole process.
+func driveClients(b *testing.B, address string, clients int) {
 	var next atomic.Int64
 	times := make([][]time.Duration, clients)
 	var wg sync.WaitGroup
@@ -89,27 +90,27 @@
 			}
 			defer c.Close()
 			r := bufio.NewReader(c)
-			var out []byte
+			var request []byte
 			for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
-				out = fmt.Appendf(out[:0], "GET /part/way/%d HTTP/1.1\r\nHost: host.example\r\nTry-Id: %016x\r\nTime-Left: 5000\r\nTarget-Server: i-1\r\n\r\n", n, n)
-				began := time.Now()
-				if _, err := c.Write(out); err != nil {
+				request = fmt.Appendf(request[:0], "GET /part/way/%d HTTP/1.1\r\nHost: host.example\r\nTry-Id: %016x\r\nTime-Left: 5000\r\nTarget-Server: i-1\r\n\r\n", n, n)
+				startedAt := time.Now()
+				if _, err := c.Write(request); err != nil {
 					b.Error(err)
 					return
 				}
-				head, err := r.ReadSlice('\n')
-				if err != nil || !bytes.HasPrefix(head, []byte("HTTP/1.1 200")) {
-					b.Errorf("%q %v", head, err)
+				line, err := r.ReadSlice('\n')
+				if err != nil || !bytes.HasPrefix(line, []byte("HTTP/1.1 200")) {
+					b.Errorf("%q %v", line, err)
 					return
 				}
-				for len(head) != 2 && err == nil {
-					head, err = r.ReadSlice('\n')
+				for len(line) != 2 && err == nil {
+					line, err = r.ReadSlice('\n')
 				}
-				if _, err := r.Discard(answerBytes); err != nil {
+				if _, err := r.Discard(responseBytes); err != nil {
 					b.Error(err)
 					return
 				}
-				times[i] = append(times[i], time.Since(began))
+				times[i] = append(times[i], time.Since(startedAt))
 			}
 		})
 	}
@@ -118,54 +119,57 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &after)
 	all := slices.Concat(times...)
 	slices.Sort(all)
-	busy := func(u *syscall.Rusage) int64 { return u.Utime.Nano() + u.Stime.Nano() }
-	b.ReportMetric(float64(busy(&after)-busy(&before))/float64(b.N)/1e3, "cpu-µs/op")
+	cpuTime := func(u *syscall.Rusage) int64 { return u.Utime.Nano() + u.Stime.Nano() }
+	b.ReportMetric(float64(cpuTime(&after)-cpuTime(&before))/float64(b.N)/1e3, "cpu-µs/op")
 	b.ReportMetric(float64(all[len(all)/2].Microseconds()), "p50-µs")
 	b.ReportMetric(float64(all[len(all)*99/100].Microseconds()), "p99-µs")
 }
 
-// BenchmarkDirect is what client and backend cost without the mesh, to be taken off BenchmarkPath.
+// BenchmarkDirect measures the cost of client and backend without the mesh, to be subtracted from
+// BenchmarkPath.
 func BenchmarkDirect(b *testing.B) {
 	for _, clients := range []int{1, 8} {
-		b.Run(fmt.Sprint("clients=", clients), func(b *testing.B) { drive(b, listen(b, backend), clients) })
+		b.Run(fmt.Sprint("clients=", clients), func(b *testing.B) { driveClients(b, listen(b, serveBackend), clients) })
 	}
 }
 
-// BenchmarkPath is a request's way from a client through sender and gate to a backend and back, all on loopback in one process.
+// BenchmarkPath measures a request's path from a client through sender and gate to a backend and
+// back, on loopback in one process.
 func BenchmarkPath(b *testing.B) {
 	for _, clients := range []int{1, 8} {
-		b.Run(fmt.Sprint("clients=", clients), func(b *testing.B) { drive(b, mesh(b), clients) })
+		b.Run(fmt.Sprint("clients=", clients), func(b *testing.B) { driveClients(b, startMesh(b), clients) })
 	}
 }
 
-// mesh is a sender and some gates, each with a backend; it returns where clients reach the sender.
-func mesh(b *testing.B) string {
+// startMesh starts a sender and some gates, each with a backend. It returns the address at which
+// clients reach the sender.
+func startMesh(b *testing.B) string {
 	patch, err := meshconfig.ParsePatch([]byte(`{"add":{"items":[{"item_kind":"services","metadata":{"name":"s","version":"00000001"},` +
 		`"body":{"health_path":"/health"}},{"item_kind":"routes","metadata":{"name":"r","version":"00000001"},"body":{"domain":` +
 		`"host.example","path_start":"/part/","kind":"safe","give_up":"5000ms","target_time":"800ms","service":"s","tries":2}}]}}`))
 	require.NoError(b, err)
 	config, _, err := meshconfig.New().Apply(patch)
 	require.NoError(b, err)
-	view := &outbound.View{Config: config, Index: 1}
+	view := &outbound.View{Config: config, ConfigIndex: 1}
 	rules := inbound.Rules{HeartbeatInterval: time.Hour}
-	for i := range gates {
+	for i := range gateCount {
 		host := inbound.NewHost(rules, 1<<20, transport.NewByteBudget(1<<30), func() {})
-		at := listen(b, func(raw net.Conn) {
+		address := listen(b, func(raw net.Conn) {
 			c := transport.NewConn(raw)
 			var hello transport.Hello
 			if c.Receive(&hello) == nil {
 				host.Serve(c)
 			}
 		})
-		life := transport.Backend{ID: fmt.Sprint("i-", i), Service: "s", Address: listen(b, backend), Zone: "z", Capacity: width, Calls: 1}
-		host.WithGate(func(now time.Duration, g *inbound.Gate) bool { g.SetLife(1); return g.ProbeSucceeded(now, 0, life) })
-		view.Stations = append(view.Stations, transport.StationStatus{Station: transport.Station{Agent: fmt.Sprint("10.0.0.", i), Gate: at, Zone: "z",
-			Life: 1, Seq: 1, Open: true, Backend: &life}})
+		backend := transport.Backend{ID: fmt.Sprint("i-", i), Service: "s", Address: listen(b, serveBackend), Zone: "z", Capacity: backendSlots, Calls: 1}
+		host.WithGate(func(now time.Duration, g *inbound.Gate) bool { g.SetLife(1); return g.ProbeSucceeded(now, 0, backend) })
+		view.Agents = append(view.Agents, transport.StationStatus{Station: transport.Station{Agent: fmt.Sprint("10.0.0.", i), Gate: address, Zone: "z",
+			Life: 1, Seq: 1, Open: true, Backend: &backend}})
 	}
-	set := &bootstrap.Settings{IP: "10.0.1.1", Zone: "z", Zones: map[string]string{"z": "r"}, Service: "caller"}
-	set.Bounds.RetryRatio, set.Bounds.RetryWindow, set.Bounds.ExtraTries = 0.2, 10*time.Second, 60
-	links := &transport.Pool{ControlAddress: "10.0.1.1:1", ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxIdlePerGate: 64}
-	s := outbound.New(set, inbound.NewHost(rules, 1<<20, transport.NewByteBudget(1<<30), func() {}), links, transport.NewByteBudget(1<<30), &log.Logger{Handler: discard.New()})
+	settings := &bootstrap.Settings{IP: "10.0.1.1", Zone: "z", Zones: map[string]string{"z": "r"}, Service: "caller"}
+	settings.Bounds.RetryRatio, settings.Bounds.RetryWindow, settings.Bounds.ExtraTries = 0.2, 10*time.Second, 60
+	gateConns := &transport.Pool{ControlAddress: "10.0.1.1:1", ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxIdlePerGate: 64}
+	s := outbound.New(settings, inbound.NewHost(rules, 1<<20, transport.NewByteBudget(1<<30), func() {}), gateConns, transport.NewByteBudget(1<<30), &log.Logger{Handler: discard.New()})
 	s.SetView(view)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/internal/mesh/outbound/sender.go
+++ b/internal/mesh/outbound/sender.go
@@ -1,10 +1,19 @@
-// Package outbound is the sender: the data plane beside a caller.
+// Package outbound is the outbound side of a sidecar: it sends the requests of the clients and of
+// the backend on its machine to the services that they call.
 //
-// It takes the requests of the clients and of the backend on its machine, finds the route and the service, has the decision module
-// (package policy) choose a backend, and hands the request to the gate beside that backend. It keeps one module for each service. What
-// comes back is passed on unchanged, or ends in the answer that promises as much as is proven: see transport.Verdict.
+// For each request the Sender finds the route and the service and has the balancer of that service
+// (package policy, the decision module) choose a backend. It hands the request to the gate of that
+// backend, which is the inbound side of the sidecar there (package inbound). A backend's response
+// is forwarded unchanged. Where there is none, the response promises only what is proven: a status
+// that says that the request did not run is sent only if no attempt can have run it. See
+// transport.Verdict.
 //
-// What the sender may use is a View, which never changes and is exchanged whole.
+// Words used here: an agent is a sidecar process. A try is one request of a client, with an id of
+// its own. The sender may make several attempts for a try, each of which hands it to one backend. A
+// run is the execution of a request by a backend, and an inner request is one that a backend makes
+// in the course of a run. An unsafe request must not run twice.
+//
+// The Sender learns about the mesh through a View, which is immutable and replaced as a whole.
 package outbound
 
 import (
@@ -27,57 +36,69 @@
 	"github.com/apex/log"
 )
 
-// View is what a sender knows of the mesh.
+// View is what a sender knows about the mesh.
 type View struct {
-	Config   *meshconfig.Config
-	Index    uint64 // of the configuration
-	Stations []transport.StationStatus
+	Config      *meshconfig.Config
+	ConfigIndex uint64                    // version of Config
+	Agents      []transport.StationStatus // the latest announcement of every agent
 }
 
 const (
-	budgetShare = 0.5  // of the retry budget that agents spend by themselves: repeats make calls, which are repeats too
-	floorShare  = 0.5  // of the tries that are free for all: agents come and go, and start with a budget each
-	coldFrom    = 0.25 // of its capacity that a backend has at its start, until gates tell otherwise
-	innerWorth  = 10.0 // of what a backend calls: all the work of its run hangs on it
-	lateWorth   = 0.1  // not nothing: a late answer is worth sending for
-	usualAim    = time.Second
-	alike       = 0.7 // by how much the logarithms of aims may differ: twice
+	// Share of the configured retry ratio that each agent may use. The rest is a reserve: a
+	// repeated attempt may make inner requests, which count as repeats too.
+	retryRatioShare = 0.5
+	// Share of the configured extra tries, allowed regardless of the load, that is split among the
+	// agents. The rest is a reserve: agents come and go, and each one starts with a full budget.
+	retryFloorShare = 0.5
+	// Share of its capacity that a starting backend is assumed to have, until its gate reports
+	// otherwise.
+	initialCapacityShare = 0.25
+	// Worth of an inner request, where a client's is 1: the whole work of its run depends on it.
+	innerWorth = 10.0
+	// Share of the worth that a late response keeps. It is not zero, so that a request is still
+	// sent if only a late response can be expected.
+	lateWorth            = 0.1
+	defaultTargetLatency = time.Second
+	// Largest difference between the logarithms of two target latencies that share a class: a
+	// factor of two.
+	maxTargetLogRatio = 0.7
 )
 
-// Sender is the data plane beside a caller.
+// Sender is the outbound side of a sidecar. It is an http.Handler for the clients' requests.
 type Sender struct {
-	set    *bootstrap.Settings
-	host   *inbound.Host // the gate on this machine
-	links  *transport.Pool
-	send   func(j *job, gate transport.Endpoint, ask *transport.Request) (*transport.Reply, []byte, *transport.Failure)
-	budget *transport.ByteBudget // for bodies
-	log    log.Interface
-	zones  map[string]int
+	settings    *bootstrap.Settings
+	localGate   *inbound.Host // the inbound side on this machine
+	gateConns   *transport.Pool
+	sendRemote  func(p *pendingRequest, gate transport.Endpoint, ask *transport.Request) (*transport.Reply, []byte, *transport.Failure)
+	bodyBudget  *transport.ByteBudget // for request bodies
+	log         log.Interface
+	zoneNumbers map[string]int // number of each zone, for the balancers
 
-	view    atomic.Pointer[View]
-	mu      sync.RWMutex // guards serves, jobs and over
-	jobs    map[*job]struct{}
-	over    bool
-	serves  map[string]*chooser
-	agents  int
-	leaving atomic.Pointer[Departure] // nil: it was not told to end
-	held    atomic.Int64
-	away    atomic.Bool // clients are to go elsewhere: see TurnClientsAway
-	ages    ages
-	began   time.Time
-	idsMu   sync.Mutex   // guards ids
-	ids     *seenids.Set // of the requests begun that must not run twice
-	Count   Counters
-	Traces  flightrecorder.Ring // of what did not simply succeed
+	view         atomic.Pointer[View]
+	mu           sync.RWMutex // guards pending, pastAnswerBy, balancers and agentCount
+	pending      map[*pendingRequest]struct{}
+	pastAnswerBy bool                        // the shutdown has reached ShutdownSchedule.AnswerBy
+	balancers    map[string]*serviceBalancer // by service
+	agentCount   int
+	shutdown     atomic.Pointer[ShutdownSchedule] // nil until the shutdown begins
+	inFlight     atomic.Int64                     // requests that have not been answered
+	draining     atomic.Bool                      // see SetDraining
+	waits        waitEstimator
+	startedAt    time.Time
+	seenIDsMu    sync.Mutex   // guards seenIDs
+	seenIDs      *seenids.Set // ids of the unsafe requests that were begun
+	Counters     Counters
+	// Traces holds the latest requests that did not succeed at their first attempt.
+	Traces flightrecorder.Ring
 }
 
-// New returns a sender that knows nothing and refuses all.
-func New(set *bootstrap.Settings, host *inbound.Host, links *transport.Pool, budget *transport.ByteBudget, l log.Interface) *Sender {
-	s := &Sender{set: set, budget: budget, host: host, links: links, log: l, zones: map[string]int{}, jobs: map[*job]struct{}{}, serves: map[string]*chooser{},
-		began: time.Now(), ids: seenids.New(0, idsLast, mostIDs)}
-	s.send = s.exchange
-	for _, z := range sortedKeys(set.Zones) {
-		s.zones[z] = len(s.zones)
+// New returns a sender that refuses every request until SetView is called.
+func New(settings *bootstrap.Settings, localGate *inbound.Host, gateConns *transport.Pool, bodyBudget *transport.ByteBudget, logger log.Interface) *Sender {
+	s := &Sender{settings: settings, bodyBudget: bodyBudget, localGate: localGate, gateConns: gateConns, log: logger, zoneNumbers: map[string]int{}, pending: map[*pendingRequest]struct{}{}, balancers: map[string]*serviceBalancer{},
+		startedAt: time.Now(), seenIDs: seenids.New(0, seenIDsGeneration, maxSeenIDs)}
+	s.sendRemote = s.exchangeWithGate
+	for _, z := range sortedKeys(settings.Zones) {
+		s.zoneNumbers[z] = len(s.zoneNumbers)
 	}
 	return s
 }
@@ -91,177 +112,191 @@
 	return keys
 }
 
-// View returns what the sender knows, nil if it knows nothing.
+// View returns the current view, nil before the first SetView.
 func (s *Sender) View() *View { return s.view.Load() }
 
-// TurnClientsAway has it tell clients to go elsewhere, or no longer. What they send is served all the
-// same.
-func (s *Sender) TurnClientsAway(yes bool) { s.away.Store(yes) }
+// SetDraining sets whether clients are asked to move to another machine, by a "Connection: close"
+// header in every response. Requests that still arrive are served.
+func (s *Sender) SetDraining(draining bool) { s.draining.Store(draining) }
 
-// Leave has it tell clients to go elsewhere, and serve what comes all the same as far as the schedule
-// lets it.
-func (s *Sender) Leave(d Departure) {
-	s.leaving.Store(&d)
-	time.AfterFunc(time.Until(d.GiveUp), func() {
+// BeginShutdown asks clients to move to another machine and serves the requests that still arrive,
+// as far as the schedule allows. At AnswerBy, requests without a response get one that tells how
+// far they got.
+func (s *Sender) BeginShutdown(schedule ShutdownSchedule) {
+	s.shutdown.Store(&schedule)
+	time.AfterFunc(time.Until(schedule.AnswerBy), func() {
 		s.mu.Lock()
-		s.over = true
-		jobs := slices.Collect(maps.Keys(s.jobs))
+		s.pastAnswerBy = true
+		pending := slices.Collect(maps.Keys(s.pending))
 		s.mu.Unlock()
-		for _, j := range jobs {
-			j.expire()
+		for _, p := range pending {
+			p.cutByShutdown()
 		}
 	})
 }
 
-// register counts a job in, so that it can be ended.
-func (s *Sender) register(j *job) {
+// register makes a request known to BeginShutdown, which ends it at AnswerBy. If that has passed,
+// register ends it at once.
+func (s *Sender) register(p *pendingRequest) {
 	s.mu.Lock()
-	s.jobs[j] = struct{}{}
-	over := s.over
+	s.pending[p] = struct{}{}
+	pastAnswerBy := s.pastAnswerBy
 	s.mu.Unlock()
-	if over {
-		j.expire()
+	if pastAnswerBy {
+		p.cutByShutdown()
 	}
 }
 
-func (s *Sender) unregister(j *job) {
+func (s *Sender) unregister(p *pendingRequest) {
 	s.mu.Lock()
-	delete(s.jobs, j)
+	delete(s.pending, p)
 	s.mu.Unlock()
 }
 
-// Held is how many requests it has in hand.
-func (s *Sender) Held() int { return int(s.held.Load()) }
+// InFlight returns the number of requests that have not been answered.
+func (s *Sender) InFlight() int { return int(s.inFlight.Load()) }
 
-// SetView exchanges what the sender knows. Only its owner calls it.
+// SetView replaces the view and updates the balancers. It must not be called concurrently.
 func (s *Sender) SetView(v *View) {
-	byService := map[string][]*target{}
-	agents, width := 0, map[string]int{}
-	for i := range v.Stations {
-		h := &v.Stations[i]
-		agents++
-		b := h.Station.Backend
-		if b == nil || b.Draining || !h.Station.Open || h.Lost || v.Config.Evacuated(b.Zone) ||
-			v.Config.Stage(b.Zone, h.Station.Agent) >= meshconfig.StageCalls {
+	targetsByService := map[string][]*backendTarget{}
+	agentCount, concurrency := 0, map[string]int{}
+	for i := range v.Agents {
+		agent := &v.Agents[i]
+		agentCount++
+		backend := agent.Station.Backend
+		if backend == nil || backend.Draining || !agent.Station.Open || agent.Lost || v.Config.Evacuated(backend.Zone) ||
+			v.Config.Stage(backend.Zone, agent.Station.Agent) >= meshconfig.StageCalls {
 			continue
 		}
-		t := &target{id: idOf(h.Station.Agent), gate: h.Station.Gate, backend: b.ID, agent: h.Station.Agent,
-			life: h.Station.Life, told: h.Station.Seq, zone: s.zones[b.Zone], local: h.Station.Agent == s.set.IP, cold: b.ColdLeft}
-		byService[b.Service] = append(byService[b.Service], t)
-		width[b.Service] = max(width[b.Service], b.Capacity)
+		target := &backendTarget{id: serverIDOf(agent.Station.Agent), gateAddress: agent.Station.Gate, backendID: backend.ID, agent: agent.Station.Agent,
+			gateIncarnation: agent.Station.Life, announcementSeq: agent.Station.Seq, zone: s.zoneNumbers[backend.Zone], local: agent.Station.Agent == s.settings.IP, warmupLeft: backend.ColdLeft}
+		targetsByService[backend.Service] = append(targetsByService[backend.Service], target)
+		concurrency[backend.Service] = max(concurrency[backend.Service], backend.Capacity)
 	}
 	s.mu.Lock()
-	s.agents = max(agents, 1)
-	before := s.view.Load()
-	moved := before == nil || before.Config != v.Config
-	var routes map[string][]*meshconfig.Route // by service; sorted only where they have moved, as stations do far more often
-	if moved {
-		routes = routesOf(v.Config)
+	s.agentCount = max(agentCount, 1)
+	previous := s.view.Load()
+	configChanged := previous == nil || previous.Config != v.Config
+	// By service. Only computed when the configuration has changed: agents change far more often.
+	var routes map[string][]*meshconfig.Route
+	if configChanged {
+		routes = routesByService(v.Config)
 	}
 	for _, name := range v.Config.Services() {
-		c := s.serves[name]
-		wide := width[name]
-		if wide == 0 && c != nil {
-			wide = c.width
+		balancer := s.balancers[name]
+		serviceConcurrency := concurrency[name]
+		if serviceConcurrency == 0 && balancer != nil {
+			serviceConcurrency = balancer.concurrency
 		}
-		if c == nil || c.width != wide || moved && !serves(c.classes, classesOf(routes[name])) {
+		if balancer == nil || balancer.concurrency != serviceConcurrency || configChanged && !coversClasses(balancer.classes, classesFor(routes[name])) {
 			if routes == nil {
-				routes = routesOf(v.Config)
+				routes = routesByService(v.Config)
 			}
-			classes := classesOf(routes[name])
+			classes := classesFor(routes[name])
 			var err error
-			if c, err = newChooser(name, s.settings(v.Config, name, classes, wide), s.line(name)); err != nil {
+			if balancer, err = newServiceBalancer(name, s.balancerSettings(v.Config, name, classes, serviceConcurrency), s.balancerLog(name)); err != nil {
 				s.log.WithError(err).Error("decision module")
 				continue
 			}
-			s.serves[name] = c
+			s.balancers[name] = balancer
 		}
-		list := byService[name]
-		slices.SortFunc(list, func(x, y *target) int { return cmp.Compare(x.id, y.id) })
-		c.setTargets(list)
+		targets := targetsByService[name]
+		slices.SortFunc(targets, func(x, y *backendTarget) int { return cmp.Compare(x.id, y.id) })
+		balancer.setTargets(targets)
 	}
 	s.mu.Unlock()
 	s.view.Store(v)
 }
 
-func (s *Sender) line(service string) func(string) {
+// balancerLog returns the log function of the balancer for one service.
+func (s *Sender) balancerLog(service string) func(string) {
 	return func(text string) { s.log.WithField("service", service).Info(text) }
 }
 
-func (s *Sender) chooser(service string) *chooser {
+// balancer returns the balancer for a service, nil if the service is not in the configuration.
+func (s *Sender) balancer(service string) *serviceBalancer {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.serves[service]
+	return s.balancers[service]
 }
 
-// settings are the decision module's for one service.
-func (s *Sender) settings(c *meshconfig.Config, name string, classes []policy.Class, width int) policy.Settings {
-	b := &s.set.Bounds
-	set := policy.Settings{
-		Agents: s.agents, Zone: s.zones[s.set.Zone], Classes: classes, Reports: policy.ReportsInline, Gates: true, HomeFirst: true, Width: float64(width),
+// balancerSettings returns the settings of the balancer for one service. The classes are those of
+// the requests that the service gets, and the concurrency is the number of requests that one of its
+// backends works on at once.
+func (s *Sender) balancerSettings(config *meshconfig.Config, name string, classes []policy.Class, concurrency int) policy.Settings {
+	bounds := &s.settings.Bounds
+	settings := policy.Settings{
+		Agents: s.agentCount, Zone: s.zoneNumbers[s.settings.Zone], Classes: classes, Reports: policy.ReportsInline, Gates: true, HomeFirst: true, Width: float64(concurrency),
 		Tick: time.Millisecond, MaxAttempts: 6, SecondCopies: true,
-		ColdFrom: coldFrom, OverloadFactor: 2,
-		ExtraWindow: b.RetryWindow, ExtraFloor: floorShare * b.ExtraTries / float64(s.agents), ExtraRatio: budgetShare * b.RetryRatio,
+		ColdFrom: initialCapacityShare, OverloadFactor: 2,
+		ExtraWindow: bounds.RetryWindow, ExtraFloor: retryFloorShare * bounds.ExtraTries / float64(s.agentCount), ExtraRatio: retryRatioShare * bounds.RetryRatio,
 	}
-	if sv := c.Service(name); sv != nil {
-		set.WarmAfter = sv.Warmup
+	if service := config.Service(name); service != nil {
+		settings.WarmAfter = service.Warmup
 	}
-	return set
+	return settings
 }
 
-// classesOf lists the kinds of requests that a service gets, by what the module tells apart: whether they may run twice, whether a
-// backend calls, and about how long they may take. Danger: a module that is made anew has forgotten all speeds and failures, so what
-// changes often makes no class of its own: each request brings the time that it has, and aims that are alike are one.
-func classesOf(routes []*meshconfig.Route) []policy.Class {
+// classesFor lists the classes of the requests that a service gets. A class is made of what the
+// balancer distinguishes: whether a request may run twice, whether a backend made it, and roughly
+// how long it may take.
+//
+// A balancer that is replaced forgets all measured speeds and failures. Values that change often
+// therefore don't make classes: the remaining time comes with each request, and similar target
+// latencies share a class.
+func classesFor(routes []*meshconfig.Route) []policy.Class {
 	var classes []policy.Class
-	add := func(effect policy.Effect, aim time.Duration) {
+	add := func(effect policy.Effect, targetLatency time.Duration) {
 		for _, worth := range []float64{1, innerWorth} {
-			k := policy.Class{Aim: aim, Deadline: 8 * aim, Worth: worth, LateWorth: lateWorth, Effect: effect}
-			if !fits(classes, effect, worth, aim) {
-				classes = append(classes, k)
+			class := policy.Class{Aim: targetLatency, Deadline: 8 * targetLatency, Worth: worth, LateWorth: lateWorth, Effect: effect}
+			if !hasClass(classes, effect, worth, targetLatency) {
+				classes = append(classes, class)
 			}
 		}
 	}
-	add(policy.Pure, usualAim)
-	add(policy.SideEffect, usualAim)
+	add(policy.Pure, defaultTargetLatency)
+	add(policy.SideEffect, defaultTargetLatency)
 	for _, r := range routes {
-		add(effectOf(r), aimOf(r))
+		add(effectOf(r), targetLatencyOf(r))
 	}
 	return classes
 }
 
-// routesOf lists the routes to each service in the order of their aims.
-func routesOf(c *meshconfig.Config) map[string][]*meshconfig.Route {
-	all := c.Routes()
+// routesByService lists the routes to each service, sorted by target latency.
+func routesByService(config *meshconfig.Config) map[string][]*meshconfig.Route {
+	all := config.Routes()
 	slices.SortFunc(all, func(x, y *meshconfig.Route) int { return cmp.Compare(x.TargetTime, y.TargetTime) })
-	to := map[string][]*meshconfig.Route{}
+	byService := map[string][]*meshconfig.Route{}
 	for _, r := range all {
 		for _, share := range r.Shares {
-			if n := len(to[share.Service]); n == 0 || to[share.Service][n-1] != r {
-				to[share.Service] = append(to[share.Service], r)
+			if n := len(byService[share.Service]); n == 0 || byService[share.Service][n-1] != r {
+				byService[share.Service] = append(byService[share.Service], r)
 			}
 		}
 	}
-	return to
+	return byService
 }
 
-// nearest finds the class for a request whose aim is nearest, and how far that is.
-func nearest(classes []policy.Class, effect policy.Effect, worth float64, aim time.Duration) (best int, far float64) {
-	best, far = -1, math.Inf(1)
-	for i, k := range classes {
-		if d := math.Abs(math.Log(k.Aim.Seconds() / aim.Seconds())); k.Effect == effect && k.Worth == worth && d <= far {
-			best, far = i, d
+// nearestClass returns the index of the class for a request whose target latency is nearest, and
+// the distance between the logarithms of the two. The index is -1 if no class has this effect and
+// worth.
+func nearestClass(classes []policy.Class, effect policy.Effect, worth float64, targetLatency time.Duration) (best int, distance float64) {
+	best, distance = -1, math.Inf(1)
+	for i, class := range classes {
+		if d := math.Abs(math.Log(class.Aim.Seconds() / targetLatency.Seconds())); class.Effect == effect && class.Worth == worth && d <= distance {
+			best, distance = i, d
 		}
 	}
-	return best, far
+	return best, distance
 }
 
-// fits says whether there is a class with an aim that is alike.
-func fits(classes []policy.Class, effect policy.Effect, worth float64, aim time.Duration) bool {
-	_, far := nearest(classes, effect, worth, aim)
-	return far <= alike
+// hasClass reports whether there is a class with a similar target latency.
+func hasClass(classes []policy.Class, effect policy.Effect, worth float64, targetLatency time.Duration) bool {
+	_, distance := nearestClass(classes, effect, worth, targetLatency)
+	return distance <= maxTargetLogRatio
 }
 
+// effectOf tells the balancer whether a route's requests may run twice.
 func effectOf(r *meshconfig.Route) policy.Effect {
 	if r.Kind == meshconfig.Safe {
 		return policy.Pure
@@ -269,32 +304,35 @@
 	return policy.SideEffect
 }
 
-func aimOf(r *meshconfig.Route) time.Duration {
+// targetLatencyOf returns a route's target latency, or the default if it has none.
+func targetLatencyOf(r *meshconfig.Route) time.Duration {
 	if r.TargetTime <= 0 {
-		return usualAim
+		return defaultTargetLatency
 	}
 	return r.TargetTime
 }
 
-// classIndex is the class of a route's requests. Danger: a module may be of another configuration
-// than the route, and have no class with an aim that is alike. One with the same effect there always
-// is; with another, what must not run twice would be repeated.
+// classIndex returns the class of a route's requests. The balancer may have been made for another
+// configuration than the route's, and then have no class with a similar target latency. It always
+// has one with the same effect, which must be used: with another effect, an unsafe request would be
+// repeated.
 func classIndex(classes []policy.Class, r *meshconfig.Route, inner bool) int {
 	worth := 1.0
 	if inner {
 		worth = innerWorth
 	}
-	index, _ := nearest(classes, effectOf(r), worth, aimOf(r))
+	index, _ := nearestClass(classes, effectOf(r), worth, targetLatencyOf(r))
 	return index
 }
 
-// serves says whether all that goes to a service finds a class among these.
-func serves(classes, wanted []policy.Class) bool {
-	return !slices.ContainsFunc(wanted, func(k policy.Class) bool { return !fits(classes, k.Effect, k.Worth, k.Aim) })
+// coversClasses reports whether each wanted class has a similar one among classes.
+func coversClasses(classes, wanted []policy.Class) bool {
+	return !slices.ContainsFunc(wanted, func(k policy.Class) bool { return !hasClass(classes, k.Effect, k.Worth, k.Aim) })
 }
 
-// idOf derives a backend's number from its machine, the same at each agent and in each life.
-func idOf(agent string) policy.ServerID {
+// serverIDOf derives the balancer's id of a backend from the agent beside it. It is the same at
+// each sender and for each process that the backend runs as.
+func serverIDOf(agent string) policy.ServerID {
 	h := fnv.New32a()
 	h.Write([]byte(agent))
 	return policy.ServerID(h.Sum32() & math.MaxInt32)
--- a/internal/mesh/outbound/tenant_test.go
+++ b/internal/mesh/outbound/tenant_test.go
@@ -20,17 +20,17 @@
 	noTenants = `{"remove":{"customers":[{"name":"acme","version":"3"},{"name":"bravo","version":"3"}]}}`
 )
 
-// Requests run for whom their key is at the moment, whatever they say; no key gets to a gate, and without
-// one nothing does, but on public routes.
+// TestKeys: a request runs for the customer whose key it brings at that moment, whatever it states
+// itself. No key reaches a gate. Without a key, only requests of public routes do.
 func TestKeys(t *testing.T) {
 	var got *transport.Request
-	s := sender(t, gate(t, func(a *transport.Request, _ []byte) (*transport.Reply, []byte) {
-		got = a
+	s := newTestSender(t, startFakeGate(t, func(request *transport.Request, _ []byte) (*transport.Reply, []byte) {
+		got = request
 		return &transport.Reply{Verdict: transport.Ran, Status: 200}, nil
 	}))
-	ask := func(path, try, authorization string) (status int, customer string) {
+	send := func(path, try, authorization string) (status int, customer string) {
 		got = nil
-		r := request("GET", path, try, nil)
+		r := newTestRequest("GET", path, try, nil)
 		r.Header.Set(inbound.CustomerHeader, "whoever")
 		if authorization != "" {
 			r.Header.Set(keyHeader, authorization)
@@ -58,7 +58,7 @@
 		{"", "/safe/1", "d", "Bearer k9", 401, ""},
 		{"", "/safe/1", "e", "k1", 401, ""},
 		{"", "/safe/1", "f", "", 401, ""},
-		{"", "/safe/1", "f.1", "", 503, ""}, // a call of a run that is not known
+		{"", "/safe/1", "f.1", "", 503, ""}, // a call of an unknown run
 		{"", "/nowhere/", "g", "", 404, ""},
 		{keyMoves, "/safe/1", "h", "Bearer k2", 200, "bravo"},
 		{"", "/safe/1", "i", "Bearer k3", 401, ""},
@@ -68,10 +68,10 @@
 		{noTenants, "/unsafe/1", "m", "", 200, ""},
 	} {
 		if c.change != "" {
-			change(s, c.change)
+			applyPatch(s, c.change)
 		}
-		status, customer := ask(c.path, c.try, c.authorization)
+		status, customer := send(c.path, c.try, c.authorization)
 		require.Equal(t, []any{c.status, c.customer}, []any{status, customer}, "%+v", c)
 	}
-	require.Equal(t, uint64(5), s.Count.Unknown.Load())
+	require.Equal(t, uint64(5), s.Counters.Unauthenticated.Load())
 }
