--- a/internal/mesh/consensus/backup.go
+++ b/internal/mesh/consensus/backup.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, oops.Wrapf(err, "%s", path)
 	}
-	b := &Backup{Format: c.format, By: c.id.Address, Snapshot: c.state.Snapshot, Entries: c.state.Entries}
+	b := &Backup{Format: c.format, By: c.identity.Address, Snapshot: c.state.Snapshot, Entries: c.state.Entries}
 	if s := b.Snapshot; s != nil {
 		b.Entries = b.Entries[s.Index-c.state.Base:]
 	}
@@ -117,7 +117,7 @@
 		return oops.Errorf("it holds nothing: its node had not yet heard of any other")
 	}
 	s.Hard.Term = at.Term
-	return s.check()
+	return s.validate()
 }
 
 // Replay brings an empty table to where the backup ends.
--- a/internal/mesh/consensus/growth_test.go
+++ b/internal/mesh/consensus/growth_test.go
@@ -12,7 +12,7 @@
 
 // mostGrowth is how many times a snapshot and the log behind it the file of a store may take. bbolt
 // gives pages back to itself, never to the disk, and its file grows by doubling.
-const mostGrowth = 8
+const maxFileGrowth = 8
 
 // A store's file stays within its bound over many snapshots that grow, with entries saved in
 // between.
@@ -39,5 +39,5 @@
 	info, err := os.Stat(filepath.Join(dir, storeName))
 	require.NoError(t, err)
 	t.Logf("snapshots up to %d bytes with the log: the file has %d, %.1f times that", held, info.Size(), float64(info.Size())/float64(held))
-	require.Less(t, info.Size(), int64(mostGrowth*held))
+	require.Less(t, info.Size(), int64(maxFileGrowth*held))
 }
--- a/internal/mesh/consensus/store_test.go
+++ b/internal/mesh/consensus/store_test.go
@@ -16,7 +16,7 @@
 	dir := filepath.Join(t.TempDir(), "new", "folder")
 	s, first, err := openStore(dir, "a", true, []string{"a", "b"})
 	require.NoError(t, err)
-	require.Equal(t, Found([]string{"a", "b"}), first.Entries)
+	require.Equal(t, BootstrapEntries([]string{"a", "b"}), first.Entries)
 	require.NotZero(t, first.Disk)
 	command := func(index, term uint64) Entry {
 		return Entry{Index: index, Term: term, Origin: 3, ID: index, Command: []byte{byte(index)}}
--- a/internal/mesh/controlplane/core.go
+++ b/internal/mesh/controlplane/core.go
@@ -140,7 +140,7 @@
 	c.node, err = consensus.Start(consensus.Options{
 		Self: c.set.Control, Seeds: c.set.Seeds, FirstStart: c.set.FirstStart, Dir: c.set.DataFolder, Table: c.table,
 		Send: c.peers.send, Log: c.log, OnChange: c.onChange, Replace: c.set.Bounds.CatchUp / 2,
-		Voters: consensus.VotersToBear(c.set.Tolerate.Machines), Zone: c.set.Zone,
+		Voters: consensus.VotersToTolerate(c.set.Tolerate.Machines), Zone: c.set.Zone,
 	})
 	if err != nil {
 		return oops.In("agreement").Wrap(err)
