--- a/internal/mesh/consensus/batch_test.go
+++ b/internal/mesh/consensus/batch_test.go
@@ -19,9 +19,9 @@
 	return nil
 }
 
-func (t *batchTable) Batch(apply func(), show bool) {
+func (t *batchTable) Batch(apply func(), publish bool) {
 	apply()
-	if show {
+	if publish {
 		t.published = append(t.published, len(t.applied))
 	}
 }
@@ -44,19 +44,19 @@
 func TestBacklogIsShownAtItsEnd(t *testing.T) {
 	table := &batchTable{}
 	node := &Node{options: Options{Table: table}, machine: &Machine{commitIndex: 3}}
-	next := func(done ...Completion) {
+	applyNext := func(done ...Completion) {
 		node.machine.appliedIndex++
 		require.NoError(t, node.bring(&Output{Apply: []Entry{{Index: node.machine.appliedIndex, Origin: 1}}, MoreToApply: true, Completions: done}))
 		node.machine.commitIndex++ // never reached
 	}
 	for range 3 {
-		next()
+		applyNext()
 	}
 	require.Equal(t, []int{3}, table.published)
-	next(Completion{ID: 1})
+	applyNext(Completion{ID: 1})
 	require.Equal(t, []int{3, 4}, table.published, "who waits for it finds it")
-	next()
-	next()
+	applyNext()
+	applyNext()
 	require.Equal(t, []int{3, 4, 5}, table.published, "5 were committed when the first backlog ended")
 }
 
@@ -65,9 +65,9 @@
 func TestBacklogHoldsUpNoHeartbeat(t *testing.T) {
 	const backlog = 60
 	withTrio(t, func(m *trio) {
-		leads := m.leader()
+		leaderName := m.leader()
 		for i := range backlog {
-			require.NoError(m, m.propose(leads, fmt.Sprint(i), time.Second))
+			require.NoError(m, m.propose(leaderName, fmt.Sprint(i), time.Second))
 		}
 		m.stopAll()
 		m.applying = map[string]time.Duration{"a": 41 * time.Millisecond, "b": 19 * time.Millisecond}
--- a/internal/mesh/consensus/cutoff_test.go
+++ b/internal/mesh/consensus/cutoff_test.go
@@ -31,12 +31,12 @@
 	if c.frozen {
 		h.frozen = w.now + cutDuration
 	}
-	for _, o := range w.hosts {
-		if c.deaf && o != h {
-			w.cut[[2]string{o.address, h.address}] = true
+	for _, other := range w.hosts {
+		if c.deaf && other != h {
+			w.cut[[2]string{other.address, h.address}] = true
 		}
-		if c.mute && o != h {
-			w.cut[[2]string{h.address, o.address}] = true
+		if c.mute && other != h {
+			w.cut[[2]string{h.address, other.address}] = true
 		}
 	}
 }
@@ -47,20 +47,20 @@
 	began, value := w.now, uint64(100)
 	acked := func(v uint64) bool { return w.fate[v] == "acked" }
 	c.apply(w, h)
-	var own, others []uint64
+	var ownValues, otherValues []uint64
 	for w.now < began+cutDuration-time.Second {
 		value += 2
-		own, others = append(own, value), append(others, value+1)
-		before := w.reads
+		ownValues, otherValues = append(ownValues, value), append(otherValues, value+1)
+		readsBefore := w.reads
 		w.read(h)
 		w.propose(h, value)
 		w.run(300 * time.Millisecond)
-		if w.reads > before {
+		if w.reads > readsBefore {
 			confirmed++
 		}
-		for _, o := range w.hosts[:3] {
-			if o != h {
-				w.propose(o, value+1)
+		for _, other := range w.hosts[:3] {
+			if other != h {
+				w.propose(other, value+1)
 				break
 			}
 		}
@@ -69,11 +69,11 @@
 			w.fail("%s still leads %v after it was cut off", h.address, w.now-began)
 		}
 	}
-	for i := range own {
-		if acked(own[i]) {
+	for i := range ownValues {
+		if acked(ownValues[i]) {
 			confirmed++
 		}
-		if acked(others[i]) {
+		if acked(otherValues[i]) {
 			elsewhere++
 		}
 	}
@@ -81,19 +81,19 @@
 }
 
 // explored plays a cut of one machine under a seed, with a planted bug or none.
-func runCutoffSeed(seed uint64, c cutoff, leads bool, bugs injectedBugs) (confirmed, elsewhere int, trouble any) {
-	defer func() { trouble = recover() }()
+func runCutoffSeed(seed uint64, c cutoff, isLeader bool, bugs injectedBugs) (confirmed, elsewhere int, failure any) {
+	defer func() { failure = recover() }()
 	w := newWorld(seed, bugs)
 	for _, h := range w.hosts[:3] {
 		w.start(h)
 	}
 	w.gone = w.hosts[3]
 	w.run(5 * time.Second)
-	at := slices.IndexFunc(w.hosts[:3], func(h *host) bool { return h.machine.role == leader })
-	if !leads {
-		at = (at + 1 + w.rng.IntN(2)) % 3
+	index := slices.IndexFunc(w.hosts[:3], func(h *host) bool { return h.machine.role == leader })
+	if !isLeader {
+		index = (index + 1 + w.rng.IntN(2)) % 3
 	}
-	confirmed, elsewhere = playCutoff(w, w.hosts[at], c)
+	confirmed, elsewhere = playCutoff(w, w.hosts[index], c)
 	clear(w.cut)
 	w.run(2 * time.Second)
 	w.heal()
@@ -106,12 +106,12 @@
 // checks).
 func TestCutOffMachineConfirmsNothing(t *testing.T) {
 	for _, c := range cutoffs {
-		for _, leads := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, leads %v", c.name, leads), func(t *testing.T) {
+		for _, isLeader := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, leads %v", c.name, isLeader), func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(20) {
-					confirmed, elsewhere, trouble := runCutoffSeed(seed, c, leads, injectedBugs{})
-					require.Nil(t, trouble, "seed %d", seed)
+					confirmed, elsewhere, failure := runCutoffSeed(seed, c, isLeader, injectedBugs{})
+					require.Nil(t, failure, "seed %d", seed)
 					require.Zero(t, confirmed, "seed %d: it confirmed", seed)
 					require.Greater(t, elsewhere, 25, "seed %d: the others did not go on", seed)
 				}
@@ -123,8 +123,8 @@
 // TestCutOffMachineIsCaught has a leader that is cut off answer reads alone, and take its own sync
 // for a majority's.
 func TestCutOffMachineIsCaught(t *testing.T) {
-	for name, p := range map[string]injectedBugs{"a read without its round": {localRead: true}, "an acknowledgement without a majority": {earlyAck: true}} {
-		confirmed, _, trouble := runCutoffSeed(1, cutoffs[0], true, p)
-		require.True(t, confirmed > 0 || trouble != nil, "%s is not seen", name)
+	for name, bugs := range map[string]injectedBugs{"a read without its round": {localRead: true}, "an acknowledgement without a majority": {earlyAck: true}} {
+		confirmed, _, failure := runCutoffSeed(1, cutoffs[0], true, bugs)
+		require.True(t, confirmed > 0 || failure != nil, "%s is not seen", name)
 	}
 }
--- a/internal/mesh/consensus/election.go
+++ b/internal/mesh/consensus/election.go
@@ -53,62 +53,62 @@
 func (m *Machine) followLeader(msg Message) {
 	m.becomeFollower(msg.Term)
 	m.recordLeaderTenure(msg.LeaderTime)
-	if by := (Member{msg.From, msg.Disk}); m.leader != by {
-		m.setLeader(by)
+	if sender := (Member{msg.From, msg.Disk}); m.leader != sender {
+		m.setLeader(sender)
 		m.resendPending(0)
 	}
 }
 
 // ledBy notes who leads. That there is one leader a term at most is what all else hangs on.
-func (m *Machine) setLeader(by Member) {
-	if m.lastLeader.Term == m.hardState.Term && m.lastLeader.Vote != by {
-		panic(fmt.Sprintf("consensus: two leaders in term %d: %v and %v", m.hardState.Term, m.lastLeader.Vote, by))
+func (m *Machine) setLeader(newLeader Member) {
+	if m.lastLeader.Term == m.hardState.Term && m.lastLeader.Vote != newLeader {
+		panic(fmt.Sprintf("consensus: two leaders in term %d: %v and %v", m.hardState.Term, m.lastLeader.Vote, newLeader))
 	}
-	m.lastLeader = Hard{Term: m.hardState.Term, Vote: by}
-	m.leader = by
+	m.lastLeader = Hard{Term: m.hardState.Term, Vote: newLeader}
+	m.leader = newLeader
 	m.leaderChanges++
 }
 
 // campaign asks for votes. A preCandidate only asks whether it would get them, so that who is cut
 // off doesn't raise the terms of all when it comes back.
-func (m *Machine) campaign(as role) {
+func (m *Machine) campaign(newRole role) {
 	m.resetElectionTimer()
-	m.role, m.votes, m.leader = as, nil, Member{}
+	m.role, m.votes, m.leader = newRole, nil, Member{}
 	m.failReads(ErrNoLeader)
 	kind, reply, term := PreVote, PreVoteReply, m.hardState.Term+1
-	if as == candidate {
+	if newRole == candidate {
 		kind, reply = Vote, VoteReply
 		m.hardState, m.hardStateDirty = Hard{Term: term, Vote: Member{m.self, m.diskID}}, true
 		m.leaderTenure = 0
 	}
-	c := m.log.latestConfiguration()
-	for _, v := range c.members.allVoters() {
+	config := m.log.latestConfiguration()
+	for _, v := range config.members.allVoters() {
 		msg := Message{Kind: kind, To: v.Address, Term: term, Index: m.log.lastIndex(), LogTerm: m.log.lastTerm(),
-			MembersAt: c.place}
+			MembersAt: config.place}
 		switch {
 		case v.Address == m.self && !m.isSelf(v): // the disk that was here before ours
 		case m.isSelf(v):
 			m.sendAfterSync(Message{Kind: reply, To: m.self, Term: term})
-		case as == candidate: // whoever asks for votes has voted for itself
+		case newRole == candidate: // whoever asks for votes has voted for itself
 			m.sendAfterSync(msg)
 		default:
 			m.send(msg)
 		}
 	}
-	if as == preCandidate && m.now-m.lastLeaderContact >= joinBroadcastDelay {
+	if newRole == preCandidate && m.now-m.lastLeaderContact >= joinBroadcastDelay {
 		m.broadcastJoin()
 	}
 }
 
 func (m *Machine) handleVote(msg Message) {
-	c := m.log.latestConfiguration()
-	if _, ok := c.members.findVoter(msg.From, msg.Disk, msg.Founder); !ok && msg.MembersAt.before(c.place) {
+	config := m.log.latestConfiguration()
+	if _, ok := config.members.findVoter(msg.From, msg.Disk, msg.Founder); !ok && msg.MembersAt.before(config.place) {
 		m.sendHint(msg.From) // it was taken out; its term is of no interest
 		return
 	}
-	recent := msg.LogTerm > m.log.lastTerm() || msg.LogTerm == m.log.lastTerm() && msg.Index >= m.log.lastIndex()
+	upToDate := msg.LogTerm > m.log.lastTerm() || msg.LogTerm == m.log.lastTerm() && msg.Index >= m.log.lastIndex()
 	if msg.Kind == PreVote {
-		grant := msg.Term > m.hardState.Term && recent && !m.hasActiveLeader()
+		grant := msg.Term > m.hardState.Term && upToDate && !m.hasActiveLeader()
 		reply := Message{Kind: PreVoteReply, To: msg.From, Reject: !grant}
 		if grant {
 			reply.Term = msg.Term
@@ -119,13 +119,13 @@
 	if msg.Term > m.hardState.Term {
 		m.becomeFollower(msg.Term)
 	}
-	by := Member{msg.From, msg.Disk}
-	if msg.Term < m.hardState.Term || !recent || m.hardState.Vote != (Member{}) && m.hardState.Vote != by {
+	sender := Member{msg.From, msg.Disk}
+	if msg.Term < m.hardState.Term || !upToDate || m.hardState.Vote != (Member{}) && m.hardState.Vote != sender {
 		m.send(Message{Kind: VoteReply, To: msg.From, Reject: true})
 		return
 	}
-	if m.hardState.Vote != by {
-		m.hardState.Vote, m.hardStateDirty = by, true
+	if m.hardState.Vote != sender {
+		m.hardState.Vote, m.hardStateDirty = sender, true
 	}
 	m.role, m.votes = follower, nil
 	m.resetElectionTimer()
@@ -139,9 +139,9 @@
 		}
 		return
 	}
-	pre := msg.Kind == PreVoteReply
-	if pre && (m.role != preCandidate || msg.Term != m.hardState.Term+1) ||
-		!pre && (m.role != candidate || msg.Term != m.hardState.Term) {
+	isPreVote := msg.Kind == PreVoteReply
+	if isPreVote && (m.role != preCandidate || msg.Term != m.hardState.Term+1) ||
+		!isPreVote && (m.role != candidate || msg.Term != m.hardState.Term) {
 		return
 	}
 	members := m.log.latestConfiguration().members
@@ -153,7 +153,7 @@
 	if !members.hasQuorum(func(v Member) bool { return slices.Contains(m.votes, v) }) {
 		return
 	}
-	if pre {
+	if isPreVote {
 		m.campaign(candidate)
 		return
 	}
@@ -163,12 +163,12 @@
 // lead begins to lead. The entry that opens the term commits what is left of earlier terms, since
 // those are not committed by counting.
 func (m *Machine) becomeLeader() {
-	before, votes := m.lastLeader.Vote, m.votes
+	previousLeader, votes := m.lastLeader.Vote, m.votes
 	m.setLeader(Member{m.self, m.diskID})
 	m.role, m.votes = leader, nil
 	m.peers, m.leaderReads, m.transferee = nil, nil, nil
 	m.updatePeers()
-	m.backdatePreviousLeader(before, votes)
+	m.backdatePreviousLeader(previousLeader, votes)
 	m.termStartIndex = m.log.lastIndex() + 1
 	m.log.append(Entry{Index: m.termStartIndex, Term: m.hardState.Term})
 	m.nextHeartbeat = m.now + heartbeatInterval
@@ -178,10 +178,10 @@
 
 // countSilenceOf has the leader of before count as unheard since it was last heard, and not only
 // since the election that its loss led to.
-func (m *Machine) backdatePreviousLeader(before Member, votes []Member) {
+func (m *Machine) backdatePreviousLeader(previousLeader Member, votes []Member) {
 	for _, p := range m.peers {
-		isBefore := p.member == before || p.member.Disk == 0 && p.member.Address == before.Address
-		if isBefore && !slices.Contains(votes, p.member) {
+		isPreviousLeader := p.member == previousLeader || p.member.Disk == 0 && p.member.Address == previousLeader.Address
+		if isPreviousLeader && !slices.Contains(votes, p.member) {
 			p.lastContact = m.lastLeaderContact
 		}
 	}
@@ -190,15 +190,15 @@
 // transferTarget is the voter that has most, of those that are there and stay; nil if there is none.
 // Of a joint configuration, only an incoming voter can finish the change.
 func (m *Machine) transferTarget() *progress {
-	var to *progress
+	var target *progress
 	incoming := m.log.latestConfiguration().members.Voters
 	for _, p := range m.peers {
-		fits := !p.learner && m.now >= p.leavingUntil && m.now-p.lastContact < peerTimeout && slices.Contains(incoming, p.member)
-		if fits && (to == nil || p.match > to.match) {
-			to = p
+		isEligible := !p.learner && m.now >= p.leavingUntil && m.now-p.lastContact < peerTimeout && slices.Contains(incoming, p.member)
+		if isEligible && (target == nil || p.match > target.match) {
+			target = p
 		}
 	}
-	return to
+	return target
 }
 
 // TransferLeadership begins to transfer leadership, if we lead and there is somebody to take it. It
@@ -207,11 +207,11 @@
 	if m.role != leader {
 		return false
 	}
-	to := m.transferTarget()
-	if to == nil {
+	target := m.transferTarget()
+	if target == nil {
 		return false
 	}
-	m.transferee, m.transferDeadline = to, m.now+minElectionTimeout
+	m.transferee, m.transferDeadline = target, m.now+minElectionTimeout
 	m.sendTimeoutNow()
 	return true
 }
--- a/internal/mesh/consensus/growth_test.go
+++ b/internal/mesh/consensus/growth_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 	defer func() { require.NoError(t, s.close()) }()
 	r := rand.New(rand.NewPCG(1, 1))
-	index, base, held := uint64(1), uint64(0), 0
+	index, base, contentBytes := uint64(1), uint64(0), 0
 	for size := 256 << 10; size < 1<<20; size += 32 << 10 {
 		for range 4 {
 			save := &Save{Hard: Hard{Term: 1}, Base: base, BaseTerm: 1, First: index + 1}
@@ -32,12 +32,12 @@
 			}
 			require.NoError(t, s.save(save))
 		}
-		base, held = index-min(index, 30), size+30*1700
+		base, contentBytes = index-min(index, 30), size+30*1700
 		require.NoError(t, s.save(&Save{Hard: Hard{Term: 1}, Base: base, BaseTerm: 1, First: index + 1,
 			Snapshot: &Snapshot{Index: index, Term: 1, Data: bytes.Repeat([]byte{byte(size)}, size)}}))
 	}
 	info, err := os.Stat(filepath.Join(dir, storeName))
 	require.NoError(t, err)
-	t.Logf("snapshots up to %d bytes with the log: the file has %d, %.1f times that", held, info.Size(), float64(info.Size())/float64(held))
-	require.Less(t, info.Size(), int64(maxFileGrowth*held))
+	t.Logf("snapshots up to %d bytes with the log: the file has %d, %.1f times that", contentBytes, info.Size(), float64(info.Size())/float64(contentBytes))
+	require.Less(t, info.Size(), int64(maxFileGrowth*contentBytes))
 }
--- a/internal/mesh/consensus/history_test.go
+++ b/internal/mesh/consensus/history_test.go
@@ -43,50 +43,50 @@
 func itemFor(value uint64) item { return item{value % itemCount, value + value*37%41 + 1} }
 
 // standing is what stands of an item after some commands, and whether the last of them took.
-func currentItem(table []Entry, number uint64) (stands item, took bool) {
-	stands.number = number
+func currentItem(table []Entry, number uint64) (current item, accepted bool) {
+	current.number = number
 	for _, e := range table {
-		if i := itemFor(valueOf(e.Command)); i.number == number {
-			if took = i.version > stands.version; took {
-				stands = i
+		if update := itemFor(valueOf(e.Command)); update.number == number {
+			if accepted = update.version > current.version; accepted {
+				current = update
 			}
 		}
 	}
-	return stands, took
+	return current, accepted
 }
 
-func (y *history) beginCall(h *host, in input) {
-	y.clock++
-	y.pending[callID{h.life, h.next}] = &porcupine.Operation{Input: in, Call: y.clock, Return: math.MaxInt64, Output: output{unknown: true}}
+func (hist *history) beginCall(h *host, in input) {
+	hist.clock++
+	hist.pending[callID{h.life, h.next}] = &porcupine.Operation{Input: in, Call: hist.clock, Return: math.MaxInt64, Output: output{unknown: true}}
 }
 
-func (y *history) beginSet(h *host, value uint64) {
-	if y != nil {
-		y.beginCall(h, input{item: itemFor(value)})
+func (hist *history) beginSet(h *host, value uint64) {
+	if hist != nil {
+		hist.beginCall(h, input{item: itemFor(value)})
 	}
 }
 
-func (y *history) beginGet(h *host) bool {
-	if y != nil {
-		y.beginCall(h, input{item: item{number: h.next % itemCount}, isGet: true})
+func (hist *history) beginGet(h *host) bool {
+	if hist != nil {
+		hist.beginCall(h, input{item: item{number: h.next % itemCount}, isGet: true})
 	}
-	return y != nil
+	return hist != nil
 }
 
 // answer notes the end of a call. What was refused for certain is no part of the history; of what
 // may hold, the end stays open, as of what a crash left without an answer.
-func (y *history) endCall(h *host, d Completion) {
-	if y == nil || errors.Is(d.Err, ErrUnknown) {
+func (hist *history) endCall(h *host, d Completion) {
+	if hist == nil || errors.Is(d.Err, ErrUnknown) {
 		return
 	}
-	at := callID{h.life, d.ID}
-	op := y.pending[at]
-	delete(y.pending, at)
+	id := callID{h.life, d.ID}
+	op := hist.pending[id]
+	delete(hist.pending, id)
 	if d.Err != nil {
 		return
 	}
-	y.clock++
-	op.Return = y.clock
+	hist.clock++
+	op.Return = hist.clock
 	out := output{unknown: true}
 	if in := op.Input.(input); in.isGet {
 		out.current, _ = currentItem(h.table, in.number)
@@ -99,25 +99,25 @@
 		}
 	}
 	op.Output = out
-	y.completed = append(y.completed, *op)
+	hist.completed = append(hist.completed, *op)
 }
 
 var registerModel = porcupine.Model{
-	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
+	Partition: func(operations []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, itemCount)
-		for _, op := range all {
-			n := op.Input.(input).number
-			parts[n] = append(parts[n], op)
+		for _, op := range operations {
+			number := op.Input.(input).number
+			parts[number] = append(parts[number], op)
 		}
 		return parts
 	},
 	Init: func() any { return uint64(0) },
 	Step: func(state, in, out any) (bool, any) {
-		version, call, answer := state.(uint64), in.(input), out.(output)
+		version, call, result := state.(uint64), in.(input), out.(output)
 		if call.isGet {
-			return answer.current.version == version, version
+			return result.current.version == version, version
 		}
-		return answer.unknown || answer.accepted == (call.version > version), max(version, call.version)
+		return result.unknown || result.accepted == (call.version > version), max(version, call.version)
 	},
 }
 
@@ -125,26 +125,26 @@
 func checkLinearizable(seed uint64, bugs injectedBugs) (porcupine.CheckResult, int, any) {
 	w := newWorld(seed, bugs)
 	w.history = &history{pending: map[callID]*porcupine.Operation{}}
-	trouble := w.play()
-	all := w.history.completed
+	failure := w.play()
+	operations := w.history.completed
 	for _, op := range w.history.pending {
 		if !op.Input.(input).isGet { // a get that nobody saw the answer of says nothing
-			all = append(all, *op)
+			operations = append(operations, *op)
 		}
 	}
-	for i := range all {
-		all[i].ClientId = i
+	for i := range operations {
+		operations[i].ClientId = i
 	}
-	return porcupine.CheckOperationsTimeout(registerModel, all, 10*time.Second), len(w.history.completed), trouble
+	return porcupine.CheckOperationsTimeout(registerModel, operations, 10*time.Second), len(w.history.completed), failure
 }
 
 func TestHistories(t *testing.T) {
 	answered := 0
 	for seed := range uint64(60) {
-		result, n, trouble := checkLinearizable(seed, injectedBugs{})
-		require.Nil(t, trouble, "seed %d", seed)
+		result, count, failure := checkLinearizable(seed, injectedBugs{})
+		require.Nil(t, failure, "seed %d", seed)
 		require.Equal(t, porcupine.Ok, result, "seed %d", seed)
-		answered += n
+		answered += count
 	}
 	t.Logf("%d calls answered", answered)
 	require.Greater(t, answered, 60*100)
@@ -152,12 +152,12 @@
 
 // Planted faults are found by what operators saw alone.
 func TestHistoriesFindPlanted(t *testing.T) {
-	for name, p := range map[string]injectedBugs{"reads unconfirmed": {localRead: true}, "acks come too early": {earlyAck: true}} {
+	for name, bugs := range map[string]injectedBugs{"reads unconfirmed": {localRead: true}, "acks come too early": {earlyAck: true}} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); ; seed++ {
 				require.Less(t, seed, uint64(300), "not found")
-				if result, _, trouble := checkLinearizable(seed, p); result == porcupine.Illegal {
-					t.Log(fmt.Sprint("seed ", seed, ", the judge's own word: ", trouble))
+				if result, _, failure := checkLinearizable(seed, bugs); result == porcupine.Illegal {
+					t.Log(fmt.Sprint("seed ", seed, ", the judge's own word: ", failure))
 					return
 				}
 			}
--- a/internal/mesh/consensus/install.go
+++ b/internal/mesh/consensus/install.go
@@ -48,10 +48,10 @@
 		return
 	}
 	t.awaitingAck, t.chunkSentAt = true, m.now
-	part := *t.snapshot
-	size := uint64(len(part.Data))
-	part.Data = part.Data[t.ackedOffset:min(t.ackedOffset+uint64(m.chunkBytes), size)]
-	m.send(Message{Kind: InstallSnapshot, To: p.member.Address, ToDisk: p.member.Disk, Snapshot: &part, Sequence: m.heartbeatRound,
+	chunk := *t.snapshot
+	size := uint64(len(chunk.Data))
+	chunk.Data = chunk.Data[t.ackedOffset:min(t.ackedOffset+uint64(m.chunkBytes), size)]
+	m.send(Message{Kind: InstallSnapshot, To: p.member.Address, ToDisk: p.member.Disk, Snapshot: &chunk, Sequence: m.heartbeatRound,
 		Offset: t.ackedOffset, Size: size, Sum: t.checksum})
 }
 
@@ -86,9 +86,9 @@
 		return
 	}
 	if data, complete := m.receiveChunk(msg); complete {
-		whole := *s
-		whole.Data = data
-		m.installSnapshot(&whole)
+		assembled := *s
+		assembled.Data = data
+		m.installSnapshot(&assembled)
 		m.acknowledge(msg, s.Index)
 	}
 }
@@ -98,25 +98,25 @@
 func (m *Machine) receiveChunk(msg Message) (data []byte, complete bool) {
 	s := msg.Snapshot
 	id := transferID{Member{msg.From, msg.Disk}, msg.Term, Place{s.Term, s.Index}, msg.Size, msg.Sum}
-	in := m.incomingSnapshot
-	if in == nil || in.transferID != id {
-		if in != nil && in.term == id.term && id.place.before(in.place) {
+	receiving := m.incomingSnapshot
+	if receiving == nil || receiving.transferID != id {
+		if receiving != nil && receiving.term == id.term && id.place.before(receiving.place) {
 			return nil, false // late: the leader sends a newer one by now
 		}
-		in = &incomingSnapshot{transferID: id, data: make([]byte, 0, msg.Size)}
-		m.incomingSnapshot = in
+		receiving = &incomingSnapshot{transferID: id, data: make([]byte, 0, msg.Size)}
+		m.incomingSnapshot = receiving
 	}
-	if msg.Offset == uint64(len(in.data)) && msg.Offset+uint64(len(s.Data)) <= msg.Size {
-		in.data = append(in.data, s.Data...)
+	if msg.Offset == uint64(len(receiving.data)) && msg.Offset+uint64(len(s.Data)) <= msg.Size {
+		receiving.data = append(receiving.data, s.Data...)
 	}
-	if uint64(len(in.data)) == msg.Size {
+	if uint64(len(receiving.data)) == msg.Size {
 		m.incomingSnapshot = nil
-		if crc32.Checksum(in.data, castagnoli) == msg.Sum {
-			return in.data, true
+		if crc32.Checksum(receiving.data, castagnoli) == msg.Sum {
+			return receiving.data, true
 		}
-		in.data = nil
+		receiving.data = nil
 	}
-	m.send(Message{Kind: InstallSnapshotReply, To: msg.From, Index: s.Index, LogTerm: s.Term, Offset: uint64(len(in.data)),
+	m.send(Message{Kind: InstallSnapshotReply, To: msg.From, Index: s.Index, LogTerm: s.Term, Offset: uint64(len(receiving.data)),
 		Sequence: msg.Sequence})
 	return nil, false
 }
@@ -138,11 +138,11 @@
 	if m.appliedIndex < m.tableIndex {
 		return false
 	}
-	from := m.log.base
+	lastSnapshot := m.log.base
 	if m.snapshot != nil {
-		from = max(from, m.snapshot.Index)
+		lastSnapshot = max(lastSnapshot, m.snapshot.Index)
 	}
-	return m.appliedIndex-from >= m.compactEntries || m.log.bytesBetween(from, m.appliedIndex) >= compactBytes
+	return m.appliedIndex-lastSnapshot >= m.compactEntries || m.log.bytesBetween(lastSnapshot, m.appliedIndex) >= compactBytes
 }
 
 // asOfApplied is a snapshot as of the last entry that was applied.
@@ -155,25 +155,25 @@
 // Compact hands over the table's snapshot as of the last entry that was applied.
 func (m *Machine) Compact(data []byte) {
 	m.snapshot = m.snapshotAtApplied(data)
-	to := m.appliedIndex
-	for to > m.log.base && m.appliedIndex-to < m.compactEntries/2 && m.log.bytesBetween(to-1, m.appliedIndex) <= compactBytes/2 {
-		to--
+	compactIndex := m.appliedIndex
+	for compactIndex > m.log.base && m.appliedIndex-compactIndex < m.compactEntries/2 && m.log.bytesBetween(compactIndex-1, m.appliedIndex) <= compactBytes/2 {
+		compactIndex--
 	}
-	m.log.compactTo(min(to, m.retentionLimit(to)))
+	m.log.compactTo(min(compactIndex, m.retentionLimit(compactIndex)))
 	m.handedOffIndex = max(m.handedOffIndex, m.log.base)
 	m.snapshotDirty = true
 }
 
 // neededFrom is where the log has to begin so that those who are being sent an older snapshot find
 // there what comes after it. They don't hold up a log that grows long.
-func (m *Machine) retentionLimit(to uint64) uint64 {
+func (m *Machine) retentionLimit(compactIndex uint64) uint64 {
 	for _, p := range m.peers {
 		if p.state != sendingSnapshot {
 			continue
 		}
-		if at := p.transfer.snapshot.Index; at < to && m.log.bytesBetween(max(at, m.log.base), m.appliedIndex) <= compactBytes {
-			to = at
+		if snapshotIndex := p.transfer.snapshot.Index; snapshotIndex < compactIndex && m.log.bytesBetween(max(snapshotIndex, m.log.base), m.appliedIndex) <= compactBytes {
+			compactIndex = snapshotIndex
 		}
 	}
-	return to
+	return compactIndex
 }
--- a/internal/mesh/consensus/join.go
+++ b/internal/mesh/consensus/join.go
@@ -18,9 +18,9 @@
 }
 
 func (m *Machine) learnAddresses(addresses []string) {
-	for _, a := range addresses {
-		if a != m.self && !slices.Contains(m.knownAddresses, a) && len(m.knownAddresses) < maxKnownAddresses {
-			m.knownAddresses = append(m.knownAddresses, a)
+	for _, address := range addresses {
+		if address != m.self && !slices.Contains(m.knownAddresses, address) && len(m.knownAddresses) < maxKnownAddresses {
+			m.knownAddresses = append(m.knownAddresses, address)
 		}
 	}
 }
@@ -75,8 +75,8 @@
 		m.sendHint(msg.From)
 		return
 	}
-	isOther := func(p *progress) bool { return p.learner && p.member.Address == msg.From }
-	if i := slices.IndexFunc(m.peers, isOther); i >= 0 {
+	hasOtherDisk := func(p *progress) bool { return p.learner && p.member.Address == msg.From }
+	if i := slices.IndexFunc(m.peers, hasOtherDisk); i >= 0 {
 		if m.now-m.peers[i].lastContact < peerTimeout {
 			return
 		}
@@ -98,12 +98,12 @@
 
 // hint tells a node that is no member, or doesn't know the leader, what we know.
 func (m *Machine) sendHint(to string) {
-	c := m.log.latestConfiguration()
-	if c.place.Index == 0 {
+	config := m.log.latestConfiguration()
+	if config.place.Index == 0 {
 		return
 	}
-	members := c.members
-	m.send(Message{Kind: Hint, To: to, Members: &members, MembersAt: c.place, Leader: m.leader.Address})
+	members := config.members
+	m.send(Message{Kind: Hint, To: to, Members: &members, MembersAt: config.place, Leader: m.leader.Address})
 }
 
 func (m *Machine) handleHint(msg Message) {
--- a/internal/mesh/consensus/leave_test.go
+++ b/internal/mesh/consensus/leave_test.go
@@ -51,23 +51,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		net, nodes := startTestNodes(t, dirs)
 		stop := func(name string) { stopTestNode(t, net, nodes, name) }
-		leads := func() (leader string) {
-			for leader == "" {
+		waitForLeader := func() (leaderName string) {
+			for leaderName == "" {
 				time.Sleep(10 * time.Millisecond)
 				for name, n := range nodes {
 					if n.Status().Role == "leader" {
-						leader = name
+						leaderName = name
 					}
 				}
 			}
-			return leader
+			return leaderName
 		}
-		leave := func(name string, within time.Duration) {
+		leave := func(name string, limit time.Duration) {
 			ctx, cancel := context.WithTimeout(t.Context(), 2*leaveTimeout)
 			defer cancel()
 			began := time.Now()
 			nodes[name].Leave(ctx)
-			require.Less(t, time.Since(began), within, name)
+			require.Less(t, time.Since(began), limit, name)
 		}
 		propose := func() {
 			for name, n := range nodes {
@@ -77,21 +77,21 @@
 				require.NoError(t, err, name)
 			}
 		}
-		leads()
+		waitForLeader()
 		time.Sleep(3 * time.Second)
 		propose()
-		gone := leads()
-		leave(gone, 300*time.Millisecond)
-		require.NotContains(t, nodes[leads()].Status().Members, gone)
-		require.Contains(t, nodes[leads()].Status().Members, "d")
-		stop(gone)
+		departed := waitForLeader()
+		leave(departed, 300*time.Millisecond)
+		require.NotContains(t, nodes[waitForLeader()].Status().Members, departed)
+		require.Contains(t, nodes[waitForLeader()].Status().Members, "d")
+		stop(departed)
 		propose()
-		stop(leads()) // one more, and two of three are left
-		leads()
+		stop(waitForLeader()) // one more, and two of three are left
+		waitForLeader()
 		time.Sleep(time.Second)
 		propose()
 		time.Sleep(2 * time.Second)
-		leave(leads(), 300*time.Millisecond) // nobody can take its vote
+		leave(waitForLeader(), 300*time.Millisecond) // nobody can take its vote
 		for name := range nodes {
 			stop(name)
 		}
--- a/internal/mesh/consensus/log.go
+++ b/internal/mesh/consensus/log.go
@@ -72,8 +72,8 @@
 
 // cut drops the entries from an index on.
 func (l *entryLog) truncateFrom(from uint64) {
-	keep := int(from - l.base - 1)
-	l.entries, l.cumulativeBytes = slices.Clone(l.entries[:keep]), l.cumulativeBytes[:keep]
+	kept := int(from - l.base - 1)
+	l.entries, l.cumulativeBytes = slices.Clone(l.entries[:kept]), l.cumulativeBytes[:kept]
 	for len(l.configurations) > 0 && l.configurations[len(l.configurations)-1].place.Index >= from {
 		l.configurations = l.configurations[:len(l.configurations)-1]
 	}
@@ -85,8 +85,8 @@
 		return
 	}
 	term, _ := l.termAt(to)
-	sum, drop := l.bytesUpTo(to), int(to-l.base)
-	l.entries, l.cumulativeBytes = slices.Clone(l.entries[drop:]), slices.Clone(l.cumulativeBytes[drop:])
+	sum, dropped := l.bytesUpTo(to), int(to-l.base)
+	l.entries, l.cumulativeBytes = slices.Clone(l.entries[dropped:]), slices.Clone(l.cumulativeBytes[dropped:])
 	l.base, l.baseTerm, l.baseBytes = to, term, sum
 	for len(l.configurations) > 1 && l.configurations[1].place.Index <= to {
 		l.configurations = l.configurations[1:]
@@ -100,12 +100,12 @@
 
 // between copies the entries after an index up to another one, as many as weigh most bytes at most,
 // and one at least.
-func (l *entryLog) entriesBetween(index, last, most uint64) []Entry {
-	to := index
-	for to < last && (to == index || l.bytesBetween(index, to+1) <= most) {
-		to++
+func (l *entryLog) entriesBetween(after, last, maxBytes uint64) []Entry {
+	end := after
+	for end < last && (end == after || l.bytesBetween(after, end+1) <= maxBytes) {
+		end++
 	}
-	return slices.Clone(l.entries[index-l.base : to-l.base])
+	return slices.Clone(l.entries[after-l.base : end-l.base])
 }
 
 // current are the members by all of the log, committed or not.
--- a/internal/mesh/consensus/machine.go
+++ b/internal/mesh/consensus/machine.go
@@ -315,11 +315,11 @@
 	if msg.To != m.self || msg.From == "" {
 		return
 	}
-	switch mine := m.log.mesh(); {
+	switch ownMesh := m.log.mesh(); {
 	case msg.Mesh == 0:
-	case mine == 0 && msg.Mesh != m.provisionalMesh:
+	case ownMesh == 0 && msg.Mesh != m.provisionalMesh:
 		m.switchMesh(msg.Mesh)
-	case mine != 0 && msg.Mesh != mine:
+	case ownMesh != 0 && msg.Mesh != ownMesh:
 		m.foreignMessages++ // indexes and terms of another mesh mean nothing here
 		return
 	}
@@ -384,16 +384,16 @@
 			m.awaitingSync, m.awaitingSave = m.awaitingSave, nil
 			m.saving, m.saveStartedAt, m.savingTerm = true, m.now, m.hardState.Term
 		} else if len(m.awaitingSave) > 0 {
-			held := m.awaitingSave
+			messages := m.awaitingSave
 			m.awaitingSave = nil
-			m.releaseMessages(held)
+			m.releaseMessages(messages)
 		}
 	}
 	o.Messages, m.outbox = m.outbox, nil
 	o.Restore, m.snapshotToRestore = m.snapshotToRestore, nil
 	if m.appliedIndex < m.commitIndex {
-		to := min(m.commitIndex, m.appliedIndex+maxApplyBatch)
-		o.Apply = m.log.entriesBetween(m.appliedIndex, to, maxMessageBytes)
+		last := min(m.commitIndex, m.appliedIndex+maxApplyBatch)
+		o.Apply = m.log.entriesBetween(m.appliedIndex, last, maxMessageBytes)
 		for _, e := range o.Apply {
 			m.completeProposals(e)
 		}
@@ -410,9 +410,9 @@
 func (m *Machine) SaveCompleted() {
 	m.saving = false
 	m.syncedIndex, m.syncedTerm = max(m.syncedIndex, m.savingIndex), m.savingTerm
-	waiting := m.awaitingSync
+	messages := m.awaitingSync
 	m.awaitingSync = nil
-	m.releaseMessages(waiting)
+	m.releaseMessages(messages)
 	if m.role == leader {
 		m.advanceCommit()
 	}
@@ -430,14 +430,14 @@
 }
 
 func (m *Machine) buildSave() *Save {
-	s := &Save{Hard: m.hardState, Base: m.log.base, BaseTerm: m.log.baseTerm, First: m.handedOffIndex + 1,
+	changes := &Save{Hard: m.hardState, Base: m.log.base, BaseTerm: m.log.baseTerm, First: m.handedOffIndex + 1,
 		Entries: m.log.entriesBetween(m.handedOffIndex, m.log.lastIndex(), math.MaxUint64)}
 	if m.snapshotDirty {
-		s.Snapshot = m.snapshot
+		changes.Snapshot = m.snapshot
 	}
 	m.hardStateDirty, m.snapshotDirty = false, false
 	m.handedOffIndex, m.savingIndex = m.log.lastIndex(), m.log.lastIndex()
-	return s
+	return changes
 }
 
 // cut drops entries in favour of a leader's.
@@ -454,7 +454,7 @@
 		panic(fmt.Sprintf("consensus: commit goes from %d to %d, and the log ends at %d", m.commitIndex, index, m.log.lastIndex()))
 	}
 	m.commitIndex = index
-	if in := m.incomingSnapshot; in != nil && in.transferID.place.Index <= index {
+	if receiving := m.incomingSnapshot; receiving != nil && receiving.transferID.place.Index <= index {
 		m.incomingSnapshot = nil
 	}
 }
--- a/internal/mesh/consensus/machine_test.go
+++ b/internal/mesh/consensus/machine_test.go
@@ -20,8 +20,8 @@
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
 	acks, reads := 0, 0
 	for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
-		w, trouble := explore(seed, injectedBugs{})
-		require.Nil(t, trouble, "seed %d", seed)
+		w, failure := explore(seed, injectedBugs{})
+		require.Nil(t, failure, "seed %d", seed)
 		acks += w.acks
 		reads += w.reads
 	}
@@ -32,7 +32,7 @@
 
 // Each planted fault is found by the same checks.
 func TestExploreFindsPlanted(t *testing.T) {
-	for name, p := range map[string]injectedBugs{
+	for name, bugs := range map[string]injectedBugs{
 		"a wiped disk takes part": {rememberDisk: true},
 		"acks come too early":     {earlyAck: true},
 		"reads unconfirmed":       {localRead: true},
@@ -42,8 +42,8 @@
 				require.Less(t, seed, uint64(500), "not found")
 				// That nothing goes on any more would be a finding too, but not the one that is
 				// asked for.
-				if _, trouble := explore(seed, p); trouble != nil && !strings.Contains(fmt.Sprint(trouble), "after all") {
-					t.Logf("seed %d: %v", seed, trouble)
+				if _, failure := explore(seed, bugs); failure != nil && !strings.Contains(fmt.Sprint(failure), "after all") {
+					t.Logf("seed %d: %v", seed, failure)
 					return
 				}
 			}
@@ -67,8 +67,8 @@
 }
 
 func (w *world) isolate(h *host) {
-	for _, o := range w.hosts {
-		w.cut[[2]string{h.address, o.address}], w.cut[[2]string{o.address, h.address}] = true, true
+	for _, other := range w.hosts {
+		w.cut[[2]string{h.address, other.address}], w.cut[[2]string{other.address, h.address}] = true, true
 	}
 }
 
@@ -76,25 +76,25 @@
 func TestWipedAndPowerless(t *testing.T) {
 	for _, names := range [][2]string{{"a", "b"}, {"b", "a"}} {
 		w := newSettledWorld(t)
-		wiped, whole, lags := w.host(names[0]), w.host(names[1]), w.host("c")
-		w.isolate(lags)
+		wiped, intact, lagging := w.host(names[0]), w.host(names[1]), w.host("c")
+		w.isolate(lagging)
 		w.propose(w.host("a"), 7)
 		w.run(time.Second)
 		require.Equal(t, "acked", w.fate[7])
 		w.wipe(wiped)
-		w.stop(whole)
-		w.stop(lags)
+		w.stop(intact)
+		w.stop(lagging)
 		clear(w.cut)
 		w.start(wiped)
-		w.start(lags)
+		w.start(lagging)
 		w.run(10 * time.Second)
-		for _, h := range []*host{wiped, lags} {
+		for _, h := range []*host{wiped, lagging} {
 			require.NotEqual(t, leader, h.machine.role, "it leads with one that has forgotten")
 		}
 		require.Equal(t, "recovering", wiped.machine.Status().Role)
 		w.gone = w.host("d")
 		w.heal()
-		require.Equal(t, uint64(7), valueOf(whole.table[0].Command))
+		require.Equal(t, uint64(7), valueOf(intact.table[0].Command))
 		require.Equal(t, "follower", wiped.machine.Status().Role)
 	}
 }
@@ -139,9 +139,9 @@
 // A vote outlives a crash right after it. Planted: the disk forgets it, and two lead in one term.
 // By chance alone this takes thousands of seeds.
 func TestVoteOutlivesCrash(t *testing.T) {
-	for _, forgets := range []bool{false, true} {
+	for _, forgetsVote := range []bool{false, true} {
 		w := newSettledWorld(t)
-		w.bugs.forgetVote = forgets
+		w.bugs.forgetVote = forgetsVote
 		a, b, c := w.host("a"), w.host("b"), w.host("c")
 		w.stop(a)
 		w.start(a)
@@ -160,7 +160,7 @@
 		w.run(50 * time.Millisecond)
 		require.Equal(t, term, a.machine.hardState.Term)
 		require.Equal(t, term, b.machine.hardState.Term)
-		require.Equal(t, forgets, b.machine.role == leader)
+		require.Equal(t, forgetsVote, b.machine.role == leader)
 	}
 }
 
--- a/internal/mesh/consensus/members.go
+++ b/internal/mesh/consensus/members.go
@@ -57,15 +57,15 @@
 // have the fewest.
 func (m *Machine) desiredVoters(members Members) []Member {
 	ready := m.readyLearners()
-	take := func(i int) Member {
+	takeReady := func(i int) Member {
 		v := ready[i]
 		ready = slices.Delete(ready, i, i+1)
 		return v
 	}
 	next := slices.Clone(members.Voters)
 	for i, v := range next { // the disk is gone, and its successor listens at the address
-		if at := slices.IndexFunc(ready, func(r Member) bool { return r.Address == v.Address }); at >= 0 {
-			next[i] = take(at)
+		if index := slices.IndexFunc(ready, func(r Member) bool { return r.Address == v.Address }); index >= 0 {
+			next[i] = takeReady(index)
 		}
 	}
 	for len(next) > max(members.Target, 1) {
@@ -75,12 +75,12 @@
 		if !m.isPresumedLost(v) && !m.isLeaving(v) {
 			continue
 		}
-		if at := m.indexInLeastCrowdedZone(ready, slices.Delete(slices.Clone(next), i, i+1)); at >= 0 {
-			next[i] = take(at)
+		if index := m.indexInLeastCrowdedZone(ready, slices.Delete(slices.Clone(next), i, i+1)); index >= 0 {
+			next[i] = takeReady(index)
 		}
 	}
 	for len(next) < members.Target && len(ready) > 0 {
-		next = append(next, take(m.indexInLeastCrowdedZone(ready, next)))
+		next = append(next, takeReady(m.indexInLeastCrowdedZone(ready, next)))
 	}
 	if sameVoters(next, members.Voters) && !slices.ContainsFunc(next, func(v Member) bool { return !m.isReachable(v) }) {
 		return m.rebalanceZones(next, ready)
@@ -188,7 +188,7 @@
 	if current.place.Index > m.commitIndex || m.commitIndex < m.termStartIndex {
 		panic(fmt.Sprintf("consensus: members change at %d, and those of %d are not committed", m.log.lastIndex()+1, current.place.Index))
 	}
-	from := current.members
+	previous := current.members
 	addresses := func(voters []Member) []string {
 		var all []string
 		for _, v := range voters {
@@ -196,10 +196,10 @@
 		}
 		return all
 	}
-	enters := !from.isJoint() && next.isJoint() && slices.Equal(next.Old, from.Voters)
-	ends := from.isJoint() && !next.isJoint() && slices.Equal(next.Voters, from.Voters)
-	names := !from.isJoint() && !next.isJoint() && slices.Equal(addresses(next.Voters), addresses(from.Voters))
-	if !enters && !ends && !names || len(next.Voters) == 0 {
-		panic(fmt.Sprintf("consensus: members change from %v to %v", from, next))
+	entersJoint := !previous.isJoint() && next.isJoint() && slices.Equal(next.Old, previous.Voters)
+	leavesJoint := previous.isJoint() && !next.isJoint() && slices.Equal(next.Voters, previous.Voters)
+	changesDisksOnly := !previous.isJoint() && !next.isJoint() && slices.Equal(addresses(next.Voters), addresses(previous.Voters))
+	if !entersJoint && !leavesJoint && !changesDisksOnly || len(next.Voters) == 0 {
+		panic(fmt.Sprintf("consensus: members change from %v to %v", previous, next))
 	}
 }
--- a/internal/mesh/consensus/members_encoding_test.go
+++ b/internal/mesh/consensus/members_encoding_test.go
@@ -18,18 +18,18 @@
 	} {
 		entry := Entry{Index: 7, Term: 3, Members: &members}
 		record := encodeEntry(entry)
-		back, err := decodeEntry(7, record)
+		decoded, err := decodeEntry(7, record)
 		require.NoError(t, err)
-		require.Equal(t, entry, back)
+		require.Equal(t, entry, decoded)
 		if !members.isJoint() {
 			continue
 		}
 		for cut := 9; cut < len(record); cut++ {
-			short, err := decodeEntry(7, record[:cut])
+			truncated, err := decodeEntry(7, record[:cut])
 			if err == nil { // between two members of the outgoing set
-				require.NotEqual(t, entry, short)
-				require.True(t, short.Members.isJoint())
-				require.Equal(t, next, short.Members.Voters)
+				require.NotEqual(t, entry, truncated)
+				require.True(t, truncated.Members.isJoint())
+				require.Equal(t, next, truncated.Members.Voters)
 			}
 		}
 	}
--- a/internal/mesh/consensus/placement.go
+++ b/internal/mesh/consensus/placement.go
@@ -37,8 +37,8 @@
 
 // inZoneOf is how many voters stand in the zone of a node. Where a zone isn't known none is taken to
 // share it: nobody is moved for want of knowledge.
-func (m *Machine) countInZoneOf(voters []Member, of Member) (count int) {
-	zone := m.zoneOf(of)
+func (m *Machine) countInZoneOf(voters []Member, member Member) (count int) {
+	zone := m.zoneOf(member)
 	for _, v := range voters {
 		if zone != "" && m.zoneOf(v) == zone {
 			count++
@@ -64,20 +64,20 @@
 // replaced others in a hurry, may stand anywhere. This node's own vote stays, since to give it away
 // is to give leadership away.
 func (m *Machine) rebalanceZones(voters, ready []Member) []Member {
-	to := m.indexInLeastCrowdedZone(ready, voters)
-	if to < 0 || m.zoneOf(ready[to]) == "" {
+	target := m.indexInLeastCrowdedZone(ready, voters)
+	if target < 0 || m.zoneOf(ready[target]) == "" {
 		return voters
 	}
-	from := -1
+	source := -1
 	for i, v := range voters {
-		if !m.isSelf(v) && (from < 0 || m.countInZoneOf(voters, v) > m.countInZoneOf(voters, voters[from])) {
-			from = i
+		if !m.isSelf(v) && (source < 0 || m.countInZoneOf(voters, v) > m.countInZoneOf(voters, voters[source])) {
+			source = i
 		}
 	}
-	if from < 0 || m.countInZoneOf(voters, voters[from]) < m.countInZoneOf(voters, ready[to])+2 {
+	if source < 0 || m.countInZoneOf(voters, voters[source]) < m.countInZoneOf(voters, ready[target])+2 {
 		return voters
 	}
 	next := slices.Clone(voters)
-	next[from] = ready[to]
+	next[source] = ready[target]
 	return next
 }
--- a/internal/mesh/consensus/placement_test.go
+++ b/internal/mesh/consensus/placement_test.go
@@ -39,8 +39,8 @@
 // agree has a value agreed on.
 func (l *losses) mustCommit(t *testing.T, value uint64) {
 	l.w.propose(l.leads(), value)
-	for began := l.w.now; l.w.fate[value] != "acked"; l.w.run(time.Millisecond) {
-		require.Less(t, l.w.now-began, 2*time.Second)
+	for start := l.w.now; l.w.fate[value] != "acked"; l.w.run(time.Millisecond) {
+		require.Less(t, l.w.now-start, 2*time.Second)
 	}
 }
 
@@ -74,8 +74,8 @@
 // TestTwoDisksAreLost: what was acknowledged outlives the loss of two disks at once, while all others
 // lose power. Three voters don't bear that.
 func TestTwoDisksAreLost(t *testing.T) {
-	lose := func(seed uint64, voters int) (trouble any) {
-		defer func() { trouble = recover() }()
+	loseTwoDisks := func(seed uint64, voters int) (failure any) {
+		defer func() { failure = recover() }()
 		l := newZonedMesh(seed, voters)
 		l.mustCommit(t, 7)
 		lost := slices.Clone(l.w.members.Voters)
@@ -89,12 +89,12 @@
 		l.w.heal()
 		return nil
 	}
-	found := 0
+	failures := 0
 	for seed := uint64(1); seed <= zoneSeedCount; seed++ {
-		require.Nil(t, lose(seed, zonedVoters), "seed %d", seed)
-		if lose(seed, 3) != nil {
-			found++
+		require.Nil(t, loseTwoDisks(seed, zonedVoters), "seed %d", seed)
+		if loseTwoDisks(seed, 3) != nil {
+			failures++
 		}
 	}
-	require.NotZero(t, found, "nothing is lost with three voters")
+	require.NotZero(t, failures, "nothing is lost with three voters")
 }
--- a/internal/mesh/consensus/propose.go
+++ b/internal/mesh/consensus/propose.go
@@ -41,33 +41,33 @@
 
 // fresh tells whether a number is new, and remembers it. Those that are too old to tell are not.
 func (o *proposalWindow) recordNew(id uint64) bool {
-	const window = 1024
+	const windowSize = 1024
 	for o.highestID < id {
 		o.highestID++
-		if id-o.highestID < window {
-			o.seenBits[o.highestID%window/64] &^= 1 << (o.highestID % 64)
+		if id-o.highestID < windowSize {
+			o.seenBits[o.highestID%windowSize/64] &^= 1 << (o.highestID % 64)
 		} else {
-			o.highestID = id - window
+			o.highestID = id - windowSize
 		}
 	}
-	if id+window <= o.highestID {
+	if id+windowSize <= o.highestID {
 		return false
 	}
 	bit := uint64(1) << (id % 64)
-	if o.seenBits[id%window/64]&bit != 0 {
+	if o.seenBits[id%windowSize/64]&bit != 0 {
 		return false
 	}
-	o.seenBits[id%window/64] |= bit
+	o.seenBits[id%windowSize/64] |= bit
 	return true
 }
 
-func (m *Machine) recordProposal(life, id uint64) bool {
-	i := slices.IndexFunc(m.proposalWindows, func(o proposalWindow) bool { return o.incarnation == life })
+func (m *Machine) recordProposal(incarnation, id uint64) bool {
+	i := slices.IndexFunc(m.proposalWindows, func(o proposalWindow) bool { return o.incarnation == incarnation })
 	if i < 0 {
 		if len(m.proposalWindows) == maxProposalWindows {
 			m.proposalWindows = m.proposalWindows[1:]
 		}
-		m.proposalWindows = append(m.proposalWindows, proposalWindow{incarnation: life})
+		m.proposalWindows = append(m.proposalWindows, proposalWindow{incarnation: incarnation})
 		i = len(m.proposalWindows) - 1
 	}
 	return m.proposalWindows[i].recordNew(id)
@@ -110,7 +110,7 @@
 // Cancel forgets a proposal or a read that nobody waits for.
 func (m *Machine) Cancel(id uint64) {
 	m.pendingProposals = slices.DeleteFunc(m.pendingProposals, func(p pendingProposal) bool { return p.id == id })
-	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(a pendingRead) bool { return a.id == id })
+	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(r pendingRead) bool { return r.id == id })
 }
 
 // onForward appends what another node proposes, in the term it believes in and not long ago. A refusal is certain
@@ -176,9 +176,9 @@
 	}
 }
 
-func (m *Machine) requestReadIndex(a *pendingRead) {
-	a.sentAt = m.now
-	msg := Message{Kind: ReadIndex, From: m.self, To: m.leader.Address, Origin: m.incarnation, ID: a.id}
+func (m *Machine) requestReadIndex(r *pendingRead) {
+	r.sentAt = m.now
+	msg := Message{Kind: ReadIndex, From: m.self, To: m.leader.Address, Origin: m.incarnation, ID: r.id}
 	if m.role == leader {
 		m.handleReadIndex(msg)
 		return
@@ -189,25 +189,25 @@
 // resendPending gives the leader again what it was given longer ago than this. It tells proposals
 // apart, so they have no second effect; one that was given to a leader of an earlier term waits for
 // the log instead.
-func (m *Machine) resendPending(ago time.Duration) {
+func (m *Machine) resendPending(minAge time.Duration) {
 	for i := range m.pendingReads {
-		if a := &m.pendingReads[i]; !a.confirmed && m.now-a.sentAt >= ago {
-			m.requestReadIndex(a)
+		if r := &m.pendingReads[i]; !r.confirmed && m.now-r.sentAt >= minAge {
+			m.requestReadIndex(r)
 		}
 	}
 	for i := range m.pendingProposals {
-		if p := &m.pendingProposals[i]; p.term == m.hardState.Term && m.role != leader && m.now-p.sentAt >= ago {
+		if p := &m.pendingProposals[i]; p.term == m.hardState.Term && m.role != leader && m.now-p.sentAt >= minAge {
 			m.forwardProposal(p)
 		}
 	}
 }
 
 func (m *Machine) failReads(err error) {
-	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(a pendingRead) bool {
-		if !a.confirmed {
-			m.completions = append(m.completions, Completion{ID: a.id, Err: err})
+	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(r pendingRead) bool {
+		if !r.confirmed {
+			m.completions = append(m.completions, Completion{ID: r.id, Err: err})
 		}
-		return !a.confirmed
+		return !r.confirmed
 	})
 }
 
@@ -258,10 +258,10 @@
 		m.setReadIndex(msg.ID, msg.Index)
 		return
 	}
-	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(a pendingRead) bool {
-		refused := a.id == msg.ID && !a.confirmed && m.leader.Address == msg.From
+	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(r pendingRead) bool {
+		refused := r.id == msg.ID && !r.confirmed && m.leader.Address == msg.From
 		if refused {
-			m.completions = append(m.completions, Completion{ID: a.id, Err: ErrNoLeader})
+			m.completions = append(m.completions, Completion{ID: r.id, Err: ErrNoLeader})
 		}
 		return refused
 	})
@@ -269,17 +269,17 @@
 
 func (m *Machine) setReadIndex(id, index uint64) {
 	for i := range m.pendingReads {
-		if a := &m.pendingReads[i]; a.id == id && !a.confirmed {
-			a.confirmed, a.readIndex = true, index
+		if r := &m.pendingReads[i]; r.id == id && !r.confirmed {
+			r.confirmed, r.readIndex = true, index
 		}
 	}
 }
 
 func (m *Machine) completeReads() {
-	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(a pendingRead) bool {
-		ready := a.confirmed && a.readIndex <= m.appliedIndex
+	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(r pendingRead) bool {
+		ready := r.confirmed && r.readIndex <= m.appliedIndex
 		if ready {
-			m.completions = append(m.completions, Completion{ID: a.id})
+			m.completions = append(m.completions, Completion{ID: r.id})
 		}
 		return ready
 	})
--- a/internal/mesh/consensus/quorum.go
+++ b/internal/mesh/consensus/quorum.go
@@ -32,35 +32,35 @@
 }
 
 // quorum tells whether the voters for which something holds are a majority of each set.
-func (s Members) hasQuorum(holds func(Member) bool) bool {
-	return hasMajority(s.Voters, holds) && (!s.isJoint() || hasMajority(s.Old, holds))
+func (s Members) hasQuorum(satisfies func(Member) bool) bool {
+	return hasMajority(s.Voters, satisfies) && (!s.isJoint() || hasMajority(s.Old, satisfies))
 }
 
 // quorumValue is the highest value that a majority of each set has reached.
-func (s Members) quorumValue(of func(Member) uint64) uint64 {
-	value := majorityValue(s.Voters, of)
+func (s Members) quorumValue(valueFor func(Member) uint64) uint64 {
+	value := majorityValue(s.Voters, valueFor)
 	if s.isJoint() {
-		value = min(value, majorityValue(s.Old, of))
+		value = min(value, majorityValue(s.Old, valueFor))
 	}
 	return value
 }
 
 func majoritySize(voters []Member) int { return len(voters)/2 + 1 }
 
-func hasMajority(voters []Member, holds func(Member) bool) bool {
+func hasMajority(voters []Member, satisfies func(Member) bool) bool {
 	count := 0
 	for _, v := range voters {
-		if holds(v) {
+		if satisfies(v) {
 			count++
 		}
 	}
 	return count >= majoritySize(voters)
 }
 
-func majorityValue(voters []Member, of func(Member) uint64) uint64 {
+func majorityValue(voters []Member, valueFor func(Member) uint64) uint64 {
 	values := make([]uint64, 0, len(voters))
 	for _, v := range voters {
-		values = append(values, of(v))
+		values = append(values, valueFor(v))
 	}
 	slices.Sort(values)
 	return values[len(values)-majoritySize(voters)]
--- a/internal/mesh/consensus/read.go
+++ b/internal/mesh/consensus/read.go
@@ -81,21 +81,21 @@
 	if err := getGob(meta, identityKey, &c.identity); err != nil {
 		return err
 	}
-	var at base
-	if err := getGob(meta, baseKey, &at); err != nil {
+	var logBase base
+	if err := getGob(meta, baseKey, &logBase); err != nil {
 		return err
 	}
 	if err := getGob(meta, hardKey, &c.state.Hard); err != nil {
 		return err
 	}
-	c.state.Disk, c.state.Founder, c.state.Base, c.state.BaseTerm = c.identity.Disk, c.identity.Founder, at.Index, at.Term
+	c.state.Disk, c.state.Founder, c.state.Base, c.state.BaseTerm = c.identity.Disk, c.identity.Founder, logBase.Index, logBase.Term
 	if meta.Get(snapshotKey) != nil {
 		c.state.Snapshot = new(Snapshot)
 		if err := getGob(meta, snapshotKey, c.state.Snapshot); err != nil {
 			return err
 		}
 	}
-	next := at.Index + 1
+	next := logBase.Index + 1
 	if err := log.ForEach(func(k, _ []byte) error {
 		if !bytes.Equal(k, indexKey(next)) {
 			return oops.Errorf("the log lacks entry %d: %s", next, damagedAdvice)
@@ -126,7 +126,7 @@
 		}
 		last, term = e.Index, e.Term
 	}
-	if at := s.Snapshot; at != nil && (at.Index > last || at.Index < s.Base) || at == nil && s.Base > 0 {
+	if snapshot := s.Snapshot; snapshot != nil && (snapshot.Index > last || snapshot.Index < s.Base) || snapshot == nil && s.Base > 0 {
 		return oops.Errorf("the log from %d to %d doesn't fit its snapshot: %s", s.Base, last, damagedAdvice)
 	}
 	if term > s.Hard.Term {
@@ -148,8 +148,8 @@
 	default:
 		advice = "if it stays so, the disk is broken: put another in, and the node recovers from the others"
 	}
-	if at, failing := filepath.Abs(dir); failing == nil {
-		dir = at
+	if absolute, absErr := filepath.Abs(dir); absErr == nil {
+		dir = absolute
 	}
 	return fmt.Errorf("%s: %w (%s)", dir, err, advice)
 }
--- a/internal/mesh/consensus/replacement_test.go
+++ b/internal/mesh/consensus/replacement_test.go
@@ -64,7 +64,7 @@
 // committed, also if the leader was lost, or a standing learner takes its place.
 func TestReplacedInTime(t *testing.T) {
 	const catchUp = 4 * time.Second
-	for _, standing := range []bool{false, true} {
+	for _, hasLearner := range []bool{false, true} {
 		var times []time.Duration
 		for seed := uint64(1); seed <= 40; seed++ {
 			l := newLosses(seed, 3, catchUp, 5*time.Second, lossPlant{})
@@ -73,7 +73,7 @@
 				w.start(h)
 			}
 			w.run(3 * time.Second)
-			if standing {
+			if hasLearner {
 				w.start(l.newHost())
 				w.run(time.Second)
 			}
@@ -82,7 +82,7 @@
 				lost = l.leads()
 			}
 			w.wipe(lost)
-			if !standing {
+			if !hasLearner {
 				w.run(w.within(500*time.Millisecond, 2*time.Second))
 				w.start(l.newHost())
 			}
@@ -95,7 +95,7 @@
 			times = append(times, w.now-began)
 		}
 		slices.Sort(times)
-		t.Logf("a learner stands by: %v; replaced after %v, longest %v", standing, times[len(times)/2], times[len(times)-1])
+		t.Logf("a learner stands by: %v; replaced after %v, longest %v", hasLearner, times[len(times)/2], times[len(times)-1])
 	}
 }
 
@@ -113,20 +113,20 @@
 		w.start(l.newHost())
 		w.run(l.catchUp)
 		l.begin()
-		leads := l.leads()
-		leaves := w.hosts[0]
-		if leaves == leads {
-			leaves = w.hosts[1]
+		leaderHost := l.leads()
+		leaving := w.hosts[0]
+		if leaving == leaderHost {
+			leaving = w.hosts[1]
 		}
-		w.touch(leaves, leaves.life, func(m *Machine) { m.Leave() })
-		w.wipe(leads)
-		l.awaitLeft(leaves)
+		w.touch(leaving, leaving.life, func(m *Machine) { m.Leave() })
+		w.wipe(leaderHost)
+		l.awaitLeft(leaving)
 		w.run(time.Second)
-		w.start(leads)
+		w.start(leaderHost)
 		w.run(9 * time.Second)
-		require.Nil(t, leaves.machine, "seed %d", seed)
+		require.Nil(t, leaving.machine, "seed %d", seed)
 		require.NotNil(t, l.leads(), "seed %d: no quorum", seed)
-		require.NotContains(t, l.leads().machine.Status().Members, leaves.address, "seed %d", seed)
+		require.NotContains(t, l.leads().machine.Status().Members, leaving.address, "seed %d", seed)
 		require.NotPanics(t, l.checkOrder, "seed %d", seed)
 	}
 }
@@ -143,11 +143,11 @@
 	spare := l.newHost()
 	w.start(spare)
 	w.run(time.Second)
-	leads := l.leads()
+	leaderHost := l.leads()
 	for _, h := range w.hosts[:3] {
-		w.cut[[2]string{leads.address, h.address}] = true
+		w.cut[[2]string{leaderHost.address, h.address}] = true
 	}
-	w.touch(leads, leads.life, func(m *Machine) {
+	w.touch(leaderHost, leaderHost.life, func(m *Machine) {
 		next := m.log.latestConfiguration().members
 		next.Old = next.Voters
 		next.Voters = append([]Member{{spare.address, spare.disk.Disk}}, next.Old[1:]...)
@@ -155,7 +155,7 @@
 	})
 	w.run(100 * time.Millisecond)
 	require.True(t, spare.disk.newest().isJoint())
-	w.stop(leads)
+	w.stop(leaderHost)
 	clear(w.cut)
 	w.run(10 * time.Second)
 	require.Equal(t, l.leads().address, spare.machine.Status().Leader)
--- a/internal/mesh/consensus/replicate.go
+++ b/internal/mesh/consensus/replicate.go
@@ -77,12 +77,12 @@
 		peers = append(peers, p)
 	}
 	for _, p := range m.peers {
-		atAddress := func(q *progress) bool { return q.member.Address == p.member.Address }
+		hasSameAddress := func(q *progress) bool { return q.member.Address == p.member.Address }
 		switch {
 		case slices.Contains(peers, p):
 		case p.learner:
 			peers = append(peers, p)
-		case m.now-p.lastContact < peerTimeout && !slices.ContainsFunc(peers, atAddress):
+		case m.now-p.lastContact < peerTimeout && !slices.ContainsFunc(peers, hasSameAddress):
 			p.learner = true
 			peers = append(peers, p)
 		}
@@ -180,23 +180,23 @@
 		return
 	}
 	for {
-		quiet := m.now-p.lastContact >= peerTimeout // who is down gets heartbeats alone
-		full := m.log.bytesBetween(p.match, p.next-1) >= maxInFlightBytes
-		most := m.lastSendableIndex(p)
-		more := p.next <= most && !quiet && !full
-		if !more && p.sentRound >= m.heartbeatRound && p.sentCommit >= min(m.commitIndex, p.next-1) {
+		isUnreachable := m.now-p.lastContact >= peerTimeout // who is down gets heartbeats alone
+		isWindowFull := m.log.bytesBetween(p.match, p.next-1) >= maxInFlightBytes
+		lastSendable := m.lastSendableIndex(p)
+		hasEntries := p.next <= lastSendable && !isUnreachable && !isWindowFull
+		if !hasEntries && p.sentRound >= m.heartbeatRound && p.sentCommit >= min(m.commitIndex, p.next-1) {
 			return
 		}
-		if !more && quiet && p.sentRound >= m.heartbeatRound {
+		if !hasEntries && isUnreachable && p.sentRound >= m.heartbeatRound {
 			return
 		}
 		term, _ := m.log.termAt(p.next - 1)
 		msg := Message{Kind: AppendEntries, To: p.member.Address, ToDisk: p.member.Disk, Index: p.next - 1, LogTerm: term,
 			Commit: m.commitIndex, Sequence: m.heartbeatRound, LeaderTime: m.ownTenure()}
-		if more {
-			msg.Entries = m.log.entriesBetween(p.next-1, most, maxMessageBytes)
+		if hasEntries {
+			msg.Entries = m.log.entriesBetween(p.next-1, lastSendable, maxMessageBytes)
 		}
-		msg.Quiet = !more && p.state == replicating && p.sentRound >= m.heartbeatRound
+		msg.Quiet = !hasEntries && p.state == replicating && p.sentRound >= m.heartbeatRound
 		m.send(msg)
 		p.sentRound, p.sentCommit = m.heartbeatRound, m.commitIndex
 		if p.state == probing {
@@ -221,23 +221,23 @@
 	if !m.acceptLeader(msg) {
 		return
 	}
-	prev, entries := msg.Index, msg.Entries
-	if prev < m.log.base { // what we no longer hold is committed, so it agrees
-		skip := min(m.log.base-prev, uint64(len(entries)))
-		entries = entries[skip:]
-		prev += skip
-		if prev < m.log.base {
+	prevIndex, entries := msg.Index, msg.Entries
+	if prevIndex < m.log.base { // what we no longer hold is committed, so it agrees
+		skipped := min(m.log.base-prevIndex, uint64(len(entries)))
+		entries = entries[skipped:]
+		prevIndex += skipped
+		if prevIndex < m.log.base {
 			m.acknowledge(msg, m.commitIndex)
 			return
 		}
 		msg.LogTerm = m.log.baseTerm
 	}
-	if term, ok := m.log.termAt(prev); !ok || term != msg.LogTerm {
-		if ok && prev <= m.commitIndex {
+	if term, ok := m.log.termAt(prevIndex); !ok || term != msg.LogTerm {
+		if ok && prevIndex <= m.commitIndex {
 			panic(fmt.Sprintf("consensus: entry %d is committed in term %d, and the leader of term %d has it of term %d",
-				prev, term, msg.Term, msg.LogTerm))
+				prevIndex, term, msg.Term, msg.LogTerm))
 		}
-		m.rejectAppend(msg, prev)
+		m.rejectAppend(msg, prevIndex)
 		return
 	}
 	for i, e := range entries {
@@ -251,12 +251,12 @@
 		}
 		break
 	}
-	agreed := prev + uint64(len(entries))
-	if to := min(msg.Commit, agreed); to > m.commitIndex {
-		m.commitTo(to)
+	matchIndex := prevIndex + uint64(len(entries))
+	if newCommitIndex := min(msg.Commit, matchIndex); newCommitIndex > m.commitIndex {
+		m.commitTo(newCommitIndex)
 	}
 	if !msg.Quiet {
-		m.acknowledge(msg, agreed)
+		m.acknowledge(msg, matchIndex)
 	}
 }
 
@@ -298,8 +298,8 @@
 		m.send(early)
 	}
 	if i := len(m.awaitingSave) - 1; i >= 0 {
-		if last := m.awaitingSave[i]; last.Kind == AppendEntriesReply && last.To == reply.To && last.Term == reply.Term {
-			reply.Index, reply.Sequence = max(last.Index, index), max(last.Sequence, msg.Sequence)
+		if previous := m.awaitingSave[i]; previous.Kind == AppendEntriesReply && previous.To == reply.To && previous.Term == reply.Term {
+			reply.Index, reply.Sequence = max(previous.Index, index), max(previous.Sequence, msg.Sequence)
 			m.awaitingSave = m.awaitingSave[:i]
 		}
 	}
@@ -312,20 +312,20 @@
 // an earlier one could take back, after a crash, what was acknowledged. A disk that doesn't answer
 // for long counts as lost, so that another can take its place.
 func (m *Machine) acknowledgesEarly() bool {
-	took := m.now - m.saveStartedAt
-	return m.saving && took >= heartbeatInterval && took < syncStallTimeout && m.syncedTerm == m.hardState.Term
+	elapsed := m.now - m.saveStartedAt
+	return m.saving && elapsed >= heartbeatInterval && elapsed < syncStallTimeout && m.syncedTerm == m.hardState.Term
 }
 
 // disagree tells the leader where to look next: at our end, or before the term that doesn't fit.
-func (m *Machine) rejectAppend(msg Message, prev uint64) {
-	to := m.log.lastIndex()
-	if term, ok := m.log.termAt(prev); ok {
-		to = prev - 1
-		for t, ok := m.log.termAt(to); ok && t == term && to > m.commitIndex; t, ok = m.log.termAt(to) {
-			to--
+func (m *Machine) rejectAppend(msg Message, prevIndex uint64) {
+	lastCandidate := m.log.lastIndex()
+	if term, ok := m.log.termAt(prevIndex); ok {
+		lastCandidate = prevIndex - 1
+		for t, ok := m.log.termAt(lastCandidate); ok && t == term && lastCandidate > m.commitIndex; t, ok = m.log.termAt(lastCandidate) {
+			lastCandidate--
 		}
 	}
-	m.send(Message{Kind: AppendEntriesReply, To: msg.From, Reject: true, Index: to, About: prev, Sequence: msg.Sequence})
+	m.send(Message{Kind: AppendEntriesReply, To: msg.From, Reject: true, Index: lastCandidate, About: prevIndex, Sequence: msg.Sequence})
 }
 
 func (m *Machine) handleAppendReply(msg Message) {
@@ -342,9 +342,9 @@
 		return q != p && q.learner && q.member.Address == p.member.Address && p.ackedRound > q.learnerSinceRound
 	})
 	if msg.Reject {
-		if prev := msg.About; prev == p.next-1 && p.state == probing || p.state == replicating && prev > p.match {
+		if prevIndex := msg.About; prevIndex == p.next-1 && p.state == probing || p.state == replicating && prevIndex > p.match {
 			p.state, p.probeSent = probing, false
-			p.next = max(min(prev, msg.Index+1), p.match+1)
+			p.next = max(min(prevIndex, msg.Index+1), p.match+1)
 		}
 		m.confirmReads()
 		return
--- a/internal/mesh/consensus/snapshot_test.go
+++ b/internal/mesh/consensus/snapshot_test.go
@@ -30,14 +30,14 @@
 		m.HandleMessage(msg)
 		return
 	}
-	if in := m.incomingSnapshot; w.bugs.mixChunks && in != nil && msg.Term >= m.hardState.Term {
-		msg.Sum = crc32.Checksum(append(slices.Clone(in.data), msg.Snapshot.Data...), castagnoli)
-		in.transferID = transferID{Member{msg.From, msg.Disk}, msg.Term, Place{msg.Snapshot.Term, msg.Snapshot.Index},
+	if receiving := m.incomingSnapshot; w.bugs.mixChunks && receiving != nil && msg.Term >= m.hardState.Term {
+		msg.Sum = crc32.Checksum(append(slices.Clone(receiving.data), msg.Snapshot.Data...), castagnoli)
+		receiving.transferID = transferID{Member{msg.From, msg.Disk}, msg.Term, Place{msg.Snapshot.Term, msg.Snapshot.Index},
 			msg.Size, msg.Sum}
 	}
-	had := m.snapshot
+	previous := m.snapshot
 	m.HandleMessage(msg)
-	if m.snapshot != had {
+	if m.snapshot != previous {
 		if msg.Offset > 0 {
 			w.installs++
 		}
@@ -50,7 +50,7 @@
 // exploreSnapshots plays a seed of the explorer in which snapshots are taken every few entries and
 // go in small chunks, over links that lose them, and in which saves fail, take seconds, or end in a
 // crash.
-func exploreSnapshots(seed uint64, bugs injectedBugs) (w *world, trouble any) {
+func exploreSnapshots(seed uint64, bugs injectedBugs) (w *world, failure any) {
 	w = newWorld(seed, bugs)
 	w.compact, w.chunk = pick(w, uint64(3), 8), pick(w, 200, 700)
 	w.broken, w.slowest = pick(w, 0, 0.01, 0.05), 3*time.Second
@@ -60,8 +60,8 @@
 func TestExploreSnapshots(t *testing.T) {
 	acks, installs, suspended := 0, 0, 0
 	for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount)/2; seed++ {
-		w, trouble := exploreSnapshots(seed, injectedBugs{})
-		require.Nil(t, trouble, "seed %d", seed)
+		w, failure := exploreSnapshots(seed, injectedBugs{})
+		require.Nil(t, failure, "seed %d", seed)
 		acks, installs, suspended = acks+w.acks, installs+w.installs, suspended+w.suspended
 	}
 	t.Logf("%d acknowledged, %d snapshots in several chunks, %d disks that failed", acks, installs, suspended)
@@ -71,7 +71,7 @@
 }
 
 func TestExploreSnapshotsFindsPlanted(t *testing.T) {
-	for name, p := range map[string]injectedBugs{
+	for name, bugs := range map[string]injectedBugs{
 		"a snapshot without its term":           {dropTerm: true},
 		"a chunk of another snapshot":           {mixChunks: true},
 		"compacted beyond the snapshot on disk": {keepOldImage: true},
@@ -81,8 +81,8 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); ; seed++ {
 				require.Less(t, seed, uint64(300), "not found")
-				if _, trouble := exploreSnapshots(seed, p); trouble != nil && !strings.Contains(fmt.Sprint(trouble), "after all") {
-					t.Logf("seed %d: %.200v", seed, trouble)
+				if _, failure := exploreSnapshots(seed, bugs); failure != nil && !strings.Contains(fmt.Sprint(failure), "after all") {
+					t.Logf("seed %d: %.200v", seed, failure)
 					return
 				}
 			}
@@ -99,13 +99,13 @@
 	}
 	m := New(Config{Self: "a", Seeds: seedNames, Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 1)), State: state, TableIndex: 15})
 	m.compactEntries = 4
-	for commit, due := range []bool{12: false, 14: false, 15: true} {
+	for commit, wantCompact := range []bool{12: false, 14: false, 15: true} {
 		if commit < 12 {
 			continue
 		}
 		m.commitTo(uint64(commit))
 		o := m.NextOutput()
-		require.Equal(t, due, o.Compact, "at %d", commit)
+		require.Equal(t, wantCompact, o.Compact, "at %d", commit)
 	}
 }
 
@@ -113,18 +113,18 @@
 // goes on leading, and what it is asked is acknowledged when they have synced it.
 func TestTwoSlowDisks(t *testing.T) {
 	withTrio(t, func(m *trio) {
-		leads := m.leader()
+		leaderName := m.leader()
 		for name, disk := range m.disks {
-			if name != leads {
+			if name != leaderName {
 				disk.slow.Store(int64(2500 * time.Millisecond))
 			}
 		}
 		for i := range 5 {
-			require.NoError(m, m.propose(leads, fmt.Sprint(i), 6*time.Second))
-			require.NoError(m, m.nodes[leads].Read(m.Context()))
+			require.NoError(m, m.propose(leaderName, fmt.Sprint(i), 6*time.Second))
+			require.NoError(m, m.nodes[leaderName].Read(m.Context()))
 		}
-		require.Equal(m, leads, m.leader())
-		require.Equal(m, uint64(1), m.nodes[leads].Status().LeaderChanges)
+		require.Equal(m, leaderName, m.leader())
+		require.Equal(m, uint64(1), m.nodes[leaderName].Status().LeaderChanges)
 		for _, disk := range m.disks {
 			disk.slow.Store(0)
 		}
@@ -134,14 +134,14 @@
 // A disk that doesn't answer for long is as good as lost: its node is heard of no more.
 func TestStalledDiskIsUnheard(t *testing.T) {
 	withTrio(t, func(m *trio) {
-		leads := m.leader()
+		leaderName := m.leader()
 		for name, disk := range m.disks {
-			if name != leads {
+			if name != leaderName {
 				disk.slow.Store(int64(time.Minute))
 			}
 		}
-		require.ErrorIs(m, m.propose(leads, "never", 9*time.Second), ErrUnknown)
-		require.NotEqual(m, "leader", m.nodes[leads].Status().Role)
+		require.ErrorIs(m, m.propose(leaderName, "never", 9*time.Second), ErrUnknown)
+		require.NotEqual(m, "leader", m.nodes[leaderName].Status().Role)
 		for _, disk := range m.disks {
 			disk.slow.Store(0)
 		}
--- a/internal/mesh/consensus/stale_test.go
+++ b/internal/mesh/consensus/stale_test.go
@@ -13,41 +13,41 @@
 	m := newTestMachine(3)
 	electLeader(t, m)
 	runHeartbeats(m, map[string]uint64{"b": 2, "c": 2})
-	forward := func(id uint64, leaderTime time.Duration) (taken bool, refused bool) {
-		before := m.log.lastIndex()
+	forward := func(id uint64, tenure time.Duration) (accepted bool, rejected bool) {
+		lastBefore := m.log.lastIndex()
 		m.HandleMessage(Message{Kind: Forward, From: "b", To: "a", Disk: 2, ToDisk: 1, Term: m.hardState.Term, Origin: 9, ID: id,
-			Command: []byte("x"), LeaderTime: leaderTime})
+			Command: []byte("x"), LeaderTime: tenure})
 		for o := m.NextOutput(); !o.Empty(); o = m.NextOutput() {
 			for _, msg := range o.Messages {
-				refused = refused || msg.Kind == ForwardReject && msg.ID == id
+				rejected = rejected || msg.Kind == ForwardReject && msg.ID == id
 			}
 			if o.Save != nil {
 				m.SaveCompleted()
 			}
 		}
-		return m.log.lastIndex() > before, refused
+		return m.log.lastIndex() > lastBefore, rejected
 	}
-	heard := m.ownTenure()
-	taken, refused := forward(1, heard)
-	require.True(t, taken && !refused)
+	heardTenure := m.ownTenure()
+	accepted, rejected := forward(1, heardTenure)
+	require.True(t, accepted && !rejected)
 	for range 20 {
 		runHeartbeats(m, map[string]uint64{"b": 2, "c": 2})
 	}
-	require.Greater(t, m.ownTenure()-heard, maxProposalAge)
-	taken, refused = forward(2, heard)
-	require.True(t, !taken && refused, "it was given long ago")
-	taken, refused = forward(2, m.ownTenure())
-	require.False(t, taken || refused, "it was refused for good")
-	taken, _ = forward(3, 0)
-	require.True(t, taken, "an older program does not say when")
+	require.Greater(t, m.ownTenure()-heardTenure, maxProposalAge)
+	accepted, rejected = forward(2, heardTenure)
+	require.True(t, !accepted && rejected, "it was given long ago")
+	accepted, rejected = forward(2, m.ownTenure())
+	require.False(t, accepted || rejected, "it was refused for good")
+	accepted, _ = forward(3, 0)
+	require.True(t, accepted, "an older program does not say when")
 }
 
 // TestProposalsNameTheLeaderTheyAreFor has a follower with a proposal hear a new leader: it says how long
 // that one had led, and nothing of the one before.
 func TestProposalsNameTheLeaderTheyAreFor(t *testing.T) {
 	m := newTestMachine(3)
-	hear := func(term uint64, leaderTime time.Duration) (forwarded []Message) {
-		m.HandleMessage(Message{Kind: AppendEntries, From: "b", To: "a", Disk: 2, ToDisk: 1, Term: term, Index: 1, LogTerm: 1, LeaderTime: leaderTime})
+	receive := func(term uint64, tenure time.Duration) (forwarded []Message) {
+		m.HandleMessage(Message{Kind: AppendEntries, From: "b", To: "a", Disk: 2, ToDisk: 1, Term: term, Index: 1, LogTerm: 1, LeaderTime: tenure})
 		for o := m.NextOutput(); !o.Empty(); o = m.NextOutput() {
 			for _, msg := range o.Messages {
 				if msg.Kind == Forward {
@@ -60,15 +60,15 @@
 		}
 		return forwarded
 	}
-	hear(4, time.Hour)
+	receive(4, time.Hour)
 	m.Propose(1, []byte("x"))
-	hear(4, time.Second) // an old message
+	receive(4, time.Second) // an old message
 	require.Equal(t, time.Hour, m.leaderTenure)
 	m.becomeFollower(5)
-	forwarded := hear(5, time.Minute)
+	forwarded := receive(5, time.Minute)
 	require.Empty(t, forwarded, "given to the leader before, who may have it in the log")
 	m.Propose(2, []byte("y"))
-	forwarded = hear(5, 2*time.Minute)
+	forwarded = receive(5, 2*time.Minute)
 	require.Len(t, forwarded, 1)
 	require.Equal(t, time.Minute, forwarded[0].LeaderTime)
 }
@@ -78,17 +78,17 @@
 // the follower was told that nothing is known, and nothing comes of it later.
 func TestUnheardFollowerChangesNothingLater(t *testing.T) {
 	withTrio(t, func(m *trio) {
-		leading := m.leader()
-		mute := map[string]string{"a": "b", "b": "c", "c": "a"}[leading]
-		m.net.hold(mute)
-		require.ErrorIs(t, m.propose(mute, "held up", 900*time.Millisecond), ErrUnknown)
+		leaderName := m.leader()
+		muted := map[string]string{"a": "b", "b": "c", "c": "a"}[leaderName]
+		m.net.hold(muted)
+		require.ErrorIs(t, m.propose(muted, "held up", 900*time.Millisecond), ErrUnknown)
 		<-time.After(20 * time.Second)
-		require.NoError(t, m.propose(leading, "meanwhile", time.Second))
+		require.NoError(t, m.propose(leaderName, "meanwhile", time.Second))
 		m.net.release()
-		require.Equal(t, leading, m.leader())
-		for _, name := range []string{mute, leading} {
+		require.Equal(t, leaderName, m.leader())
+		for _, name := range []string{muted, leaderName} {
 			require.NoError(t, m.propose(name, "later", time.Second))
 		}
-		require.Equal(t, []string{"meanwhile", "later", "later"}, m.tables[leading].get())
+		require.Equal(t, []string{"meanwhile", "later", "later"}, m.tables[leaderName].get())
 	})
 }
--- a/internal/mesh/consensus/story_test.go
+++ b/internal/mesh/consensus/story_test.go
@@ -23,9 +23,9 @@
 	if target == 3 {
 		members.Voters = append(members.Voters, Member{"c", 3})
 	}
-	at := Place{1, 1}
+	place := Place{1, 1}
 	return New(Config{Self: "a", Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 1)), State: State{Disk: 1, Hard: Hard{Term: 3}, Base: 1, BaseTerm: 1,
-		Snapshot: &Snapshot{Index: 1, Term: 1, Members: members, MembersAt: at}, Entries: entries}})
+		Snapshot: &Snapshot{Index: 1, Term: 1, Members: members, MembersAt: place}, Entries: entries}})
 }
 
 // said brings a reply of another node in the machine's term.
@@ -48,13 +48,13 @@
 }
 
 // beats lets time pass; the others answer with what they have.
-func runHeartbeats(m *Machine, have map[string]uint64) {
+func runHeartbeats(m *Machine, ackedIndexes map[string]uint64) {
 	disks := map[string]uint64{"b": 2, "c": 3, "d": 4, "e": 5}
 	for range 3 {
 		m.Advance(m.now + heartbeatInterval)
 		drainOutput(m)
 		for _, name := range []string{"b", "c", "d", "e"} {
-			if index, ok := have[name]; ok {
+			if index, ok := ackedIndexes[name]; ok {
 				deliverReply(m, Message{Kind: AppendEntriesReply, From: name, Disk: disks[name], Index: index})
 			}
 		}
@@ -98,11 +98,11 @@
 // A sync that was under way when the entries in it gave way to others tells nothing of those.
 func TestSyncOfWhatWasOverwritten(t *testing.T) {
 	m := newTestMachine(3)
-	entries := func(from, to, term uint64) (list []Entry) {
+	entries := func(from, to, term uint64) (result []Entry) {
 		for i := from; i <= to; i++ {
-			list = append(list, Entry{Index: i, Term: term})
+			result = append(result, Entry{Index: i, Term: term})
 		}
-		return list
+		return result
 	}
 	m.HandleMessage(Message{Kind: AppendEntries, From: "b", To: "a", Disk: 2, Term: 4, Index: 1, LogTerm: 1, Entries: entries(2, 5, 4)})
 	require.NotNil(t, m.NextOutput().Save)
