--- a/internal/mesh/consensus/cutoff_test.go
+++ b/internal/mesh/consensus/cutoff_test.go
@@ -18,24 +18,24 @@
 
 // cutoff is a way in which a core machine is away for others.
 type cutoff struct {
-	name   string
-	deaf   bool // hears nobody
-	mute   bool // nobody hears it
-	frozen bool
+	name          string
+	dropsIncoming bool // hears nobody
+	dropsOutgoing bool // nobody hears it
+	paused        bool
 }
 
 var cutoffs = []cutoff{{"both ways", true, true, false}, {"deaf", true, false, false}, {"mute", false, true, false}, {"frozen", false, false, true}}
 
 // begin puts a machine off.
 func (c cutoff) apply(w *world, h *host) {
-	if c.frozen {
+	if c.paused {
 		h.frozen = w.now + cutDuration
 	}
 	for _, other := range w.hosts {
-		if c.deaf && other != h {
+		if c.dropsIncoming && other != h {
 			w.cut[[2]string{other.address, h.address}] = true
 		}
-		if c.mute && other != h {
+		if c.dropsOutgoing && other != h {
 			w.cut[[2]string{h.address, other.address}] = true
 		}
 	}
@@ -65,7 +65,7 @@
 			}
 		}
 		w.run(300 * time.Millisecond)
-		if !c.frozen && w.now-began > stepDownTimeout && h.machine.role == leader {
+		if !c.paused && w.now-began > stepDownTimeout && h.machine.role == leader {
 			w.fail("%s still leads %v after it was cut off", h.address, w.now-began)
 		}
 	}
--- a/internal/mesh/consensus/election.go
+++ b/internal/mesh/consensus/election.go
@@ -193,8 +193,8 @@
 	var target *progress
 	incoming := m.log.latestConfiguration().members.Voters
 	for _, p := range m.peers {
-		isEligible := !p.learner && m.now >= p.leavingUntil && m.now-p.lastContact < peerTimeout && slices.Contains(incoming, p.member)
-		if isEligible && (target == nil || p.match > target.match) {
+		isEligible := !p.isLearner && m.now >= p.leavingUntil && m.now-p.lastContact < peerTimeout && slices.Contains(incoming, p.member)
+		if isEligible && (target == nil || p.matchIndex > target.matchIndex) {
 			target = p
 		}
 	}
@@ -217,7 +217,7 @@
 }
 
 func (m *Machine) sendTimeoutNow() {
-	if m.transferee != nil && m.transferee.match == m.log.lastIndex() {
+	if m.transferee != nil && m.transferee.matchIndex == m.log.lastIndex() {
 		m.send(Message{Kind: TimeoutNow, To: m.transferee.member.Address})
 	}
 }
--- a/internal/mesh/consensus/install.go
+++ b/internal/mesh/consensus/install.go
@@ -138,7 +138,7 @@
 	if m.appliedIndex < m.tableIndex {
 		return false
 	}
-	lastSnapshot := m.log.base
+	lastSnapshot := m.log.baseIndex
 	if m.snapshot != nil {
 		lastSnapshot = max(lastSnapshot, m.snapshot.Index)
 	}
@@ -156,11 +156,11 @@
 func (m *Machine) Compact(data []byte) {
 	m.snapshot = m.snapshotAtApplied(data)
 	compactIndex := m.appliedIndex
-	for compactIndex > m.log.base && m.appliedIndex-compactIndex < m.compactEntries/2 && m.log.bytesBetween(compactIndex-1, m.appliedIndex) <= compactBytes/2 {
+	for compactIndex > m.log.baseIndex && m.appliedIndex-compactIndex < m.compactEntries/2 && m.log.bytesBetween(compactIndex-1, m.appliedIndex) <= compactBytes/2 {
 		compactIndex--
 	}
 	m.log.compactTo(min(compactIndex, m.retentionLimit(compactIndex)))
-	m.handedOffIndex = max(m.handedOffIndex, m.log.base)
+	m.handedOffIndex = max(m.handedOffIndex, m.log.baseIndex)
 	m.snapshotDirty = true
 }
 
@@ -171,7 +171,7 @@
 		if p.state != sendingSnapshot {
 			continue
 		}
-		if snapshotIndex := p.transfer.snapshot.Index; snapshotIndex < compactIndex && m.log.bytesBetween(max(snapshotIndex, m.log.base), m.appliedIndex) <= compactBytes {
+		if snapshotIndex := p.transfer.snapshot.Index; snapshotIndex < compactIndex && m.log.bytesBetween(max(snapshotIndex, m.log.baseIndex), m.appliedIndex) <= compactBytes {
 			compactIndex = snapshotIndex
 		}
 	}
--- a/internal/mesh/consensus/join.go
+++ b/internal/mesh/consensus/join.go
@@ -75,7 +75,7 @@
 		m.sendHint(msg.From)
 		return
 	}
-	hasOtherDisk := func(p *progress) bool { return p.learner && p.member.Address == msg.From }
+	hasOtherDisk := func(p *progress) bool { return p.isLearner && p.member.Address == msg.From }
 	if i := slices.IndexFunc(m.peers, hasOtherDisk); i >= 0 {
 		if m.now-m.peers[i].lastContact < peerTimeout {
 			return
@@ -84,15 +84,15 @@
 	}
 	learners := 0
 	for _, p := range m.peers {
-		if p.learner {
+		if p.isLearner {
 			learners++
 		}
 	}
 	if learners >= maxLearners || msg.From == m.self {
 		return
 	}
-	m.peers = append(m.peers, &progress{member: Member{msg.From, msg.Disk}, learner: true, lastContact: m.now, learnerSinceRound: m.heartbeatRound,
-		next: m.log.lastIndex() + 1})
+	m.peers = append(m.peers, &progress{member: Member{msg.From, msg.Disk}, isLearner: true, lastContact: m.now, learnerSinceRound: m.heartbeatRound,
+		nextIndex: m.log.lastIndex() + 1})
 	m.heartbeatRound++
 }
 
--- a/internal/mesh/consensus/leave.go
+++ b/internal/mesh/consensus/leave.go
@@ -36,7 +36,7 @@
 }
 
 // Left tells that this node may end: it holds no vote by what is committed, or nobody can take it.
-func (m *Machine) Left() bool { return m.departure.requested && m.departure.finished }
+func (m *Machine) HasLeft() bool { return m.departure.requested && m.departure.finished }
 
 func (m *Machine) isDeparting() bool { return m.departure.requested && !m.departure.finished }
 
@@ -105,7 +105,7 @@
 		return
 	}
 	p.leavingUntil = m.now + leavingExpiry
-	if !p.learner && !current.members.isJoint() && !m.hasSuccessor() && m.learnersHadTimeToJoin() {
+	if !p.isLearner && !current.members.isJoint() && !m.hasSuccessor() && m.learnersHadTimeToJoin() {
 		m.send(Message{Kind: LeaveReply, To: msg.From, Reject: true})
 		return
 	}
--- a/internal/mesh/consensus/log.go
+++ b/internal/mesh/consensus/log.go
@@ -20,14 +20,14 @@
 // entryLog is the part of the log that is kept, behind a base. Entries are never changed in place:
 // messages that are on their way share them.
 type entryLog struct {
-	base, baseTerm  uint64
-	entries         []Entry
-	cumulativeBytes []uint64 // bytes from the log's first entry ever held up to each entry
-	baseBytes       uint64
-	configurations  []configuration // ascending; the first holds at the base
+	baseIndex, baseTerm uint64
+	entries             []Entry
+	cumulativeBytes     []uint64 // bytes from the log's first entry ever held up to each entry
+	baseBytes           uint64
+	configurations      []configuration // ascending; the first holds at the base
 }
 
-func (l *entryLog) lastIndex() uint64 { return l.base + uint64(len(l.entries)) }
+func (l *entryLog) lastIndex() uint64 { return l.baseIndex + uint64(len(l.entries)) }
 
 func (l *entryLog) lastTerm() uint64 {
 	if len(l.entries) == 0 {
@@ -39,12 +39,12 @@
 // term tells the term at an index, if it is still known.
 func (l *entryLog) termAt(index uint64) (uint64, bool) {
 	switch {
-	case index == l.base:
+	case index == l.baseIndex:
 		return l.baseTerm, true
-	case index < l.base || index > l.lastIndex():
+	case index < l.baseIndex || index > l.lastIndex():
 		return 0, false
 	}
-	return l.entries[index-l.base-1].Term, true
+	return l.entries[index-l.baseIndex-1].Term, true
 }
 
 // append adds the entry that comes next.
@@ -61,10 +61,10 @@
 }
 
 func (l *entryLog) bytesUpTo(index uint64) uint64 {
-	if index <= l.base {
+	if index <= l.baseIndex {
 		return l.baseBytes
 	}
-	return l.cumulativeBytes[index-l.base-1]
+	return l.cumulativeBytes[index-l.baseIndex-1]
 }
 
 // bytes tells how much the entries after from up to to weigh.
@@ -72,7 +72,7 @@
 
 // cut drops the entries from an index on.
 func (l *entryLog) truncateFrom(from uint64) {
-	kept := int(from - l.base - 1)
+	kept := int(from - l.baseIndex - 1)
 	l.entries, l.cumulativeBytes = slices.Clone(l.entries[:kept]), l.cumulativeBytes[:kept]
 	for len(l.configurations) > 0 && l.configurations[len(l.configurations)-1].place.Index >= from {
 		l.configurations = l.configurations[:len(l.configurations)-1]
@@ -81,13 +81,13 @@
 
 // compact drops the entries up to an index.
 func (l *entryLog) compactTo(to uint64) {
-	if to <= l.base {
+	if to <= l.baseIndex {
 		return
 	}
 	term, _ := l.termAt(to)
-	sum, dropped := l.bytesUpTo(to), int(to-l.base)
+	sum, dropped := l.bytesUpTo(to), int(to-l.baseIndex)
 	l.entries, l.cumulativeBytes = slices.Clone(l.entries[dropped:]), slices.Clone(l.cumulativeBytes[dropped:])
-	l.base, l.baseTerm, l.baseBytes = to, term, sum
+	l.baseIndex, l.baseTerm, l.baseBytes = to, term, sum
 	for len(l.configurations) > 1 && l.configurations[1].place.Index <= to {
 		l.configurations = l.configurations[1:]
 	}
@@ -95,7 +95,7 @@
 
 // reset puts a snapshot in place of all entries.
 func (l *entryLog) resetTo(s *Snapshot) {
-	*l = entryLog{base: s.Index, baseTerm: s.Term, configurations: []configuration{{s.MembersAt, s.Members}}}
+	*l = entryLog{baseIndex: s.Index, baseTerm: s.Term, configurations: []configuration{{s.MembersAt, s.Members}}}
 }
 
 // between copies the entries after an index up to another one, as many as weigh most bytes at most,
@@ -105,7 +105,7 @@
 	for end < last && (end == after || l.bytesBetween(after, end+1) <= maxBytes) {
 		end++
 	}
-	return slices.Clone(l.entries[after-l.base : end-l.base])
+	return slices.Clone(l.entries[after-l.baseIndex : end-l.baseIndex])
 }
 
 // current are the members by all of the log, committed or not.
--- a/internal/mesh/consensus/losses_test.go
+++ b/internal/mesh/consensus/losses_test.go
@@ -290,7 +290,7 @@
 
 // awaitLeft ends a host once it may end.
 func (l *losses) awaitLeft(h *host) {
-	if h.machine != nil && !h.machine.Left() {
+	if h.machine != nil && !h.machine.HasLeft() {
 		l.w.after(time.Millisecond, func() { l.awaitLeft(h) })
 		return
 	}
--- a/internal/mesh/consensus/machine.go
+++ b/internal/mesh/consensus/machine.go
@@ -93,12 +93,12 @@
 
 // State is what a disk holds.
 type State struct {
-	Disk           uint64
-	Founder        bool // made at the first start of all
-	Hard           Hard
-	Base, BaseTerm uint64
-	Entries        []Entry // after the base
-	Snapshot       *Snapshot
+	Disk                uint64
+	Founder             bool // made at the first start of all
+	Hard                Hard
+	BaseIndex, BaseTerm uint64
+	Entries             []Entry // after the base
+	Snapshot            *Snapshot
 }
 
 // Config is what a Machine is made of.
@@ -116,11 +116,11 @@
 
 // Save is to be written in one transaction, and synced.
 type Save struct {
-	Hard           Hard
-	Snapshot       *Snapshot // nil: as before
-	Base, BaseTerm uint64    // entries up to Base go
-	First          uint64    // entries from here on go, in favour of
-	Entries        []Entry
+	Hard                Hard
+	Snapshot            *Snapshot // nil: as before
+	BaseIndex, BaseTerm uint64    // entries up to Base go
+	FirstIndex          uint64    // entries from here on go, in favour of
+	Entries             []Entry
 }
 
 // Done is the end of a proposal or a read.
@@ -187,7 +187,7 @@
 	// What the disk has. A promise waits in held until a Save that covers it is under way, then in
 	// waiting until it is synced.
 	hardStateDirty, snapshotDirty            bool
-	saving                                   bool
+	saveInProgress                           bool
 	saveStartedAt                            time.Duration
 	savingTerm, syncedTerm                   uint64 // the term in the Save under way, and on disk
 	handedOffIndex, savingIndex, syncedIndex uint64 // entries up to here were handed out, are in the Save under way, are on disk
@@ -235,7 +235,7 @@
 		m.replaceAfter = defaultReplaceAfter
 	}
 	m.replaceAfter = max(m.replaceAfter, peerTimeout)
-	m.log.base, m.log.baseTerm = c.State.Base, c.State.BaseTerm
+	m.log.baseIndex, m.log.baseTerm = c.State.BaseIndex, c.State.BaseTerm
 	if s := m.snapshot; s != nil {
 		m.commitIndex, m.appliedIndex = s.Index, s.Index
 		m.log.configurations = []configuration{{s.MembersAt, s.Members}}
@@ -378,11 +378,11 @@
 		m.replicate()
 	}
 	var o Output
-	if !m.saving {
+	if !m.saveInProgress {
 		if m.hardStateDirty || m.snapshotDirty || m.handedOffIndex < m.log.lastIndex() {
 			o.Save = m.buildSave()
 			m.awaitingSync, m.awaitingSave = m.awaitingSave, nil
-			m.saving, m.saveStartedAt, m.savingTerm = true, m.now, m.hardState.Term
+			m.saveInProgress, m.saveStartedAt, m.savingTerm = true, m.now, m.hardState.Term
 		} else if len(m.awaitingSave) > 0 {
 			messages := m.awaitingSave
 			m.awaitingSave = nil
@@ -408,7 +408,7 @@
 
 // Saved tells that the Save under way is synced.
 func (m *Machine) SaveCompleted() {
-	m.saving = false
+	m.saveInProgress = false
 	m.syncedIndex, m.syncedTerm = max(m.syncedIndex, m.savingIndex), m.savingTerm
 	messages := m.awaitingSync
 	m.awaitingSync = nil
@@ -430,7 +430,7 @@
 }
 
 func (m *Machine) buildSave() *Save {
-	changes := &Save{Hard: m.hardState, Base: m.log.base, BaseTerm: m.log.baseTerm, First: m.handedOffIndex + 1,
+	changes := &Save{Hard: m.hardState, BaseIndex: m.log.baseIndex, BaseTerm: m.log.baseTerm, FirstIndex: m.handedOffIndex + 1,
 		Entries: m.log.entriesBetween(m.handedOffIndex, m.log.lastIndex(), math.MaxUint64)}
 	if m.snapshotDirty {
 		changes.Snapshot = m.snapshot
@@ -488,7 +488,7 @@
 	}
 	for _, p := range m.peers {
 		switch {
-		case p.learner:
+		case p.isLearner:
 			s.Learners = append(s.Learners, p.member.Address)
 		case m.role == leader && m.now-p.lastContact >= peerTimeout:
 			s.Silent = append(s.Silent, p.member.Address)
--- a/internal/mesh/consensus/members.go
+++ b/internal/mesh/consensus/members.go
@@ -109,7 +109,7 @@
 func (m *Machine) readyLearners() []Member {
 	var ready []Member
 	for _, p := range m.peers {
-		if m.isActiveLearner(p) && p.ackedRound > p.learnerSinceRound && p.match >= m.commitAtPreviousHeartbeat {
+		if m.isActiveLearner(p) && p.ackedRound > p.learnerSinceRound && p.matchIndex >= m.commitAtPreviousHeartbeat {
 			ready = append(ready, p.member)
 		}
 	}
@@ -118,7 +118,7 @@
 
 // mayBecomeReady tells whether a peer is a learner that is there to stay.
 func (m *Machine) isActiveLearner(p *progress) bool {
-	return p.learner && m.now >= p.leavingUntil && m.now-p.lastContact < peerTimeout
+	return p.isLearner && m.now >= p.leavingUntil && m.now-p.lastContact < peerTimeout
 }
 
 func (m *Machine) isSelf(v Member) bool { return v.matches(m.self, m.diskID, m.founder) }
@@ -126,7 +126,7 @@
 // voter is what a leader knows of another voter; nil if there is nothing, as of itself.
 func (m *Machine) voterProgress(v Member) *progress {
 	for _, p := range m.peers {
-		if p.member == v && !p.learner {
+		if p.member == v && !p.isLearner {
 			return p
 		}
 	}
--- a/internal/mesh/consensus/node.go
+++ b/internal/mesh/consensus/node.go
@@ -377,7 +377,7 @@
 
 // leave answers those who wait until this node may end.
 func (n *Node) leave() {
-	if len(n.leaving) == 0 || !n.machine.Left() {
+	if len(n.leaving) == 0 || !n.machine.HasLeft() {
 		return
 	}
 	for _, w := range n.leaving {
--- a/internal/mesh/consensus/propose.go
+++ b/internal/mesh/consensus/propose.go
@@ -9,11 +9,11 @@
 // entry of a later term than the one in which it was given to the leader is: what isn't there by
 // then can't come any more, since terms never go back along the log.
 type pendingProposal struct {
-	id      uint64
-	term    uint64
-	command []byte
-	retried bool // it was refused once
-	sentAt  time.Duration
+	id            uint64
+	forwardedTerm uint64
+	command       []byte
+	retried       bool // it was refused once
+	sentAt        time.Duration
 }
 
 // pendingRead is a read of this node.
@@ -76,7 +76,7 @@
 // Propose has a command appended. Numbers go up by one, for proposals and reads together.
 func (m *Machine) Propose(id uint64, command []byte) {
 	switch {
-	case len(m.pendingProposals) >= maxPendingRequests || m.role == leader && m.isUncommittedFull():
+	case len(m.pendingProposals) >= maxPendingRequests || m.role == leader && m.isUncommittedLimitReached():
 		m.completions = append(m.completions, Completion{ID: id, Err: ErrBusy})
 		return
 	case m.leader.Address == "" || m.role == leader && m.transferee != nil:
@@ -89,7 +89,7 @@
 
 // forward gives a proposal to the leader.
 func (m *Machine) forwardProposal(p *pendingProposal) {
-	p.term, p.sentAt = m.hardState.Term, m.now
+	p.forwardedTerm, p.sentAt = m.hardState.Term, m.now
 	if m.role == leader {
 		m.appendCommand(m.incarnation, p.id, p.command)
 		return
@@ -103,7 +103,7 @@
 }
 
 // full tells that too much waits to be committed.
-func (m *Machine) isUncommittedFull() bool {
+func (m *Machine) isUncommittedLimitReached() bool {
 	return m.log.bytesBetween(m.commitIndex, m.log.lastIndex()) >= maxUncommittedBytes
 }
 
@@ -121,7 +121,7 @@
 	if msg.Term > m.hardState.Term || !m.recordProposal(msg.Origin, msg.ID) {
 		return
 	}
-	if m.role == leader && msg.Term == m.hardState.Term && m.transferee == nil && !m.isUncommittedFull() && !m.isStale(msg) {
+	if m.role == leader && msg.Term == m.hardState.Term && m.transferee == nil && !m.isUncommittedLimitReached() && !m.isStale(msg) {
 		m.appendCommand(msg.Origin, msg.ID, msg.Command)
 		return
 	}
@@ -131,12 +131,12 @@
 }
 
 func (m *Machine) handleForwardReject(msg Message) {
-	i := slices.IndexFunc(m.pendingProposals, func(p pendingProposal) bool { return p.id == msg.ID && p.term == msg.About })
+	i := slices.IndexFunc(m.pendingProposals, func(p pendingProposal) bool { return p.id == msg.ID && p.forwardedTerm == msg.About })
 	if i < 0 || msg.Origin != m.incarnation {
 		return
 	}
 	p := &m.pendingProposals[i]
-	if !p.retried && m.leader.Address != "" && m.leader.Address != msg.From && (m.role != leader || m.transferee == nil && !m.isUncommittedFull()) {
+	if !p.retried && m.leader.Address != "" && m.leader.Address != msg.From && (m.role != leader || m.transferee == nil && !m.isUncommittedLimitReached()) {
 		p.retried = true
 		m.forwardProposal(p)
 		return
@@ -155,7 +155,7 @@
 		}
 	}
 	m.pendingProposals = slices.DeleteFunc(m.pendingProposals, func(p pendingProposal) bool {
-		if p.term >= e.Term {
+		if p.forwardedTerm >= e.Term {
 			return false
 		}
 		m.completions = append(m.completions, Completion{ID: p.id, Err: ErrNoLeader})
@@ -196,7 +196,7 @@
 		}
 	}
 	for i := range m.pendingProposals {
-		if p := &m.pendingProposals[i]; p.term == m.hardState.Term && m.role != leader && m.now-p.sentAt >= minAge {
+		if p := &m.pendingProposals[i]; p.forwardedTerm == m.hardState.Term && m.role != leader && m.now-p.sentAt >= minAge {
 			m.forwardProposal(p)
 		}
 	}
--- a/internal/mesh/consensus/read.go
+++ b/internal/mesh/consensus/read.go
@@ -27,7 +27,7 @@
 // whole is a Save of all of it.
 func (c *storeContent) fullSave() *Save {
 	s := &c.state
-	return &Save{Hard: s.Hard, Snapshot: s.Snapshot, Base: s.Base, BaseTerm: s.BaseTerm, First: s.Base + 1, Entries: s.Entries}
+	return &Save{Hard: s.Hard, Snapshot: s.Snapshot, BaseIndex: s.BaseIndex, BaseTerm: s.BaseTerm, FirstIndex: s.BaseIndex + 1, Entries: s.Entries}
 }
 
 // readStore reads and checks a file without writing to it. bbolt maps the file and believes what it
@@ -88,7 +88,7 @@
 	if err := getGob(meta, hardKey, &c.state.Hard); err != nil {
 		return err
 	}
-	c.state.Disk, c.state.Founder, c.state.Base, c.state.BaseTerm = c.identity.Disk, c.identity.Founder, logBase.Index, logBase.Term
+	c.state.Disk, c.state.Founder, c.state.BaseIndex, c.state.BaseTerm = c.identity.Disk, c.identity.Founder, logBase.Index, logBase.Term
 	if meta.Get(snapshotKey) != nil {
 		c.state.Snapshot = new(Snapshot)
 		if err := getGob(meta, snapshotKey, c.state.Snapshot); err != nil {
@@ -119,15 +119,15 @@
 
 // check tells whether the log leads from the snapshot on, with terms that never go back.
 func (s *State) validate() error {
-	last, term := s.Base, s.BaseTerm
+	last, term := s.BaseIndex, s.BaseTerm
 	for _, e := range s.Entries {
 		if e.Index != last+1 || e.Term < term {
 			return oops.Errorf("entry %d of term %d stands behind entry %d of term %d: %s", e.Index, e.Term, last, term, damagedAdvice)
 		}
 		last, term = e.Index, e.Term
 	}
-	if snapshot := s.Snapshot; snapshot != nil && (snapshot.Index > last || snapshot.Index < s.Base) || snapshot == nil && s.Base > 0 {
-		return oops.Errorf("the log from %d to %d doesn't fit its snapshot: %s", s.Base, last, damagedAdvice)
+	if snapshot := s.Snapshot; snapshot != nil && (snapshot.Index > last || snapshot.Index < s.BaseIndex) || snapshot == nil && s.BaseIndex > 0 {
+		return oops.Errorf("the log from %d to %d doesn't fit its snapshot: %s", s.BaseIndex, last, damagedAdvice)
 	}
 	if term > s.Hard.Term {
 		return oops.Errorf("the log has term %d, and the node has promised %d alone: %s", term, s.Hard.Term, damagedAdvice)
--- a/internal/mesh/consensus/replicate.go
+++ b/internal/mesh/consensus/replicate.go
@@ -17,12 +17,12 @@
 // progress is what a leader knows of a peer.
 type progress struct {
 	member            Member
-	learner           bool
+	isLearner         bool
 	discoveredDisk    uint64 // heard, of a member that is known by disk 0; 0 if not yet
 	state             replicationState
 	probeSent         bool // the one message is under way
-	match             uint64
-	next              uint64
+	matchIndex        uint64
+	nextIndex         uint64
 	sentCommit        uint64 // commit
 	lastContact       time.Duration
 	ackedRound        uint64           // of heartbeats, acknowledged,
@@ -69,21 +69,21 @@
 		i := slices.IndexFunc(m.peers, func(p *progress) bool {
 			return p.member == v || p.member.Address == v.Address && p.member.Disk == 0 && p.discoveredDisk == v.Disk
 		})
-		p := &progress{lastContact: m.now, next: m.log.lastIndex() + 1}
+		p := &progress{lastContact: m.now, nextIndex: m.log.lastIndex() + 1}
 		if i >= 0 {
 			p = m.peers[i]
 		}
-		p.member, p.learner = v, false
+		p.member, p.isLearner = v, false
 		peers = append(peers, p)
 	}
 	for _, p := range m.peers {
 		hasSameAddress := func(q *progress) bool { return q.member.Address == p.member.Address }
 		switch {
 		case slices.Contains(peers, p):
-		case p.learner:
+		case p.isLearner:
 			peers = append(peers, p)
 		case m.now-p.lastContact < peerTimeout && !slices.ContainsFunc(peers, hasSameAddress):
-			p.learner = true
+			p.isLearner = true
 			peers = append(peers, p)
 		}
 	}
@@ -105,7 +105,7 @@
 		m.discountStall(stalled)
 	}
 	m.peers = slices.DeleteFunc(m.peers, func(p *progress) bool {
-		return p.learner && m.now-p.lastContact > learnerTimeoutFactor*m.replaceAfter
+		return p.isLearner && m.now-p.lastContact > learnerTimeoutFactor*m.replaceAfter
 	})
 	if m.transferee != nil && m.now >= m.transferDeadline {
 		m.transferee = nil
@@ -115,7 +115,7 @@
 	m.commitAtPreviousHeartbeat, m.commitAtLastHeartbeat = m.commitAtLastHeartbeat, m.commitIndex
 	for _, p := range m.peers {
 		if m.now-p.lastContact >= peerTimeout && p.state == replicating {
-			p.state, p.next = probing, p.match+1
+			p.state, p.nextIndex = probing, p.matchIndex+1
 		}
 		p.probeSent = false
 		if p.state == sendingSnapshot && m.now-p.lastContact >= peerTimeout {
@@ -154,7 +154,7 @@
 		m.confirmReads() // it may be that nobody else is needed
 	}
 	for _, p := range m.peers {
-		if p.learner || !m.isSuperseded(p) {
+		if p.isLearner || !m.isSuperseded(p) {
 			m.replicateTo(p)
 		}
 	}
@@ -164,12 +164,12 @@
 	if p.state == probing && p.probeSent {
 		return
 	}
-	if p.state != sendingSnapshot && p.next <= m.log.base {
+	if p.state != sendingSnapshot && p.nextIndex <= m.log.baseIndex {
 		if m.now-p.lastContact < peerTimeout { // to who is down, a snapshot would only be traffic
 			m.beginSnapshotTransfer(p)
 			return
 		}
-		p.next = m.log.base + 1
+		p.nextIndex = m.log.baseIndex + 1
 	}
 	if p.state == sendingSnapshot {
 		m.sendChunk(p)
@@ -181,20 +181,20 @@
 	}
 	for {
 		isUnreachable := m.now-p.lastContact >= peerTimeout // who is down gets heartbeats alone
-		isWindowFull := m.log.bytesBetween(p.match, p.next-1) >= maxInFlightBytes
+		isWindowFull := m.log.bytesBetween(p.matchIndex, p.nextIndex-1) >= maxInFlightBytes
 		lastSendable := m.lastSendableIndex(p)
-		hasEntries := p.next <= lastSendable && !isUnreachable && !isWindowFull
-		if !hasEntries && p.sentRound >= m.heartbeatRound && p.sentCommit >= min(m.commitIndex, p.next-1) {
+		hasEntries := p.nextIndex <= lastSendable && !isUnreachable && !isWindowFull
+		if !hasEntries && p.sentRound >= m.heartbeatRound && p.sentCommit >= min(m.commitIndex, p.nextIndex-1) {
 			return
 		}
 		if !hasEntries && isUnreachable && p.sentRound >= m.heartbeatRound {
 			return
 		}
-		term, _ := m.log.termAt(p.next - 1)
-		msg := Message{Kind: AppendEntries, To: p.member.Address, ToDisk: p.member.Disk, Index: p.next - 1, LogTerm: term,
+		term, _ := m.log.termAt(p.nextIndex - 1)
+		msg := Message{Kind: AppendEntries, To: p.member.Address, ToDisk: p.member.Disk, Index: p.nextIndex - 1, LogTerm: term,
 			Commit: m.commitIndex, Sequence: m.heartbeatRound, LeaderTime: m.ownTenure()}
 		if hasEntries {
-			msg.Entries = m.log.entriesBetween(p.next-1, lastSendable, maxMessageBytes)
+			msg.Entries = m.log.entriesBetween(p.nextIndex-1, lastSendable, maxMessageBytes)
 		}
 		msg.Quiet = !hasEntries && p.state == replicating && p.sentRound >= m.heartbeatRound
 		m.send(msg)
@@ -203,7 +203,7 @@
 			p.probeSent = true
 			return
 		}
-		p.next += uint64(len(msg.Entries))
+		p.nextIndex += uint64(len(msg.Entries))
 	}
 }
 
@@ -211,7 +211,7 @@
 // is taken out still votes by the joint configuration it knows, and if it held a final one that no
 // incoming voter has kept, it could be neither elected nor vote for those who can be.
 func (m *Machine) lastSendableIndex(p *progress) uint64 {
-	if p.learner {
+	if p.isLearner {
 		return m.commitIndex
 	}
 	return m.log.lastIndex()
@@ -222,11 +222,11 @@
 		return
 	}
 	prevIndex, entries := msg.Index, msg.Entries
-	if prevIndex < m.log.base { // what we no longer hold is committed, so it agrees
-		skipped := min(m.log.base-prevIndex, uint64(len(entries)))
+	if prevIndex < m.log.baseIndex { // what we no longer hold is committed, so it agrees
+		skipped := min(m.log.baseIndex-prevIndex, uint64(len(entries)))
 		entries = entries[skipped:]
 		prevIndex += skipped
-		if prevIndex < m.log.base {
+		if prevIndex < m.log.baseIndex {
 			m.acknowledge(msg, m.commitIndex)
 			return
 		}
@@ -313,7 +313,7 @@
 // for long counts as lost, so that another can take its place.
 func (m *Machine) acknowledgesEarly() bool {
 	elapsed := m.now - m.saveStartedAt
-	return m.saving && elapsed >= heartbeatInterval && elapsed < syncStallTimeout && m.syncedTerm == m.hardState.Term
+	return m.saveInProgress && elapsed >= heartbeatInterval && elapsed < syncStallTimeout && m.syncedTerm == m.hardState.Term
 }
 
 // disagree tells the leader where to look next: at our end, or before the term that doesn't fit.
@@ -339,12 +339,12 @@
 	}
 	p.lastContact, p.discoveredDisk, p.ackedRound = m.now, msg.Disk, max(p.ackedRound, msg.Sequence)
 	m.peers = slices.DeleteFunc(m.peers, func(q *progress) bool { // an old Join of a disk that is there no more
-		return q != p && q.learner && q.member.Address == p.member.Address && p.ackedRound > q.learnerSinceRound
+		return q != p && q.isLearner && q.member.Address == p.member.Address && p.ackedRound > q.learnerSinceRound
 	})
 	if msg.Reject {
-		if prevIndex := msg.About; prevIndex == p.next-1 && p.state == probing || p.state == replicating && prevIndex > p.match {
+		if prevIndex := msg.About; prevIndex == p.nextIndex-1 && p.state == probing || p.state == replicating && prevIndex > p.matchIndex {
 			p.state, p.probeSent = probing, false
-			p.next = max(min(prevIndex, msg.Index+1), p.match+1)
+			p.nextIndex = max(min(prevIndex, msg.Index+1), p.matchIndex+1)
 		}
 		m.confirmReads()
 		return
@@ -352,17 +352,17 @@
 	if msg.Index > m.log.lastIndex() {
 		panic(fmt.Sprintf("consensus: %v acknowledges %d, and the log ends at %d", p.member, msg.Index, m.log.lastIndex()))
 	}
-	p.match = max(p.match, msg.Index)
-	p.next = max(p.next, p.match+1)
-	if p.state == probing && msg.Index >= p.next-1 || p.state == sendingSnapshot && p.match >= p.transfer.snapshot.Index {
-		p.state, p.next, p.transfer = replicating, p.match+1, snapshotTransfer{}
+	p.matchIndex = max(p.matchIndex, msg.Index)
+	p.nextIndex = max(p.nextIndex, p.matchIndex+1)
+	if p.state == probing && msg.Index >= p.nextIndex-1 || p.state == sendingSnapshot && p.matchIndex >= p.transfer.snapshot.Index {
+		p.state, p.nextIndex, p.transfer = replicating, p.matchIndex+1, snapshotTransfer{}
 	}
 	m.advanceCommit()
 	m.confirmReads()
 	if p == m.transferee {
 		m.sendTimeoutNow()
 	}
-	if p.learner {
+	if p.isLearner {
 		m.reconcileMembers()
 	}
 }
@@ -374,7 +374,7 @@
 			return m.syncedIndex
 		}
 		if p := m.voterProgress(v); p != nil {
-			return p.match
+			return p.matchIndex
 		}
 		return 0
 	})
--- a/internal/mesh/consensus/sim_test.go
+++ b/internal/mesh/consensus/sim_test.go
@@ -160,7 +160,7 @@
 		w.fail("%s: %v", h.address, err)
 	}
 	if w.bugs.oldState && state.Snapshot != nil {
-		state.Entries = state.Entries[:state.Snapshot.Index-state.Base]
+		state.Entries = state.Entries[:state.Snapshot.Index-state.BaseIndex]
 	}
 	h.tableAt = 0
 	if h.kept {
@@ -233,7 +233,7 @@
 
 func (w *world) write(h *host, s *Save) {
 	d := h.disk
-	d.Hard, d.Base, d.BaseTerm = s.Hard, s.Base, s.BaseTerm
+	d.Hard, d.BaseIndex, d.BaseTerm = s.Hard, s.BaseIndex, s.BaseTerm
 	if w.bugs.forgetVote {
 		d.Hard.Vote = Member{}
 	}
@@ -242,7 +242,7 @@
 	}
 	var entries []Entry
 	for _, e := range d.Entries {
-		if e.Index > s.Base && e.Index < s.First {
+		if e.Index > s.BaseIndex && e.Index < s.FirstIndex {
 			entries = append(entries, e)
 		}
 	}
--- a/internal/mesh/consensus/store.go
+++ b/internal/mesh/consensus/store.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, State{}, errs.Wrapf(diskError(dir, err), "opening %s", path)
 	}
-	return &store{db: db, dir: dir, hard: c.state.Hard, base: base{c.state.Base, c.state.BaseTerm}}, c.state, nil
+	return &store{db: db, dir: dir, hard: c.state.Hard, base: base{c.state.BaseIndex, c.state.BaseTerm}}, c.state, nil
 }
 
 func exists(path string) (bool, error) {
@@ -123,7 +123,7 @@
 		}
 		return makeStore(dir, c.identity, c.fullSave())
 	}
-	save := &Save{First: 1}
+	save := &Save{FirstIndex: 1}
 	if founder {
 		save.Hard.Term, save.Entries = 1, BootstrapEntries(seeds)
 	}
@@ -199,7 +199,7 @@
 		s.failed = true
 		return diskError(s.dir, err)
 	}
-	s.hard, s.base = save.Hard, base{save.Base, save.BaseTerm}
+	s.hard, s.base = save.Hard, base{save.BaseIndex, save.BaseTerm}
 	return nil
 }
 
@@ -226,7 +226,7 @@
 			return err
 		}
 	}
-	at := base{save.Base, save.BaseTerm}
+	at := base{save.BaseIndex, save.BaseTerm}
 	if at != s.base || meta.Get(baseKey) == nil {
 		if err := putGob(meta, baseKey, at); err != nil {
 			return err
@@ -239,10 +239,10 @@
 	}
 	var drop [][]byte
 	c := log.Cursor()
-	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= save.Base; k, _ = c.Next() {
+	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= save.BaseIndex; k, _ = c.Next() {
 		drop = append(drop, k)
 	}
-	for k, _ := c.Seek(indexKey(save.First)); k != nil; k, _ = c.Next() {
+	for k, _ := c.Seek(indexKey(save.FirstIndex)); k != nil; k, _ = c.Next() {
 		drop = append(drop, k)
 	}
 	for _, k := range drop {
--- a/internal/mesh/consensus/story_test.go
+++ b/internal/mesh/consensus/story_test.go
@@ -24,7 +24,7 @@
 		members.Voters = append(members.Voters, Member{"c", 3})
 	}
 	place := Place{1, 1}
-	return New(Config{Self: "a", Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 1)), State: State{Disk: 1, Hard: Hard{Term: 3}, Base: 1, BaseTerm: 1,
+	return New(Config{Self: "a", Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 1)), State: State{Disk: 1, Hard: Hard{Term: 3}, BaseIndex: 1, BaseTerm: 1,
 		Snapshot: &Snapshot{Index: 1, Term: 1, Members: members, MembersAt: place}, Entries: entries}})
 }
 
--- a/internal/mesh/consensus/whole_members_test.go
+++ b/internal/mesh/consensus/whole_members_test.go
@@ -43,7 +43,7 @@
 		if m.isSelf(v) {
 			return m.syncedIndex
 		}
-		return m.voterProgress(v).match
+		return m.voterProgress(v).matchIndex
 	})
 	if term, _ := m.log.termAt(index); index > m.commitIndex && term == m.hardState.Term {
 		m.commitTo(index)
@@ -149,14 +149,14 @@
 
 func (d *State) end() Place {
 	if len(d.Entries) == 0 {
-		return Place{d.BaseTerm, d.Base}
+		return Place{d.BaseTerm, d.BaseIndex}
 	}
 	last := d.Entries[len(d.Entries)-1]
 	return Place{last.Term, last.Index}
 }
 
 func (d *State) holds(e Entry) bool {
-	return e.Index <= d.Base || e.Index-d.Base <= uint64(len(d.Entries)) && d.Entries[e.Index-d.Base-1].Term == e.Term
+	return e.Index <= d.BaseIndex || e.Index-d.BaseIndex <= uint64(len(d.Entries)) && d.Entries[e.Index-d.BaseIndex-1].Term == e.Term
 }
 
 // mayBeLost tells whether a host may be lost, by what the pages count: one at a time. One that was
--- a/internal/mesh/consensus/whole_test.go
+++ b/internal/mesh/consensus/whole_test.go
@@ -158,14 +158,14 @@
 		k.num(h.Term)
 		k.members(h.Vote)
 	}
-	k.num(c.disk.Disk, c.disk.Base, m.diskID, m.incarnation, uint64(m.role), m.log.base, m.commitIndex, m.appliedIndex, m.handedOffIndex, m.savingIndex, m.syncedIndex, m.termStartIndex,
+	k.num(c.disk.Disk, c.disk.BaseIndex, m.diskID, m.incarnation, uint64(m.role), m.log.baseIndex, m.commitIndex, m.appliedIndex, m.handedOffIndex, m.savingIndex, m.syncedIndex, m.termStartIndex,
 		m.heartbeatRound, m.excludedAt.Term, m.excludedAt.Index)
 	k.entries(c.disk.Entries)
 	k.entries(m.log.entries)
 	k.members(append([]Member{m.leader}, m.votes...)...)
 	k.truth(m.departure.requested, m.departure.finished)
 	if k.truth(m.hardStateDirty, m.snapshotDirty, c.saving != nil, c.disk.Snapshot != nil); c.saving != nil {
-		k.num(c.saving.Hard.Term, c.saving.First, c.saving.Base)
+		k.num(c.saving.Hard.Term, c.saving.FirstIndex, c.saving.BaseIndex)
 		k.members(c.saving.Hard.Vote)
 		k.entries(c.saving.Entries)
 	}
@@ -173,12 +173,12 @@
 	k.messages(m.awaitingSync...)
 	for _, p := range m.peers {
 		k.members(p.member)
-		k.truth(p.learner, p.probeSent, p.leavingUntil > 0)
-		k.num(p.discoveredDisk, uint64(p.state), p.match, p.next, p.sentCommit, p.ackedRound, p.sentRound, p.learnerSinceRound)
+		k.truth(p.isLearner, p.probeSent, p.leavingUntil > 0)
+		k.num(p.discoveredDisk, uint64(p.state), p.matchIndex, p.nextIndex, p.sentCommit, p.ackedRound, p.sentRound, p.learnerSinceRound)
 	}
 	for _, p := range m.pendingProposals {
 		k.truth(p.retried)
-		k.num(p.id, p.term)
+		k.num(p.id, p.forwardedTerm)
 	}
 	for _, o := range m.proposalWindows {
 		k.num(o.incarnation, o.highestID, o.seenBits[0])
@@ -361,7 +361,7 @@
 
 // memberState is a disk that holds the members as of 1, and is that of the i-th host.
 func memberState(i int, members Members) *State {
-	return &State{Disk: uint64(i + 1), Hard: Hard{Term: 1}, Base: 1, BaseTerm: 1,
+	return &State{Disk: uint64(i + 1), Hard: Hard{Term: 1}, BaseIndex: 1, BaseTerm: 1,
 		Snapshot: &Snapshot{Index: 1, Term: 1, Members: members, MembersAt: Place{1, 1}}}
 }
 
