--- a/internal/mesh/consensus/batch_test.go
+++ b/internal/mesh/consensus/batch_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// batchTable keeps what is applied, and how much of it each time that it is shown.
+// batchTable records the applied indexes, and how many there were each time the table was
+// published.
 type batchTable struct {
 	applied   []uint64
 	published []int
@@ -29,39 +30,42 @@
 func (t *batchTable) Snapshot() []byte             { return nil }
 func (t *batchTable) Restore(uint64, []byte) error { return nil }
 
-// TestEntriesAreAppliedInBatches has a node carry out what was committed since its snapshot.
+// Entries committed after the node's snapshot are applied once each, and the table is published
+// once per batch.
 func TestEntriesAreAppliedInBatches(t *testing.T) {
 	table := &batchTable{}
 	node := &Node{options: Options{Table: table}, machine: new(Machine), tableAt: 1}
 	require.NoError(t, node.bring(&Output{Apply: []Entry{{Index: 1, Origin: 1}, {Index: 2, Origin: 1}, {Index: 3}, {Index: 4, Origin: 1}}}))
-	require.Equal(t, []uint64{2, 4}, table.applied, "each once, and none that has no command")
+	require.Equal(t, []uint64{2, 4}, table.applied, "each command once, and no entry without a command")
 	require.Equal(t, []int{2}, table.published)
 	require.EqualValues(t, 4, node.tableAt)
 }
 
-// TestBacklogIsShownAtItsEnd has a node fall behind while orders never cease: the table is shown where
-// each backlog ends, and whenever somebody is told that something is done.
+// A node that falls behind under a constant load publishes its table at the end of each backlog,
+// and whenever a proposal or a read completes. Otherwise the table would never be published under
+// such a load.
 func TestBacklogIsShownAtItsEnd(t *testing.T) {
 	table := &batchTable{}
 	node := &Node{options: Options{Table: table}, machine: &Machine{commitIndex: 3}}
 	applyNext := func(done ...Completion) {
 		node.machine.appliedIndex++
 		require.NoError(t, node.bring(&Output{Apply: []Entry{{Index: node.machine.appliedIndex, Origin: 1}}, MoreToApply: true, Completions: done}))
-		node.machine.commitIndex++ // never reached
+		node.machine.commitIndex++ // the node stays behind
 	}
 	for range 3 {
 		applyNext()
 	}
 	require.Equal(t, []int{3}, table.published)
 	applyNext(Completion{ID: 1})
-	require.Equal(t, []int{3, 4}, table.published, "who waits for it finds it")
+	require.Equal(t, []int{3, 4}, table.published, "a completed proposal is visible to its caller")
 	applyNext()
 	applyNext()
-	require.Equal(t, []int{3, 4, 5}, table.published, "5 were committed when the first backlog ended")
+	require.Equal(t, []int{3, 4, 5}, table.published, "the second backlog consists of the 5 entries that were committed when the first one ended")
 }
 
-// TestBacklogHoldsUpNoHeartbeat has all nodes start with orders to carry out, for which two of them
-// need longer than an election waits, and not equally long. Whoever is elected first stays.
+// All nodes restart with a backlog of committed commands. Two of them need longer than an election
+// timeout to apply it, each a different time. Applying must not delay heartbeats, so the first
+// elected leader stays.
 func TestBacklogHoldsUpNoHeartbeat(t *testing.T) {
 	const backlog = 60
 	withTrio(t, func(m *trio) {
@@ -80,9 +84,9 @@
 			return elected.Leader != ""
 		})
 		for name, node := range m.nodes {
-			m.until("all is carried out", func() bool { return node.Read(m.Context()) == nil })
+			m.until("all commands are applied", func() bool { return node.Read(m.Context()) == nil })
 			require.Len(m, m.tables[name].get(), backlog)
-			require.EqualValues(m, elected.Term, node.Status().Term, "%s: somebody else was elected than %s", name, elected.Leader)
+			require.EqualValues(m, elected.Term, node.Status().Term, "%s: the term changed after the election of %s", name, elected.Leader)
 		}
 	})
 }
--- a/internal/mesh/consensus/cutoff_test.go
+++ b/internal/mesh/consensus/cutoff_test.go
@@ -9,24 +9,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cutFor is longer than the operators' worst days cut a core machine off.
+// cutDuration is longer than the worst partition of a core machine that operators have had.
 const cutDuration = 25 * time.Second
 
-// standBack bounds the time in which a leader that hears no majority goes on as one: what it heard
-// last counts for electionMax, and it looks at each heartbeat.
+// stepDownTimeout bounds how long a leader without a majority remains leader: replies count for
+// maxElectionTimeout, and the leader checks them at each heartbeat.
 const stepDownTimeout = maxElectionTimeout + 2*heartbeatInterval
 
-// cutoff is a way in which a core machine is away for others.
+// cutoff is a way in which a machine is unreachable.
 type cutoff struct {
 	name          string
-	dropsIncoming bool // hears nobody
-	dropsOutgoing bool // nobody hears it
-	paused        bool
+	dropsIncoming bool // receives nothing
+	dropsOutgoing bool // nothing that it sends arrives
+	paused        bool // its process is paused
 }
 
 var cutoffs = []cutoff{{"both ways", true, true, false}, {"deaf", true, false, false}, {"mute", false, true, false}, {"frozen", false, false, true}}
 
-// begin puts a machine off.
+// apply cuts off a machine.
 func (c cutoff) apply(w *world, h *host) {
 	if c.paused {
 		h.frozen = w.now + cutDuration
@@ -41,9 +41,10 @@
 	}
 }
 
-// watch plays one cut of a machine, and returns what was answered during it: at the machine itself,
-// with success and with a word that the command never ran, and at the others.
-func playCutoff(w *world, h *host, c cutoff) (confirmed, elsewhere int) {
+// playCutoff cuts off one machine while clients use it and another one. It returns how many calls
+// were confirmed during that time: reads and commands at the machine itself, and commands at the
+// others.
+func playCutoff(w *world, h *host, c cutoff) (confirmed, confirmedElsewhere int) {
 	began, value := w.now, uint64(100)
 	acked := func(v uint64) bool { return w.fate[v] == "acked" }
 	c.apply(w, h)
@@ -66,7 +67,7 @@
 		}
 		w.run(300 * time.Millisecond)
 		if !c.paused && w.now-began > stepDownTimeout && h.machine.role == leader {
-			w.fail("%s still leads %v after it was cut off", h.address, w.now-began)
+			w.fail("%s is still the leader %v after it was cut off", h.address, w.now-began)
 		}
 	}
 	for i := range ownValues {
@@ -74,14 +75,15 @@
 			confirmed++
 		}
 		if acked(otherValues[i]) {
-			elsewhere++
+			confirmedElsewhere++
 		}
 	}
-	return confirmed, elsewhere
+	return confirmed, confirmedElsewhere
 }
 
-// explored plays a cut of one machine under a seed, with a planted bug or none.
-func runCutoffSeed(seed uint64, c cutoff, isLeader bool, bugs injectedBugs) (confirmed, elsewhere int, failure any) {
+// runCutoffSeed runs one cutoff of the leader or a follower under a seed, with the given injected
+// bugs.
+func runCutoffSeed(seed uint64, c cutoff, isLeader bool, bugs injectedBugs) (confirmed, confirmedElsewhere int, failure any) {
 	defer func() { failure = recover() }()
 	w := newWorld(seed, bugs)
 	for _, h := range w.hosts[:3] {
@@ -93,38 +95,38 @@
 	if !isLeader {
 		index = (index + 1 + w.rng.IntN(2)) % 3
 	}
-	confirmed, elsewhere = playCutoff(w, w.hosts[index], c)
+	confirmed, confirmedElsewhere = playCutoff(w, w.hosts[index], c)
 	clear(w.cut)
 	w.run(2 * time.Second)
 	w.heal()
 	return
 }
 
-// TestCutOffMachineConfirmsNothing has a machine that leads or follows cut off both ways, one way,
-// the other, or stopped, for 25 s: it confirms no command and no read, stands back within its bound,
-// the others go on, and once it is back nothing is refused that holds and nothing is lost (world's
-// checks).
+// A leader or a follower is cut off for 25 s, in both directions, in one of them, or because its
+// process is paused. It must confirm no command and no read, and a leader must step down within
+// stepDownTimeout. The others continue, and once the machine is back, the checks of the world
+// require that nothing rejected was committed and nothing acknowledged was lost.
 func TestCutOffMachineConfirmsNothing(t *testing.T) {
 	for _, c := range cutoffs {
 		for _, isLeader := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, leads %v", c.name, isLeader), func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(20) {
-					confirmed, elsewhere, failure := runCutoffSeed(seed, c, isLeader, injectedBugs{})
+					confirmed, confirmedElsewhere, failure := runCutoffSeed(seed, c, isLeader, injectedBugs{})
 					require.Nil(t, failure, "seed %d", seed)
-					require.Zero(t, confirmed, "seed %d: it confirmed", seed)
-					require.Greater(t, elsewhere, 25, "seed %d: the others did not go on", seed)
+					require.Zero(t, confirmed, "seed %d: the cut-off machine confirmed calls", seed)
+					require.Greater(t, confirmedElsewhere, 25, "seed %d: the other machines confirmed too few commands", seed)
 				}
 			})
 		}
 	}
 }
 
-// TestCutOffMachineIsCaught has a leader that is cut off answer reads alone, and take its own sync
-// for a majority's.
+// The test above detects a leader that answers reads on its own, and one that counts its own sync
+// as a majority.
 func TestCutOffMachineIsCaught(t *testing.T) {
 	for name, bugs := range map[string]injectedBugs{"a read without its round": {localRead: true}, "an acknowledgement without a majority": {earlyAck: true}} {
 		confirmed, _, failure := runCutoffSeed(1, cutoffs[0], true, bugs)
-		require.True(t, confirmed > 0 || failure != nil, "%s is not seen", name)
+		require.True(t, confirmed > 0 || failure != nil, "%s is not detected", name)
 	}
 }
--- a/internal/mesh/consensus/election.go
+++ b/internal/mesh/consensus/election.go
@@ -6,35 +6,43 @@
 	"time"
 )
 
+// isVoter reports whether the latest configuration contains this disk.
 func (m *Machine) isVoter() bool {
 	_, ok := m.log.latestConfiguration().members.findVoter(m.self, m.diskID, m.founder)
 	return ok
 }
 
-// mayCampaign tells whether we are a member, by all we know.
+// canCampaign reports whether this node is a voter and has not been told of a newer configuration
+// that excludes it.
 func (m *Machine) canCampaign() bool {
 	return m.isVoter() && !m.log.latestConfiguration().place.before(m.excludedAt)
 }
 
+// resetElectionTimer restarts the election timeout at a random length.
 func (m *Machine) resetElectionTimer() {
 	low, high := minElectionTimeout, maxElectionTimeout
-	if m.lastLeader == (Hard{}) { // after all were down at once nobody leads before somebody asks; a leader would be heard by those asked
-		// Danger: on a slow machine several ask at once, again and again, if they don't give one another more time.
+	// The first timeouts are short: after all nodes were down at once, no node leads until one
+	// campaigns. If there is a leader, the other voters hear it and refuse their votes.
+	if m.lastLeader == (Hard{}) {
+		// Each attempt doubles the timeouts: on slow machines several nodes would otherwise
+		// campaign at the same time again and again.
 		low, high = min(low, minFirstElectionTimeout<<m.timeoutDoublings), min(high, maxFirstElectionTimeout<<m.timeoutDoublings)
 		m.timeoutDoublings = min(m.timeoutDoublings+1, maxTimeoutDoublings)
 	}
 	m.electionDeadline = m.now + low + time.Duration(m.rng.Int64N(int64(high-low)))
 }
 
-// hearsLeader tells whether a leader was heard so lately that an election would only disturb.
+// hasActiveLeader reports whether a leader was heard so recently that an election would only
+// disrupt it.
 func (m *Machine) hasActiveLeader() bool {
 	return m.role == leader || m.leader.Address != "" && m.now-m.lastLeaderContact < minElectionTimeout
 }
 
-// follow enters a term as a follower, or stays in it as one. Who leads may be unknown yet.
+// becomeFollower enters a term as a follower, or remains one in the current term. The leader of the
+// term may still be unknown.
 func (m *Machine) becomeFollower(term uint64) {
 	if term < m.hardState.Term {
-		panic(fmt.Sprintf("consensus: term goes from %d to %d", m.hardState.Term, term))
+		panic(fmt.Sprintf("consensus: term can't decrease from %d to %d", m.hardState.Term, term))
 	}
 	if term > m.hardState.Term {
 		m.hardState, m.hardStateDirty = Hard{Term: term}, true
@@ -49,7 +57,7 @@
 	m.role, m.votes = follower, nil
 }
 
-// followLeader follows the leader that a message is from.
+// followLeader becomes a follower of the leader that sent a message.
 func (m *Machine) followLeader(msg Message) {
 	m.becomeFollower(msg.Term)
 	m.recordLeaderTenure(msg.LeaderTime)
@@ -59,7 +67,8 @@
 	}
 }
 
-// ledBy notes who leads. That there is one leader a term at most is what all else hangs on.
+// setLeader records the leader of the current term. It panics if the term already has another one:
+// all guarantees rest on having at most one leader per term.
 func (m *Machine) setLeader(newLeader Member) {
 	if m.lastLeader.Term == m.hardState.Term && m.lastLeader.Vote != newLeader {
 		panic(fmt.Sprintf("consensus: two leaders in term %d: %v and %v", m.hardState.Term, m.lastLeader.Vote, newLeader))
@@ -69,8 +78,8 @@
 	m.leaderChanges++
 }
 
-// campaign asks for votes. A preCandidate only asks whether it would get them, so that who is cut
-// off doesn't raise the terms of all when it comes back.
+// campaign starts an election. A preCandidate only asks whether it would get the votes, so that a
+// node that was partitioned does not raise the term of the others when it returns.
 func (m *Machine) campaign(newRole role) {
 	m.resetElectionTimer()
 	m.role, m.votes, m.leader = newRole, nil, Member{}
@@ -86,10 +95,11 @@
 		msg := Message{Kind: kind, To: v.Address, Term: term, Index: m.log.lastIndex(), LogTerm: m.log.lastTerm(),
 			MembersAt: config.place}
 		switch {
-		case v.Address == m.self && !m.isSelf(v): // the disk that was here before ours
+		case v.Address == m.self && !m.isSelf(v): // the lost disk that was at this address before
 		case m.isSelf(v):
 			m.sendAfterSync(Message{Kind: reply, To: m.self, Term: term})
-		case newRole == candidate: // whoever asks for votes has voted for itself
+		// The request implies that this node has voted for itself, so it waits for the sync.
+		case newRole == candidate:
 			m.sendAfterSync(msg)
 		default:
 			m.send(msg)
@@ -100,10 +110,11 @@
 	}
 }
 
+// handleVote answers a vote or pre-vote request.
 func (m *Machine) handleVote(msg Message) {
 	config := m.log.latestConfiguration()
 	if _, ok := config.members.findVoter(msg.From, msg.Disk, msg.Founder); !ok && msg.MembersAt.before(config.place) {
-		m.sendHint(msg.From) // it was taken out; its term is of no interest
+		m.sendHint(msg.From) // the sender was removed; its term is ignored
 		return
 	}
 	upToDate := msg.LogTerm > m.log.lastTerm() || msg.LogTerm == m.log.lastTerm() && msg.Index >= m.log.lastIndex()
@@ -132,6 +143,7 @@
 	m.sendAfterSync(Message{Kind: VoteReply, To: msg.From})
 }
 
+// handleVoteReply counts a vote, and becomes a candidate or leader once a quorum has granted it.
 func (m *Machine) handleVoteReply(msg Message) {
 	if msg.Reject {
 		if msg.Term > m.hardState.Term {
@@ -160,8 +172,9 @@
 	m.becomeLeader()
 }
 
-// lead begins to lead. The entry that opens the term commits what is left of earlier terms, since
-// those are not committed by counting.
+// becomeLeader makes this node the leader. It appends an empty entry of the new term, which also
+// commits the entries left from earlier terms, because those are never committed by counting
+// replicas.
 func (m *Machine) becomeLeader() {
 	previousLeader, votes := m.lastLeader.Vote, m.votes
 	m.setLeader(Member{m.self, m.diskID})
@@ -176,8 +189,9 @@
 	m.resendPending(0)
 }
 
-// countSilenceOf has the leader of before count as unheard since it was last heard, and not only
-// since the election that its loss led to.
+// backdatePreviousLeader counts the silence of the previous leader from when it was last heard
+// rather than from the election that its loss caused. That does not apply if it voted in this
+// election.
 func (m *Machine) backdatePreviousLeader(previousLeader Member, votes []Member) {
 	for _, p := range m.peers {
 		isPreviousLeader := p.member == previousLeader || p.member.Disk == 0 && p.member.Address == previousLeader.Address
@@ -187,8 +201,9 @@
 	}
 }
 
-// transferTarget is the voter that has most, of those that are there and stay; nil if there is none.
-// Of a joint configuration, only an incoming voter can finish the change.
+// transferTarget returns the reachable voter that is not leaving and has the most entries, or nil
+// if there is none. In a joint configuration only an incoming voter qualifies, since only that can
+// finish the change.
 func (m *Machine) transferTarget() *progress {
 	var target *progress
 	incoming := m.log.latestConfiguration().members.Voters
@@ -201,8 +216,8 @@
 	return target
 }
 
-// TransferLeadership begins to transfer leadership, if we lead and there is somebody to take it. It
-// tells whether it did.
+// TransferLeadership starts to transfer leadership to another voter. It reports whether it did,
+// which requires that this node leads and that a suitable voter is reachable.
 func (m *Machine) TransferLeadership() bool {
 	if m.role != leader {
 		return false
@@ -216,6 +231,7 @@
 	return true
 }
 
+// sendTimeoutNow tells the transferee to campaign as soon as it holds the whole log.
 func (m *Machine) sendTimeoutNow() {
 	if m.transferee != nil && m.transferee.matchIndex == m.log.lastIndex() {
 		m.send(Message{Kind: TimeoutNow, To: m.transferee.member.Address})
--- a/internal/mesh/consensus/growth_test.go
+++ b/internal/mesh/consensus/growth_test.go
@@ -10,12 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mostGrowth is how many times a snapshot and the log behind it the file of a store may take. bbolt
-// gives pages back to itself, never to the disk, and its file grows by doubling.
+// maxFileGrowth bounds the size of a store's file, in multiples of the snapshot and the log it
+// holds. bbolt reuses freed pages but never returns them to the file system, and its file grows by
+// doubling.
 const maxFileGrowth = 8
 
-// A store's file stays within its bound over many snapshots that grow, with entries saved in
-// between.
+// The file of a store stays within its size bound while many snapshots of growing size and entries
+// in between are saved.
 func TestStoreStaysSmall(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := openStore(dir, "a", true, []string{"a", "b", "c"})
@@ -38,6 +39,6 @@
 	}
 	info, err := os.Stat(filepath.Join(dir, storeName))
 	require.NoError(t, err)
-	t.Logf("snapshots up to %d bytes with the log: the file has %d, %.1f times that", contentBytes, info.Size(), float64(info.Size())/float64(contentBytes))
+	t.Logf("snapshot and log have up to %d bytes: the file has %d, %.1f times as many", contentBytes, info.Size(), float64(info.Size())/float64(contentBytes))
 	require.Less(t, info.Size(), int64(maxFileGrowth*contentBytes))
 }
--- a/internal/mesh/consensus/history_test.go
+++ b/internal/mesh/consensus/history_test.go
@@ -11,21 +11,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// history is what operators saw of some items with versions: a set takes if its version is newer
-// than what stands, and a get shows what stands at the node that it is asked of.
+// history records what clients observed of a set of versioned items, for a linearizability check. A
+// set is accepted if its version is newer than the current one, and a get returns the current
+// version at the node that is asked.
 type history struct {
 	clock     int64
 	pending   map[callID]*porcupine.Operation
 	completed []porcupine.Operation
 }
 
-// asker is a call at one life of a process.
+// callID identifies a call: the process it was made at, and its ID there.
 type callID struct{ incarnation, id uint64 }
 
-// items is how many items there are: the fewer, the harder the check.
+// itemCount is the number of items; fewer items make the check stricter.
 const itemCount = 8
 
-// item is what stands of one; as a call, what is to stand, or nothing of a get.
+// item is an item and its version: the current one, the one to be set, or version 0 in a get.
 type item struct{ number, version uint64 }
 
 type input struct {
@@ -35,14 +36,16 @@
 
 type output struct {
 	current  item // of a get
-	accepted bool // of a set,
-	unknown  bool // if that is known
+	accepted bool // of a set
+	unknown  bool // whether the set was accepted is unknown
 }
 
-// setOf tells what a value of the world sets. Versions go up with the values, but not in order.
+// itemFor returns the item that a proposed value sets. Versions grow with the values overall, but
+// not strictly in order.
 func itemFor(value uint64) item { return item{value % itemCount, value + value*37%41 + 1} }
 
-// standing is what stands of an item after some commands, and whether the last of them took.
+// currentItem returns the state of an item after some commands, and whether the last command for it
+// was accepted.
 func currentItem(table []Entry, number uint64) (current item, accepted bool) {
 	current.number = number
 	for _, e := range table {
@@ -73,8 +76,9 @@
 	return hist != nil
 }
 
-// answer notes the end of a call. What was refused for certain is no part of the history; of what
-// may hold, the end stays open, as of what a crash left without an answer.
+// endCall records the result of a call. A call that was certainly rejected is dropped from the
+// history. A call with an unknown outcome stays pending, like one that a crash left without an
+// answer.
 func (hist *history) endCall(h *host, d Completion) {
 	if hist == nil || errors.Is(d.Err, ErrUnknown) {
 		return
@@ -106,8 +110,8 @@
 	Partition: func(operations []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, itemCount)
 		for _, op := range operations {
-			number := op.Input.(input).number
-			parts[number] = append(parts[number], op)
+			itemNumber := op.Input.(input).number
+			parts[itemNumber] = append(parts[itemNumber], op)
 		}
 		return parts
 	},
@@ -121,14 +125,15 @@
 	},
 }
 
-// linearizable plays a seed and checks what operators saw.
+// checkLinearizable runs a seed and checks the observed history. It also returns the number of
+// answered calls and the failure that the simulation itself found, if any.
 func checkLinearizable(seed uint64, bugs injectedBugs) (porcupine.CheckResult, int, any) {
 	w := newWorld(seed, bugs)
 	w.history = &history{pending: map[callID]*porcupine.Operation{}}
 	failure := w.play()
 	operations := w.history.completed
 	for _, op := range w.history.pending {
-		if !op.Input.(input).isGet { // a get that nobody saw the answer of says nothing
+		if !op.Input.(input).isGet { // an unanswered get observed nothing
 			operations = append(operations, *op)
 		}
 	}
@@ -150,14 +155,14 @@
 	require.Greater(t, answered, 60*100)
 }
 
-// Planted faults are found by what operators saw alone.
+// The observed history alone reveals each injected bug.
 func TestHistoriesFindPlanted(t *testing.T) {
 	for name, bugs := range map[string]injectedBugs{"reads unconfirmed": {localRead: true}, "acks come too early": {earlyAck: true}} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); ; seed++ {
 				require.Less(t, seed, uint64(300), "not found")
 				if result, _, failure := checkLinearizable(seed, bugs); result == porcupine.Illegal {
-					t.Log(fmt.Sprint("seed ", seed, ", the judge's own word: ", failure))
+					t.Log(fmt.Sprint("seed ", seed, ", failure found by the simulation itself: ", failure))
 					return
 				}
 			}
--- a/internal/mesh/consensus/install.go
+++ b/internal/mesh/consensus/install.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// A snapshot goes in chunks, each sent once the one before is acknowledged: it bounds what is under
-// way, lets heartbeats through, and goes on where it was cut. A chunk belongs to one snapshot of one
-// leader in one term, and one of another is never put behind it. What the follower has received it
-// promises only when all of it is on its disk.
+// A snapshot is sent in chunks, each after the previous one was acknowledged. This bounds the data
+// in flight, lets heartbeats through, and allows an interrupted transfer to resume. A chunk belongs
+// to one snapshot of one leader in one term, and chunks of different transfers are never combined.
+// The follower acknowledges the snapshot as stored only when all of it is on its disk.
 
-// transfer is a snapshot that a leader sends to a peer. It is the same one until it has arrived,
-// also when a newer one is taken: else a slow peer would begin again and again.
+// snapshotTransfer is a snapshot that a leader sends to a peer. A transfer keeps its snapshot until
+// it has completed, even if a newer one is taken meanwhile: otherwise a slow peer would have to
+// start over again and again.
 type snapshotTransfer struct {
 	snapshot    *Snapshot
 	checksum    uint32
-	ackedOffset uint64        // acknowledged
-	chunkSentAt time.Duration // the chunk behind that
-	awaitingAck bool          // for the acknowledgement of that chunk
+	ackedOffset uint64        // bytes acknowledged
+	chunkSentAt time.Duration // when the chunk at ackedOffset was sent
+	awaitingAck bool          // that chunk is not acknowledged yet
 }
 
-// transferID tells which snapshot a chunk is of.
+// transferID identifies the snapshot that a chunk belongs to.
 type transferID struct {
 	leader   Member
 	term     uint64 // of the leader
@@ -29,7 +30,7 @@
 	checksum uint32
 }
 
-// incoming is a snapshot that is being received.
+// incomingSnapshot is a snapshot that is being received.
 type incomingSnapshot struct {
 	transferID
 	data []byte
@@ -41,7 +42,7 @@
 	m.sendChunk(p)
 }
 
-// sendChunk sends the next chunk, or the last one again if it was not acknowledged in time.
+// sendChunk sends the next chunk, or repeats the last one if its acknowledgement is overdue.
 func (m *Machine) sendChunk(p *progress) {
 	t := &p.transfer
 	if t.awaitingAck && m.now-t.chunkSentAt < chunkAckTimeout {
@@ -55,6 +56,7 @@
 		Offset: t.ackedOffset, Size: size, Sum: t.checksum})
 }
 
+// handleInstallSnapshotReply continues a transfer at the offset that the peer asks for.
 func (m *Machine) handleInstallSnapshotReply(msg Message) {
 	p := m.peerForReply(msg)
 	if p == nil {
@@ -71,6 +73,8 @@
 	}
 }
 
+// handleInstallSnapshot processes a chunk of a snapshot, and installs the snapshot once it is
+// complete.
 func (m *Machine) handleInstallSnapshot(msg Message) {
 	s := msg.Snapshot
 	if s == nil || msg.Size > maxSnapshotBytes || !m.acceptLeader(msg) {
@@ -80,7 +84,8 @@
 		m.acknowledge(msg, m.commitIndex)
 		return
 	}
-	if term, ok := m.log.termAt(s.Index); ok && term == s.Term { // the entries are here; they only weren't known to hold
+	// The log already holds these entries, and only lacked the news that they are committed.
+	if term, ok := m.log.termAt(s.Index); ok && term == s.Term {
 		m.commitTo(s.Index)
 		m.acknowledge(msg, s.Index)
 		return
@@ -93,15 +98,15 @@
 	}
 }
 
-// receive puts a chunk behind those that have come, and returns the data once it is whole. It tells
-// the leader where to go on.
+// receiveChunk appends a chunk to those received so far, and returns the data once it is complete.
+// Until then it tells the leader at which offset to continue.
 func (m *Machine) receiveChunk(msg Message) (data []byte, complete bool) {
 	s := msg.Snapshot
 	id := transferID{Member{msg.From, msg.Disk}, msg.Term, Place{s.Term, s.Index}, msg.Size, msg.Sum}
 	receiving := m.incomingSnapshot
 	if receiving == nil || receiving.transferID != id {
 		if receiving != nil && receiving.term == id.term && id.place.before(receiving.place) {
-			return nil, false // late: the leader sends a newer one by now
+			return nil, false // a late chunk; the leader already sends a newer snapshot
 		}
 		receiving = &incomingSnapshot{transferID: id, data: make([]byte, 0, msg.Size)}
 		m.incomingSnapshot = receiving
@@ -121,19 +126,20 @@
 	return nil, false
 }
 
-// install puts a snapshot in place of the log and the table. Nothing of it is on the disk yet, nor
-// in the Save that may be under way.
+// installSnapshot replaces the log and the table by a snapshot. None of it is on disk yet, nor part
+// of a Save in progress.
 func (m *Machine) installSnapshot(s *Snapshot) {
 	m.log.resetTo(s)
 	m.snapshot, m.snapshotToRestore, m.snapshotDirty = s, s, true
 	m.handedOffIndex, m.savingIndex, m.syncedIndex = s.Index, 0, 0
 	m.commitIndex, m.appliedIndex = s.Index, s.Index
-	for _, p := range m.pendingProposals { // their fate is behind the snapshot
+	for _, p := range m.pendingProposals { // the snapshot hides whether they were applied
 		m.completions = append(m.completions, Completion{ID: p.id, Err: ErrUnknown})
 	}
 	m.pendingProposals = nil
 }
 
+// isCompactionDue reports whether enough was applied since the last snapshot to take another one.
 func (m *Machine) isCompactionDue() bool {
 	if m.appliedIndex < m.tableIndex {
 		return false
@@ -145,14 +151,14 @@
 	return m.appliedIndex-lastSnapshot >= m.compactEntries || m.log.bytesBetween(lastSnapshot, m.appliedIndex) >= compactBytes
 }
 
-// asOfApplied is a snapshot as of the last entry that was applied.
+// snapshotAtApplied returns a snapshot as of the last applied entry, with the given table data.
 func (m *Machine) snapshotAtApplied(data []byte) *Snapshot {
 	term, _ := m.log.termAt(m.appliedIndex)
-	members := m.log.configurationAt(m.appliedIndex)
-	return &Snapshot{Index: m.appliedIndex, Term: term, Members: members.members, MembersAt: members.place, Data: data}
+	config := m.log.configurationAt(m.appliedIndex)
+	return &Snapshot{Index: m.appliedIndex, Term: term, Members: config.members, MembersAt: config.place, Data: data}
 }
 
-// Compact hands over the table's snapshot as of the last entry that was applied.
+// Compact takes a snapshot of the table as of the last applied entry, and compacts the log.
 func (m *Machine) Compact(data []byte) {
 	m.snapshot = m.snapshotAtApplied(data)
 	compactIndex := m.appliedIndex
@@ -164,8 +170,9 @@
 	m.snapshotDirty = true
 }
 
-// neededFrom is where the log has to begin so that those who are being sent an older snapshot find
-// there what comes after it. They don't hold up a log that grows long.
+// retentionLimit lowers a compaction index so that the log keeps the entries that follow the older
+// snapshots still being sent to peers. Transfers don't hold back compaction once the log has grown
+// beyond compactBytes.
 func (m *Machine) retentionLimit(compactIndex uint64) uint64 {
 	for _, p := range m.peers {
 		if p.state != sendingSnapshot {
--- a/internal/mesh/consensus/join.go
+++ b/internal/mesh/consensus/join.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-func sortedUnique(s []string) []string {
-	s = slices.Clone(s)
-	slices.Sort(s)
-	return slices.Compact(s)
+// sortedUnique returns a sorted copy without duplicates.
+func sortedUnique(values []string) []string {
+	values = slices.Clone(values)
+	slices.Sort(values)
+	return slices.Compact(values)
 }
 
-// lostDisk tells that our address is that of a voter whose disk isn't ours.
+// hasLostDisk reports whether this node's address belongs to a voter with a different disk.
 func (m *Machine) hasLostDisk() bool {
 	members := m.log.latestConfiguration().members
 	if len(members.Voters) == 0 {
@@ -25,8 +26,8 @@
 	}
 }
 
-// join asks to be replicated to: the leader if it is known, otherwise all addresses that may know
-// it.
+// requestJoin asks to be replicated to: it sends a Join message to the leader if that is known,
+// otherwise to all addresses that may know it.
 func (m *Machine) requestJoin() {
 	m.joinBackoff = min(max(2*m.joinBackoff, minJoinBackoff), maxJoinBackoff)
 	m.nextJoin = m.now + m.joinBackoff
@@ -45,9 +46,10 @@
 	m.broadcastJoin()
 }
 
-// askAllToJoin asks everybody that we know of, voters or not. A voter that finds no leader does so
-// too: all voters that it knows may have been replaced while it was away, or the change that made
-// it one was never committed, and then no election ends that.
+// broadcastJoin sends a Join message to all known addresses, voters or not. A voter that finds no
+// leader does this too: while it was away, all voters that it knows may have been replaced, or the
+// change that made it a voter may never have been committed. No election would end either
+// situation.
 func (m *Machine) broadcastJoin() {
 	for _, v := range m.log.latestConfiguration().members.allVoters() {
 		if v.Address != m.self && !slices.Contains(m.knownAddresses, v.Address) {
@@ -64,8 +66,8 @@
 	m.send(Message{Kind: Join, To: address, MembersAt: m.log.latestConfiguration().place})
 }
 
-// onJoin takes in a learner. Join messages may be old: one that names a disk which is there no more
-// does no harm, since only a learner that answers is taken further.
+// handleJoin adds a learner. Join messages may be old. One from a disk that no longer exists does
+// no harm, since only learners that respond are promoted.
 func (m *Machine) handleJoin(msg Message) {
 	if m.role != leader {
 		m.sendHint(msg.From)
@@ -96,7 +98,8 @@
 	m.heartbeatRound++
 }
 
-// hint tells a node that is no member, or doesn't know the leader, what we know.
+// sendHint tells a node that is not a member, or does not know the leader, the configuration and
+// the leader that this node knows.
 func (m *Machine) sendHint(to string) {
 	config := m.log.latestConfiguration()
 	if config.place.Index == 0 {
@@ -106,6 +109,7 @@
 	m.send(Message{Kind: Hint, To: to, Members: &members, MembersAt: config.place, Leader: m.leader.Address})
 }
 
+// handleHint learns addresses, the leader, and whether a newer configuration excludes this node.
 func (m *Machine) handleHint(msg Message) {
 	if msg.Members == nil {
 		return
--- a/internal/mesh/consensus/leave.go
+++ b/internal/mesh/consensus/leave.go
@@ -6,27 +6,33 @@
 )
 
 const (
-	leaveTimeout        = 3 * time.Second        // after this a node leaves as it stands
-	voteTransferTimeout = 900 * time.Millisecond // after this a leader gives away leadership alone
-	leaveRetryInterval  = 100 * time.Millisecond // between two requests to the leader
-	leavingExpiry       = 2 * peerTimeout        // after the last request, a node counts as staying
+	// After this time a node leaves even if nobody has taken over its vote.
+	leaveTimeout = 3 * time.Second
+	// After this time a leader stops waiting until its vote is taken over, and only transfers
+	// leadership.
+	voteTransferTimeout = 900 * time.Millisecond
+	leaveRetryInterval  = 100 * time.Millisecond // between two Leave messages to the leader
+	// Without another Leave message for this long, a node counts as staying.
+	leavingExpiry = 2 * peerTimeout
 
-	// learnersJoinWithin is when all learners have found a new leader: until then it can't say that
-	// nobody can take a vote.
+	// learnerJoinTimeout is the time in which all learners have found a new leader. Until then the
+	// leader can't know that nobody is able to take over a vote.
 	learnerJoinTimeout = maxElectionTimeout + maxJoinBackoff/2
 )
 
-// departure is how far a node is that was told to go.
+// departure is the progress of a node that was told to leave.
 type departure struct {
 	requested, finished    bool
-	voteDeadline, deadline time.Duration
-	nextRequest            time.Duration
-	noSuccessor            bool // seen as the leader: nothing is left to do once another one leads
+	voteDeadline, deadline time.Duration // for its vote to be taken over, and for everything
+	nextRequest            time.Duration // when the next Leave message is due
+	// Set while leading: no learner can take over the vote, so nothing is left to do once another
+	// node leads.
+	noSuccessor bool
 }
 
-// Leave begins to give away what this node holds: its vote, where a learner stands by, and its
-// leadership. Left tells when it may end. It goes on answering until then, so that nobody waits for
-// it in between.
+// Leave starts to hand over this node's vote, if a learner can take it, and its leadership.
+// HasLeft reports when the node may end. Until then the node continues to respond, so that nobody
+// has to wait for it.
 func (m *Machine) Leave() {
 	if m.isDeparting() {
 		return
@@ -35,18 +41,20 @@
 	m.advanceDeparture()
 }
 
-// Left tells that this node may end: it holds no vote by what is committed, or nobody can take it.
+// HasLeft reports whether this node may end: the committed configuration gives it no vote, or no
+// learner can take its vote.
 func (m *Machine) HasLeft() bool { return m.departure.requested && m.departure.finished }
 
 func (m *Machine) isDeparting() bool { return m.departure.requested && !m.departure.finished }
 
+// advanceDeparture takes the next step of leaving that is due.
 func (m *Machine) advanceDeparture() {
 	d := &m.departure
 	switch {
 	case !m.isDeparting():
 		return
 	case m.now >= d.deadline || m.role != leader && (d.noSuccessor || m.isRemoved()):
-		m.sendLeave() // danger: who is out, and runs on, would be given a vote again
+		m.sendLeave() // without this, a removed node that keeps running would be made a voter again
 		d.finished = true
 		return
 	case m.role == leader:
@@ -59,15 +67,16 @@
 	}
 }
 
-// tellLeaving tells the leader, if there is another, that this node is not to be counted on.
+// sendLeave tells the leader, if that is another node, that this node is about to leave.
 func (m *Machine) sendLeave() {
 	if m.role != leader && m.leader.Address != "" {
 		m.send(Message{Kind: Leave, To: m.leader.Address})
 	}
 }
 
-// departAsLeader has a learner take the vote first: those who stay hold all that was acknowledged
-// once that is committed. Where no learner stands by, it gives away leadership alone.
+// departAsLeader lets a learner take over the vote first: once that change is committed, the
+// remaining voters hold everything that was acknowledged. Without a suitable learner it only
+// transfers leadership.
 func (m *Machine) departAsLeader() {
 	switch {
 	case m.transferee != nil || m.log.latestConfiguration().members.isJoint():
@@ -81,16 +90,16 @@
 
 func (m *Machine) learnersHadTimeToJoin() bool { return m.now-m.leaderSince >= learnerJoinTimeout }
 
-// successorStands tells whether a learner is there that can take a vote.
+// hasSuccessor reports whether a learner is available that can take over a vote.
 func (m *Machine) hasSuccessor() bool { return slices.ContainsFunc(m.peers, m.isActiveLearner) }
 
-// isOutByCommitted tells that the configuration which is committed holds, and we aren't in it.
+// isRemoved reports whether the latest configuration is committed and does not include this node.
 func (m *Machine) isRemoved() bool {
 	current := m.log.latestConfiguration()
 	return current.place.Index != 0 && current.place.Index <= m.commitIndex && !m.canCampaign()
 }
 
-// onLeave hears that a voter is about to end.
+// handleLeave processes the announcement of a node that it is about to leave.
 func (m *Machine) handleLeave(msg Message) {
 	current := m.log.latestConfiguration()
 	if m.role != leader || m.commitIndex < m.termStartIndex {
@@ -112,8 +121,8 @@
 	m.reconcileMembers()
 }
 
-// onLeaveReply hears that we are out, or that nobody can take our vote: either way nothing is left
-// to wait for.
+// handleLeaveReply ends the wait of a departing node: it is no longer a voter, or nobody can take
+// over its vote.
 func (m *Machine) handleLeaveReply(msg Message) {
 	if msg.Term == m.hardState.Term && m.role != leader {
 		m.departure.finished = m.departure.requested
--- a/internal/mesh/consensus/leave_test.go
+++ b/internal/mesh/consensus/leave_test.go
@@ -12,10 +12,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fourNames are of three voters and a learner.
+// testNodeNames are three voters and a learner.
 var testNodeNames = []string{"a", "b", "c", "d"}
 
-// fourDirs are folders for startFour; they are made outside of a bubble of virtual time.
+// testNodeDirs creates the data folders for startTestNodes. It must be called outside of a synctest
+// bubble.
 func testNodeDirs(t *testing.T) map[string]string {
 	dirs := map[string]string{}
 	for _, name := range testNodeNames {
@@ -24,7 +25,7 @@
 	return dirs
 }
 
-// startFour starts three voters and a learner that find one another.
+// startTestNodes starts three voters and a learner.
 func startTestNodes(t *testing.T, dirs map[string]string) (*network, map[string]*Node) {
 	net := &network{nodes: map[string]*Node{}}
 	nodes := map[string]*Node{}
@@ -44,8 +45,8 @@
 	delete(nodes, name)
 }
 
-// A leader that is told to go gives its vote and its leadership away before it ends, and then one
-// more may be lost. Without anybody to take its vote a node ends soon all the same.
+// A leader that is told to leave hands over its vote and its leadership before it ends, so that the
+// loss of one more node can be tolerated. If no node can take over its vote, it ends soon anyway.
 func TestNodesLeave(t *testing.T) {
 	dirs := testNodeDirs(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -86,12 +87,12 @@
 		require.Contains(t, nodes[waitForLeader()].Status().Members, "d")
 		stop(departed)
 		propose()
-		stop(waitForLeader()) // one more, and two of three are left
+		stop(waitForLeader()) // two of three voters are left
 		waitForLeader()
 		time.Sleep(time.Second)
 		propose()
 		time.Sleep(2 * time.Second)
-		leave(waitForLeader(), 300*time.Millisecond) // nobody can take its vote
+		leave(waitForLeader(), 300*time.Millisecond) // no node can take over its vote
 		for name := range nodes {
 			stop(name)
 		}
--- a/internal/mesh/consensus/log.go
+++ b/internal/mesh/consensus/log.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// entryOverhead is what an entry counts beside its command.
+// entryOverhead is the size in bytes that an entry counts in addition to its command.
 const entryOverhead = 64
 
-// firstMesh stands in messages for the mesh of the first start.
+// firstMesh is the number in messages of a mesh that was not founded from a backup.
 const firstMesh = 1
 
-// decided are members and where they were decided.
+// configuration is a set of members and the place in the log where it was decided.
 type configuration struct {
 	place   Place
 	members Members
 }
 
-// entryLog is the part of the log that is kept, behind a base. Entries are never changed in place:
-// messages that are on their way share them.
+// entryLog is the part of the log after baseIndex, the last entry that was compacted away. Entries
+// are never modified in place, because messages in flight share them.
 type entryLog struct {
 	baseIndex, baseTerm uint64
 	entries             []Entry
-	cumulativeBytes     []uint64 // bytes from the log's first entry ever held up to each entry
+	cumulativeBytes     []uint64 // size up to each entry, from the first one ever held
 	baseBytes           uint64
-	configurations      []configuration // ascending; the first holds at the base
+	configurations      []configuration // ascending; the first one applies at the base
 }
 
 func (l *entryLog) lastIndex() uint64 { return l.baseIndex + uint64(len(l.entries)) }
@@ -36,7 +36,8 @@
 	return l.entries[len(l.entries)-1].Term
 }
 
-// term tells the term at an index, if it is still known.
+// termAt returns the term of the entry at an index. It reports false if the log does not hold that
+// entry.
 func (l *entryLog) termAt(index uint64) (uint64, bool) {
 	switch {
 	case index == l.baseIndex:
@@ -47,7 +48,7 @@
 	return l.entries[index-l.baseIndex-1].Term, true
 }
 
-// append adds the entry that comes next.
+// append adds the next entry. It panics if the entry does not follow the last one.
 func (l *entryLog) append(e Entry) {
 	if e.Index != l.lastIndex()+1 || e.Term < l.lastTerm() {
 		panic(fmt.Sprintf("consensus: entry %d of term %d behind entry %d of term %d",
@@ -60,6 +61,8 @@
 	}
 }
 
+// bytesUpTo returns the size of the entries up to and including an index, from the first one ever
+// held.
 func (l *entryLog) bytesUpTo(index uint64) uint64 {
 	if index <= l.baseIndex {
 		return l.baseBytes
@@ -67,10 +70,10 @@
 	return l.cumulativeBytes[index-l.baseIndex-1]
 }
 
-// bytes tells how much the entries after from up to to weigh.
+// bytesBetween returns the size of the entries after index from up to and including index to.
 func (l *entryLog) bytesBetween(from, to uint64) uint64 { return l.bytesUpTo(to) - l.bytesUpTo(from) }
 
-// cut drops the entries from an index on.
+// truncateFrom removes the entries from an index on.
 func (l *entryLog) truncateFrom(from uint64) {
 	kept := int(from - l.baseIndex - 1)
 	l.entries, l.cumulativeBytes = slices.Clone(l.entries[:kept]), l.cumulativeBytes[:kept]
@@ -79,27 +82,27 @@
 	}
 }
 
-// compact drops the entries up to an index.
+// compactTo removes the entries up to and including an index.
 func (l *entryLog) compactTo(to uint64) {
 	if to <= l.baseIndex {
 		return
 	}
 	term, _ := l.termAt(to)
-	sum, dropped := l.bytesUpTo(to), int(to-l.baseIndex)
+	newBaseBytes, dropped := l.bytesUpTo(to), int(to-l.baseIndex)
 	l.entries, l.cumulativeBytes = slices.Clone(l.entries[dropped:]), slices.Clone(l.cumulativeBytes[dropped:])
-	l.baseIndex, l.baseTerm, l.baseBytes = to, term, sum
+	l.baseIndex, l.baseTerm, l.baseBytes = to, term, newBaseBytes
 	for len(l.configurations) > 1 && l.configurations[1].place.Index <= to {
 		l.configurations = l.configurations[1:]
 	}
 }
 
-// reset puts a snapshot in place of all entries.
+// resetTo replaces the whole log by a snapshot.
 func (l *entryLog) resetTo(s *Snapshot) {
 	*l = entryLog{baseIndex: s.Index, baseTerm: s.Term, configurations: []configuration{{s.MembersAt, s.Members}}}
 }
 
-// between copies the entries after an index up to another one, as many as weigh most bytes at most,
-// and one at least.
+// entriesBetween copies entries after an index, up to and including another index. It returns as
+// many as fit into maxBytes, and at least one.
 func (l *entryLog) entriesBetween(after, last, maxBytes uint64) []Entry {
 	end := after
 	for end < last && (end == after || l.bytesBetween(after, end+1) <= maxBytes) {
@@ -108,7 +111,7 @@
 	return slices.Clone(l.entries[after-l.baseIndex : end-l.baseIndex])
 }
 
-// current are the members by all of the log, committed or not.
+// latestConfiguration returns the last configuration in the log, committed or not.
 func (l *entryLog) latestConfiguration() configuration {
 	if len(l.configurations) == 0 {
 		return configuration{}
@@ -116,7 +119,7 @@
 	return l.configurations[len(l.configurations)-1]
 }
 
-// mesh tells which mesh the log belongs to; 0 before any members are known.
+// mesh returns the number of the mesh that the log belongs to; 0 while no members are known.
 func (l *entryLog) mesh() uint64 {
 	if len(l.configurations) == 0 {
 		return 0
@@ -124,12 +127,12 @@
 	return max(l.configurations[0].members.Mesh, firstMesh)
 }
 
-// at are the members by the log up to an index.
+// configurationAt returns the last configuration at or before an index.
 func (l *entryLog) configurationAt(index uint64) configuration {
 	var found configuration
-	for _, d := range l.configurations {
-		if d.place.Index <= index {
-			found = d
+	for _, c := range l.configurations {
+		if c.place.Index <= index {
+			found = c
 		}
 	}
 	return found
--- a/internal/mesh/consensus/machine.go
+++ b/internal/mesh/consensus/machine.go
@@ -1,37 +1,56 @@
-// Package consensus is the mesh's agreement: consensus on a replicated log, by an elected leader,
-// as Raft has it.
+// Package consensus replicates a log of commands across the core machines of a mesh. It implements
+// Raft with pre-vote, joint configurations, learners, linearizable reads by read index, log
+// compaction by snapshots, and leadership transfer.
 //
-// The model. There are members, each a disk at an address, a log of entries, and a table at every
-// node that the committed entries are applied to in order. A Machine is one node's part. It does no
-// I/O, has no clock and starts no goroutines: it is handed messages, the time and what its disk has
-// synced, and it says what to save, what to send, what to apply and which proposals and reads are
-// done. A Node runs one over a bbolt file.
+// # Model
 //
-// What may happen. Messages are lost, doubled, delayed and reordered, in one direction or both.
-// Processes are killed and frozen at any time, also between a sync and an answer. Power goes, and
-// takes what wasn't synced. A disk is lost whole. Clocks are only used to decide when to try
-// something.
+// The cluster, called a mesh, consists of members, each of which is a disk at a network
+// address. They replicate a log of entries, and every node applies the committed entries in order
+// to its own table. A Machine is the state machine of one node. It does no I/O, has no clock and
+// starts no goroutines: its caller passes in messages, the current time and the completion of
+// saves, and the Machine returns what to save, send and apply, and which proposals and reads have
+// completed. A Node runs a Machine on top of a bbolt file.
 //
-// What is promised. An entry is committed once a majority of the members has synced it, and stays
-// at its place for ever. A proposal that was reported as done is committed; one that failed with
-// ErrNoLeader is nowhere and never will be; only ErrUnknown leaves it open. A read that succeeded
-// sees all that was committed before it was asked. All this holds while fewer than a majority of
-// the disks are lost at a time, whoever else is down.
+// # Failures
 //
-// A disk that is lost is another member. Each store draws a number when it is made; votes and
-// acknowledgements carry it, and count only for the member with that number. So a node that has
-// lost what it promised is nobody: it asks to be replicated to as a learner, and when it has caught
-// up, the leader has the new disk take the place of the lost one. That needs a majority of the disks
-// that were there before, so with three members both others. The first members don't know each
-// other's numbers: disk 0 stands for a disk made at the first start, until a leader has heard its
-// number and has it written into the members, which changes no majority.
+// The package tolerates the following failures. Messages may be lost, duplicated, delayed and
+// reordered, in one direction or in both. A process may be killed or paused at any time, also
+// between a sync and the reply that depends on it. A power failure discards everything that was not
+// synced. A disk may be lost completely. Clocks only decide when something is attempted; safety
+// never depends on them.
 //
-// A mesh that was founded from a backup is another mesh, at the same addresses and perhaps with the
-// same indexes. Its number stands in its members, and nodes don't heed messages of another number.
+// # Guarantees
 //
-// Members change by joint configurations, each once the change before is committed and the leader
-// has committed an entry of its own term: see members.go. A voter that is taken out and comes back
-// is told so when it campaigns, and becomes a learner.
+// An entry is committed once a majority of the voters has synced it, and then keeps its
+// index forever. A proposal that is reported as successful is committed. A proposal that fails with
+// ErrNoLeader is in no log and never will be. Only ErrUnknown leaves the outcome open. A successful
+// read observes everything that was committed before it was requested. These guarantees hold as
+// long as fewer than a majority of the disks are lost at a time, no matter how many other nodes are
+// down.
+//
+// # Lost disks
+//
+// A member whose disk is replaced is a different member. Each store draws a random disk
+// number when it is created; votes and acknowledgements carry that number and count only for the
+// member with the same number. A node that has lost its state therefore has no vote: it asks to be
+// replicated to as a learner, and when it has caught up, the leader replaces the lost disk by the
+// new one. This needs a majority of the previous disks, so in a mesh of three members both others.
+// The first members don't know each other's disk numbers: number 0 stands for a disk that was
+// created at the first start, until a leader has learned the real number and written it into the
+// configuration. That step changes no majority.
+//
+// # Meshes
+//
+// A mesh that is founded from a backup is a separate mesh, at the same addresses and
+// possibly with the same log indexes. Its number is part of its configuration, and nodes ignore
+// messages that carry a different number.
+//
+// # Configuration changes
+//
+// Voters change through joint configurations, one change at a time: each
+// starts only after the previous one is committed and the leader has committed an entry of its own
+// term (see members.go). A voter that was removed while it was away is told so when it campaigns,
+// and becomes a learner.
 package consensus
 
 import (
@@ -43,37 +62,48 @@
 )
 
 const (
-	heartbeatInterval       = 250 * time.Millisecond
-	minElectionTimeout      = 900 * time.Millisecond
-	maxElectionTimeout      = 1500 * time.Millisecond
-	minFirstElectionTimeout = 60 * time.Millisecond // until a leader has been heard of in this life
+	heartbeatInterval  = 250 * time.Millisecond
+	minElectionTimeout = 900 * time.Millisecond
+	maxElectionTimeout = 1500 * time.Millisecond
+	// Election timeouts that apply until this process first hears of a leader. They double with
+	// each election attempt.
+	minFirstElectionTimeout = 60 * time.Millisecond
 	maxFirstElectionTimeout = 350 * time.Millisecond
-	maxTimeoutDoublings     = 4                      // by then they are as long as all others
-	peerTimeout             = time.Second            // a peer that was heard in this time is there
-	minJoinBackoff          = 125 * time.Millisecond // before a Join is repeated, while nobody replicates to us;
-	maxJoinBackoff          = time.Second            // twice as long each time, up to this
-	resendTimeout           = 500 * time.Millisecond
-	chunkAckTimeout         = time.Second // for a chunk of a snapshot to be acknowledged, before it is sent again
-	// A sync that takes longer is no contact with the leader any more: see answersEarly.
+	maxTimeoutDoublings     = 4 // the first timeouts then reach the regular ones
+	// A peer that was silent for this long counts as unreachable.
+	peerTimeout = time.Second
+	// Delay before a Join message is repeated while no leader replicates to this node. It doubles
+	// each time, up to maxJoinBackoff.
+	minJoinBackoff  = 125 * time.Millisecond
+	maxJoinBackoff  = time.Second
+	resendTimeout   = 500 * time.Millisecond
+	chunkAckTimeout = time.Second // until a snapshot chunk that was not acknowledged is sent again
+	// A follower whose sync takes longer than this no longer replies to the leader and counts as
+	// unreachable: see acknowledgesEarly.
 	syncStallTimeout = 4 * time.Second
 
-	maxPendingRequests    = 512       // proposals and reads of one node
-	maxLeaderReads        = 1024      // that a leader keeps, of all nodes
-	maxLearners           = 64        //
-	maxKnownAddresses     = 64        // addresses that a learner asks
-	maxProposalWindows    = 64        // lives of processes whose proposals a leader tells apart
-	maxMessageBytes       = 64 << 10  // bytes of entries in one message, so that heartbeats don't wait long behind it
-	maxInFlightBytes      = 512 << 10 // bytes of entries that a follower hasn't acknowledged
-	maxChunkBytes         = 32 << 10  // bytes of a snapshot in one message
-	maxSnapshotBytes      = 64 << 20  // bytes of a snapshot
-	maxUncommittedBytes   = 8 << 20   // bytes of entries that aren't committed
-	maxApplyBatch         = 8         // entries that are applied at a time: see Output.Behind
-	defaultCompactEntries = 512       // entries,
-	compactBytes          = 4 << 20   // or so many bytes
-	learnerTimeoutFactor  = 4         // learners are dropped after this many times Replace
-
-	defaultReplaceAfter = 2 * time.Second        // half of the time that a repaired machine has to catch up
-	joinBroadcastDelay  = 2 * maxElectionTimeout // without a leader, a voter asks everybody who leads
+	maxPendingRequests  = 512  // proposals, and as many reads, that one node has in progress
+	maxLeaderReads      = 1024 // unconfirmed reads of all nodes that a leader keeps
+	maxLearners         = 64
+	maxKnownAddresses   = 64        // addresses to which a learner sends Join messages
+	maxProposalWindows  = 64        // processes whose proposals a leader deduplicates
+	maxMessageBytes     = 64 << 10  // entries in one message; larger ones would delay heartbeats
+	maxInFlightBytes    = 512 << 10 // entries that a follower has not acknowledged
+	maxChunkBytes       = 32 << 10  // snapshot data in one message
+	maxSnapshotBytes    = 64 << 20
+	maxUncommittedBytes = 8 << 20 // uncommitted entries; beyond this a leader rejects proposals
+	maxApplyBatch       = 8       // entries in one Output: see Output.MoreToApply
+	// A snapshot is taken once this many entries, or compactBytes bytes of entries, were applied
+	// since the last one.
+	defaultCompactEntries = 512
+	compactBytes          = 4 << 20
+	// Learners that are silent for this many times ReplaceAfter are dropped.
+	learnerTimeoutFactor = 4
+
+	// Half of the time that a repaired machine has to catch up.
+	defaultReplaceAfter = 2 * time.Second
+	// Without a leader for this long, a voter sends Join messages to all known addresses.
+	joinBroadcastDelay = 2 * maxElectionTimeout
 )
 
 type role uint8
@@ -85,148 +115,156 @@
 	leader
 )
 
-// Hard is what a node must not forget: its term and whom it voted for.
+// Hard is Raft's hard state, which has to survive a restart: the current term and the vote in it.
 type Hard struct {
 	Term uint64
 	Vote Member
 }
 
-// State is what a disk holds.
+// State is the content of a node's store.
 type State struct {
-	Disk                uint64
-	Founder             bool // made at the first start of all
+	Disk                uint64 // disk number
+	Founder             bool   // the store was created at the first start of the mesh
 	Hard                Hard
-	BaseIndex, BaseTerm uint64
-	Entries             []Entry // after the base
+	BaseIndex, BaseTerm uint64  // the last entry that was compacted away; 0: none
+	Entries             []Entry // the entries after BaseIndex
 	Snapshot            *Snapshot
 }
 
-// Config is what a Machine is made of.
+// Config holds the parameters of a new Machine.
 type Config struct {
 	Self         string
-	Seeds        []string
-	Incarnation  uint64 // a number that no other process has had
-	ReplaceAfter time.Duration
-	TargetVoters int    // how many there are to be; fewer than there are seeds: as many as those
-	Zone         string // in which this node stands; empty: unknown
+	Seeds        []string      // addresses of the first members, or of nodes that know the members
+	Incarnation  uint64        // unique number of this process
+	ReplaceAfter time.Duration // silence after which a voter is replaced; 0: 2 s
+	TargetVoters int           // intended number of voters; the number of seeds if that is higher
+	Zone         string        // zone of this node; empty: unknown
 	Rand         *rand.Rand
 	State        State
-	TableIndex   uint64 // what the table holds already: more than the disk, after that had failed
+	// TableIndex is the index up to which the table is already applied. After a disk failure it may
+	// be ahead of State.
+	TableIndex uint64
 }
 
-// Save is to be written in one transaction, and synced.
+// Save is a set of changes to the store, to be written in one transaction and synced.
 type Save struct {
 	Hard                Hard
-	Snapshot            *Snapshot // nil: as before
-	BaseIndex, BaseTerm uint64    // entries up to Base go
-	FirstIndex          uint64    // entries from here on go, in favour of
+	Snapshot            *Snapshot // nil: unchanged
+	BaseIndex, BaseTerm uint64    // entries up to BaseIndex are deleted
+	FirstIndex          uint64    // entries from FirstIndex on are replaced by Entries
 	Entries             []Entry
 }
 
-// Done is the end of a proposal or a read.
+// Completion is the result of a proposal or a read.
 type Completion struct {
 	ID    uint64
-	Index uint64 // where the proposal was applied
+	Index uint64 // index at which the proposal was applied
 	Err   error
 }
 
-// Output is what a Machine wants done, in this order; but Save may be under way while more is
-// handed to the machine, until it is told of it by Saved.
+// Output lists the work that a Machine requests from its caller, to be done in the order of the
+// fields. A Save may still be in progress while the caller passes further input to the Machine; the
+// caller reports its end with SaveCompleted.
 //
-// After a loss of all power hundreds of entries are committed at once, which a node with a small
-// share of a processor needs seconds to apply. They are handed out a few at a time, so that it can
-// send and answer heartbeats in between: a leader that applied them all first would lose its
-// followers, and the next one would begin the same again.
+// After a power failure of all nodes, hundreds of entries are committed at once, and a node with a
+// small CPU share needs seconds to apply them. They are handed out in small batches so that the
+// node can send and answer heartbeats in between. A leader that applied all of them first would
+// lose its followers, and the next leader would repeat this.
 type Output struct {
 	Messages    []Message
 	Restore     *Snapshot
 	Apply       []Entry
-	MoreToApply bool // more is committed than Apply reaches
+	MoreToApply bool // more entries are committed than Apply contains
 	Completions []Completion
-	Compact     bool // call Compact with the table's snapshot, as of Apply's last entry
+	Compact     bool // call Compact with a snapshot of the table as of the last entry of Apply
 	Save        *Save
 }
 
-// Empty tells that there is nothing to do.
+// Empty reports whether there is nothing to do.
 func (o *Output) Empty() bool {
 	return len(o.Messages) == 0 && o.Restore == nil && len(o.Apply) == 0 && len(o.Completions) == 0 && !o.Compact && o.Save == nil
 }
 
-// Machine is one node's part in the agreement. It is not safe for concurrent use.
+// Machine is the Raft state machine of one node. It is not safe for concurrent use.
 type Machine struct {
-	self         string
+	self         string // address of this node
 	seeds        []string
-	incarnation  uint64
-	replaceAfter time.Duration
+	incarnation  uint64        // unique number of this process
+	replaceAfter time.Duration // how long a voter is silent before it is replaced
 	rng          *rand.Rand
 	diskID       uint64
-	founder      bool
-
-	now            time.Duration
-	hardState      Hard
-	log            entryLog
-	snapshot       *Snapshot
-	commitIndex    uint64
-	appliedIndex   uint64
-	tableIndex     uint64 // the table holds this at least, so no snapshot is taken before it
-	compactEntries uint64 // entries after which a snapshot is taken; half of them are kept behind it
+	founder      bool // the disk was created at the first start of the mesh
+
+	now          time.Duration
+	hardState    Hard
+	log          entryLog
+	snapshot     *Snapshot
+	commitIndex  uint64
+	appliedIndex uint64
+	tableIndex   uint64 // the table holds at least this index, so no snapshot is taken below it
+	// A snapshot is taken after this many applied entries. Half as many are kept in the log behind
+	// it.
+	compactEntries uint64
 
 	role              role
-	leader            Member        // of this term, if it is known; Address empty if not
-	leaderTenure      time.Duration // how long it had led when it was heard last; 0 if it was not
-	lastLeader        Hard          // who was last known to lead, and in which term
+	leader            Member        // of the current term; its Address is empty while unknown
+	leaderTenure      time.Duration // how long it had led, by its last message; 0: unknown
+	lastLeader        Hard          // Vote is the last known leader, and Term its term
 	lastLeaderContact time.Duration // when a leader was last heard
-	electionDeadline  time.Duration
-	timeoutDoublings  int // elections waited for before any leader was heard of
+	electionDeadline  time.Duration // when the next election starts
+	timeoutDoublings  int           // how often the first election timeouts were doubled
 	votes             []Member
-	initialTerm       uint64 // the term that this life began in
-	leaderChanges     uint64 // of the leader
-	foreignMessages   uint64 // messages of another mesh
-	provisionalMesh   uint64 // the mesh that was heard last, while we belong to none
-
-	// What the disk has. A promise waits in held until a Save that covers it is under way, then in
-	// waiting until it is synced.
-	hardStateDirty, snapshotDirty            bool
-	saveInProgress                           bool
-	saveStartedAt                            time.Duration
-	savingTerm, syncedTerm                   uint64 // the term in the Save under way, and on disk
-	handedOffIndex, savingIndex, syncedIndex uint64 // entries up to here were handed out, are in the Save under way, are on disk
+	initialTerm       uint64 // the term when this process started
+	leaderChanges     uint64 // number of times that the known leader changed
+	foreignMessages   uint64 // messages of another mesh that were dropped
+	provisionalMesh   uint64 // the mesh that was last heard while this node belongs to none
+
+	// Persistence. A message that makes a promise, such as a vote or an acknowledgement, stays in
+	// awaitingSave until a Save that covers it is in progress, and then in awaitingSync until that
+	// Save is synced.
+	hardStateDirty, snapshotDirty bool
+	saveInProgress                bool
+	saveStartedAt                 time.Duration
+	savingTerm, syncedTerm        uint64 // in the Save in progress, and on disk
+	// The last entry handed to any Save, in the Save in progress, and on disk.
+	handedOffIndex, savingIndex, syncedIndex uint64
 	outbox, awaitingSave, awaitingSync       []Message
 
-	// As a leader.
+	// State of a leader.
 	peers                                            []*progress
-	termStartIndex                                   uint64 // the index of the entry that opened the term
-	heartbeatRound                                   uint64 // of heartbeats
+	termStartIndex                                   uint64 // index of the entry that started the term
+	heartbeatRound                                   uint64
 	leaderReads                                      []leaderRead
 	nextHeartbeat, leaderSince                       time.Duration
-	commitAtLastHeartbeat, commitAtPreviousHeartbeat uint64    // at the last beat, and at the one before
-	transferee                                       *progress // who leadership is handed to
+	commitAtLastHeartbeat, commitAtPreviousHeartbeat uint64
+	transferee                                       *progress // the voter to become leader
 	transferDeadline                                 time.Duration
 	proposalWindows                                  []proposalWindow
 
-	// As a learner.
-	excludedAt       Place // members newer than those in the log don't hold us
-	knownAddresses   []string
+	// State of a learner. excludedAt is the newest configuration that is known to exclude this
+	// node, although the log lacks it.
+	excludedAt       Place
+	knownAddresses   []string // where Join messages are sent while no leader is known
 	nextJoin         time.Duration
-	joinBackoff      time.Duration // until the next Join
-	lastJoinSent     time.Duration // when the leader was last asked
-	lastReplicatedTo time.Duration // when a leader last replicated to this very disk
+	joinBackoff      time.Duration
+	lastJoinSent     time.Duration
+	lastReplicatedTo time.Duration // when a leader last sent entries to exactly this disk
 
 	departure        departure
 	incomingSnapshot *incomingSnapshot // the snapshot that is being received
-	targetVoters     int               // that there are to be
-	zone             string            // of this node,
-	zones            map[string]string // and of others, by address
-	chunkBytes       int               // bytes of one that are sent at a time
+	targetVoters     int               // how many voters there should be
+	zone             string
+	zones            map[string]string // zones of other nodes, by address
+	chunkBytes       int               // snapshot bytes per message
 
-	pendingProposals  []pendingProposal // proposals, in order
+	pendingProposals  []pendingProposal // in the order of their ID
 	pendingReads      []pendingRead
 	completions       []Completion
 	snapshotToRestore *Snapshot
 }
 
-// New makes a machine of what a disk holds. A first member finds the first members in its log: see
-// Found.
+// New returns a Machine that starts from the content of a disk. The log of a first member starts
+// with the configuration of the first members: see BootstrapEntries.
 func New(c Config) *Machine {
 	m := &Machine{self: c.Self, seeds: c.Seeds, incarnation: c.Incarnation, replaceAfter: c.ReplaceAfter, rng: c.Rand, diskID: c.State.Disk,
 		founder: c.State.Founder, hardState: c.State.Hard, initialTerm: c.State.Hard.Term, snapshot: c.State.Snapshot, tableIndex: c.TableIndex,
@@ -241,7 +279,8 @@
 		m.log.configurations = []configuration{{s.MembersAt, s.Members}}
 	}
 	for _, e := range c.State.Entries {
-		if e.Members != nil && m.log.latestConfiguration().place.Index >= e.Index { // the snapshot knows it already
+		// The snapshot already includes this configuration.
+		if e.Members != nil && m.log.latestConfiguration().place.Index >= e.Index {
 			members := e.Members
 			e.Members = nil
 			m.log.append(e)
@@ -259,20 +298,20 @@
 	return m
 }
 
-// Found is the log of a first member: the seeds, by addresses alone, since nobody knows any disk
-// yet.
+// BootstrapEntries returns the log of a first member. Its only entry is the configuration of the
+// seeds, which lists addresses alone because no disk numbers are known yet.
 func BootstrapEntries(seeds []string) []Entry {
 	members := &Members{Target: len(seeds)}
-	for _, s := range sortedUnique(seeds) {
-		members.Voters = append(members.Voters, Member{Address: s})
+	for _, seed := range sortedUnique(seeds) {
+		members.Voters = append(members.Voters, Member{Address: seed})
 	}
 	return []Entry{{Index: 1, Term: 1, Members: members}}
 }
 
-// Clock tells the time, which never goes back.
+// SetClock sets the current time. The clock never goes back.
 func (m *Machine) SetClock(now time.Duration) { m.now = max(m.now, now) }
 
-// Advance tells the time and does what is due.
+// Advance sets the current time and runs the timers that are due.
 func (m *Machine) Advance(now time.Duration) {
 	m.SetClock(now)
 	m.advanceDeparture()
@@ -292,7 +331,7 @@
 	}
 }
 
-// Deadline is when Advance is next due.
+// Deadline returns the time at which Advance has to be called next.
 func (m *Machine) Deadline() time.Duration {
 	if m.isDeparting() {
 		return min(m.timerDeadline(), m.departure.nextRequest, m.departure.deadline)
@@ -300,6 +339,7 @@
 	return m.timerDeadline()
 }
 
+// timerDeadline returns when the timer of the current role is due: heartbeat, election or Join.
 func (m *Machine) timerDeadline() time.Duration {
 	switch {
 	case m.role == leader:
@@ -310,7 +350,7 @@
 	return m.nextJoin
 }
 
-// Step takes a message.
+// HandleMessage processes a message from another node, or from this node to itself.
 func (m *Machine) HandleMessage(msg Message) {
 	if msg.To != m.self || msg.From == "" {
 		return
@@ -320,7 +360,7 @@
 	case ownMesh == 0 && msg.Mesh != m.provisionalMesh:
 		m.switchMesh(msg.Mesh)
 	case ownMesh != 0 && msg.Mesh != ownMesh:
-		m.foreignMessages++ // indexes and terms of another mesh mean nothing here
+		m.foreignMessages++ // its indexes and terms are meaningless here
 		return
 	}
 	m.recordZone(msg)
@@ -361,8 +401,9 @@
 	m.advanceDeparture()
 }
 
-// meet turns to another mesh. Who knows no members has an empty log, and no vote that counts: it
-// belongs to none, and hears whichever speaks. Who led the other one leads nobody here.
+// switchMesh makes the node accept messages of another mesh. A node that knows no members has an
+// empty log and no vote, so it belongs to no mesh and listens to the one that it heard last. The
+// leader of the previous one is not a leader of the new one.
 func (m *Machine) switchMesh(mesh uint64) {
 	m.provisionalMesh, m.lastLeader, m.leader = mesh, Hard{}, Member{}
 	for _, p := range m.pendingProposals {
@@ -372,7 +413,8 @@
 	m.failReads(ErrNoLeader)
 }
 
-// Take says what is to be done. It is to be called again until there is nothing.
+// NextOutput returns the work that is to be done now. It has to be called again until the result is
+// empty.
 func (m *Machine) NextOutput() Output {
 	if m.role == leader {
 		m.replicate()
@@ -406,7 +448,7 @@
 	return o
 }
 
-// Saved tells that the Save under way is synced.
+// SaveCompleted reports that the Save in progress is synced.
 func (m *Machine) SaveCompleted() {
 	m.saveInProgress = false
 	m.syncedIndex, m.syncedTerm = max(m.syncedIndex, m.savingIndex), m.savingTerm
@@ -418,7 +460,8 @@
 	}
 }
 
-// release lets promises go that are kept. What a machine promises itself comes back to it.
+// releaseMessages sends messages whose promises are now on disk. Those that are addressed to this
+// node, such as its own vote, are processed directly.
 func (m *Machine) releaseMessages(messages []Message) {
 	for _, msg := range messages {
 		if msg.To == m.self {
@@ -429,6 +472,7 @@
 	}
 }
 
+// buildSave returns the changes since the last Save, and marks them as handed off.
 func (m *Machine) buildSave() *Save {
 	changes := &Save{Hard: m.hardState, BaseIndex: m.log.baseIndex, BaseTerm: m.log.baseTerm, FirstIndex: m.handedOffIndex + 1,
 		Entries: m.log.entriesBetween(m.handedOffIndex, m.log.lastIndex(), math.MaxUint64)}
@@ -440,18 +484,19 @@
 	return changes
 }
 
-// cut drops entries in favour of a leader's.
+// truncateFrom removes the entries from an index on, because they conflict with the leader's.
 func (m *Machine) truncateFrom(from uint64) {
 	if from <= m.commitIndex {
-		panic(fmt.Sprintf("consensus: a committed entry overwritten, at %d of %d", from, m.commitIndex))
+		panic(fmt.Sprintf("consensus: can't truncate the log from %d, as entries up to %d are committed", from, m.commitIndex))
 	}
 	m.log.truncateFrom(from)
 	m.handedOffIndex, m.savingIndex, m.syncedIndex = min(m.handedOffIndex, from-1), min(m.savingIndex, from-1), min(m.syncedIndex, from-1)
 }
 
+// commitTo advances the commit index.
 func (m *Machine) commitTo(index uint64) {
 	if index < m.commitIndex || index > m.log.lastIndex() {
-		panic(fmt.Sprintf("consensus: commit goes from %d to %d, and the log ends at %d", m.commitIndex, index, m.log.lastIndex()))
+		panic(fmt.Sprintf("consensus: commit index can't move from %d to %d in a log that ends at %d", m.commitIndex, index, m.log.lastIndex()))
 	}
 	m.commitIndex = index
 	if receiving := m.incomingSnapshot; receiving != nil && receiving.transferID.place.Index <= index {
@@ -459,13 +504,16 @@
 	}
 }
 
-// send fills in who we are. A message that promises something goes through promise instead.
+// send queues a message and fills in the sender. Messages that make a promise go through
+// sendAfterSync instead.
 func (m *Machine) send(msg Message) { m.outbox = append(m.outbox, m.withSender(msg)) }
 
+// sendAfterSync queues a message that makes a promise. It is sent once the current state is synced.
 func (m *Machine) sendAfterSync(msg Message) {
 	m.awaitingSave = append(m.awaitingSave, m.withSender(msg))
 }
 
+// withSender fills in the sender, and the current term if the message has none.
 func (m *Machine) withSender(msg Message) Message {
 	msg.From, msg.Disk, msg.Founder, msg.Mesh, msg.Zone = m.self, m.diskID, m.founder, m.log.mesh(), m.zone
 	if msg.Term == 0 {
@@ -474,7 +522,7 @@
 	return msg
 }
 
-// Status is how the machine stands.
+// Status returns the current state of the node.
 func (m *Machine) Status() Status {
 	s := Status{Leader: m.leader.Address, Term: m.hardState.Term, Commit: m.commitIndex, Applied: m.appliedIndex, LeaderChanges: m.leaderChanges, Foreign: m.foreignMessages}
 	members := m.log.latestConfiguration().members
--- a/internal/mesh/consensus/machine_test.go
+++ b/internal/mesh/consensus/machine_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var seedCount = flag.Int("seeds", 400, "how many seeds the explorer plays")
-var firstSeed = flag.Uint64("first", 1, "the first of them")
-var lossSeedCount = flag.Int("loss-seeds", 4, "how many seeds of losses and repairs are played, of each deployment")
-var traceEnabled = flag.Bool("tell", false, "tell what goes on")
+var seedCount = flag.Int("seeds", 400, "number of seeds that the random simulation runs")
+var firstSeed = flag.Uint64("first", 1, "the first seed")
+var lossSeedCount = flag.Int("loss-seeds", 4, "number of seeds of machine losses and repairs that are simulated for each deployment")
+var traceEnabled = flag.Bool("tell", false, "print the events of the simulation")
 
 func TestExplore(t *testing.T) {
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
@@ -26,11 +26,11 @@
 		reads += w.reads
 	}
 	t.Logf("%d acknowledged, %d read", acks, reads)
-	require.Greater(t, acks, *seedCount*20, "too little came through to tell anything")
-	require.Greater(t, reads, *seedCount*20, "too little came through to tell anything")
+	require.Greater(t, acks, *seedCount*20, "too few calls succeeded for a meaningful check")
+	require.Greater(t, reads, *seedCount*20, "too few calls succeeded for a meaningful check")
 }
 
-// Each planted fault is found by the same checks.
+// The checks of the simulation find each injected bug.
 func TestExploreFindsPlanted(t *testing.T) {
 	for name, bugs := range map[string]injectedBugs{
 		"a wiped disk takes part": {rememberDisk: true},
@@ -40,8 +40,8 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); ; seed++ {
 				require.Less(t, seed, uint64(500), "not found")
-				// That nothing goes on any more would be a finding too, but not the one that is
-				// asked for.
+				// A simulation that stops making progress is a failure too, but not the one that
+				// the bug has to be found by.
 				if _, failure := explore(seed, bugs); failure != nil && !strings.Contains(fmt.Sprint(failure), "after all") {
 					t.Logf("seed %d: %v", seed, failure)
 					return
@@ -51,7 +51,7 @@
 	}
 }
 
-// settled is a world in which a leads b and c, and all is well.
+// newSettledWorld returns a world in which a is the leader and b and c follow it.
 func newSettledWorld(t *testing.T) *world {
 	for seed := uint64(1); ; seed++ {
 		w := newWorld(seed, injectedBugs{})
@@ -72,7 +72,8 @@
 	}
 }
 
-// What two of three have holds when one of them loses its disk and all others their power.
+// An entry that two of three members have acknowledged survives when one of them loses its disk and
+// all others lose power.
 func TestWipedAndPowerless(t *testing.T) {
 	for _, names := range [][2]string{{"a", "b"}, {"b", "a"}} {
 		w := newSettledWorld(t)
@@ -89,7 +90,7 @@
 		w.start(lagging)
 		w.run(10 * time.Second)
 		for _, h := range []*host{wiped, lagging} {
-			require.NotEqual(t, leader, h.machine.role, "it leads with one that has forgotten")
+			require.NotEqual(t, leader, h.machine.role, "it leads with the vote of a node that lost its disk")
 		}
 		require.Equal(t, "recovering", wiped.machine.Status().Role)
 		w.gone = w.host("d")
@@ -114,8 +115,8 @@
 	require.Equal(t, "acked", w.fate[7])
 }
 
-// A member that comes long after the others at the first start just joins; one that is gone is
-// replaced, and told so when it is back.
+// A member that starts long after the others at the first start becomes a regular follower. A
+// member that is down for long is replaced, and becomes a learner when it comes back.
 func TestReplacedAndBack(t *testing.T) {
 	w := newWorld(1, injectedBugs{})
 	w.start(w.host("a"))
@@ -136,8 +137,9 @@
 	w.heal()
 }
 
-// A vote outlives a crash right after it. Planted: the disk forgets it, and two lead in one term.
-// By chance alone this takes thousands of seeds.
+// A vote must survive a crash right after it was given. With the injected bug the disk forgets it,
+// and two nodes lead in one term. Random simulations would need thousands of seeds to hit this
+// sequence.
 func TestVoteOutlivesCrash(t *testing.T) {
 	for _, forgetsVote := range []bool{false, true} {
 		w := newSettledWorld(t)
@@ -164,8 +166,8 @@
 	}
 }
 
-// An answer to an append of an earlier term confirms no round: its sender may lead again, with
-// rounds that begin anew.
+// The reply to an AppendEntries of an earlier term must not carry a heartbeat round. Its sender may
+// be leading again, and its rounds start over, so the old round could confirm a read by mistake.
 func TestStaleAppendConfirmsNothing(t *testing.T) {
 	b := newSettledWorld(t).host("b").machine
 	b.HandleMessage(Message{Kind: AppendEntries, From: "a", To: "b", Term: b.hardState.Term - 1, Sequence: 99})
--- a/internal/mesh/consensus/members_encoding.go
+++ b/internal/mesh/consensus/members_encoding.go
@@ -2,9 +2,9 @@
 
 import "encoding/binary"
 
-// A joint configuration is kept as the mesh's number, the target, how many incoming voters there
-// are, and the incoming and the outgoing voters. Its kind of record is its own, so that a program
-// that knows no joint configurations doesn't take the store.
+// A joint configuration is encoded as the number of the mesh, the target, the number of incoming
+// voters, the incoming voters and the outgoing voters. It has a record kind of its own, so that a
+// program version without joint configurations refuses to open the store.
 
 func appendJointMembers(b []byte, s *Members) []byte {
 	b = binary.BigEndian.AppendUint64(b, s.Mesh)
@@ -52,7 +52,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(v.Address))), v.Address...)
 }
 
-// cutMember takes a member off the front.
+// decodeMember decodes a member from the start of b and returns the remaining bytes.
 func decodeMember(b []byte) (v Member, rest []byte, ok bool) {
 	if len(b) < 9 {
 		return Member{}, nil, false
--- a/internal/mesh/consensus/members_encoding_test.go
+++ b/internal/mesh/consensus/members_encoding_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A configuration comes back from a store as it went in; a joint one that is cut short anywhere is
-// refused, as is any record of a kind that the program doesn't know.
+// A configuration is decoded as it was encoded. A joint configuration that is truncated anywhere is
+// rejected, except between two outgoing voters, where it must at least remain joint with all
+// incoming voters.
 func TestMembersEncoding(t *testing.T) {
 	old, next := []Member{{"a", 1}, {"b", 2}, {"c", 0}}, []Member{{"a", 1}, {"b", 2}, {"d", 4}}
 	for _, members := range []Members{
@@ -26,7 +27,7 @@
 		}
 		for cut := 9; cut < len(record); cut++ {
 			truncated, err := decodeEntry(7, record[:cut])
-			if err == nil { // between two members of the outgoing set
+			if err == nil { // cut between two outgoing voters
 				require.NotEqual(t, entry, truncated)
 				require.True(t, truncated.Members.isJoint())
 				require.Equal(t, next, truncated.Members.Voters)
--- a/internal/mesh/consensus/placement.go
+++ b/internal/mesh/consensus/placement.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// VotersToBear is how many voters bear the loss of so many machines at once, disks and all: what was
-// agreed on is on a majority of them, and a majority is left. At least three, as one loss is always
-// to be borne.
+// VotersToTolerate returns how many voters are needed to tolerate the simultaneous loss of the
+// given number of machines including their disks: committed entries are on a majority of the
+// voters, and a majority has to survive. It is at least three, since one loss always has to be
+// tolerated.
 func VotersToTolerate(losses int) int { return 2*max(losses, 1) + 1 }
 
-// mostZones bounds the nodes whose zones are remembered.
+// maxKnownZones bounds the number of nodes whose zones are remembered.
 const maxKnownZones = 256
 
-// learnZone remembers in which zone a node stands.
+// recordZone records the zone of the node that sent a message.
 func (m *Machine) recordZone(msg Message) {
 	if msg.Zone == "" || m.zones[msg.From] == "" && len(m.zones) >= maxKnownZones {
 		return
@@ -21,13 +22,13 @@
 	if m.zones[msg.From] == msg.Zone {
 		return
 	}
-	zones := maps.Clone(m.zones) // a Status may hold the one of before
+	zones := maps.Clone(m.zones) // a Status may hold the previous map
 	zones[msg.From] = msg.Zone
 	m.zones = zones
 }
 
-// zoneOf is the zone in which a node stands; empty if it isn't known, as of one that has not been
-// heard since the start of the process.
+// zoneOf returns the zone of a node. It is empty if unknown, as for a node that was not heard since
+// this process started.
 func (m *Machine) zoneOf(v Member) string {
 	if v.Address == m.self {
 		return m.zone
@@ -35,8 +36,8 @@
 	return m.zones[v.Address]
 }
 
-// inZoneOf is how many voters stand in the zone of a node. Where a zone isn't known none is taken to
-// share it: nobody is moved for want of knowledge.
+// countInZoneOf returns how many voters are in the same zone as a node. A node of unknown zone
+// shares it with nobody, so that no vote is moved because of missing information.
 func (m *Machine) countInZoneOf(voters []Member, member Member) (count int) {
 	zone := m.zoneOf(member)
 	for _, v := range voters {
@@ -47,8 +48,8 @@
 	return count
 }
 
-// leastCrowded is the index of the candidate whose zone has the fewest voters, the first of several;
-// -1 if there is none.
+// indexInLeastCrowdedZone returns the index of the candidate whose zone has the fewest voters, the
+// first one if several are equal, or -1 if there are no candidates.
 func (m *Machine) indexInLeastCrowdedZone(candidates, voters []Member) int {
 	best := -1
 	for i, candidate := range candidates {
@@ -59,10 +60,10 @@
 	return best
 }
 
-// spread moves one vote from the most crowded zone to a learner in a zone that has at least two
-// fewer. The loss of a zone must leave a majority, and the voters that a mesh begins with, or that
-// replaced others in a hurry, may stand anywhere. This node's own vote stays, since to give it away
-// is to give leadership away.
+// rebalanceZones moves one vote from the most crowded zone to a learner in a zone that has at least
+// two voters fewer. The loss of a zone must leave a majority, but the first voters of a mesh, and
+// those that replaced others in an emergency, may be in any zone. The vote of this node stays,
+// because giving it away would give away leadership.
 func (m *Machine) rebalanceZones(voters, ready []Member) []Member {
 	target := m.indexInLeastCrowdedZone(ready, voters)
 	if target < 0 || m.zoneOf(ready[target]) == "" {
--- a/internal/mesh/consensus/placement_test.go
+++ b/internal/mesh/consensus/placement_test.go
@@ -11,11 +11,12 @@
 
 const (
 	zoneCount     = 5
-	zonedVoters   = 5 // which bear two losses at once
+	zonedVoters   = 5 // tolerate the loss of two machines
 	zoneSeedCount = 20
 )
 
-// newSpread is a mesh of three nodes in each of five zones. Its first members stand in one zone.
+// newZonedMesh returns a mesh of three nodes in each of five zones, whose first members are all in
+// one zone.
 func newZonedMesh(seed uint64, voters int) *losses {
 	l := newLosses(seed, 3*zoneCount, 4*time.Second, 5*time.Second, lossPlant{})
 	l.w.voters = voters
@@ -27,7 +28,7 @@
 	return l
 }
 
-// zones counts the voters in each zone.
+// votersByZone counts the voters in each zone.
 func (l *losses) votersByZone() map[string]int {
 	count := map[string]int{}
 	for _, v := range l.w.members.Voters {
@@ -36,7 +37,7 @@
 	return count
 }
 
-// agree has a value agreed on.
+// mustCommit proposes a value and waits until it is acknowledged.
 func (l *losses) mustCommit(t *testing.T, value uint64) {
 	l.w.propose(l.leads(), value)
 	for start := l.w.now; l.w.fate[value] != "acked"; l.w.run(time.Millisecond) {
@@ -44,8 +45,8 @@
 	}
 }
 
-// TestVotersAreSpread: wherever the first members stand, the loss of any zone leaves a majority, and
-// the zone's return has the votes spread again.
+// Wherever the first members are, the loss of any zone must leave a majority. When the zone is
+// back, the votes must be spread over all zones again.
 func TestVotersAreSpread(t *testing.T) {
 	for seed := uint64(1); seed <= zoneSeedCount; seed++ {
 		l := newZonedMesh(seed, zonedVoters)
@@ -58,7 +59,7 @@
 			}
 		}
 		l.w.run(4 * time.Second)
-		require.NotNil(t, l.leads(), "seed %d: no leader without a zone", seed)
+		require.NotNil(t, l.leads(), "seed %d: no leader after the loss of a zone", seed)
 		l.mustCommit(t, 7)
 		for _, h := range l.w.hosts {
 			if inZone(h) {
@@ -71,8 +72,8 @@
 	}
 }
 
-// TestTwoDisksAreLost: what was acknowledged outlives the loss of two disks at once, while all others
-// lose power. Three voters don't bear that.
+// Acknowledged entries survive the simultaneous loss of two disks while all other nodes lose power.
+// Three voters can't tolerate that.
 func TestTwoDisksAreLost(t *testing.T) {
 	loseTwoDisks := func(seed uint64, voters int) (failure any) {
 		defer func() { failure = recover() }()
@@ -96,5 +97,5 @@
 			failures++
 		}
 	}
-	require.NotZero(t, failures, "nothing is lost with three voters")
+	require.NotZero(t, failures, "no acknowledged entry is lost with three voters")
 }
--- a/internal/mesh/consensus/propose.go
+++ b/internal/mesh/consensus/propose.go
@@ -5,64 +5,67 @@
 	"time"
 )
 
-// pending is a proposal of this node. Its fate is known for certain once it is applied, or once an
-// entry of a later term than the one in which it was given to the leader is: what isn't there by
-// then can't come any more, since terms never go back along the log.
+// pendingProposal is a proposal of this node whose outcome is open. The outcome is certain once its
+// entry is applied, or once an entry is applied whose term is later than the one in which the
+// proposal was given to the leader. A proposal that is not in the log by then can't be added any
+// more, because terms never decrease along the log.
 type pendingProposal struct {
 	id            uint64
 	forwardedTerm uint64
 	command       []byte
-	retried       bool // it was refused once
+	retried       bool // it was rejected once and forwarded to another leader
 	sentAt        time.Duration
 }
 
-// pendingRead is a read of this node.
+// pendingRead is a read of this node that has not completed.
 type pendingRead struct {
 	id        uint64
 	sentAt    time.Duration
 	confirmed bool
-	readIndex uint64 // to be applied
+	readIndex uint64 // index that has to be applied before the read completes
 }
 
-// read is one that a leader confirms.
+// leaderRead is a read that waits for the leader's confirmation.
 type leaderRead struct {
 	from          string
 	origin, id    uint64
-	requiredRound uint64 // round of heartbeats
+	requiredRound uint64 // heartbeat round that a majority has to acknowledge
 }
 
-// origin remembers which proposals of one process a leader has dealt with, whichever way, so that a
-// message which comes twice has no second effect.
+// proposalWindow records which proposals of one process a leader has handled, accepted or not, so
+// that a duplicated message has no second effect.
 type proposalWindow struct {
 	incarnation uint64
 	highestID   uint64
-	seenBits    [16]uint64
+	seenBits    [16]uint64 // a bit for each of the last 1024 IDs
 }
 
-// fresh tells whether a number is new, and remembers it. Those that are too old to tell are not.
-func (o *proposalWindow) recordNew(id uint64) bool {
+// recordNew records a proposal ID and reports whether it is new. An ID that is too old for the
+// window counts as handled.
+func (w *proposalWindow) recordNew(id uint64) bool {
 	const windowSize = 1024
-	for o.highestID < id {
-		o.highestID++
-		if id-o.highestID < windowSize {
-			o.seenBits[o.highestID%windowSize/64] &^= 1 << (o.highestID % 64)
+	for w.highestID < id {
+		w.highestID++
+		if id-w.highestID < windowSize {
+			w.seenBits[w.highestID%windowSize/64] &^= 1 << (w.highestID % 64)
 		} else {
-			o.highestID = id - windowSize
+			w.highestID = id - windowSize
 		}
 	}
-	if id+windowSize <= o.highestID {
+	if id+windowSize <= w.highestID {
 		return false
 	}
 	bit := uint64(1) << (id % 64)
-	if o.seenBits[id%windowSize/64]&bit != 0 {
+	if w.seenBits[id%windowSize/64]&bit != 0 {
 		return false
 	}
-	o.seenBits[id%windowSize/64] |= bit
+	w.seenBits[id%windowSize/64] |= bit
 	return true
 }
 
+// recordProposal records a proposal of a process and reports whether it is new.
 func (m *Machine) recordProposal(incarnation, id uint64) bool {
-	i := slices.IndexFunc(m.proposalWindows, func(o proposalWindow) bool { return o.incarnation == incarnation })
+	i := slices.IndexFunc(m.proposalWindows, func(w proposalWindow) bool { return w.incarnation == incarnation })
 	if i < 0 {
 		if len(m.proposalWindows) == maxProposalWindows {
 			m.proposalWindows = m.proposalWindows[1:]
@@ -73,7 +76,8 @@
 	return m.proposalWindows[i].recordNew(id)
 }
 
-// Propose has a command appended. Numbers go up by one, for proposals and reads together.
+// Propose appends a command to the log through the leader. IDs increase by one, and proposals and
+// reads share one sequence.
 func (m *Machine) Propose(id uint64, command []byte) {
 	switch {
 	case len(m.pendingProposals) >= maxPendingRequests || m.role == leader && m.isUncommittedLimitReached():
@@ -87,7 +91,7 @@
 	m.forwardProposal(&m.pendingProposals[len(m.pendingProposals)-1])
 }
 
-// forward gives a proposal to the leader.
+// forwardProposal hands a proposal to the leader.
 func (m *Machine) forwardProposal(p *pendingProposal) {
 	p.forwardedTerm, p.sentAt = m.hardState.Term, m.now
 	if m.role == leader {
@@ -102,21 +106,24 @@
 	m.log.append(Entry{Index: m.log.lastIndex() + 1, Term: m.hardState.Term, Origin: origin, ID: id, Command: command})
 }
 
-// full tells that too much waits to be committed.
+// isUncommittedFull reports whether the uncommitted entries have reached their size limit.
 func (m *Machine) isUncommittedLimitReached() bool {
 	return m.log.bytesBetween(m.commitIndex, m.log.lastIndex()) >= maxUncommittedBytes
 }
 
-// Cancel forgets a proposal or a read that nobody waits for.
+// Cancel drops a proposal or a read whose caller has given up.
 func (m *Machine) Cancel(id uint64) {
 	m.pendingProposals = slices.DeleteFunc(m.pendingProposals, func(p pendingProposal) bool { return p.id == id })
 	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(r pendingRead) bool { return r.id == id })
 }
 
-// onForward appends what another node proposes, in the term it believes in and not long ago. A refusal is certain
-// only if no message with this proposal can have been or will be taken: all of this life are
-// remembered, and an earlier life on this disk wasn't a leader in a later term than this one began
-// in. Otherwise there is no answer, and the log will tell.
+// handleForward appends the proposal of another node, if it is for the current term and not stale.
+//
+// A rejection is sent only if no message with this proposal can have been accepted or ever will be.
+// That is certain for this process, which remembers all proposals that it has handled, and an
+// earlier process on this disk can't have led in a term after the one in which this process
+// started. In all other cases no reply is sent, and the proposing node learns the outcome from the
+// log.
 func (m *Machine) handleForward(msg Message) {
 	if msg.Term > m.hardState.Term || !m.recordProposal(msg.Origin, msg.ID) {
 		return
@@ -130,6 +137,8 @@
 	}
 }
 
+// handleForwardReject forwards a rejected proposal once more if there is another leader by now, and
+// otherwise fails it.
 func (m *Machine) handleForwardReject(msg Message) {
 	i := slices.IndexFunc(m.pendingProposals, func(p pendingProposal) bool { return p.id == msg.ID && p.forwardedTerm == msg.About })
 	if i < 0 || msg.Origin != m.incarnation {
@@ -145,7 +154,7 @@
 	m.pendingProposals = slices.Delete(m.pendingProposals, i, i+1)
 }
 
-// onApplied settles proposals by an entry that is applied.
+// completeProposals completes the proposals whose outcome is decided by an entry that was applied.
 func (m *Machine) completeProposals(e Entry) {
 	if e.Origin == m.incarnation {
 		i := slices.IndexFunc(m.pendingProposals, func(p pendingProposal) bool { return p.id == e.ID })
@@ -163,7 +172,7 @@
 	})
 }
 
-// Read asks for a proof that the table here is current.
+// Read requests a confirmation that the local table is current.
 func (m *Machine) Read(id uint64) {
 	switch {
 	case len(m.pendingReads) >= maxPendingRequests:
@@ -186,9 +195,9 @@
 	m.send(msg)
 }
 
-// resendPending gives the leader again what it was given longer ago than this. It tells proposals
-// apart, so they have no second effect; one that was given to a leader of an earlier term waits for
-// the log instead.
+// resendPending repeats requests to the leader that were sent at least minAge ago. The leader
+// deduplicates proposals, so repeating them has no second effect. A proposal that was given to the
+// leader of an earlier term is not repeated: its outcome follows from the log.
 func (m *Machine) resendPending(minAge time.Duration) {
 	for i := range m.pendingReads {
 		if r := &m.pendingReads[i]; !r.confirmed && m.now-r.sentAt >= minAge {
@@ -202,6 +211,7 @@
 	}
 }
 
+// failReads fails the reads that are not confirmed yet.
 func (m *Machine) failReads(err error) {
 	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(r pendingRead) bool {
 		if !r.confirmed {
@@ -211,8 +221,9 @@
 	})
 }
 
-// onReadAsk takes a read, as a leader. It is answered once a round of heartbeats that begins after
-// it has been acknowledged by a majority: until then there may be another leader by now.
+// handleReadIndex accepts a read as the leader. It is answered once a majority has acknowledged a
+// heartbeat round that started after the read arrived: only that shows that no other leader has
+// been elected meanwhile.
 func (m *Machine) handleReadIndex(msg Message) {
 	if m.role != leader || len(m.leaderReads) >= maxLeaderReads {
 		m.send(Message{Kind: ReadIndexReply, To: msg.From, Origin: msg.Origin, ID: msg.ID, Reject: true})
@@ -222,8 +233,9 @@
 	m.confirmReads()
 }
 
-// confirmReads answers the reads whose round is acknowledged, with the commit of now, which isn't
-// known to be that of all before an entry of this term is committed.
+// confirmReads answers the reads whose heartbeat round is acknowledged, with the current commit
+// index. That index may miss entries committed by earlier leaders until an entry of the current
+// term is committed, so reads wait for that.
 func (m *Machine) confirmReads() {
 	if m.role != leader || m.commitIndex < m.termStartIndex || len(m.leaderReads) == 0 {
 		return
@@ -259,14 +271,15 @@
 		return
 	}
 	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(r pendingRead) bool {
-		refused := r.id == msg.ID && !r.confirmed && m.leader.Address == msg.From
-		if refused {
+		rejected := r.id == msg.ID && !r.confirmed && m.leader.Address == msg.From
+		if rejected {
 			m.completions = append(m.completions, Completion{ID: r.id, Err: ErrNoLeader})
 		}
-		return refused
+		return rejected
 	})
 }
 
+// setReadIndex records the leader's confirmation of a read.
 func (m *Machine) setReadIndex(id, index uint64) {
 	for i := range m.pendingReads {
 		if r := &m.pendingReads[i]; r.id == id && !r.confirmed {
@@ -275,6 +288,7 @@
 	}
 }
 
+// completeReads completes the confirmed reads whose read index is applied.
 func (m *Machine) completeReads() {
 	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(r pendingRead) bool {
 		ready := r.confirmed && r.readIndex <= m.appliedIndex
--- a/internal/mesh/consensus/quorum.go
+++ b/internal/mesh/consensus/quorum.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// is tells whether a disk at an address is this member.
+// matches reports whether a disk at an address is this member.
 func (v Member) matches(address string, disk uint64, founder bool) bool {
 	return v.Address == address && (v.Disk == disk || v.Disk == 0 && founder)
 }
 
-// joint tells whether a change of the voters is under way: both sets decide.
+// isJoint reports whether a change of the voters is in progress, during which both sets decide.
 func (s Members) isJoint() bool { return len(s.Old) > 0 }
 
-// all are the voters of both sets, each once.
+// allVoters returns the voters of both sets without duplicates.
 func (s Members) allVoters() []Member {
 	all := slices.Clone(s.Voters)
 	for _, v := range s.Old {
@@ -21,7 +21,7 @@
 	return all
 }
 
-// find is the voter of either set that a disk at an address is.
+// findVoter returns the voter, of either set, that matches a disk at an address.
 func (s Members) findVoter(address string, disk uint64, founder bool) (Member, bool) {
 	for _, v := range s.allVoters() {
 		if v.matches(address, disk, founder) {
@@ -31,12 +31,12 @@
 	return Member{}, false
 }
 
-// quorum tells whether the voters for which something holds are a majority of each set.
+// hasQuorum reports whether the voters that satisfy a predicate are a majority of each set.
 func (s Members) hasQuorum(satisfies func(Member) bool) bool {
 	return hasMajority(s.Voters, satisfies) && (!s.isJoint() || hasMajority(s.Old, satisfies))
 }
 
-// quorumValue is the highest value that a majority of each set has reached.
+// quorumValue returns the highest value that a majority of each set has reached.
 func (s Members) quorumValue(valueFor func(Member) uint64) uint64 {
 	value := majorityValue(s.Voters, valueFor)
 	if s.isJoint() {
@@ -47,6 +47,7 @@
 
 func majoritySize(voters []Member) int { return len(voters)/2 + 1 }
 
+// hasMajority reports whether a majority of the voters satisfies a predicate.
 func hasMajority(voters []Member, satisfies func(Member) bool) bool {
 	count := 0
 	for _, v := range voters {
@@ -57,6 +58,7 @@
 	return count >= majoritySize(voters)
 }
 
+// majorityValue returns the highest value that a majority of the voters has reached.
 func majorityValue(voters []Member, valueFor func(Member) uint64) uint64 {
 	values := make([]uint64, 0, len(voters))
 	for _, v := range voters {
--- a/internal/mesh/consensus/read.go
+++ b/internal/mesh/consensus/read.go
@@ -15,42 +15,45 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-const damagedAdvice = "the disk is damaged; take the file away, and the node recovers from the others"
+const damagedAdvice = "the disk is damaged; remove the file, and the node recovers from the others"
 
-// content is all that a store holds.
+// storeContent is the complete content of a store.
 type storeContent struct {
 	format   uint32
 	identity identity
 	state    State
 }
 
-// whole is a Save of all of it.
+// fullSave returns a Save that writes the complete content.
 func (c *storeContent) fullSave() *Save {
 	s := &c.state
 	return &Save{Hard: s.Hard, Snapshot: s.Snapshot, BaseIndex: s.BaseIndex, BaseTerm: s.BaseTerm, FirstIndex: s.BaseIndex + 1, Entries: s.Entries}
 }
 
-// readStore reads and checks a file without writing to it. bbolt maps the file and believes what it
-// reads, so pages that are cut off or hold something else end in a fault or a panic; here that
-// comes to an error. Opened to be written, it would walk the pages in a goroutine of its own, where
-// nobody can catch that. What is not found out: the newer of the file's two heads rots after its
-// sync. That looks like a write cut short, and bbolt takes the write back.
+// readStore reads and validates a store file without writing to it. bbolt maps the file into memory
+// and trusts its content, so truncated or corrupted pages end in a memory fault or a panic, which
+// this function turns into an error. When bbolt opens a file for writing, it walks the pages in a
+// separate goroutine, where such a panic could not be recovered. One kind of damage goes unnoticed:
+// if the newer of the two meta pages rots after its sync, it looks like an interrupted write, and
+// bbolt falls back to the older one.
 func readStore(path string) (c *storeContent, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			c, err = nil, unusable("its pages are torn or cut off (%v): %s", r, damagedAdvice)
+			c, err = nil, unusable("the file has corrupted or missing pages (%v): %s", r, damagedAdvice)
 		}
 	}()
 	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: time.Second, ReadOnly: true})
 	switch {
 	case errors.Is(err, bbolterrors.ErrTimeout):
-		return nil, unusable("another process has the file open: end it first")
+		return nil, unusable("another process has the file open: stop that process first")
 	case errors.Is(err, bbolterrors.ErrInvalid), errors.Is(err, bbolterrors.ErrVersionMismatch), errors.Is(err, bbolterrors.ErrChecksum):
-		return nil, unusable("this is no bbolt file, or its head is torn (%v): if it is somebody else's, name another data folder; "+
+		return nil, unusable("this is no bbolt file, or its header is corrupted (%v): if the file belongs to another program, configure another data folder; "+
 			"otherwise %s", err, damagedAdvice)
 	case errors.As(err, new(syscall.Errno)) && !errors.Is(err, syscall.EBADF):
-		return nil, err // of the disk; but bbolt tries to write to an empty file that is open to be read
+		// An I/O error. EBADF is excluded because it comes from an empty file: bbolt tries to
+		// initialize it even if it is opened for reading.
+		return nil, err
 	case err != nil:
 		return nil, unusable("%w: if the file is empty or cut off, %s", err, damagedAdvice)
 	}
@@ -65,7 +68,7 @@
 func (c *storeContent) load(tx *bbolt.Tx) error {
 	meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 	if meta == nil || log == nil {
-		return oops.Errorf("this bbolt file is no store of the agreement: if it is somebody else's, name another data folder; otherwise %s", damagedAdvice)
+		return oops.Errorf("this bbolt file is not a consensus store: if it belongs to another program, configure another data folder; otherwise %s", damagedAdvice)
 	}
 	format, err := get(meta, formatKey)
 	if err != nil {
@@ -75,8 +78,8 @@
 		c.format = binary.BigEndian.Uint32(format)
 	}
 	if c.format < oldFormat || c.format > storeFormat {
-		return oops.Errorf("the store has format %x, and this program knows %d to %d: start the program that wrote it, "+
-			"or take the file away, and the node recovers from the others", format, oldFormat, storeFormat)
+		return oops.Errorf("the store has format %x, but this program supports formats %d to %d: start the program that wrote it, "+
+			"or remove the file, and the node recovers from the others", format, oldFormat, storeFormat)
 	}
 	if err := getGob(meta, identityKey, &c.identity); err != nil {
 		return err
@@ -117,7 +120,8 @@
 	return c.state.validate()
 }
 
-// check tells whether the log leads from the snapshot on, with terms that never go back.
+// validate reports an error unless the entries follow the snapshot without gaps and with terms that
+// never decrease.
 func (s *State) validate() error {
 	last, term := s.BaseIndex, s.BaseTerm
 	for _, e := range s.Entries {
@@ -130,23 +134,23 @@
 		return oops.Errorf("the log from %d to %d doesn't fit its snapshot: %s", s.BaseIndex, last, damagedAdvice)
 	}
 	if term > s.Hard.Term {
-		return oops.Errorf("the log has term %d, and the node has promised %d alone: %s", term, s.Hard.Term, damagedAdvice)
+		return oops.Errorf("the log has an entry of term %d, but the node has promised %d alone: %s", term, s.Hard.Term, damagedAdvice)
 	}
 	return nil
 }
 
-// diskError says what to do about an error of the disk.
+// diskError adds the data folder and advice for the operator to an error of the disk.
 func diskError(dir string, err error) error {
 	var advice string
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, syscall.ENOSPC), errors.Is(err, syscall.EDQUOT):
-		advice = "the disk is full: make room for it"
+		advice = "the disk is full: free some space"
 	case errors.Is(err, syscall.EROFS), errors.Is(err, syscall.EACCES):
-		advice = "the folder can't be written: mend that"
+		advice = "the folder is not writable: correct its permissions or mount options"
 	default:
-		advice = "if it stays so, the disk is broken: put another in, and the node recovers from the others"
+		advice = "if the error persists, the disk is broken: replace it, and the node recovers from the others"
 	}
 	if absolute, absErr := filepath.Abs(dir); absErr == nil {
 		dir = absolute
--- a/internal/mesh/consensus/replacement_test.go
+++ b/internal/mesh/consensus/replacement_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// All three members are replaced while a fourth machine was away: it knows none of the voters, and
-// finds them by the seeds that its settings name by now.
+// All three members are replaced while a fourth machine is down. When it returns, it knows none of
+// the current voters and finds them through the seeds in its updated settings.
 func TestReturnsAfterAllWereReplaced(t *testing.T) {
 	l := newLosses(1, 3, 4*time.Second, 5*time.Second, lossPlant{})
 	w := l.w
@@ -40,8 +40,8 @@
 	l.checkOrder()
 }
 
-// A voter that was only frozen while a learner took its place is a learner when it wakes, and takes
-// no vote back.
+// A voter was paused while a learner took its place. It becomes a learner when it resumes, and must
+// not get its vote back.
 func TestFrozenAndReplaced(t *testing.T) {
 	l := newLosses(1, 4, 4*time.Second, 5*time.Second, lossPlant{})
 	w := l.w
@@ -56,12 +56,13 @@
 	require.ElementsMatch(t, []string{"a", "b", "n3"}, l.leads().machine.Status().Members)
 	w.run(6 * time.Second)
 	require.Equal(t, "learner", frozen.machine.Status().Role)
-	require.Equal(t, members, w.members, "the members change once more")
+	require.Equal(t, members, w.members, "the members changed once more")
 	require.Equal(t, l.leads().applied, frozen.applied)
 }
 
-// A lost machine stops counting catchUp after its successor's start. By then the change must be
-// committed, also if the leader was lost, or a standing learner takes its place.
+// A lost machine must be replaced within catchUp after its successor has started. The configuration
+// change must be committed by then, also if the lost machine was the leader or if a learner was
+// already available.
 func TestReplacedInTime(t *testing.T) {
 	const catchUp = 4 * time.Second
 	for _, hasLearner := range []bool{false, true} {
@@ -95,13 +96,13 @@
 			times = append(times, w.now-began)
 		}
 		slices.Sort(times)
-		t.Logf("a learner stands by: %v; replaced after %v, longest %v", hasLearner, times[len(times)/2], times[len(times)-1])
+		t.Logf("with a learner available: %v; replaced after a median of %v, longest %v", hasLearner, times[len(times)/2], times[len(times)-1])
 	}
 }
 
-// A member is told to go while its successor stands by, and at that moment the leader loses its
-// disk. The new leader doesn't know the learner yet; the leaving member waits until it does, since
-// without both there would be no quorum any more.
+// A member is told to leave while a successor is available, and at that moment the leader loses its
+// disk. The new leader does not know the learner yet. The leaving member must wait until it does:
+// without both there would be no quorum.
 func TestLeavesAsTheLeaderIsLost(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		l := newLosses(seed, 3, 4*time.Second, 5*time.Second, lossPlant{})
@@ -131,8 +132,9 @@
 	}
 }
 
-// A learner was told of the joint configuration that makes it a voter, and the leader was lost
-// before anybody else was. The others go on without it, and it finds back to them.
+// The leader sends a learner the joint configuration that makes it a voter, and is lost before any
+// other node has received it. The others continue without that configuration, and the learner must
+// find its way back to them.
 func TestUncommittedVoterFindsBack(t *testing.T) {
 	l := newLosses(1, 3, 4*time.Second, 5*time.Second, lossPlant{})
 	w := l.w
--- a/internal/mesh/consensus/replicate.go
+++ b/internal/mesh/consensus/replicate.go
@@ -9,37 +9,38 @@
 type replicationState uint8
 
 const (
-	probing         replicationState = iota // one message at a time, until it is known where the logs agree
-	replicating                             // as much as may be in flight
-	sendingSnapshot                         // a snapshot is under way, in chunks
+	probing         replicationState = iota // one message at a time, to find where the logs match
+	replicating                             // entries without waiting, up to maxInFlightBytes
+	sendingSnapshot                         // a snapshot is sent in chunks
 )
 
-// progress is what a leader knows of a peer.
+// progress is what a leader knows about a peer.
 type progress struct {
-	member            Member
-	isLearner         bool
-	discoveredDisk    uint64 // heard, of a member that is known by disk 0; 0 if not yet
+	member    Member
+	isLearner bool
+	// Disk number that the peer has reported, for a member that is listed with disk 0; 0: none yet.
+	discoveredDisk    uint64
 	state             replicationState
-	probeSent         bool // the one message is under way
-	matchIndex        uint64
-	nextIndex         uint64
-	sentCommit        uint64 // commit
+	probeSent         bool   // while probing: the message is in flight
+	matchIndex        uint64 // last index at which the logs are known to match
+	nextIndex         uint64 // index of the next entry to send
+	sentCommit        uint64 // commit index that was sent last
 	lastContact       time.Duration
-	ackedRound        uint64           // of heartbeats, acknowledged,
-	sentRound         uint64           // and sent
-	learnerSinceRound uint64           // the round at which it became a learner
-	transfer          snapshotTransfer // while installing
+	ackedRound        uint64           // last heartbeat round that the peer acknowledged
+	sentRound         uint64           // last heartbeat round that was sent
+	learnerSinceRound uint64           // heartbeat round in which it became a learner
+	transfer          snapshotTransfer // while sendingSnapshot
 
-	leavingUntil time.Duration // it said that it is about to end
+	leavingUntil time.Duration // until then the peer counts as leaving, as it announced
 }
 
-// is tells whether a reply comes from this peer. A member by disk 0 is the first disk that was
-// heard of it.
+// matchesSender reports whether a message was sent by this peer. For a member that is listed with
+// disk 0, that is the disk that was first heard at its address.
 func (p *progress) matchesSender(msg Message) bool {
 	return p.member.matches(msg.From, msg.Disk, msg.Founder) && (p.discoveredDisk == 0 || p.discoveredDisk == msg.Disk)
 }
 
-// replier is the peer that answers this leader, in this term; nil if there is none.
+// peerForReply returns the peer that sent a reply to this leader in the current term, or nil.
 func (m *Machine) peerForReply(msg Message) *progress {
 	if m.role != leader || msg.Term != m.hardState.Term {
 		return nil
@@ -47,7 +48,7 @@
 	return m.peerFor(msg)
 }
 
-// peerOf is the peer that a message is from; nil if there is none.
+// peerFor returns the peer that sent a message, or nil.
 func (m *Machine) peerFor(msg Message) *progress {
 	for _, p := range m.peers {
 		if p.matchesSender(msg) {
@@ -57,13 +58,14 @@
 	return nil
 }
 
-// setPeers brings the peers in line with the members. A voter that is taken out and still there
-// goes on as a learner, so that it hears of that, and stands by.
+// updatePeers makes the peers match the current configuration. A voter that was removed and is
+// still reachable is kept as a learner, so that it hears of its removal and can become a voter
+// again.
 func (m *Machine) updatePeers() {
 	var peers []*progress
 	members := m.log.latestConfiguration().members
 	for _, v := range members.allVoters() {
-		if v.Address == m.self { // ourselves, or the disk that was here before ours
+		if v.Address == m.self { // this node, or the lost disk that was at its address before
 			continue
 		}
 		i := slices.IndexFunc(m.peers, func(p *progress) bool {
@@ -90,8 +92,8 @@
 	m.peers = peers
 }
 
-// beat is a leader's heartbeat. A leader that hasn't heard a majority for long stands back, so that
-// those who ask it go elsewhere.
+// startHeartbeatRound runs at each heartbeat interval. A leader that has not heard from a majority
+// for a long time steps down, so that its clients turn to another node.
 func (m *Machine) startHeartbeatRound() {
 	stalled := m.now - m.nextHeartbeat
 	m.nextHeartbeat = m.now + heartbeatInterval
@@ -125,7 +127,7 @@
 	m.reconcileMembers()
 }
 
-// quorumHeard tells whether a quorum was heard within a time.
+// hasQuorumContact reports whether a quorum was heard within the given time.
 func (m *Machine) hasQuorumContact(within time.Duration) bool {
 	return m.log.latestConfiguration().members.hasQuorum(func(v Member) bool {
 		p := m.voterProgress(v)
@@ -133,25 +135,27 @@
 	})
 }
 
-// forgive doesn't count against the others the time in which this node itself stood still.
+// discountStall makes up for a pause of this process: the time during which the leader itself was
+// stalled is not counted as silence of its peers.
 func (m *Machine) discountStall(stalled time.Duration) {
 	for _, p := range m.peers {
 		p.lastContact = min(p.lastContact+stalled, m.now)
 	}
 }
 
-// superseded tells that a voter's disk is gone: its successor answers at the address.
+// isSuperseded reports whether the disk of a voter is lost, because a learner with another disk
+// responds at the same address.
 func (m *Machine) isSuperseded(p *progress) bool {
 	return slices.ContainsFunc(m.peers, func(q *progress) bool {
 		return q != p && q.member.Address == p.member.Address && q.ackedRound > q.learnerSinceRound && q.lastContact >= p.lastContact
 	})
 }
 
-// replicate sends to all peers what they need.
+// replicate sends each peer the messages it needs.
 func (m *Machine) replicate() {
 	if slices.ContainsFunc(m.leaderReads, func(r leaderRead) bool { return r.requiredRound > m.heartbeatRound }) {
 		m.heartbeatRound++
-		m.confirmReads() // it may be that nobody else is needed
+		m.confirmReads() // a single voter needs no acknowledgement of others
 	}
 	for _, p := range m.peers {
 		if p.isLearner || !m.isSuperseded(p) {
@@ -160,12 +164,14 @@
 	}
 }
 
+// replicateTo sends a peer entries, a chunk of a snapshot or a heartbeat, whichever is due.
 func (m *Machine) replicateTo(p *progress) {
 	if p.state == probing && p.probeSent {
 		return
 	}
 	if p.state != sendingSnapshot && p.nextIndex <= m.log.baseIndex {
-		if m.now-p.lastContact < peerTimeout { // to who is down, a snapshot would only be traffic
+		// A peer that is down gets no snapshot, which would only cause traffic.
+		if m.now-p.lastContact < peerTimeout {
 			m.beginSnapshotTransfer(p)
 			return
 		}
@@ -173,14 +179,15 @@
 	}
 	if p.state == sendingSnapshot {
 		m.sendChunk(p)
-		if p.sentRound < m.heartbeatRound { // only a heartbeat, at the one index where all logs agree
+		// A heartbeat without entries, at index 0, where all logs match.
+		if p.sentRound < m.heartbeatRound {
 			p.sentRound = m.heartbeatRound
 			m.send(Message{Kind: AppendEntries, To: p.member.Address, ToDisk: p.member.Disk, Sequence: m.heartbeatRound, LeaderTime: m.ownTenure()})
 		}
 		return
 	}
 	for {
-		isUnreachable := m.now-p.lastContact >= peerTimeout // who is down gets heartbeats alone
+		isUnreachable := m.now-p.lastContact >= peerTimeout // unreachable peers get only heartbeats
 		isWindowFull := m.log.bytesBetween(p.matchIndex, p.nextIndex-1) >= maxInFlightBytes
 		lastSendable := m.lastSendableIndex(p)
 		hasEntries := p.nextIndex <= lastSendable && !isUnreachable && !isWindowFull
@@ -207,9 +214,10 @@
 	}
 }
 
-// sendable is how far a peer may hold the log. A learner gets committed entries alone: a voter that
-// is taken out still votes by the joint configuration it knows, and if it held a final one that no
-// incoming voter has kept, it could be neither elected nor vote for those who can be.
+// lastSendableIndex returns the last index that may be sent to a peer. Learners get only committed
+// entries: a removed voter still votes by the joint configuration that it knows. If it held a final
+// configuration that no incoming voter has stored, it could neither be elected nor vote for those
+// that can.
 func (m *Machine) lastSendableIndex(p *progress) uint64 {
 	if p.isLearner {
 		return m.commitIndex
@@ -217,12 +225,13 @@
 	return m.log.lastIndex()
 }
 
+// handleAppend appends the entries of a leader, if the log matches the leader's before them.
 func (m *Machine) handleAppend(msg Message) {
 	if !m.acceptLeader(msg) {
 		return
 	}
 	prevIndex, entries := msg.Index, msg.Entries
-	if prevIndex < m.log.baseIndex { // what we no longer hold is committed, so it agrees
+	if prevIndex < m.log.baseIndex { // entries that are compacted away are committed, so they match
 		skipped := min(m.log.baseIndex-prevIndex, uint64(len(entries)))
 		entries = entries[skipped:]
 		prevIndex += skipped
@@ -234,7 +243,7 @@
 	}
 	if term, ok := m.log.termAt(prevIndex); !ok || term != msg.LogTerm {
 		if ok && prevIndex <= m.commitIndex {
-			panic(fmt.Sprintf("consensus: entry %d is committed in term %d, and the leader of term %d has it of term %d",
+			panic(fmt.Sprintf("consensus: entry %d is committed in term %d, but the leader of term %d has it of term %d",
 				prevIndex, term, msg.Term, msg.LogTerm))
 		}
 		m.rejectAppend(msg, prevIndex)
@@ -260,16 +269,16 @@
 	}
 }
 
-// acceptLeader tells whether a leader's message counts, and follows it.
+// acceptLeader reports whether a message of a leader is current, and follows that leader if so.
 func (m *Machine) acceptLeader(msg Message) bool {
 	if msg.Term < m.hardState.Term {
-		// Without the round: the sender may lead again by now, in this very term, and would take it
-		// for one of today's.
+		// The reply leaves out the heartbeat round: the sender may be leading again in the current
+		// term, and would count the round as one of that term.
 		m.send(Message{Kind: AppendEntriesReply, To: msg.From, Reject: true})
 		return false
 	}
 	if m.role == leader && msg.Term == m.hardState.Term {
-		panic(fmt.Sprintf("consensus: two leaders in term %d: %s and we", msg.Term, msg.From))
+		panic(fmt.Sprintf("consensus: two leaders in term %d: %s and this node", msg.Term, msg.From))
 	}
 	m.followLeader(msg)
 	m.lastLeaderContact = m.now
@@ -288,8 +297,9 @@
 	return true
 }
 
-// acknowledge promises that the log agrees with the leader's up to an index. It stands for what it
-// promised this leader before and waits for the same sync: however long that takes, one is kept.
+// acknowledge promises that the log matches the leader's up to an index. It replaces an earlier
+// acknowledgement to the same leader that waits for the same sync, so that only one is kept however
+// long the sync takes.
 func (m *Machine) acknowledge(msg Message, index uint64) {
 	reply := Message{Kind: AppendEntriesReply, To: msg.From, Term: m.hardState.Term, Index: index, Sequence: msg.Sequence}
 	if m.acknowledgesEarly() {
@@ -306,28 +316,31 @@
 	m.sendAfterSync(reply)
 }
 
-// answersEarly tells whether a leader is answered before the sync that is under way is done, with
-// what was on the disk before: without that, disks that are all slow at once, as when all write a
-// snapshot, would cost a leader its quorum. The term has to be on the disk as well, or a leader of
-// an earlier one could take back, after a crash, what was acknowledged. A disk that doesn't answer
-// for long counts as lost, so that another can take its place.
+// acknowledgesEarly reports whether to reply to the leader before the sync in progress ends, with
+// the index that is already on disk. Without this, disks that are all slow at the same time, as
+// when every node writes a snapshot, would cost the leader its quorum. The current term has to be
+// on disk too: otherwise a leader of an earlier term could, after a crash, overwrite what was
+// acknowledged. A disk that stalls for syncStallTimeout counts as lost, so that another node can
+// take its place.
 func (m *Machine) acknowledgesEarly() bool {
 	elapsed := m.now - m.saveStartedAt
 	return m.saveInProgress && elapsed >= heartbeatInterval && elapsed < syncStallTimeout && m.syncedTerm == m.hardState.Term
 }
 
-// disagree tells the leader where to look next: at our end, or before the term that doesn't fit.
+// rejectAppend tells the leader at which index to probe next: the end of this log, or the entry
+// before the conflicting term.
 func (m *Machine) rejectAppend(msg Message, prevIndex uint64) {
-	lastCandidate := m.log.lastIndex()
+	probeIndex := m.log.lastIndex()
 	if term, ok := m.log.termAt(prevIndex); ok {
-		lastCandidate = prevIndex - 1
-		for t, ok := m.log.termAt(lastCandidate); ok && t == term && lastCandidate > m.commitIndex; t, ok = m.log.termAt(lastCandidate) {
-			lastCandidate--
+		probeIndex = prevIndex - 1
+		for t, ok := m.log.termAt(probeIndex); ok && t == term && probeIndex > m.commitIndex; t, ok = m.log.termAt(probeIndex) {
+			probeIndex--
 		}
 	}
-	m.send(Message{Kind: AppendEntriesReply, To: msg.From, Reject: true, Index: lastCandidate, About: prevIndex, Sequence: msg.Sequence})
+	m.send(Message{Kind: AppendEntriesReply, To: msg.From, Reject: true, Index: probeIndex, About: prevIndex, Sequence: msg.Sequence})
 }
 
+// handleAppendReply advances a peer's progress, or goes back to probing if the logs did not match.
 func (m *Machine) handleAppendReply(msg Message) {
 	if msg.Term > m.hardState.Term {
 		m.becomeFollower(msg.Term)
@@ -338,7 +351,8 @@
 		return
 	}
 	p.lastContact, p.discoveredDisk, p.ackedRound = m.now, msg.Disk, max(p.ackedRound, msg.Sequence)
-	m.peers = slices.DeleteFunc(m.peers, func(q *progress) bool { // an old Join of a disk that is there no more
+	// Drops a learner that joined from the same address, but whose disk no longer exists.
+	m.peers = slices.DeleteFunc(m.peers, func(q *progress) bool {
 		return q != p && q.isLearner && q.member.Address == p.member.Address && p.ackedRound > q.learnerSinceRound
 	})
 	if msg.Reject {
@@ -350,7 +364,7 @@
 		return
 	}
 	if msg.Index > m.log.lastIndex() {
-		panic(fmt.Sprintf("consensus: %v acknowledges %d, and the log ends at %d", p.member, msg.Index, m.log.lastIndex()))
+		panic(fmt.Sprintf("consensus: %v acknowledges entry %d, but the log ends at %d", p.member, msg.Index, m.log.lastIndex()))
 	}
 	p.matchIndex = max(p.matchIndex, msg.Index)
 	p.nextIndex = max(p.nextIndex, p.matchIndex+1)
@@ -367,7 +381,8 @@
 	}
 }
 
-// advanceCommit commits what a quorum has synced, once that reaches this term.
+// advanceCommit commits the entries that a quorum has synced, once they include one of the current
+// term.
 func (m *Machine) advanceCommit() {
 	index := m.log.latestConfiguration().members.quorumValue(func(v Member) uint64 {
 		if m.isSelf(v) {
--- a/internal/mesh/consensus/snapshot_test.go
+++ b/internal/mesh/consensus/snapshot_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// suspend is a save that fails, done or not: the machine is given up, and the table stays. See
-// reopen.go.
+// suspendHost simulates a failed save, which may or may not have reached the disk: the machine is
+// discarded and the table is kept. See reopen.go.
 func (w *world) suspendHost(h *host) {
 	w.suspended++
 	for _, msg := range h.machine.resign() {
@@ -24,7 +24,7 @@
 	w.after(w.within(0, 2*time.Second), func() { w.revive(h) })
 }
 
-// step hands a machine a message, with the faults that are planted.
+// deliver passes a message to a machine, with the injected bugs.
 func (w *world) deliver(m *Machine, msg Message) {
 	if msg.Kind != InstallSnapshot {
 		m.HandleMessage(msg)
@@ -47,9 +47,8 @@
 	}
 }
 
-// exploreSnapshots plays a seed of the explorer in which snapshots are taken every few entries and
-// go in small chunks, over links that lose them, and in which saves fail, take seconds, or end in a
-// crash.
+// exploreSnapshots runs a seed of the simulation in which snapshots are taken every few entries and
+// sent in small chunks over lossy links, and in which saves fail, take seconds, or end in a crash.
 func exploreSnapshots(seed uint64, bugs injectedBugs) (w *world, failure any) {
 	w = newWorld(seed, bugs)
 	w.compact, w.chunk = pick(w, uint64(3), 8), pick(w, 200, 700)
@@ -64,8 +63,8 @@
 		require.Nil(t, failure, "seed %d", seed)
 		acks, installs, suspended = acks+w.acks, installs+w.installs, suspended+w.suspended
 	}
-	t.Logf("%d acknowledged, %d snapshots in several chunks, %d disks that failed", acks, installs, suspended)
-	require.Greater(t, acks, *seedCount*5, "too little came through to tell anything")
+	t.Logf("%d acknowledged, %d snapshots installed from several chunks, %d failed disks", acks, installs, suspended)
+	require.Greater(t, acks, *seedCount*5, "too few calls succeeded for a meaningful check")
 	require.Greater(t, installs, *seedCount/2)
 	require.Greater(t, suspended, *seedCount/2)
 }
@@ -90,8 +89,8 @@
 	}
 }
 
-// After its disk failed, a node's table may be ahead of what the machine has applied anew. No
-// snapshot is taken of it then, since it would stand at the wrong index.
+// After a disk failure, the table may be ahead of what the new machine has applied. No snapshot may
+// be taken then, because it would be labeled with the wrong index.
 func TestNoSnapshotOfATableAhead(t *testing.T) {
 	state := State{Disk: 1, Founder: true, Hard: Hard{Term: 1}, Entries: BootstrapEntries([]string{"a", "b", "c"})}
 	for i := uint64(2); i <= 20; i++ {
@@ -109,8 +108,9 @@
 	}
 }
 
-// Followers whose disks are both slow, as when all write a snapshot, cost the leader no quorum: it
-// goes on leading, and what it is asked is acknowledged when they have synced it.
+// Followers that both have slow disks, as when every node writes a snapshot, must not cost the
+// leader its quorum: it remains leader, and proposals are acknowledged once the followers have
+// synced them.
 func TestTwoSlowDisks(t *testing.T) {
 	withTrio(t, func(m *trio) {
 		leaderName := m.leader()
@@ -131,7 +131,7 @@
 	})
 }
 
-// A disk that doesn't answer for long is as good as lost: its node is heard of no more.
+// A disk that stalls for a long time counts as lost, and its node as unreachable.
 func TestStalledDiskIsUnheard(t *testing.T) {
 	withTrio(t, func(m *trio) {
 		leaderName := m.leader()
--- a/internal/mesh/consensus/stale.go
+++ b/internal/mesh/consensus/stale.go
@@ -2,27 +2,32 @@
 
 import "time"
 
-// A proposal that a follower gives the leader may be held up on its way: by a link that is cut in one
-// direction, or in the buffers of a process that stood still. Its caller was told that nothing is
-// known of it, long ago, and has gone on; appended now, it would come true when nobody expects it.
+// A proposal that a follower forwards to the leader may be delayed for a long time, for example by
+// a link that is cut in one direction or in the buffers of a paused process. By then its caller was
+// told that the outcome is unknown and has moved on, so appending it would change the state when
+// nobody expects that.
 //
-// So a leader says in each heartbeat how long it has led, a follower repeats what it heard last when
-// it gives a proposal, and the leader refuses one that was given too long ago. Both times are of the
-// leader's own clock. It is no matter of safety: one that is taken late is an entry as any other.
+// Therefore a leader sends in each heartbeat how long it has led, a follower includes the last
+// value it heard in the proposals it forwards, and the leader rejects a proposal whose value is too
+// old. Both values come from the leader's own clock. This is no matter of safety: a late proposal
+// that is accepted is a regular entry.
 
-// staleAfter is the age at which a proposal is refused: its caller waits for less than a second, and
-// the follower that passed it on heard the leader at most so long before.
+// maxProposalAge is the age beyond which a forwarded proposal is rejected. A caller waits for less
+// than a second, and the follower that forwarded the proposal had heard from the leader at most a
+// second before.
 const maxProposalAge = 2 * peerTimeout
 
-// leadingFor is how long this node has led, and never 0: that is what an older program says.
+// ownTenure returns how long this node has led. It is never 0, which stands for the unknown value
+// of an older program version.
 func (m *Machine) ownTenure() time.Duration { return m.now - m.leaderSince + 1 }
 
-// hearLeader notes how long the leader says that it has led. Messages may come out of order.
-func (m *Machine) recordLeaderTenure(leadingFor time.Duration) {
-	m.leaderTenure = max(m.leaderTenure, leadingFor)
+// recordLeaderTenure records how long the leader says it has led. Messages may arrive out of order,
+// so the value only grows.
+func (m *Machine) recordLeaderTenure(tenure time.Duration) {
+	m.leaderTenure = max(m.leaderTenure, tenure)
 }
 
-// isStale tells whether a proposal was given to this leader, in this term, too long ago.
+// isStale reports whether a proposal was forwarded to this leader, in this term, too long ago.
 func (m *Machine) isStale(msg Message) bool {
 	return msg.LeaderTime != 0 && m.ownTenure()-msg.LeaderTime > maxProposalAge
 }
--- a/internal/mesh/consensus/stale_test.go
+++ b/internal/mesh/consensus/stale_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStaleProposalIsRefused has the leader get a proposal at once, late, and from a program that
-// doesn't say what it heard of the leader.
+// The leader accepts a proposal that was just forwarded, rejects one that is too old, and accepts
+// one from an older program version that does not include the tenure of the leader.
 func TestStaleProposalIsRefused(t *testing.T) {
 	m := newTestMachine(3)
 	electLeader(t, m)
@@ -35,15 +35,15 @@
 	}
 	require.Greater(t, m.ownTenure()-heardTenure, maxProposalAge)
 	accepted, rejected = forward(2, heardTenure)
-	require.True(t, !accepted && rejected, "it was given long ago")
+	require.True(t, !accepted && rejected, "it is too old")
 	accepted, rejected = forward(2, m.ownTenure())
-	require.False(t, accepted || rejected, "it was refused for good")
+	require.False(t, accepted || rejected, "its ID was rejected before and stays rejected")
 	accepted, _ = forward(3, 0)
-	require.True(t, accepted, "an older program does not say when")
+	require.True(t, accepted, "an older program version does not send the tenure")
 }
 
-// TestProposalsNameTheLeaderTheyAreFor has a follower with a proposal hear a new leader: it says how long
-// that one had led, and nothing of the one before.
+// A follower forwards proposals with the tenure of the current leader, and never with that of the
+// previous one. A proposal that was given to the previous leader is not forwarded again.
 func TestProposalsNameTheLeaderTheyAreFor(t *testing.T) {
 	m := newTestMachine(3)
 	receive := func(term uint64, tenure time.Duration) (forwarded []Message) {
@@ -62,20 +62,20 @@
 	}
 	receive(4, time.Hour)
 	m.Propose(1, []byte("x"))
-	receive(4, time.Second) // an old message
+	receive(4, time.Second) // delivered out of order
 	require.Equal(t, time.Hour, m.leaderTenure)
 	m.becomeFollower(5)
 	forwarded := receive(5, time.Minute)
-	require.Empty(t, forwarded, "given to the leader before, who may have it in the log")
+	require.Empty(t, forwarded, "it was given to the previous leader, which may have appended it")
 	m.Propose(2, []byte("y"))
 	forwarded = receive(5, 2*time.Minute)
 	require.Len(t, forwarded, 1)
 	require.Equal(t, time.Minute, forwarded[0].LeaderTime)
 }
 
-// TestUnheardFollowerChangesNothingLater has a follower hear the leader and not be heard: what it
-// gives the leader is held up for 20 s, as a network does that is cut in one direction. Who asked
-// the follower was told that nothing is known, and nothing comes of it later.
+// A follower hears the leader, but what it sends is held up for 20 s, as in a network that is cut
+// in one direction. The caller at the follower was told that the outcome is unknown, so the delayed
+// proposal must have no effect when it arrives.
 func TestUnheardFollowerChangesNothingLater(t *testing.T) {
 	withTrio(t, func(m *trio) {
 		leaderName := m.leader()
--- a/internal/mesh/consensus/story_test.go
+++ b/internal/mesh/consensus/story_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// carryOut does what a machine wants until it wants no more, on a disk that takes no time.
+// drainOutput takes the output of a machine until there is none, with a disk that syncs
+// immediately.
 func drainOutput(m *Machine) {
 	for o := m.NextOutput(); !o.Empty(); o = m.NextOutput() {
 		if o.Save != nil {
@@ -17,7 +18,8 @@
 	}
 }
 
-// alone is the machine of a, of which a disk holds the members a and b as of 1, and more entries.
+// newTestMachine returns the machine of node a. Its disk holds a snapshot at index 1 with the
+// voters a and b (and c if target is 3), and the given entries.
 func newTestMachine(target int, entries ...Entry) *Machine {
 	members := Members{Voters: []Member{{"a", 1}, {"b", 2}}, Target: target}
 	if target == 3 {
@@ -28,7 +30,7 @@
 		Snapshot: &Snapshot{Index: 1, Term: 1, Members: members, MembersAt: place}, Entries: entries}})
 }
 
-// said brings a reply of another node in the machine's term.
+// deliverReply passes a reply of another node in the machine's current term.
 func deliverReply(m *Machine, msg Message) {
 	msg.To, msg.Term, msg.Sequence = "a", m.hardState.Term, m.heartbeatRound
 	if msg.Kind == PreVoteReply {
@@ -38,7 +40,7 @@
 	drainOutput(m)
 }
 
-// elected has b vote for a.
+// electLeader makes a the leader with the vote of b.
 func electLeader(t *testing.T, m *Machine) {
 	m.Advance(m.Deadline())
 	drainOutput(m)
@@ -47,7 +49,7 @@
 	require.Equal(t, leader, m.role)
 }
 
-// beats lets time pass; the others answer with what they have.
+// runHeartbeats runs three heartbeats, which the other nodes acknowledge up to the given indexes.
 func runHeartbeats(m *Machine, ackedIndexes map[string]uint64) {
 	disks := map[string]uint64{"b": 2, "c": 3, "d": 4, "e": 5}
 	for range 3 {
@@ -61,8 +63,8 @@
 	}
 }
 
-// What a majority has of an earlier term may still be overwritten by a leader that lacks it and has
-// a later term at the end; an entry of the leader's own term shuts that out.
+// An entry of an earlier term that a majority holds may still be overwritten by a leader that lacks
+// it and whose last entry has a later term. An entry of the leader's own term rules that out.
 func TestOlderTermsAreNotCommittedByCounting(t *testing.T) {
 	m := newTestMachine(3, Entry{Index: 2, Term: 2})
 	electLeader(t, m)
@@ -72,9 +74,9 @@
 	require.Equal(t, uint64(3), m.commitIndex)
 }
 
-// Before an entry of its own term holds, a leader doesn't know whether a change of members of the
-// leader before it does. A change needs majorities of both sets, and only once it is committed do the
-// incoming voters decide alone.
+// Until an entry of its own term is committed, a leader can't know whether a configuration of the
+// previous leader is in effect. A joint configuration needs majorities of both sets, and only after
+// it is committed do the incoming voters decide alone.
 func TestMembersChangeOneAtATime(t *testing.T) {
 	m := newTestMachine(4)
 	electLeader(t, m)
@@ -82,20 +84,21 @@
 		deliverReply(m, Message{Kind: Join, From: learner.Address, Disk: learner.Disk})
 	}
 	runHeartbeats(m, map[string]uint64{"b": 1, "d": 2, "e": 2})
-	require.Len(t, m.log.latestConfiguration().members.Voters, 2, "nothing of this term is committed")
+	require.Len(t, m.log.latestConfiguration().members.Voters, 2, "no entry of this term is committed")
 	runHeartbeats(m, map[string]uint64{"b": 2, "d": 2, "e": 2})
 	joint := m.log.latestConfiguration().members
 	require.Equal(t, []Member{{"a", 1}, {"b", 2}}, joint.Old)
 	require.Equal(t, []Member{{"a", 1}, {"b", 2}, {"d", 4}, {"e", 5}}, joint.Voters)
 	runHeartbeats(m, map[string]uint64{"b": 2, "d": 3, "e": 3})
-	require.Equal(t, joint, m.log.latestConfiguration().members, "no majority of the outgoing voters has it")
+	require.Equal(t, joint, m.log.latestConfiguration().members, "no majority of the outgoing voters holds it")
 	require.Equal(t, uint64(2), m.commitIndex)
 	runHeartbeats(m, map[string]uint64{"b": 3, "d": 2, "e": 2})
-	require.Equal(t, uint64(3), m.commitIndex, "three of four, and both of two")
+	require.Equal(t, uint64(3), m.commitIndex, "three of four incoming and both outgoing voters hold it")
 	require.Equal(t, Members{Voters: joint.Voters, Target: 4}, m.log.latestConfiguration().members)
 }
 
-// A sync that was under way when the entries in it gave way to others tells nothing of those.
+// A Save whose entries were overwritten while it was in progress must not count as a sync of the
+// new entries.
 func TestSyncOfWhatWasOverwritten(t *testing.T) {
 	m := newTestMachine(3)
 	entries := func(from, to, term uint64) (result []Entry) {
@@ -110,7 +113,7 @@
 	m.SaveCompleted()
 	require.Equal(t, uint64(2), m.syncedIndex)
 	for _, msg := range m.NextOutput().Messages {
-		require.Equal(t, uint64(4), msg.Term, "what is not synced is promised")
+		require.Equal(t, uint64(4), msg.Term, "an acknowledgement was sent before its sync")
 	}
 	m.SaveCompleted()
 	require.Equal(t, uint64(6), m.syncedIndex)
@@ -118,8 +121,8 @@
 	require.Less(t, m.now, time.Second)
 }
 
-// A node with an empty disk that hears an old mesh, and then the one that was founded from its
-// backup: terms of the two may be alike, and have nothing to do with each other.
+// A node with an empty disk hears an old mesh, and then the mesh that was founded from a backup of
+// it. The terms of the two meshes may be equal but are unrelated.
 func TestTwoMeshesSpeak(t *testing.T) {
 	m := New(Config{Self: "c", Seeds: seedNames, Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 1)), State: State{Disk: 9}})
 	m.HandleMessage(Message{Kind: AppendEntries, From: "b", To: "c", Disk: 2, Term: 3, Mesh: firstMesh, Index: 7, LogTerm: 3})
