--- a/internal/level/level.go
+++ b/internal/level/level.go
@@ -81,7 +81,7 @@
 	config           Config
 	guaranteedShares []float64 // of the accounts, by position
 	rng              *rand.Rand
-	recentRequests   limit.Mix
+	recentRequests   limit.TenantMix
 
 	current         int             // position of the current level in levels
 	enteredAt       time.Duration   // when the current level was entered
@@ -106,7 +106,7 @@
 // identified by their positions. The configuration must have been validated for the service.
 func New(c *Config, s *Service, seed uint64, now time.Duration) *Controller {
 	controller := &Controller{
-		config: *c, guaranteedShares: s.Portions, rng: rand.New(rand.NewPCG(seed, 1)), recentRequests: limit.NewMix(len(s.Portions)), enteredAt: now,
+		config: *c, guaranteedShares: s.Portions, rng: rand.New(rand.NewPCG(seed, 1)), recentRequests: limit.NewTenantMix(len(s.Portions)), enteredAt: now,
 		levels: []resolvedLevel{{Level: Level{Name: Normal}, shedsClass: make([]bool, len(s.Classes))}}, reachedAt: make([]time.Duration, len(c.Level)+1),
 		answeredAtEntry: make([]float64, len(c.Level)+1),
 	}
@@ -177,7 +177,7 @@
 		return 1
 	}
 	guaranteed := c.guaranteedShares[account]
-	return c.recentRequests.Over(account, guaranteed)
+	return c.recentRequests.AddRequest(account, guaranteed)
 }
 
 // retryAfter returns when a refused client may retry. The jitter keeps clients that were refused
--- a/internal/life/attempt_test.go
+++ b/internal/life/attempt_test.go
@@ -78,7 +78,7 @@
 					t.Errorf("%v: final state %s accepts %s", path, s, i)
 				}
 			}
-			if o := s.Outcome(); (o == policy.OK) != contains(path, GoodAnswer) || (o == policy.Moot) != (s == NotTried) {
+			if o := s.Outcome(); (o == policy.OK) != contains(path, GoodAnswer) || (o == policy.NotSent) != (s == NotTried) {
 				t.Errorf("%v: final outcome %v", path, o)
 			}
 			return
--- a/internal/mesh/consensus/history_test.go
+++ b/internal/mesh/consensus/history_test.go
@@ -11,153 +11,158 @@
 	"github.com/stretchr/testify/require"
 )
 
-// history is what operators saw of some items with versions: a set takes if its version is newer
-// than what stands, and a get shows what stands at the node that it is asked of.
+// history records what clients observed of a set of versioned items, for a linearizability check. A
+// set is accepted if its version is newer than the current one, and a get returns the current
+// version at the node that is asked.
 type history struct {
-	clock int64
-	open  map[asker]*porcupine.Operation
-	ended []porcupine.Operation
+	clock     int64
+	pending   map[callID]*porcupine.Operation
+	completed []porcupine.Operation
 }
 
-// asker is a call at one life of a process.
-type asker struct{ life, id uint64 }
+// callID identifies a call: the process it was made at, and its ID there.
+type callID struct{ incarnation, id uint64 }
 
-// items is how many items there are: the fewer, the harder the check.
-const items = 8
+// itemCount is the number of items; fewer items make the check stricter.
+const itemCount = 8
 
-// item is what stands of one; as a call, what is to stand, or nothing of a get.
+// item is an item and its version: the current one, the one to be set, or version 0 in a get.
 type item struct{ number, version uint64 }
 
 type input struct {
 	item
-	get bool
+	isGet bool
 }
 
 type output struct {
-	stands  item // of a get
-	took    bool // of a set,
-	unknown bool // if that is known
+	current  item // of a get
+	accepted bool // of a set
+	unknown  bool // whether the set was accepted is unknown
 }
 
-// setOf tells what a value of the world sets. Versions go up with the values, but not in order.
-func setOf(value uint64) item { return item{value % items, value + value*37%41 + 1} }
+// itemFor returns the item that a proposed value sets. Versions grow with the values overall, but
+// not strictly in order.
+func itemFor(value uint64) item { return item{value % itemCount, value + value*37%41 + 1} }
 
-// standing is what stands of an item after some commands, and whether the last of them took.
-func standing(table []Entry, number uint64) (stands item, took bool) {
-	stands.number = number
+// currentItem returns the state of an item after some commands, and whether the last command for it
+// was accepted.
+func currentItem(table []Entry, number uint64) (current item, accepted bool) {
+	current.number = number
 	for _, e := range table {
-		if i := setOf(valueOf(e.Command)); i.number == number {
-			if took = i.version > stands.version; took {
-				stands = i
+		if update := itemFor(valueOf(e.Command)); update.number == number {
+			if accepted = update.version > current.version; accepted {
+				current = update
 			}
 		}
 	}
-	return stands, took
+	return current, accepted
 }
 
-func (y *history) call(h *host, in input) {
-	y.clock++
-	y.open[asker{h.life, h.next}] = &porcupine.Operation{Input: in, Call: y.clock, Return: math.MaxInt64, Output: output{unknown: true}}
+func (hist *history) beginCall(h *host, in input) {
+	hist.clock++
+	hist.pending[callID{h.life, h.next}] = &porcupine.Operation{Input: in, Call: hist.clock, Return: math.MaxInt64, Output: output{unknown: true}}
 }
 
-func (y *history) set(h *host, value uint64) {
-	if y != nil {
-		y.call(h, input{item: setOf(value)})
+func (hist *history) beginSet(h *host, value uint64) {
+	if hist != nil {
+		hist.beginCall(h, input{item: itemFor(value)})
 	}
 }
 
-func (y *history) get(h *host) bool {
-	if y != nil {
-		y.call(h, input{item: item{number: h.next % items}, get: true})
+func (hist *history) beginGet(h *host) bool {
+	if hist != nil {
+		hist.beginCall(h, input{item: item{number: h.next % itemCount}, isGet: true})
 	}
-	return y != nil
+	return hist != nil
 }
 
-// answer notes the end of a call. What was refused for certain is no part of the history; of what
-// may hold, the end stays open, as of what a crash left without an answer.
-func (y *history) answer(h *host, d Done) {
-	if y == nil || errors.Is(d.Err, ErrUnknown) {
+// endCall records the result of a call. A call that was certainly rejected is dropped from the
+// history. A call with an unknown outcome stays pending, like one that a crash left without an
+// answer.
+func (hist *history) endCall(h *host, d Completion) {
+	if hist == nil || errors.Is(d.Err, ErrUnknown) {
 		return
 	}
-	at := asker{h.life, d.ID}
-	op := y.open[at]
-	delete(y.open, at)
+	id := callID{h.life, d.ID}
+	op := hist.pending[id]
+	delete(hist.pending, id)
 	if d.Err != nil {
 		return
 	}
-	y.clock++
-	op.Return = y.clock
+	hist.clock++
+	op.Return = hist.clock
 	out := output{unknown: true}
-	if in := op.Input.(input); in.get {
-		out.stands, _ = standing(h.table, in.number)
+	if in := op.Input.(input); in.isGet {
+		out.current, _ = currentItem(h.table, in.number)
 	} else {
 		for i, e := range h.table {
 			if e.Index == d.Index {
-				_, out.took = standing(h.table[:i+1], in.number)
+				_, out.accepted = currentItem(h.table[:i+1], in.number)
 				out.unknown = false
 			}
 		}
 	}
 	op.Output = out
-	y.ended = append(y.ended, *op)
+	hist.completed = append(hist.completed, *op)
 }
 
-var registers = porcupine.Model{
-	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
-		parts := make([][]porcupine.Operation, items)
-		for _, op := range all {
-			n := op.Input.(input).number
-			parts[n] = append(parts[n], op)
+var registerModel = porcupine.Model{
+	Partition: func(operations []porcupine.Operation) [][]porcupine.Operation {
+		parts := make([][]porcupine.Operation, itemCount)
+		for _, op := range operations {
+			itemNumber := op.Input.(input).number
+			parts[itemNumber] = append(parts[itemNumber], op)
 		}
 		return parts
 	},
 	Init: func() any { return uint64(0) },
 	Step: func(state, in, out any) (bool, any) {
-		version, call, answer := state.(uint64), in.(input), out.(output)
-		if call.get {
-			return answer.stands.version == version, version
+		version, call, result := state.(uint64), in.(input), out.(output)
+		if call.isGet {
+			return result.current.version == version, version
 		}
-		return answer.unknown || answer.took == (call.version > version), max(version, call.version)
+		return result.unknown || result.accepted == (call.version > version), max(version, call.version)
 	},
 }
 
-// linearizable plays a seed and checks what operators saw.
-func linearizable(seed uint64, bugs injectedBugs) (porcupine.CheckResult, int, any) {
+// checkLinearizable runs a seed and checks the observed history. It also returns the number of
+// answered calls and the failure that the simulation itself found, if any.
+func checkLinearizable(seed uint64, bugs injectedBugs) (porcupine.CheckResult, int, any) {
 	w := newWorld(seed, bugs)
-	w.history = &history{open: map[asker]*porcupine.Operation{}}
-	trouble := w.play()
-	all := w.history.ended
-	for _, op := range w.history.open {
-		if !op.Input.(input).get { // a get that nobody saw the answer of says nothing
-			all = append(all, *op)
+	w.history = &history{pending: map[callID]*porcupine.Operation{}}
+	failure := w.play()
+	operations := w.history.completed
+	for _, op := range w.history.pending {
+		if !op.Input.(input).isGet { // an unanswered get observed nothing
+			operations = append(operations, *op)
 		}
 	}
-	for i := range all {
-		all[i].ClientId = i
+	for i := range operations {
+		operations[i].ClientId = i
 	}
-	return porcupine.CheckOperationsTimeout(registers, all, 10*time.Second), len(w.history.ended), trouble
+	return porcupine.CheckOperationsTimeout(registerModel, operations, 10*time.Second), len(w.history.completed), failure
 }
 
 func TestHistories(t *testing.T) {
 	answered := 0
 	for seed := range uint64(60) {
-		result, n, trouble := linearizable(seed, injectedBugs{})
-		require.Nil(t, trouble, "seed %d", seed)
+		result, count, failure := checkLinearizable(seed, injectedBugs{})
+		require.Nil(t, failure, "seed %d", seed)
 		require.Equal(t, porcupine.Ok, result, "seed %d", seed)
-		answered += n
+		answered += count
 	}
 	t.Logf("%d calls answered", answered)
 	require.Greater(t, answered, 60*100)
 }
 
-// Planted faults are found by what operators saw alone.
+// The observed history alone reveals each injected bug.
 func TestHistoriesFindPlanted(t *testing.T) {
-	for name, p := range map[string]injectedBugs{"reads unconfirmed": {localRead: true}, "acks come too early": {earlyAck: true}} {
+	for name, bugs := range map[string]injectedBugs{"reads unconfirmed": {localRead: true}, "acks come too early": {earlyAck: true}} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); ; seed++ {
 				require.Less(t, seed, uint64(300), "not found")
-				if result, _, trouble := linearizable(seed, p); result == porcupine.Illegal {
-					t.Log(fmt.Sprint("seed ", seed, ", the judge's own word: ", trouble))
+				if result, _, failure := checkLinearizable(seed, bugs); result == porcupine.Illegal {
+					t.Log(fmt.Sprint("seed ", seed, ", failure found by the simulation itself: ", failure))
 					return
 				}
 			}
--- a/internal/mesh/consensus/install.go
+++ b/internal/mesh/consensus/install.go
@@ -5,175 +5,182 @@
 	"time"
 )
 
-// A snapshot goes in chunks, each sent once the one before is acknowledged: it bounds what is under
-// way, lets heartbeats through, and goes on where it was cut. A chunk belongs to one snapshot of one
-// leader in one term, and one of another is never put behind it. What the follower has received it
-// promises only when all of it is on its disk.
+// A snapshot is sent in chunks, each after the previous one was acknowledged. This bounds the data
+// in flight, lets heartbeats through, and allows an interrupted transfer to resume. A chunk belongs
+// to one snapshot of one leader in one term, and chunks of different transfers are never combined.
+// The follower acknowledges the snapshot as stored only when all of it is on its disk.
 
-// transfer is a snapshot that a leader sends to a peer. It is the same one until it has arrived,
-// also when a newer one is taken: else a slow peer would begin again and again.
-type transfer struct {
-	snapshot *Snapshot
-	sum      uint32
-	offset   uint64        // acknowledged
-	sentAt   time.Duration // the chunk behind that
-	waits    bool          // for the acknowledgement of that chunk
+// snapshotTransfer is a snapshot that a leader sends to a peer. A transfer keeps its snapshot until
+// it has completed, even if a newer one is taken meanwhile: otherwise a slow peer would have to
+// start over again and again.
+type snapshotTransfer struct {
+	snapshot    *Snapshot
+	checksum    uint32
+	ackedOffset uint64        // bytes acknowledged
+	chunkSentAt time.Duration // when the chunk at ackedOffset was sent
+	awaitingAck bool          // that chunk is not acknowledged yet
 }
 
-// transferID tells which snapshot a chunk is of.
+// transferID identifies the snapshot that a chunk belongs to.
 type transferID struct {
-	leader Member
-	term   uint64 // of the leader
-	at     Place
-	size   uint64
-	sum    uint32
+	leader   Member
+	term     uint64 // of the leader
+	place    Place
+	size     uint64
+	checksum uint32
 }
 
-// incoming is a snapshot that is being received.
-type incoming struct {
+// incomingSnapshot is a snapshot that is being received.
+type incomingSnapshot struct {
 	transferID
 	data []byte
 }
 
-func (m *Machine) beginTransfer(p *progress) {
-	p.stage, p.sent, p.told = installing, m.round, m.commit
-	p.transfer = transfer{snapshot: m.snapshot, sum: crc32.Checksum(m.snapshot.Data, castagnoli)}
+func (m *Machine) beginSnapshotTransfer(p *progress) {
+	p.state, p.sentRound, p.sentCommit = sendingSnapshot, m.heartbeatRound, m.commitIndex
+	p.transfer = snapshotTransfer{snapshot: m.snapshot, checksum: crc32.Checksum(m.snapshot.Data, castagnoli)}
 	m.sendChunk(p)
 }
 
-// sendChunk sends the next chunk, or the last one again if it was not acknowledged in time.
+// sendChunk sends the next chunk, or repeats the last one if its acknowledgement is overdue.
 func (m *Machine) sendChunk(p *progress) {
 	t := &p.transfer
-	if t.waits && m.now-t.sentAt < chunkWait {
+	if t.awaitingAck && m.now-t.chunkSentAt < chunkAckTimeout {
 		return
 	}
-	t.waits, t.sentAt = true, m.now
-	part := *t.snapshot
-	size := uint64(len(part.Data))
-	part.Data = part.Data[t.offset:min(t.offset+uint64(m.chunk), size)]
-	m.send(Message{Kind: Install, To: p.member.Address, ToDisk: p.member.Disk, Snapshot: &part, Sequence: m.round,
-		Offset: t.offset, Size: size, Sum: t.sum})
+	t.awaitingAck, t.chunkSentAt = true, m.now
+	chunk := *t.snapshot
+	size := uint64(len(chunk.Data))
+	chunk.Data = chunk.Data[t.ackedOffset:min(t.ackedOffset+uint64(m.chunkBytes), size)]
+	m.send(Message{Kind: InstallSnapshot, To: p.member.Address, ToDisk: p.member.Disk, Snapshot: &chunk, Sequence: m.heartbeatRound,
+		Offset: t.ackedOffset, Size: size, Sum: t.checksum})
 }
 
-func (m *Machine) onInstallReply(msg Message) {
-	p := m.replier(msg)
+// handleInstallSnapshotReply continues a transfer at the offset that the peer asks for.
+func (m *Machine) handleInstallSnapshotReply(msg Message) {
+	p := m.peerForReply(msg)
 	if p == nil {
 		return
 	}
-	p.heard = m.now
+	p.lastContact = m.now
 	t := &p.transfer
-	if p.stage != installing || msg.Index != t.snapshot.Index || msg.LogTerm != t.snapshot.Term ||
+	if p.state != sendingSnapshot || msg.Index != t.snapshot.Index || msg.LogTerm != t.snapshot.Term ||
 		msg.Offset >= uint64(len(t.snapshot.Data)) {
 		return
 	}
-	if msg.Offset != t.offset || !t.waits {
-		t.offset, t.waits = msg.Offset, false
+	if msg.Offset != t.ackedOffset || !t.awaitingAck {
+		t.ackedOffset, t.awaitingAck = msg.Offset, false
 	}
 }
 
-func (m *Machine) onInstall(msg Message) {
+// handleInstallSnapshot processes a chunk of a snapshot, and installs the snapshot once it is
+// complete.
+func (m *Machine) handleInstallSnapshot(msg Message) {
 	s := msg.Snapshot
-	if s == nil || msg.Size > mostSnapshot || !m.acceptLeader(msg) {
+	if s == nil || msg.Size > maxSnapshotBytes || !m.acceptLeader(msg) {
 		return
 	}
-	if s.Index <= m.commit {
-		m.acknowledge(msg, m.commit)
+	if s.Index <= m.commitIndex {
+		m.acknowledge(msg, m.commitIndex)
 		return
 	}
-	if term, ok := m.log.term(s.Index); ok && term == s.Term { // the entries are here; they only weren't known to hold
+	// The log already holds these entries, and only lacked the news that they are committed.
+	if term, ok := m.log.termAt(s.Index); ok && term == s.Term {
 		m.commitTo(s.Index)
 		m.acknowledge(msg, s.Index)
 		return
 	}
-	if data, complete := m.receive(msg); complete {
-		whole := *s
-		whole.Data = data
-		m.install(&whole)
+	if data, complete := m.receiveChunk(msg); complete {
+		assembled := *s
+		assembled.Data = data
+		m.installSnapshot(&assembled)
 		m.acknowledge(msg, s.Index)
 	}
 }
 
-// receive puts a chunk behind those that have come, and returns the data once it is whole. It tells
-// the leader where to go on.
-func (m *Machine) receive(msg Message) (data []byte, complete bool) {
+// receiveChunk appends a chunk to those received so far, and returns the data once it is complete.
+// Until then it tells the leader at which offset to continue.
+func (m *Machine) receiveChunk(msg Message) (data []byte, complete bool) {
 	s := msg.Snapshot
 	id := transferID{Member{msg.From, msg.Disk}, msg.Term, Place{s.Term, s.Index}, msg.Size, msg.Sum}
-	in := m.incoming
-	if in == nil || in.transferID != id {
-		if in != nil && in.term == id.term && id.at.before(in.at) {
-			return nil, false // late: the leader sends a newer one by now
+	receiving := m.incomingSnapshot
+	if receiving == nil || receiving.transferID != id {
+		if receiving != nil && receiving.term == id.term && id.place.before(receiving.place) {
+			return nil, false // a late chunk; the leader already sends a newer snapshot
 		}
-		in = &incoming{transferID: id, data: make([]byte, 0, msg.Size)}
-		m.incoming = in
+		receiving = &incomingSnapshot{transferID: id, data: make([]byte, 0, msg.Size)}
+		m.incomingSnapshot = receiving
 	}
-	if msg.Offset == uint64(len(in.data)) && msg.Offset+uint64(len(s.Data)) <= msg.Size {
-		in.data = append(in.data, s.Data...)
+	if msg.Offset == uint64(len(receiving.data)) && msg.Offset+uint64(len(s.Data)) <= msg.Size {
+		receiving.data = append(receiving.data, s.Data...)
 	}
-	if uint64(len(in.data)) == msg.Size {
-		m.incoming = nil
-		if crc32.Checksum(in.data, castagnoli) == msg.Sum {
-			return in.data, true
+	if uint64(len(receiving.data)) == msg.Size {
+		m.incomingSnapshot = nil
+		if crc32.Checksum(receiving.data, castagnoli) == msg.Sum {
+			return receiving.data, true
 		}
-		in.data = nil
+		receiving.data = nil
 	}
-	m.send(Message{Kind: InstallReply, To: msg.From, Index: s.Index, LogTerm: s.Term, Offset: uint64(len(in.data)),
+	m.send(Message{Kind: InstallSnapshotReply, To: msg.From, Index: s.Index, LogTerm: s.Term, Offset: uint64(len(receiving.data)),
 		Sequence: msg.Sequence})
 	return nil, false
 }
 
-// install puts a snapshot in place of the log and the table. Nothing of it is on the disk yet, nor
-// in the Save that may be under way.
-func (m *Machine) install(s *Snapshot) {
-	m.log.reset(s)
-	m.snapshot, m.restore, m.baseDirty = s, s, true
-	m.handed, m.savedTo, m.synced = s.Index, 0, 0
-	m.commit, m.applied = s.Index, s.Index
-	for _, p := range m.pending { // their fate is behind the snapshot
-		m.done = append(m.done, Done{ID: p.id, Err: ErrUnknown})
-	}
-	m.pending = nil
+// installSnapshot replaces the log and the table by a snapshot. None of it is on disk yet, nor part
+// of a Save in progress.
+func (m *Machine) installSnapshot(s *Snapshot) {
+	m.log.resetTo(s)
+	m.snapshot, m.snapshotToRestore, m.snapshotDirty = s, s, true
+	m.handedOffIndex, m.savingIndex, m.syncedIndex = s.Index, 0, 0
+	m.commitIndex, m.appliedIndex = s.Index, s.Index
+	for _, p := range m.pendingProposals { // the snapshot hides whether they were applied
+		m.completions = append(m.completions, Completion{ID: p.id, Err: ErrUnknown})
+	}
+	m.pendingProposals = nil
 }
 
-func (m *Machine) compactDue() bool {
-	if m.applied < m.tableAt {
+// isCompactionDue reports whether enough was applied since the last snapshot to take another one.
+func (m *Machine) isCompactionDue() bool {
+	if m.appliedIndex < m.tableIndex {
 		return false
 	}
-	from := m.log.base
+	lastSnapshot := m.log.baseIndex
 	if m.snapshot != nil {
-		from = max(from, m.snapshot.Index)
+		lastSnapshot = max(lastSnapshot, m.snapshot.Index)
 	}
-	return m.applied-from >= m.compact || m.log.bytes(from, m.applied) >= compactBytes
+	return m.appliedIndex-lastSnapshot >= m.compactEntries || m.log.bytesBetween(lastSnapshot, m.appliedIndex) >= compactBytes
 }
 
-// asOfApplied is a snapshot as of the last entry that was applied.
-func (m *Machine) asOfApplied(data []byte) *Snapshot {
-	term, _ := m.log.term(m.applied)
-	members := m.log.at(m.applied)
-	return &Snapshot{Index: m.applied, Term: term, Members: members.members, MembersAt: members.at, Data: data}
+// snapshotAtApplied returns a snapshot as of the last applied entry, with the given table data.
+func (m *Machine) snapshotAtApplied(data []byte) *Snapshot {
+	term, _ := m.log.termAt(m.appliedIndex)
+	config := m.log.configurationAt(m.appliedIndex)
+	return &Snapshot{Index: m.appliedIndex, Term: term, Members: config.members, MembersAt: config.place, Data: data}
 }
 
-// Compact hands over the table's snapshot as of the last entry that was applied.
+// Compact takes a snapshot of the table as of the last applied entry, and compacts the log.
 func (m *Machine) Compact(data []byte) {
-	m.snapshot = m.asOfApplied(data)
-	to := m.applied
-	for to > m.log.base && m.applied-to < m.compact/2 && m.log.bytes(to-1, m.applied) <= compactBytes/2 {
-		to--
-	}
-	m.log.compact(min(to, m.neededFrom(to)))
-	m.handed = max(m.handed, m.log.base)
-	m.baseDirty = true
+	m.snapshot = m.snapshotAtApplied(data)
+	compactIndex := m.appliedIndex
+	for compactIndex > m.log.baseIndex && m.appliedIndex-compactIndex < m.compactEntries/2 && m.log.bytesBetween(compactIndex-1, m.appliedIndex) <= compactBytes/2 {
+		compactIndex--
+	}
+	m.log.compactTo(min(compactIndex, m.retentionLimit(compactIndex)))
+	m.handedOffIndex = max(m.handedOffIndex, m.log.baseIndex)
+	m.snapshotDirty = true
 }
 
-// neededFrom is where the log has to begin so that those who are being sent an older snapshot find
-// there what comes after it. They don't hold up a log that grows long.
-func (m *Machine) neededFrom(to uint64) uint64 {
+// retentionLimit lowers a compaction index so that the log keeps the entries that follow the older
+// snapshots still being sent to peers. Transfers don't hold back compaction once the log has grown
+// beyond compactBytes.
+func (m *Machine) retentionLimit(compactIndex uint64) uint64 {
 	for _, p := range m.peers {
-		if p.stage != installing {
+		if p.state != sendingSnapshot {
 			continue
 		}
-		if at := p.transfer.snapshot.Index; at < to && m.log.bytes(max(at, m.log.base), m.applied) <= compactBytes {
-			to = at
+		if snapshotIndex := p.transfer.snapshot.Index; snapshotIndex < compactIndex && m.log.bytesBetween(max(snapshotIndex, m.log.baseIndex), m.appliedIndex) <= compactBytes {
+			compactIndex = snapshotIndex
 		}
 	}
-	return to
+	return compactIndex
 }
--- a/internal/mesh/consensus/leave_test.go
+++ b/internal/mesh/consensus/leave_test.go
@@ -12,24 +12,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fourNames are of three voters and a learner.
-var fourNames = []string{"a", "b", "c", "d"}
+// testNodeNames are three voters and a learner.
+var testNodeNames = []string{"a", "b", "c", "d"}
 
-// fourDirs are folders for startFour; they are made outside of a bubble of virtual time.
-func fourDirs(t *testing.T) map[string]string {
+// testNodeDirs creates the data folders for startTestNodes. It must be called outside of a synctest
+// bubble.
+func testNodeDirs(t *testing.T) map[string]string {
 	dirs := map[string]string{}
-	for _, name := range fourNames {
+	for _, name := range testNodeNames {
 		dirs[name] = t.TempDir()
 	}
 	return dirs
 }
 
-// startFour starts three voters and a learner that find one another.
-func startFour(t *testing.T, dirs map[string]string) (*network, map[string]*Node) {
+// startTestNodes starts three voters and a learner.
+func startTestNodes(t *testing.T, dirs map[string]string) (*network, map[string]*Node) {
 	net := &network{nodes: map[string]*Node{}}
 	nodes := map[string]*Node{}
-	for _, name := range fourNames {
-		node, err := Start(Options{Self: name, Seeds: fourNames[:3], FirstStart: name != "d", Dir: dirs[name], Table: &lines{},
+	for _, name := range testNodeNames {
+		node, err := Start(Options{Self: name, Seeds: testNodeNames[:3], FirstStart: name != "d", Dir: dirs[name], Table: &lines{},
 			Send: net.send, Log: &log.Logger{Handler: discard.Default}})
 		require.NoError(t, err)
 		nodes[name] = node
@@ -38,36 +39,36 @@
 	return net, nodes
 }
 
-func stopOne(t *testing.T, net *network, nodes map[string]*Node, name string) {
+func stopTestNode(t *testing.T, net *network, nodes map[string]*Node, name string) {
 	net.set(name, nil)
 	require.NoError(t, nodes[name].Close())
 	delete(nodes, name)
 }
 
-// A leader that is told to go gives its vote and its leadership away before it ends, and then one
-// more may be lost. Without anybody to take its vote a node ends soon all the same.
+// A leader that is told to leave hands over its vote and its leadership before it ends, so that the
+// loss of one more node can be tolerated. If no node can take over its vote, it ends soon anyway.
 func TestNodesLeave(t *testing.T) {
-	dirs := fourDirs(t)
+	dirs := testNodeDirs(t)
 	synctest.Test(t, func(t *testing.T) {
-		net, nodes := startFour(t, dirs)
-		stop := func(name string) { stopOne(t, net, nodes, name) }
-		leads := func() (leader string) {
-			for leader == "" {
+		net, nodes := startTestNodes(t, dirs)
+		stop := func(name string) { stopTestNode(t, net, nodes, name) }
+		waitForLeader := func() (leaderName string) {
+			for leaderName == "" {
 				time.Sleep(10 * time.Millisecond)
 				for name, n := range nodes {
 					if n.Status().Role == "leader" {
-						leader = name
+						leaderName = name
 					}
 				}
 			}
-			return leader
+			return leaderName
 		}
-		leave := func(name string, within time.Duration) {
-			ctx, cancel := context.WithTimeout(t.Context(), 2*leaveWithin)
+		leave := func(name string, limit time.Duration) {
+			ctx, cancel := context.WithTimeout(t.Context(), 2*leaveTimeout)
 			defer cancel()
 			began := time.Now()
 			nodes[name].Leave(ctx)
-			require.Less(t, time.Since(began), within, name)
+			require.Less(t, time.Since(began), limit, name)
 		}
 		propose := func() {
 			for name, n := range nodes {
@@ -77,21 +78,21 @@
 				require.NoError(t, err, name)
 			}
 		}
-		leads()
+		waitForLeader()
 		time.Sleep(3 * time.Second)
 		propose()
-		gone := leads()
-		leave(gone, 300*time.Millisecond)
-		require.NotContains(t, nodes[leads()].Status().Members, gone)
-		require.Contains(t, nodes[leads()].Status().Members, "d")
-		stop(gone)
+		departed := waitForLeader()
+		leave(departed, 300*time.Millisecond)
+		require.NotContains(t, nodes[waitForLeader()].Status().Members, departed)
+		require.Contains(t, nodes[waitForLeader()].Status().Members, "d")
+		stop(departed)
 		propose()
-		stop(leads()) // one more, and two of three are left
-		leads()
+		stop(waitForLeader()) // two of three voters are left
+		waitForLeader()
 		time.Sleep(time.Second)
 		propose()
 		time.Sleep(2 * time.Second)
-		leave(leads(), 300*time.Millisecond) // nobody can take its vote
+		leave(waitForLeader(), 300*time.Millisecond) // no node can take over its vote
 		for name := range nodes {
 			stop(name)
 		}
--- a/internal/mesh/consensus/machine_test.go
+++ b/internal/mesh/consensus/machine_test.go
@@ -11,28 +11,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-var seeds = flag.Int("seeds", 400, "how many seeds the explorer plays")
-var firstSeed = flag.Uint64("first", 1, "the first of them")
-var lossSeeds = flag.Int("loss-seeds", 4, "how many seeds of losses and repairs are played, of each deployment")
-var tracing = flag.Bool("tell", false, "tell what goes on")
+var seedCount = flag.Int("seeds", 400, "number of seeds that the random simulation runs")
+var firstSeed = flag.Uint64("first", 1, "the first seed")
+var lossSeedCount = flag.Int("loss-seeds", 4, "number of seeds of machine losses and repairs that are simulated for each deployment")
+var traceEnabled = flag.Bool("tell", false, "print the events of the simulation")
 
 func TestExplore(t *testing.T) {
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
 	acks, reads := 0, 0
-	for seed := *firstSeed; seed < *firstSeed+uint64(*seeds); seed++ {
-		w, trouble := explore(seed, injectedBugs{})
-		require.Nil(t, trouble, "seed %d", seed)
+	for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
+		w, failure := explore(seed, injectedBugs{})
+		require.Nil(t, failure, "seed %d", seed)
 		acks += w.acks
 		reads += w.reads
 	}
 	t.Logf("%d acknowledged, %d read", acks, reads)
-	require.Greater(t, acks, *seeds*20, "too little came through to tell anything")
-	require.Greater(t, reads, *seeds*20, "too little came through to tell anything")
+	require.Greater(t, acks, *seedCount*20, "too few calls succeeded for a meaningful check")
+	require.Greater(t, reads, *seedCount*20, "too few calls succeeded for a meaningful check")
 }
 
-// Each planted fault is found by the same checks.
+// The checks of the simulation find each injected bug.
 func TestExploreFindsPlanted(t *testing.T) {
-	for name, p := range map[string]injectedBugs{
+	for name, bugs := range map[string]injectedBugs{
 		"a wiped disk takes part": {rememberDisk: true},
 		"acks come too early":     {earlyAck: true},
 		"reads unconfirmed":       {localRead: true},
@@ -40,10 +40,10 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); ; seed++ {
 				require.Less(t, seed, uint64(500), "not found")
-				// That nothing goes on any more would be a finding too, but not the one that is
-				// asked for.
-				if _, trouble := explore(seed, p); trouble != nil && !strings.Contains(fmt.Sprint(trouble), "after all") {
-					t.Logf("seed %d: %v", seed, trouble)
+				// A simulation that stops making progress is a failure too, but not the one that
+				// the bug has to be found by.
+				if _, failure := explore(seed, bugs); failure != nil && !strings.Contains(fmt.Sprint(failure), "after all") {
+					t.Logf("seed %d: %v", seed, failure)
 					return
 				}
 			}
@@ -51,8 +51,8 @@
 	}
 }
 
-// settled is a world in which a leads b and c, and all is well.
-func settled(t *testing.T) *world {
+// newSettledWorld returns a world in which a is the leader and b and c follow it.
+func newSettledWorld(t *testing.T) *world {
 	for seed := uint64(1); ; seed++ {
 		w := newWorld(seed, injectedBugs{})
 		for _, h := range w.hosts[:3] {
@@ -67,40 +67,41 @@
 }
 
 func (w *world) isolate(h *host) {
-	for _, o := range w.hosts {
-		w.cut[[2]string{h.address, o.address}], w.cut[[2]string{o.address, h.address}] = true, true
+	for _, other := range w.hosts {
+		w.cut[[2]string{h.address, other.address}], w.cut[[2]string{other.address, h.address}] = true, true
 	}
 }
 
-// What two of three have holds when one of them loses its disk and all others their power.
+// An entry that two of three members have acknowledged survives when one of them loses its disk and
+// all others lose power.
 func TestWipedAndPowerless(t *testing.T) {
 	for _, names := range [][2]string{{"a", "b"}, {"b", "a"}} {
-		w := settled(t)
-		wiped, whole, lags := w.host(names[0]), w.host(names[1]), w.host("c")
-		w.isolate(lags)
+		w := newSettledWorld(t)
+		wiped, intact, lagging := w.host(names[0]), w.host(names[1]), w.host("c")
+		w.isolate(lagging)
 		w.propose(w.host("a"), 7)
 		w.run(time.Second)
 		require.Equal(t, "acked", w.fate[7])
 		w.wipe(wiped)
-		w.stop(whole)
-		w.stop(lags)
+		w.stop(intact)
+		w.stop(lagging)
 		clear(w.cut)
 		w.start(wiped)
-		w.start(lags)
+		w.start(lagging)
 		w.run(10 * time.Second)
-		for _, h := range []*host{wiped, lags} {
-			require.NotEqual(t, leader, h.machine.role, "it leads with one that has forgotten")
+		for _, h := range []*host{wiped, lagging} {
+			require.NotEqual(t, leader, h.machine.role, "it leads with the vote of a node that lost its disk")
 		}
 		require.Equal(t, "recovering", wiped.machine.Status().Role)
 		w.gone = w.host("d")
 		w.heal()
-		require.Equal(t, uint64(7), valueOf(whole.table[0].Command))
+		require.Equal(t, uint64(7), valueOf(intact.table[0].Command))
 		require.Equal(t, "follower", wiped.machine.Status().Role)
 	}
 }
 
 func TestWipedOneAfterTheOther(t *testing.T) {
-	w := settled(t)
+	w := newSettledWorld(t)
 	w.gone = w.host("d")
 	w.propose(w.host("a"), 7)
 	w.run(time.Second)
@@ -114,8 +115,8 @@
 	require.Equal(t, "acked", w.fate[7])
 }
 
-// A member that comes long after the others at the first start just joins; one that is gone is
-// replaced, and told so when it is back.
+// A member that starts long after the others at the first start becomes a regular follower. A
+// member that is down for long is replaced, and becomes a learner when it comes back.
 func TestReplacedAndBack(t *testing.T) {
 	w := newWorld(1, injectedBugs{})
 	w.start(w.host("a"))
@@ -136,16 +137,17 @@
 	w.heal()
 }
 
-// A vote outlives a crash right after it. Planted: the disk forgets it, and two lead in one term.
-// By chance alone this takes thousands of seeds.
+// A vote must survive a crash right after it was given. With the injected bug the disk forgets it,
+// and two nodes lead in one term. Random simulations would need thousands of seeds to hit this
+// sequence.
 func TestVoteOutlivesCrash(t *testing.T) {
-	for _, forgets := range []bool{false, true} {
-		w := settled(t)
-		w.bugs.forgetVote = forgets
+	for _, forgetsVote := range []bool{false, true} {
+		w := newSettledWorld(t)
+		w.bugs.forgetVote = forgetsVote
 		a, b, c := w.host("a"), w.host("b"), w.host("c")
 		w.stop(a)
 		w.start(a)
-		term := a.machine.hard.Term + 1
+		term := a.machine.hardState.Term + 1
 		w.cut[[2]string{"a", "b"}], w.cut[[2]string{"b", "a"}] = true, true
 		w.touch(a, a.life, func(m *Machine) { m.campaign(candidate) })
 		for c.disk.Hard.Term < term {
@@ -158,19 +160,19 @@
 		w.start(c)
 		w.touch(b, b.life, func(m *Machine) { m.campaign(candidate) })
 		w.run(50 * time.Millisecond)
-		require.Equal(t, term, a.machine.hard.Term)
-		require.Equal(t, term, b.machine.hard.Term)
-		require.Equal(t, forgets, b.machine.role == leader)
+		require.Equal(t, term, a.machine.hardState.Term)
+		require.Equal(t, term, b.machine.hardState.Term)
+		require.Equal(t, forgetsVote, b.machine.role == leader)
 	}
 }
 
-// An answer to an append of an earlier term confirms no round: its sender may lead again, with
-// rounds that begin anew.
+// The reply to an AppendEntries of an earlier term must not carry a heartbeat round. Its sender may
+// be leading again, and its rounds start over, so the old round could confirm a read by mistake.
 func TestStaleAppendConfirmsNothing(t *testing.T) {
-	b := settled(t).host("b").machine
-	b.Step(Message{Kind: Append, From: "a", To: "b", Term: b.hard.Term - 1, Sequence: 99})
-	reply := b.Take().Send[0]
-	require.Equal(t, AppendReply, reply.Kind)
+	b := newSettledWorld(t).host("b").machine
+	b.HandleMessage(Message{Kind: AppendEntries, From: "a", To: "b", Term: b.hardState.Term - 1, Sequence: 99})
+	reply := b.NextOutput().Messages[0]
+	require.Equal(t, AppendEntriesReply, reply.Kind)
 	require.True(t, reply.Reject)
 	require.Zero(t, reply.Sequence)
 }
--- a/internal/mesh/consensus/replacement_test.go
+++ b/internal/mesh/consensus/replacement_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// All three members are replaced while a fourth machine was away: it knows none of the voters, and
-// finds them by the seeds that its settings name by now.
+// All three members are replaced while a fourth machine is down. When it returns, it knows none of
+// the current voters and finds them through the seeds in its updated settings.
 func TestReturnsAfterAllWereReplaced(t *testing.T) {
 	l := newLosses(1, 3, 4*time.Second, 5*time.Second, lossPlant{})
 	w := l.w
@@ -40,8 +40,8 @@
 	l.checkOrder()
 }
 
-// A voter that was only frozen while a learner took its place is a learner when it wakes, and takes
-// no vote back.
+// A voter was paused while a learner took its place. It becomes a learner when it resumes, and must
+// not get its vote back.
 func TestFrozenAndReplaced(t *testing.T) {
 	l := newLosses(1, 4, 4*time.Second, 5*time.Second, lossPlant{})
 	w := l.w
@@ -51,20 +51,21 @@
 	w.run(3 * time.Second)
 	frozen := w.host("c")
 	frozen.frozen = w.now + 3*time.Second
-	w.run(2*time.Second + 3*heartbeat)
+	w.run(2*time.Second + 3*heartbeatInterval)
 	members := w.members
 	require.ElementsMatch(t, []string{"a", "b", "n3"}, l.leads().machine.Status().Members)
 	w.run(6 * time.Second)
 	require.Equal(t, "learner", frozen.machine.Status().Role)
-	require.Equal(t, members, w.members, "the members change once more")
+	require.Equal(t, members, w.members, "the members changed once more")
 	require.Equal(t, l.leads().applied, frozen.applied)
 }
 
-// A lost machine stops counting catchUp after its successor's start. By then the change must be
-// committed, also if the leader was lost, or a standing learner takes its place.
+// A lost machine must be replaced within catchUp after its successor has started. The configuration
+// change must be committed by then, also if the lost machine was the leader or if a learner was
+// already available.
 func TestReplacedInTime(t *testing.T) {
 	const catchUp = 4 * time.Second
-	for _, standing := range []bool{false, true} {
+	for _, hasLearner := range []bool{false, true} {
 		var times []time.Duration
 		for seed := uint64(1); seed <= 40; seed++ {
 			l := newLosses(seed, 3, catchUp, 5*time.Second, lossPlant{})
@@ -73,7 +74,7 @@
 				w.start(h)
 			}
 			w.run(3 * time.Second)
-			if standing {
+			if hasLearner {
 				w.start(l.newHost())
 				w.run(time.Second)
 			}
@@ -82,26 +83,26 @@
 				lost = l.leads()
 			}
 			w.wipe(lost)
-			if !standing {
+			if !hasLearner {
 				w.run(w.within(500*time.Millisecond, 2*time.Second))
 				w.start(l.newHost())
 			}
 			began := w.now
 			isLost := func(v Member) bool { return v.Address == lost.address }
-			for slices.ContainsFunc(w.members.all(), isLost) {
+			for slices.ContainsFunc(w.members.allVoters(), isLost) {
 				w.run(10 * time.Millisecond)
 				require.Less(t, w.now-began, catchUp*3/4, "seed %d", seed)
 			}
 			times = append(times, w.now-began)
 		}
 		slices.Sort(times)
-		t.Logf("a learner stands by: %v; replaced after %v, longest %v", standing, times[len(times)/2], times[len(times)-1])
+		t.Logf("with a learner available: %v; replaced after a median of %v, longest %v", hasLearner, times[len(times)/2], times[len(times)-1])
 	}
 }
 
-// A member is told to go while its successor stands by, and at that moment the leader loses its
-// disk. The new leader doesn't know the learner yet; the leaving member waits until it does, since
-// without both there would be no quorum any more.
+// A member is told to leave while a successor is available, and at that moment the leader loses its
+// disk. The new leader does not know the learner yet. The leaving member must wait until it does:
+// without both there would be no quorum.
 func TestLeavesAsTheLeaderIsLost(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		l := newLosses(seed, 3, 4*time.Second, 5*time.Second, lossPlant{})
@@ -113,26 +114,27 @@
 		w.start(l.newHost())
 		w.run(l.catchUp)
 		l.begin()
-		leads := l.leads()
-		leaves := w.hosts[0]
-		if leaves == leads {
-			leaves = w.hosts[1]
+		leaderHost := l.leads()
+		leaving := w.hosts[0]
+		if leaving == leaderHost {
+			leaving = w.hosts[1]
 		}
-		w.touch(leaves, leaves.life, func(m *Machine) { m.Leave() })
-		w.wipe(leads)
-		l.awaitLeft(leaves)
+		w.touch(leaving, leaving.life, func(m *Machine) { m.Leave() })
+		w.wipe(leaderHost)
+		l.awaitLeft(leaving)
 		w.run(time.Second)
-		w.start(leads)
+		w.start(leaderHost)
 		w.run(9 * time.Second)
-		require.Nil(t, leaves.machine, "seed %d", seed)
+		require.Nil(t, leaving.machine, "seed %d", seed)
 		require.NotNil(t, l.leads(), "seed %d: no quorum", seed)
-		require.NotContains(t, l.leads().machine.Status().Members, leaves.address, "seed %d", seed)
+		require.NotContains(t, l.leads().machine.Status().Members, leaving.address, "seed %d", seed)
 		require.NotPanics(t, l.checkOrder, "seed %d", seed)
 	}
 }
 
-// A learner was told of the joint configuration that makes it a voter, and the leader was lost
-// before anybody else was. The others go on without it, and it finds back to them.
+// The leader sends a learner the joint configuration that makes it a voter, and is lost before any
+// other node has received it. The others continue without that configuration, and the learner must
+// find its way back to them.
 func TestUncommittedVoterFindsBack(t *testing.T) {
 	l := newLosses(1, 3, 4*time.Second, 5*time.Second, lossPlant{})
 	w := l.w
@@ -143,22 +145,22 @@
 	spare := l.newHost()
 	w.start(spare)
 	w.run(time.Second)
-	leads := l.leads()
+	leaderHost := l.leads()
 	for _, h := range w.hosts[:3] {
-		w.cut[[2]string{leads.address, h.address}] = true
+		w.cut[[2]string{leaderHost.address, h.address}] = true
 	}
-	w.touch(leads, leads.life, func(m *Machine) {
-		next := m.log.current().members
+	w.touch(leaderHost, leaderHost.life, func(m *Machine) {
+		next := m.log.latestConfiguration().members
 		next.Old = next.Voters
 		next.Voters = append([]Member{{spare.address, spare.disk.Disk}}, next.Old[1:]...)
 		m.appendMembers(next)
 	})
 	w.run(100 * time.Millisecond)
-	require.True(t, spare.disk.newest().joint())
-	w.stop(leads)
+	require.True(t, spare.disk.newest().isJoint())
+	w.stop(leaderHost)
 	clear(w.cut)
 	w.run(10 * time.Second)
 	require.Equal(t, l.leads().address, spare.machine.Status().Leader)
 	require.Equal(t, l.leads().applied, spare.applied)
-	require.False(t, spare.machine.log.current().members.joint())
+	require.False(t, spare.machine.log.latestConfiguration().members.isJoint())
 }
--- a/internal/mesh/consensus/stale_test.go
+++ b/internal/mesh/consensus/stale_test.go
@@ -7,88 +7,88 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStaleProposalIsRefused has the leader get a proposal at once, late, and from a program that
-// doesn't say what it heard of the leader.
+// The leader accepts a proposal that was just forwarded, rejects one that is too old, and accepts
+// one from an older program version that does not include the tenure of the leader.
 func TestStaleProposalIsRefused(t *testing.T) {
-	m := alone(3)
-	elected(t, m)
-	beats(m, map[string]uint64{"b": 2, "c": 2})
-	forward := func(id uint64, leaderTime time.Duration) (taken bool, refused bool) {
-		before := m.log.last()
-		m.Step(Message{Kind: Forward, From: "b", To: "a", Disk: 2, ToDisk: 1, Term: m.hard.Term, Origin: 9, ID: id,
-			Command: []byte("x"), LeaderTime: leaderTime})
-		for o := m.Take(); !o.Empty(); o = m.Take() {
-			for _, msg := range o.Send {
-				refused = refused || msg.Kind == Refuse && msg.ID == id
+	m := newTestMachine(3)
+	electLeader(t, m)
+	runHeartbeats(m, map[string]uint64{"b": 2, "c": 2})
+	forward := func(id uint64, tenure time.Duration) (accepted bool, rejected bool) {
+		lastBefore := m.log.lastIndex()
+		m.HandleMessage(Message{Kind: Forward, From: "b", To: "a", Disk: 2, ToDisk: 1, Term: m.hardState.Term, Origin: 9, ID: id,
+			Command: []byte("x"), LeaderTime: tenure})
+		for o := m.NextOutput(); !o.Empty(); o = m.NextOutput() {
+			for _, msg := range o.Messages {
+				rejected = rejected || msg.Kind == ForwardReject && msg.ID == id
 			}
 			if o.Save != nil {
-				m.Saved()
+				m.SaveCompleted()
 			}
 		}
-		return m.log.last() > before, refused
+		return m.log.lastIndex() > lastBefore, rejected
 	}
-	heard := m.leadingFor()
-	taken, refused := forward(1, heard)
-	require.True(t, taken && !refused)
+	heardTenure := m.ownTenure()
+	accepted, rejected := forward(1, heardTenure)
+	require.True(t, accepted && !rejected)
 	for range 20 {
-		beats(m, map[string]uint64{"b": 2, "c": 2})
+		runHeartbeats(m, map[string]uint64{"b": 2, "c": 2})
 	}
-	require.Greater(t, m.leadingFor()-heard, staleAfter)
-	taken, refused = forward(2, heard)
-	require.True(t, !taken && refused, "it was given long ago")
-	taken, refused = forward(2, m.leadingFor())
-	require.False(t, taken || refused, "it was refused for good")
-	taken, _ = forward(3, 0)
-	require.True(t, taken, "an older program does not say when")
+	require.Greater(t, m.ownTenure()-heardTenure, maxProposalAge)
+	accepted, rejected = forward(2, heardTenure)
+	require.True(t, !accepted && rejected, "it is too old")
+	accepted, rejected = forward(2, m.ownTenure())
+	require.False(t, accepted || rejected, "its ID was rejected before and stays rejected")
+	accepted, _ = forward(3, 0)
+	require.True(t, accepted, "an older program version does not send the tenure")
 }
 
-// TestProposalsNameTheLeaderTheyAreFor has a follower with a proposal hear a new leader: it says how long
-// that one had led, and nothing of the one before.
+// A follower forwards proposals with the tenure of the current leader, and never with that of the
+// previous one. A proposal that was given to the previous leader is not forwarded again.
 func TestProposalsNameTheLeaderTheyAreFor(t *testing.T) {
-	m := alone(3)
-	hear := func(term uint64, leaderTime time.Duration) (forwarded []Message) {
-		m.Step(Message{Kind: Append, From: "b", To: "a", Disk: 2, ToDisk: 1, Term: term, Index: 1, LogTerm: 1, LeaderTime: leaderTime})
-		for o := m.Take(); !o.Empty(); o = m.Take() {
-			for _, msg := range o.Send {
+	m := newTestMachine(3)
+	receive := func(term uint64, tenure time.Duration) (forwarded []Message) {
+		m.HandleMessage(Message{Kind: AppendEntries, From: "b", To: "a", Disk: 2, ToDisk: 1, Term: term, Index: 1, LogTerm: 1, LeaderTime: tenure})
+		for o := m.NextOutput(); !o.Empty(); o = m.NextOutput() {
+			for _, msg := range o.Messages {
 				if msg.Kind == Forward {
 					forwarded = append(forwarded, msg)
 				}
 			}
 			if o.Save != nil {
-				m.Saved()
+				m.SaveCompleted()
 			}
 		}
 		return forwarded
 	}
-	hear(4, time.Hour)
+	receive(4, time.Hour)
 	m.Propose(1, []byte("x"))
-	hear(4, time.Second) // an old message
-	require.Equal(t, time.Hour, m.leaderTime)
-	m.follow(5)
-	forwarded := hear(5, time.Minute)
-	require.Empty(t, forwarded, "given to the leader before, who may have it in the log")
+	receive(4, time.Second) // delivered out of order
+	require.Equal(t, time.Hour, m.leaderTenure)
+	m.becomeFollower(5)
+	forwarded := receive(5, time.Minute)
+	require.Empty(t, forwarded, "it was given to the previous leader, which may have appended it")
 	m.Propose(2, []byte("y"))
-	forwarded = hear(5, 2*time.Minute)
+	forwarded = receive(5, 2*time.Minute)
 	require.Len(t, forwarded, 1)
 	require.Equal(t, time.Minute, forwarded[0].LeaderTime)
 }
 
-// TestUnheardFollowerChangesNothingLater has a follower hear the leader and not be heard: what it
-// gives the leader is held up for 20 s, as a network does that is cut in one direction. Who asked
-// the follower was told that nothing is known, and nothing comes of it later.
+// A follower hears the leader, but what it sends is held up for 20 s, as in a network that is cut
+// in one direction. The caller at the follower was told that the outcome is unknown, so the delayed
+// proposal must have no effect when it arrives.
 func TestUnheardFollowerChangesNothingLater(t *testing.T) {
 	withTrio(t, func(m *trio) {
-		leading := m.leader()
-		mute := map[string]string{"a": "b", "b": "c", "c": "a"}[leading]
-		m.net.hold(mute)
-		require.ErrorIs(t, m.propose(mute, "held up", 900*time.Millisecond), ErrUnknown)
+		leaderName := m.leader()
+		muted := map[string]string{"a": "b", "b": "c", "c": "a"}[leaderName]
+		m.net.hold(muted)
+		require.ErrorIs(t, m.propose(muted, "held up", 900*time.Millisecond), ErrUnknown)
 		<-time.After(20 * time.Second)
-		require.NoError(t, m.propose(leading, "meanwhile", time.Second))
+		require.NoError(t, m.propose(leaderName, "meanwhile", time.Second))
 		m.net.release()
-		require.Equal(t, leading, m.leader())
-		for _, name := range []string{mute, leading} {
+		require.Equal(t, leaderName, m.leader())
+		for _, name := range []string{muted, leaderName} {
 			require.NoError(t, m.propose(name, "later", time.Second))
 		}
-		require.Equal(t, []string{"meanwhile", "later", "later"}, m.tables[leading].get())
+		require.Equal(t, []string{"meanwhile", "later", "later"}, m.tables[leaderName].get())
 	})
 }
--- a/internal/mesh/outbound/chooser.go
+++ b/internal/mesh/outbound/chooser.go
@@ -110,7 +110,7 @@
 	}
 	request := &balancedRequest{id: b.lastID, candidates: len(b.targets), actionReady: make(chan struct{}, 1), startHedge: startHedge}
 	b.requests[request.id] = request
-	b.handleEvent(policy.Event{Kind: policy.EventRequest, Request: request.id, Class: class, Left: remaining})
+	b.handleEvent(policy.Event{Kind: policy.EventRequest, Request: request.id, Class: class, TimeLeft: remaining})
 	return request
 }
 
@@ -134,7 +134,7 @@
 func (b *serviceBalancer) reportOutcome(request *balancedRequest, attempt int, server policy.ServerID, outcome policy.Outcome, load policy.Load, retryAfter time.Duration, reachedBackend, answered bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.handleEvent(policy.Event{Kind: policy.EventOutcome, Request: request.id, Attempt: attempt, Server: server, Outcome: outcome, Load: load, After: retryAfter, Arrived: reachedBackend, Closed: answered})
+	b.handleEvent(policy.Event{Kind: policy.EventOutcome, Request: request.id, Attempt: attempt, Server: server, Outcome: outcome, Load: load, RetryAfter: retryAfter, ReachedServer: reachedBackend, Final: answered})
 }
 
 // endRequest ends the actions for a request: it has been answered, or its client has left. Attempts
@@ -143,7 +143,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if clientLeft {
-		b.handleEvent(policy.Event{Kind: policy.EventHangup, Request: request.id})
+		b.handleEvent(policy.Event{Kind: policy.EventClientGone, Request: request.id})
 	}
 	delete(b.requests, request.id)
 	for len(b.timers) > 0 && b.isStale(&b.timers[0]) {
@@ -217,7 +217,7 @@
 	for len(b.timers) > 0 && (b.timers[0].dueAt <= now || b.isStale(&b.timers[0])) {
 		t := heap.Pop(&b.timers).(timer)
 		if !b.isStale(&t) {
-			b.handleEvent(policy.Event{Kind: policy.EventTimer, Token: t.token, Late: max(0, now-t.dueAt)})
+			b.handleEvent(policy.Event{Kind: policy.EventTimer, Token: t.token, AgentDelay: max(0, now-t.dueAt)})
 		}
 	}
 	b.armWakeup()
@@ -227,9 +227,9 @@
 // for unknown.
 func policyLoad(l *transport.Load) policy.Load {
 	if l.Recent <= 0 {
-		return policy.Load{Known: true, InFlight: float64(l.InFlight), Queue: float64(l.Waiting), Recent: -1, Rate: -1, Errors: -1}
+		return policy.Load{Known: true, InFlight: float64(l.InFlight), Queue: float64(l.Waiting), ServiceTime: -1, Rate: -1, ErrorRate: -1}
 	}
-	return policy.Load{Known: true, InFlight: float64(l.InFlight), Queue: float64(l.Waiting), Recent: l.Recent, Rate: l.Rate, Errors: l.Errors}
+	return policy.Load{Known: true, InFlight: float64(l.InFlight), Queue: float64(l.Waiting), ServiceTime: l.Recent, Rate: l.Rate, ErrorRate: l.Errors}
 }
 
 // timer is a timer event that the policy has asked for.
--- a/internal/mesh/outbound/chooser_test.go
+++ b/internal/mesh/outbound/chooser_test.go
@@ -85,9 +85,9 @@
 	i := l.rng.IntN(len(request.inFlight))
 	number := request.inFlight[i]
 	request.inFlight = slices.Delete(request.inFlight, i, i+1)
-	outcome := policy.Outcome(l.rng.IntN(int(policy.Moot)+1) * l.rng.IntN(2))
+	outcome := policy.Outcome(l.rng.IntN(int(policy.NotSent)+1) * l.rng.IntN(2))
 	retryAfter := time.Duration(20+l.rng.IntN(300)) * time.Millisecond
-	if outcome != policy.Full && outcome != policy.ConnectFailed && outcome != policy.Moot {
+	if outcome != policy.Full && outcome != policy.ConnectFailed && outcome != policy.NotSent {
 		request.possibleRuns++
 	}
 	reachedBackend := outcome == policy.Full && l.rng.IntN(3) == 0 // the backend itself had no room
--- a/internal/mesh/outbound/figures.go
+++ b/internal/mesh/outbound/figures.go
@@ -42,7 +42,7 @@
 	for _, service := range slices.Sorted(maps.Keys(balancers)) {
 		balancer := balancers[service]
 		balancer.mu.Lock()
-		spent, allowed := balancer.balancer.Budget(balancer.now())
+		spent, allowed := balancer.balancer.RetryBudget(balancer.now())
 		balancer.mu.Unlock()
 		metrics.Add("micaline_mesh_budget_spent", float64(spent), service)
 		metrics.Add("micaline_mesh_budget_allowed", allowed, service)
--- a/internal/mesh/outbound/sender.go
+++ b/internal/mesh/outbound/sender.go
@@ -226,7 +226,7 @@
 func (s *Sender) balancerSettings(config *meshconfig.Config, name string, classes []policy.Class, concurrency int) policy.Settings {
 	bounds := &s.settings.Bounds
 	settings := policy.Settings{
-		Agents: s.agentCount, Zone: s.zoneNumbers[s.settings.Zone], Classes: classes, Reports: policy.ReportsInline, Gates: true, HomeFirst: true, Width: float64(concurrency),
+		Agents: s.agentCount, Zone: s.zoneNumbers[s.settings.Zone], Classes: classes, Reports: policy.ReportsInline, Gates: true, PreferLocalZone: true, Width: float64(concurrency),
 		Tick: time.Millisecond, MaxAttempts: 6, SecondCopies: true,
 		ColdFrom: initialCapacityShare, OverloadFactor: 2,
 		ExtraWindow: bounds.RetryWindow, ExtraFloor: retryFloorShare * bounds.ExtraTries / float64(s.agentCount), ExtraRatio: retryRatioShare * bounds.RetryRatio,
--- a/internal/site/meter.go
+++ b/internal/site/meter.go
@@ -20,7 +20,7 @@
 type DemandMeter struct {
 	classes        []ClassDemand
 	accounts       []Account
-	recentRequests limit.Mix
+	recentRequests limit.TenantMix
 	requestShare   []float64 // share of the requests, by class
 	retryShare     float64
 	excessShare    []float64 // by account, share of the requests beyond its guaranteed share
@@ -29,7 +29,7 @@
 // NewDemandMeter returns a meter. The SecondsPerRequest of the classes are its initial estimates.
 func NewDemandMeter(classes []ClassDemand, accounts []Account) *DemandMeter {
 	m := &DemandMeter{
-		classes: classes, accounts: accounts, recentRequests: limit.NewMix(len(accounts)), requestShare: make([]float64, len(classes)),
+		classes: classes, accounts: accounts, recentRequests: limit.NewTenantMix(len(accounts)), requestShare: make([]float64, len(classes)),
 		excessShare: make([]float64, len(accounts)),
 	}
 	for i := range m.requestShare {
@@ -48,7 +48,7 @@
 		return
 	}
 	guaranteed := m.accounts[account].GuaranteedShare
-	share := guaranteed * m.recentRequests.Over(account, guaranteed)
+	share := guaranteed * m.recentRequests.AddRequest(account, guaranteed)
 	m.excessShare[account] += meterGain * (max(0, share-guaranteed) - m.excessShare[account])
 }
 
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"example.org/micaline/policy"
 )
 
-// One agent, two servers, one request: from the list to the answer.
+// One agent with two servers handles one request.
 func Example() {
 	b, err := policy.New(policy.Settings{
 		Agents: 1, MaxAttempts: 3, ColdFrom: 0.3, WarmAfter: 10 * time.Second, OverloadFactor: 2.5,
@@ -36,7 +36,7 @@
 		Servers: []policy.ServerEntry{
 			{ID: 1, State: policy.Ready, Weight: 2}, {ID: 2, State: policy.Ready, Weight: 1},
 		}})
-	handle(policy.Event{Kind: policy.EventRequest, Request: 7, Left: time.Second})
-	handle(policy.Event{Kind: policy.EventOutcome, Request: 7, Outcome: policy.OK, Closed: true})
+	handle(policy.Event{Kind: policy.EventRequest, Request: 7, TimeLeft: time.Second})
+	handle(policy.Event{Kind: policy.EventOutcome, Request: 7, Outcome: policy.OK, Final: true})
 	// Output: send request 7 with a time-out of about 1s
 }
