--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -129,8 +129,8 @@
 	silent := map[policy.ServerID]bool{}
 	if v, ok := l.current.Decider.(viewer); ok {
 		for _, b := range v.View(now) {
-			uses = append(uses, site.Use{ID: b.ID, Held: b.Held, Room: b.Room})
-			silent[b.ID] = b.Silent > 0
+			uses = append(uses, site.Use{ID: b.ID, Held: b.Outstanding, Room: b.ConcurrencyLimit})
+			silent[b.ID] = b.Overdue > 0
 		}
 	}
 	if now >= s.blind {
