--- a/internal/ewma/ewma.go
+++ b/internal/ewma/ewma.go
@@ -1,13 +1,13 @@
-// Package ewma learns how fast servers are beside one another, by exponentially weighted means
-// that are shrunk towards a prior.
+// Package ewma estimates the relative speed of servers by exponentially weighted moving averages
+// that start from a prior.
 //
-// There are servers, each of one kind of machine. The list of servers gives each a weight; that is
-// the prior. How long answers take, or what servers say that they take, is learnt for each kind, as
-// single servers are seen too seldom, and replaces the prior the more has been seen. A single
-// server is only told from its kind by how many times slower it is, and what was learnt of it is
-// forgotten with time. Speeds mean nothing but beside one another.
+// Each server belongs to a kind of machine. The prior is the weight that the server list gives.
+// Latencies, or the service times that servers report, are learned for each kind, because a single
+// server is seen too seldom, and replace the prior as samples accumulate. A single server only has
+// a slowdown relative to its kind, which decays with time. Speeds are meaningful only relative to
+// one another.
 //
-// It does no I/O and has no clock: the caller says when things happened.
+// The package does no I/O and has no clock: the caller passes the time.
 package ewma
 
 import (
@@ -18,83 +18,86 @@
 )
 
 const (
-	Gain      = 0.15     // weight of a sample of one server: a dozen settle a mean
-	FleetGain = Gain / 4 // weight of one of all servers
-	MaxSlow   = 8.0      // slower than this is the business of ejection
+	ServerGain  = 0.15           // weight of a sample of one server: a dozen settle a mean
+	FleetGain   = ServerGain / 4 // weight of a sample of all servers
+	MaxSlowdown = 8.0            // upper bound of a slowdown; slower servers are left to ejection
 
-	kindDoubt = 8.0  // answers after which a kind's learnt speed counts as much as the list's weights
-	forget    = 40.0 // usual answers' time after which half of a learnt speed is forgotten
-	least     = 1e-3 // pace of a kind at least
+	priorWeight        = 8.0  // samples after which the learned speed of a kind counts as much as the prior
+	slowdownHalfLife   = 40.0 // typical latencies after which half of a slowdown is forgotten
+	minRelativeLatency = 1e-3 // lower bound of a kind's relative latency
 )
 
 // Kind is what servers of one kind of machine have in common.
 type Kind struct {
-	Ratio  weighted.Mean // time of an answer over its class's
-	Recent weighted.Mean // reported service time, seconds
-	seen   float64       // answers and reports that its pace was learnt from
+	RelativeLatency weighted.Mean // latency over the typical latency of its class
+	ServiceTime     weighted.Mean // reported service time, seconds
+	samples         float64       // number of samples, weighted by confidence
 }
 
-// Fleet is what is learnt of all servers. The zero value knows nothing.
+// Fleet is what is known of all servers. The zero value knows nothing.
 type Fleet struct {
-	kinds  map[int]*Kind
-	seen   float64       // answers and reports that kinds' paces were learnt from
-	recent weighted.Mean // reported service time of all servers, seconds
+	kinds       map[int]*Kind
+	samples     float64       // samples of all kinds
+	serviceTime weighted.Mean // reported service time of all servers, seconds
 }
 
-// Kind returns what is known of a kind of machine.
+// Kind returns the record of a kind of machine, which it creates if there is none.
 func (f *Fleet) Kind(kind int) *Kind {
 	k := f.kinds[kind]
 	if k == nil {
 		if f.kinds == nil {
 			f.kinds = map[int]*Kind{}
 		}
-		k = &Kind{Ratio: weighted.Mean{V: 1, Known: true}}
+		k = &Kind{RelativeLatency: weighted.Mean{Value: 1, Known: true}}
 		f.kinds[kind] = k
 	}
 	return k
 }
 
-// Learn takes in a sample of one of a kind's two means, and how sure it is from 0 to 1.
-func (f *Fleet) Learn(k *Kind, pace *weighted.Mean, sample, sure float64) {
-	k.seen, f.seen = k.seen+sure, f.seen+sure
-	pace.Add(sample, sure*max(FleetGain, 1/(k.seen+kindDoubt/2)))
+// ObserveKind adds a sample to one of a kind's two means, with a confidence from 0 to 1.
+func (f *Fleet) ObserveKind(k *Kind, mean *weighted.Mean, sample, confidence float64) {
+	k.samples, f.samples = k.samples+confidence, f.samples+confidence
+	mean.Add(sample, confidence*max(FleetGain, 1/(k.samples+priorWeight/2)))
 }
 
-// Reported takes in a service time that any server has told of.
-func (f *Fleet) Reported(recent float64) { f.recent.Add(recent, FleetGain) }
+// ObserveServiceTime adds a service time in seconds that any server has reported.
+func (f *Fleet) ObserveServiceTime(serviceTime float64) { f.serviceTime.Add(serviceTime, FleetGain) }
 
-// Server is what is learnt of one server. The zero value is that of one that has not been met.
+// Server is what is known of one server. Call Reset before its first use.
 type Server struct {
-	Base     float64 // speed by the list's first weight, 0 until Restart
-	Slow     float64 // times slower than its kind
-	learntAt time.Duration
+	BaseSpeed float64 // relative speed by the server list, 0 until Reset
+	Slowdown  float64 // times slower than its kind
+	updatedAt time.Duration
 }
 
-// Restart begins anew, with a weight of the list: of another process nothing learnt holds.
-func (s *Server) Restart(weight float64) {
-	s.Slow = 1
-	if s.Base = weight; !(weight > 0 && weight < math.MaxFloat32) {
-		s.Base = 1
+// Reset starts over with a weight of the server list: what was learned of an earlier process does
+// not apply to the next.
+func (s *Server) Reset(weight float64) {
+	s.Slowdown = 1
+	if s.BaseSpeed = weight; !(weight > 0 && weight < math.MaxFloat32) {
+		s.BaseSpeed = 1
 	}
 }
 
-// Slower takes in a sample of how many times slower than usual the server is; usual is a usual
-// answer's time in seconds.
-func (s *Server) Slower(ratio, weight, usual float64, now time.Duration) {
-	s.Slow = 1 + (s.Slow-1)*math.Exp2(-(now-s.learntAt).Seconds()/(forget*usual))
-	s.Slow += weight * (min(max(ratio, 1/MaxSlow), MaxSlow) - s.Slow)
-	s.learntAt = now
+// ObserveSlowdown adds a sample of how many times slower than its kind the server is. The typical
+// latency is in seconds.
+func (s *Server) ObserveSlowdown(ratio, weight, typicalLatency float64, now time.Duration) {
+	s.Slowdown = 1 + (s.Slowdown-1)*math.Exp2(-(now-s.updatedAt).Seconds()/(slowdownHalfLife*typicalLatency))
+	s.Slowdown += weight * (min(max(ratio, 1/MaxSlowdown), MaxSlowdown) - s.Slowdown)
+	s.updatedAt = now
 }
 
-// Speed is what a server of a kind can do, where so large a share of its requests does not fail: by
-// the list's weight, then by how long its kind takes. Danger: weights without the cores' speed
-// overload the slow kind; single servers are seen too seldom to mend that. How many are in work has
-// no part in it: who is sent more would look faster and be sent more again.
-func (f *Fleet) Speed(k *Kind, s *Server, sound float64) float64 {
-	known := f.seen / (f.seen + kindDoubt)
-	pace := k.Ratio.V
-	if k.Recent.Known {
-		pace = k.Recent.V / f.recent.V
+// Speed returns the relative speed of a server of a kind, which serves the given share of its
+// requests without failure. It moves from the weight in the server list to the learned latency of
+// the kind. Weights that leave out how fast a kind's cores are overload the slow kind, and single
+// servers are seen too seldom to correct that. The number of requests in flight is left out: a
+// server that is sent more would look faster and be sent still more.
+func (f *Fleet) Speed(k *Kind, s *Server, successRate float64) float64 {
+	learnedShare := f.samples / (f.samples + priorWeight)
+	latency := k.RelativeLatency.Value
+	if k.ServiceTime.Known {
+		latency = k.ServiceTime.Value / f.serviceTime.Value
 	}
-	return sound * sound * math.Pow(s.Base, 1-known) * math.Pow(max(pace, least), -known) / s.Slow
+	return successRate * successRate * math.Pow(s.BaseSpeed, 1-learnedShare) *
+		math.Pow(max(latency, minRelativeLatency), -learnedShare) / s.Slowdown
 }
--- a/internal/ewma/ewma_test.go
+++ b/internal/ewma/ewma_test.go
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// Speeds follow the list's weights while nothing is known, and how long kinds take as that is
-// learnt.
+// Speeds follow the weights of the server list at first, and then the learned latencies of the
+// kinds.
 func TestPriorGivesWay(t *testing.T) {
 	var f Fleet
 	var quick, slow Server
-	quick.Restart(1) // the list has it the wrong way round
-	slow.Restart(2)
+	quick.Reset(1) // the weights of the list are the wrong way round
+	slow.Reset(2)
 	ratio := func() float64 { return f.Speed(f.Kind(0), &quick, 1) / f.Speed(f.Kind(1), &slow, 1) }
 	if got := ratio(); got != 0.5 {
-		t.Errorf("speeds of %v before anything is known, the list says 0.5", got)
+		t.Errorf("speed ratio of %v before any sample, the list gives 0.5", got)
 	}
 	rng := rand.New(rand.NewPCG(1, 0))
 	for range 2000 {
-		f.Learn(f.Kind(0), &f.Kind(0).Ratio, 0.5+rng.Float64()/10, 1)
-		f.Learn(f.Kind(1), &f.Kind(1).Ratio, 2+rng.Float64()/10, 1)
+		f.ObserveKind(f.Kind(0), &f.Kind(0).RelativeLatency, 0.5+rng.Float64()/10, 1)
+		f.ObserveKind(f.Kind(1), &f.Kind(1).RelativeLatency, 2+rng.Float64()/10, 1)
 	}
 	if got := ratio(); math.Abs(got-2.05/0.55) > 0.1 {
-		t.Errorf("speeds of %v, learnt were %v", got, 2.05/0.55)
+		t.Errorf("speed ratio of %v, the samples give %v", got, 2.05/0.55)
 	}
 	if whole, half := f.Speed(f.Kind(0), &quick, 1), f.Speed(f.Kind(0), &quick, 0.5); half != whole/4 {
-		t.Errorf("%v with half of the requests failed, %v with none", half, whole)
+		t.Errorf("speed %v with half of the requests failed, %v with none", half, whole)
 	}
 }
 
-// One server's slowness stays within its bounds under any sample, and is forgotten.
+// A server's slowdown stays within its bounds for any sample, and decays.
 func TestSlower(t *testing.T) {
 	var s Server
-	s.Restart(math.NaN())
+	s.Reset(math.NaN())
 	rng := rand.New(rand.NewPCG(1, 0))
 	now := time.Duration(0)
 	for range 10_000 {
 		now += time.Duration(rng.IntN(int(time.Second)))
-		s.Slower([]float64{0, 1, math.Inf(1), rng.Float64() * 20}[rng.IntN(4)], rng.Float64(), 0.1, now)
-		if !(s.Slow >= 1/MaxSlow && s.Slow <= MaxSlow) {
-			t.Fatalf("%v times slower", s.Slow)
+		s.ObserveSlowdown([]float64{0, 1, math.Inf(1), rng.Float64() * 20}[rng.IntN(4)], rng.Float64(), 0.1, now)
+		if !(s.Slowdown >= 1/MaxSlowdown && s.Slowdown <= MaxSlowdown) {
+			t.Fatalf("%v times slower", s.Slowdown)
 		}
 	}
-	if s.Slower(1, 0, 0.1, now+time.Hour); s.Base != 1 || math.Abs(s.Slow-1) > 0.01 {
-		t.Errorf("base %v, %v times slower after an hour without news", s.Base, s.Slow)
+	if s.ObserveSlowdown(1, 0, 0.1, now+time.Hour); s.BaseSpeed != 1 || math.Abs(s.Slowdown-1) > 0.01 {
+		t.Errorf("base speed %v, %v times slower after an hour without samples", s.BaseSpeed, s.Slowdown)
 	}
 }
--- a/internal/limit/budget.go
+++ b/internal/limit/budget.go
@@ -5,51 +5,53 @@
 	"time"
 )
 
-// mostKnown is how many points in time a Budget keeps of each sort, at most. Where more are asked about, the oldest are
-// missing, and fewer further attempts are allowed than might be.
-const mostKnown = 4096
-
-// Budget counts requests and the attempts beyond each request's first, in a window that slides. The zero value has
-// counted nothing. Retries feed the overload that causes them; a budget in proportion to the requests ends that.
-type Budget struct {
-	taken, extra history
+// maxTimestamps is the most timestamps that a RetryBudget keeps of requests, and of retries. The
+// oldest are dropped, so that fewer retries are allowed than the budget would permit.
+const maxTimestamps = 4096
+
+// RetryBudget counts requests and retries in a sliding window. The zero value is empty. Retries add
+// to the overload that causes them; a budget in proportion to the requests stops that.
+type RetryBudget struct {
+	requests, retries timestamps
 }
 
-// Take counts a request.
-func (b *Budget) Take(now time.Duration) { b.taken.add(now) }
+// AddRequest counts a request.
+func (b *RetryBudget) AddRequest(now time.Duration) { b.requests.add(now) }
 
-// Spend counts an attempt beyond a request's first.
-func (b *Budget) Spend(now time.Duration) { b.extra.add(now) }
+// AddRetry counts an attempt beyond a request's first.
+func (b *RetryBudget) AddRetry(now time.Duration) { b.retries.add(now) }
 
-// Taken is how many requests came at a time or later.
-func (b *Budget) Taken(from time.Duration) int { return b.taken.since(from) }
+// RequestsSince returns how many requests arrived at a time or later.
+func (b *RetryBudget) RequestsSince(from time.Duration) int { return b.requests.countSince(from) }
 
-// Allows says whether one more attempt beyond a request's first keeps the budget: in any window at most a floor, and a
-// ratio for each request in it.
-func (b *Budget) Allows(now, window time.Duration, floor, ratio float64) bool {
-	spent, allowed := b.Spent(now, window, floor, ratio)
+// Allows says whether one more retry is within the budget. In any window the budget is a floor,
+// plus a ratio for each request.
+func (b *RetryBudget) Allows(now, window time.Duration, floor, ratio float64) bool {
+	spent, allowed := b.Usage(now, window, floor, ratio)
 	return float64(spent+1) <= allowed
 }
 
-// Spent is how many attempts beyond each request's first there were in the window, and how many the budget allows in it.
-func (b *Budget) Spent(now, window time.Duration, floor, ratio float64) (spent int, allowed float64) {
+// Usage returns the number of retries in the window that ends now, and how many the budget allows
+// there.
+func (b *RetryBudget) Usage(now, window time.Duration, floor, ratio float64) (spent int, allowed float64) {
 	from := now - window
-	taken, extra := b.taken.since(from+1), b.extra.since(from) // an edge counts against us
-	return extra, min(floor+ratio*float64(taken), mostKnown/2)
+	// At the start of the window a retry counts and a request does not.
+	requests, retries := b.requests.countSince(from+1), b.retries.countSince(from)
+	return retries, min(floor+ratio*float64(requests), maxTimestamps/2)
 }
 
-// history keeps when things happened, oldest first.
-type history []time.Duration
+// timestamps are in ascending order.
+type timestamps []time.Duration
 
-func (h *history) add(at time.Duration) {
-	if len(*h) >= mostKnown {
-		*h = append((*h)[:0], (*h)[mostKnown/2:]...)
+func (t *timestamps) add(at time.Duration) {
+	if len(*t) >= maxTimestamps {
+		*t = append((*t)[:0], (*t)[maxTimestamps/2:]...)
 	}
-	*h = append(*h, at)
+	*t = append(*t, at)
 }
 
-// since counts what happened at a time or later.
-func (h history) since(from time.Duration) int {
-	i, _ := slices.BinarySearch(h, from)
-	return len(h) - i
+// countSince returns the number of timestamps at a time or later.
+func (t timestamps) countSince(from time.Duration) int {
+	i, _ := slices.BinarySearch(t, from)
+	return len(t) - i
 }
--- a/internal/limit/mix.go
+++ b/internal/limit/mix.go
@@ -1,27 +1,28 @@
 package limit
 
-// Mix counts who has asked of late.
+// TenantMix counts the recent requests of each tenant.
 type TenantMix struct {
-	seen []float64
-	sum  float64
+	requests []float64
+	total    float64
 }
 
-// NewMix returns a Mix of so many tenants.
-func NewTenantMix(tenants int) TenantMix { return TenantMix{seen: make([]float64, tenants)} }
+// NewTenantMix returns a TenantMix of the given number of tenants.
+func NewTenantMix(tenants int) TenantMix { return TenantMix{requests: make([]float64, tenants)} }
 
 const (
-	mixPrior = 10.0 // requests' worth of belief in the stated shares
-	mixLife  = 200  // requests over which the mix is remembered
+	priorRequests = 10.0 // weight of the guaranteed shares, in requests
+	maxRequests   = 200  // counts are halved beyond this many
 )
 
-// Over counts a request and returns its tenant's part of the recent ones over the share that it is due.
+// AddRequest counts a request and returns the tenant's share of the recent requests over its
+// guaranteed share.
 func (m *TenantMix) AddRequest(tenant int, portion float64) float64 {
-	m.seen[tenant]++
-	if m.sum++; m.sum > mixLife {
-		m.sum /= 2
-		for i := range m.seen {
-			m.seen[i] /= 2
+	m.requests[tenant]++
+	if m.total++; m.total > maxRequests {
+		m.total /= 2
+		for i := range m.requests {
+			m.requests[i] /= 2
 		}
 	}
-	return (m.seen[tenant] + mixPrior*portion) / (m.sum + mixPrior) / portion
+	return (m.requests[tenant] + priorRequests*portion) / (m.total + priorRequests) / portion
 }
--- a/internal/limit/pressure.go
+++ b/internal/limit/pressure.go
@@ -5,41 +5,44 @@
 	"time"
 )
 
-// Usual is the part of the aim that a usual answer may take: more of it presses, less eases.
-const Usual = 0.5
+// ShedSetpoint is the load signal at which the level of shedding stays as it is. A higher signal
+// raises the level, and a lower one reduces it.
+const ShedSetpoint = 0.5
 
 const (
-	MostPressure = 2.0  // callers that repeat what is refused take more than one refusal to stop
-	noise        = 0.15 // pressure that noise alone builds: it sheds nothing
-	pressureGain = 0.2  // of the intake shed for an answer one aim off: a few late answers halve it
-	easeOver     = 16.0 // aims in which pressure halves by itself
+	MaxShedLevel = 2.0  // above 1, as callers that retry refused requests have to be refused more than once
+	noiseLevel   = 0.15 // level that noise alone reaches: it sheds nothing
+	shedGain     = 0.2  // level added by a signal 1 above the setpoint: a few late answers have half of the requests shed
+	decayTargets = 16.0 // target latencies after which the level has halved by itself
 )
 
-// Pressure is the share of the usual requests to shed, moved by how full servers are or how long answers take. It is an
-// integrating controller: what presses for long sheds as much as it takes to end it.
-type Pressure struct {
-	Raw   float64 // before what noise builds is taken off
-	moved time.Duration
-	eased time.Duration
+// ShedController computes the share of requests to shed from load signals. A load signal is the
+// latency over the target latency, or tells in the same range how full servers are. It is an
+// integral controller: a lasting overload raises the level until enough is shed to end it.
+type ShedController struct {
+	Level     float64 // share to shed before noiseLevel is deducted
+	updatedAt time.Duration
+	decayedAt time.Duration
 }
 
-// Move takes in a part of the aim, 1 being what no aim allows, and how much it is worth from 0 to 1.
-func (p *Pressure) Move(part, worth float64) {
-	p.Raw = min(max(0, p.Raw+worth*pressureGain*(min(part, 2)-Usual)), MostPressure)
+// Update adds a load signal with a weight from 0 to 1.
+func (c *ShedController) Update(load, weight float64) {
+	c.Level = min(max(0, c.Level+weight*shedGain*(min(load, 2)-ShedSetpoint)), MaxShedLevel)
 }
 
-// Meet takes in what a request has met that others, which come as this one within a usual answer's time, meet as well. Danger:
-// were each counted for itself, a moment's crowd would have callers shed for seconds.
-func (p *Pressure) Meet(part float64, now time.Duration, each float64) {
-	p.Move(part, min(1, (now-p.moved).Seconds()/max(each, 1e-3)))
-	p.moved = now
+// UpdateRateLimited adds a load signal that other requests of the same moment share: signals within
+// one service time together count as one. Otherwise a short burst would shed requests for seconds.
+func (c *ShedController) UpdateRateLimited(load float64, now time.Duration, serviceSeconds float64) {
+	c.Update(load, min(1, (now-c.updatedAt).Seconds()/max(serviceSeconds, 1e-3)))
+	c.updatedAt = now
 }
 
-// Ease lets time pass. Danger: under pressure little is let through to tell that servers are idle again.
-func (p *Pressure) Ease(now, aim time.Duration) {
-	p.Raw *= math.Exp2((p.eased - now).Seconds() / (easeOver * aim.Seconds()))
-	p.eased = now
+// Decay lowers the level with time, because under overload few requests are admitted that could
+// show idle servers.
+func (c *ShedController) Decay(now, targetLatency time.Duration) {
+	c.Level *= math.Exp2((c.decayedAt - now).Seconds() / (decayTargets * targetLatency.Seconds()))
+	c.decayedAt = now
 }
 
-// Shed is the share of the usual requests to shed, above 1 where more asks than that.
-func (p *Pressure) Shed() float64 { return max(0, p.Raw-noise) }
+// ShedRatio returns the share of ordinary requests to shed, which may be above 1.
+func (c *ShedController) ShedRatio() float64 { return max(0, c.Level-noiseLevel) }
--- a/internal/limit/width.go
+++ b/internal/limit/width.go
@@ -3,50 +3,53 @@
 import "math"
 
 const (
-	settled  = 30     // reports whose mean settles a width
-	drift    = 0.0005 // weight of each report after that
-	outliers = 4      // times what is known that a report may tell at most
+	initialReports = 30     // reports whose mean settles the estimate
+	driftWeight    = 0.0005 // weight of each later report
+	maxGrowth      = 4      // upper bound of a report, as a multiple of the estimate plus 1
 )
 
-// Width learns how many requests a server serves at once when it is just busy, from what busy servers report. The zero
-// value knows nothing.
+// Parallelism learns how many requests a server processes at once when it is just busy, from the
+// reports of busy servers. The zero value knows nothing.
 //
-// By Little's law a server's throughput times its response time is what it has in work, and where responses take as long as
-// the queue lets them, what waits is counted as well. Danger: a width that follows such reports takes a jam for room, sends
-// more, and is told of more. So the first reports settle it, and later ones, which are of machines that did not change,
-// hardly move it. Were the first alone to settle it, an agent that gets few reports would go by chance.
-type Width struct {
-	Told    float64 // so many, as somebody knows; 0: to be learnt
-	mean    float64
-	reports int
+// By Little's law, a server's throughput times its response time is the number of requests in it,
+// and where response times include queueing, that counts waiting requests too. An estimate that
+// followed such reports would take congestion for capacity, send more, and be told of more.
+// Therefore the first reports settle it, and later ones hardly change it, as the machines stay the
+// same. The very first alone would not do: an agent that gets few reports would depend on chance.
+type Parallelism struct {
+	Configured float64 // a known value, or 0 to learn it
+	mean       float64
+	reports    int
 }
 
-// Report takes in a report of a server that holds more than one request: how many it serves in a second, how long each
-// takes in seconds, and how many it holds, which it can't have in work more of. Others say nothing of a width.
-func (w *Width) Report(rate, took, held float64) {
-	inWork := rate * took
-	if held < 2 || !(inWork > 0) {
+// Observe adds a report of a server with at least two requests: requests served per second, service
+// time in seconds, and requests in flight, which bound the requests being processed. Other reports
+// are ignored.
+func (p *Parallelism) Observe(rate, serviceTime, inFlight float64) {
+	busy := rate * serviceTime
+	if inFlight < 2 || !(busy > 0) {
 		return
 	}
-	w.reports++
-	weight := drift
-	if w.reports <= settled {
-		weight = 1 / float64(w.reports)
+	p.reports++
+	weight := driftWeight
+	if p.reports <= initialReports {
+		weight = 1 / float64(p.reports)
 	}
-	w.mean += weight * (min(inWork, held, outliers*(w.mean+1)) - w.mean)
+	p.mean += weight * (min(busy, inFlight, maxGrowth*(p.mean+1)) - p.mean)
 }
 
-// Known says whether any report has told of it.
-func (w *Width) Known() bool { return w.reports > 0 }
+// Known says whether there was any usable report.
+func (p *Parallelism) Known() bool { return p.reports > 0 }
 
-// Mean is how many requests a busy server has in work, 0 while nothing is known.
-func (w *Width) Mean() float64 { return w.mean }
+// Mean returns the learned mean of requests in processing, 0 if nothing is known.
+func (p *Parallelism) Mean() float64 { return p.mean }
 
-// Requests is a whole number, at least 1. Danger: were it learnt for each kind of machine, one that is sent little would
-// look narrow, so crowded, and be sent less.
-func (w *Width) Requests() float64 {
-	if w.Told > 0 {
-		return w.Told
+// Slots returns the number of requests that a server processes in parallel, a whole number of at
+// least 1 if it is learned. It is one value for all kinds of machine: of a kind that is sent little
+// it would be too low, so that the kind looks overloaded and is sent even less.
+func (p *Parallelism) Slots() float64 {
+	if p.Configured > 0 {
+		return p.Configured
 	}
-	return max(1, math.Floor(w.mean+0.5))
+	return max(1, math.Floor(p.mean+0.5))
 }
--- a/internal/limit/width_test.go
+++ b/internal/limit/width_test.go
@@ -5,47 +5,48 @@
 	"testing"
 )
 
-// An agent that gets a report now and then must not go by the first of them: 1 in place of 2 is half of the room.
+// An agent that gets few reports must not depend on the first one: an estimate of 1 for a
+// parallelism of 2 loses half of the capacity.
 func TestFirstReportsSettleTheWidth(t *testing.T) {
-	var w Width
-	if w.Known() || w.Requests() != 1 {
-		t.Errorf("known %v, %v requests before any report", w.Known(), w.Requests())
+	var parallelism Parallelism
+	if parallelism.Known() || parallelism.Slots() != 1 {
+		t.Errorf("known %v, %v slots before any report", parallelism.Known(), parallelism.Slots())
 	}
-	w.Report(10, 0.11, 2) // 1.1 in work
+	parallelism.Observe(10, 0.11, 2) // 1.1 in processing
 	for range 9 {
-		w.Report(40, 0.05, 2)
+		parallelism.Observe(40, 0.05, 2)
 	}
-	if got := w.Requests(); got != 2 {
-		t.Errorf("%v requests, though nine of ten reports tell of 2", got)
+	if got := parallelism.Slots(); got != 2 {
+		t.Errorf("%v slots, though nine of ten reports give 2", got)
 	}
 }
 
-// The overloaded day of poa-central: servers of two cores that hold 6 and more told of as many in work, the width went
-// from 2 to 5, and all of them jammed for good.
+// Overloaded servers with two cores report the 6 and more requests that they hold as being
+// processed. An estimate that followed this rose from 2 to 5, and all servers stayed congested.
 func TestJamIsNoWidth(t *testing.T) {
-	var w Width
+	var parallelism Parallelism
 	rng := rand.New(rand.NewPCG(1, 2))
-	for range settled {
-		w.Report(40, 0.05*(0.9+0.2*rng.Float64()), 3)
+	for range initialReports {
+		parallelism.Observe(40, 0.05*(0.9+0.2*rng.Float64()), 3)
 	}
 	for range 200 {
-		w.Report(13, 0.47, 9) // crowded, and slower for it
+		parallelism.Observe(13, 0.47, 9) // congested, and slower for it
 	}
-	if got := w.Requests(); got != 2 {
-		t.Errorf("%v requests after a jam, want 2", got)
+	if got := parallelism.Slots(); got != 2 {
+		t.Errorf("%v slots after congestion, want 2", got)
 	}
 }
 
 func TestWidthPassesOver(t *testing.T) {
-	var w Width
+	var parallelism Parallelism
 	for _, r := range [][3]float64{{40, 0.05, 1}, {0, 0.05, 4}, {-1, 0.05, 4}, {40, -1, 4}, {40, 0.05, -1}} {
-		w.Report(r[0], r[1], r[2])
+		parallelism.Observe(r[0], r[1], r[2])
 	}
-	if w.Known() {
-		t.Errorf("width %v from reports that tell nothing of one", w.Mean())
+	if parallelism.Known() {
+		t.Errorf("parallelism %v from unusable reports", parallelism.Mean())
 	}
-	w.Report(1e9, 1e9, 1e9)
-	if got := w.Requests(); got > outliers {
-		t.Errorf("one report of 1e9 makes a width of %v", got)
+	parallelism.Observe(1e9, 1e9, 1e9)
+	if got := parallelism.Slots(); got > maxGrowth {
+		t.Errorf("one report of 1e9 makes a parallelism of %v", got)
 	}
 }
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,78 +1,81 @@
-// Package outlier keeps the records by which servers are ejected and let in again: outlier ejection,
-// as a circuit breaker for each server and class of requests.
+// Package outlier implements outlier ejection: a circuit breaker for each server and class of
+// requests.
 //
-// A record counts failures, each for as much as its caller makes of it, and each answer halves the
-// count. At one it is due: the caller, who knows how many others are out, may eject the server. It
-// is out for a time that doubles while it stays bad, with some chance in it, and comes back half
-// bad: on trial. Beside that stands the share of failures, a moving mean, which tells a server that
-// breaks some of its requests from one that answers nothing.
+// A Record keeps a failure score. Each failure adds what the caller considers it worth, and each
+// good answer halves the score. At a score of 1 the server is due for ejection, which the caller
+// carries out unless too many servers are ejected already. The duration is randomized and doubles
+// while the server keeps failing. The server returns on trial, with half of the score that ejects.
+// A moving average of the failure rate is kept beside the score: it tells a server that fails some
+// requests from one that answers none.
 //
-// It does no I/O and has no clock or source of chance: the caller brings both.
+// The package does no I/O and has no clock or random source: the caller passes time and random
+// numbers.
 package outlier
 
 import "time"
 
 const (
-	ejectShare   = 0.75 // of the servers at most: more looking bad at once is overload or our own blindness
-	ejectFor     = 8.0  // aims that a first ejection lasts
-	ejectDoubles = 3    // times that this doubles while the server stays bad
-	trial        = 0.5  // what counts against a server that is let in again
-	failGain     = 0.1  // weight of an outcome in the share of failures
-	mostFails    = 0.5  // share of failures up to which a server that answers is worth more than none
+	maxEjectedShare = 0.75 // of the servers: if more look faulty at once, overload or this agent is the cause
+	baseEjection    = 8.0  // target latencies that a first ejection lasts
+	maxDoublings    = 3    // doublings of the duration at most, while the server keeps failing
+	trialScore      = 0.5  // failure score of a server that returns
+	failureRateGain = 0.1  // weight of an outcome in the failure rate
+	maxFailureRate  = 0.5  // failure rate from which a server that answers is worth less than none
 )
 
-// Record is what a server's answers to one class say. The zero value is that of a server that was
-// not used yet.
+// Record is the health of a server for one class. The zero value is for an unused server.
 type Record struct {
-	Bad   float64       // failures of late, halved by each success
-	Fails float64       // share of failures, a moving mean
-	Until time.Duration // ejected until then
-	Times int           // ejections in a row
-	Full  time.Duration // has no room until then
+	FailureScore float64       // recent failures, halved by each success
+	FailureRate  float64       // moving average, from 0 to 1
+	EjectedUntil time.Duration // ejected until then
+	Ejections    int           // in a row
+	FullUntil    time.Duration // no capacity until then
 }
 
-// Sound is the share of requests that does not fail, of the class that a server serves best.
-func Sound(classes []Record) float64 {
-	fails := 1.0
-	for _, r := range classes {
-		fails = min(fails, r.Fails)
+// BestSuccessRate returns the success rate of the class that a server serves best.
+func BestSuccessRate(records []Record) float64 {
+	failureRate := 1.0
+	for _, r := range records {
+		failureRate = min(failureRate, r.FailureRate)
 	}
-	return 1 - fails
+	return 1 - failureRate
 }
 
-// Enough says whether one more may not be ejected, with which so many servers of so many would be
-// out.
-func Enough(out, of int) bool { return float64(out) > ejectShare*float64(of) }
+// TooManyEjected says whether a further ejection would exceed the limit, given how many of all
+// servers would then be ejected.
+func TooManyEjected(ejected, total int) bool {
+	return float64(ejected) > maxEjectedShare*float64(total)
+}
 
-// Out says whether the server is ejected.
-func (r *Record) Out(now time.Duration) bool { return r.Until > now }
+// IsEjected says whether the server is ejected at the given time.
+func (r *Record) IsEjected(now time.Duration) bool { return r.EjectedUntil > now }
 
-// Failing says whether a server that answers is worth less than none.
-func (r *Record) Failing() bool { return r.Fails >= mostFails }
+// Failing says whether the server fails so often that using it is worse than going without it.
+func (r *Record) Failing() bool { return r.FailureRate >= maxFailureRate }
 
-// Ended takes an outcome into the share of failures.
-func (r *Record) Ended(ok bool) {
+// AddOutcome adds an outcome to the failure rate.
+func (r *Record) AddOutcome(ok bool) {
 	failed := 1.0
 	if ok {
 		failed = 0
 	}
-	r.Fails += failGain * (failed - r.Fails)
+	r.FailureRate += failureRateGain * (failed - r.FailureRate)
 }
 
-// Served takes in a good answer.
-func (r *Record) Served() { r.Bad, r.Times = r.Bad/2, 0 }
+// AddSuccess lowers the failure score after a good answer.
+func (r *Record) AddSuccess() { r.FailureScore, r.Ejections = r.FailureScore/2, 0 }
 
-// Blame counts failures and says whether the server is due to be ejected.
-func (r *Record) Blame(much float64, now time.Duration) (due bool) {
-	r.Bad += much
-	return r.Bad >= 1 && !r.Out(now)
+// AddFailure adds to the failure score and says whether the server is due for ejection.
+func (r *Record) AddFailure(score float64, now time.Duration) (due bool) {
+	r.FailureScore += score
+	return r.FailureScore >= 1 && !r.IsEjected(now)
 }
 
-// Eject ejects the server for about so many seconds as it returns, by u, which is uniform in [0,
-// 1).
-func (r *Record) Eject(now, aim time.Duration, u float64) (wait float64) {
-	wait = ejectFor * aim.Seconds() * float64(int(1)<<min(r.Times, ejectDoubles))
-	r.Until = now + time.Duration(wait*(0.75+u/2)*float64(time.Second))
-	r.Times, r.Bad = r.Times+1, trial
-	return wait
+// Eject ejects the server and returns the nominal duration in seconds. The actual one differs by up
+// to a quarter, depending on u, which is uniform in [0, 1).
+func (r *Record) Eject(now, targetLatency time.Duration, u float64) (seconds float64) {
+	seconds = baseEjection * targetLatency.Seconds() * float64(int(1)<<min(r.Ejections, maxDoublings))
+	r.EjectedUntil = now + time.Duration(seconds*(0.75+u/2)*float64(time.Second))
+	r.Ejections, r.FailureScore = r.Ejections+1, trialScore
+	return seconds
 }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -6,39 +6,41 @@
 	"time"
 )
 
-// Under any load a server is out for no longer than its time allows, comes back on trial, and is
-// ejected by nothing but a whole failure's worth of blame.
+// For any sequence of outcomes a server is ejected no longer than its duration allows, returns on
+// trial, and is ejected only for a failure score of at least 1.
 func TestRandomLoad(t *testing.T) {
-	const aim = time.Second
+	const targetLatency = time.Second
 	rng := rand.New(rand.NewPCG(1, 0))
 	var r Record
 	now, ejections := time.Duration(0), 0
 	for range 100_000 {
-		now += time.Duration(rng.IntN(int(aim)))
+		now += time.Duration(rng.IntN(int(targetLatency)))
 		switch rng.IntN(3) {
 		case 0:
-			before := r.Bad
-			if r.Served(); r.Bad > before/2 || r.Times != 0 {
-				t.Fatalf("an answer left %v of %v, %d ejections in a row", r.Bad, before, r.Times)
+			before := r.FailureScore
+			if r.AddSuccess(); r.FailureScore > before/2 || r.Ejections != 0 {
+				t.Fatalf("an answer left a failure score of %v of %v, and %d ejections in a row",
+					r.FailureScore, before, r.Ejections)
 			}
 		case 1:
-			if r.Ended(rng.IntN(2) == 0); r.Fails < 0 || r.Fails > 1 {
-				t.Fatalf("a share of %v fails", r.Fails)
+			if r.AddOutcome(rng.IntN(2) == 0); r.FailureRate < 0 || r.FailureRate > 1 {
+				t.Fatalf("failure rate of %v", r.FailureRate)
 			}
 		case 2:
-			out, much, before := r.Out(now), rng.Float64(), r.Bad
-			due := r.Blame(much, now)
-			if due != (!out && before+much >= 1) {
-				t.Fatalf("blamed %v and %v: due %v, out %v", before, much, due, out)
+			ejected, score, before := r.IsEjected(now), rng.Float64(), r.FailureScore
+			due := r.AddFailure(score, now)
+			if due != (!ejected && before+score >= 1) {
+				t.Fatalf("failure scores %v and %v: due %v, ejected %v", before, score, due, ejected)
 			}
 			if !due {
 				continue
 			}
-			times := r.Times
-			wait := r.Eject(now, aim, rng.Float64())
-			want := ejectFor * float64(int(1)<<min(times, ejectDoubles))
-			if left := (r.Until - now).Seconds(); wait != want || left < 0.75*want || left > 1.25*want || r.Bad >= 1 {
-				t.Fatalf("ejection %d in a row: %v s of %v, blamed %v", times+1, left, want, r.Bad)
+			consecutive := r.Ejections
+			wait := r.Eject(now, targetLatency, rng.Float64())
+			want := baseEjection * float64(int(1)<<min(consecutive, maxDoublings))
+			if left := (r.EjectedUntil - now).Seconds(); wait != want || left < 0.75*want || left > 1.25*want ||
+				r.FailureScore >= 1 {
+				t.Fatalf("ejection %d in a row: %v s of %v, failure score %v", consecutive+1, left, want, r.FailureScore)
 			}
 			ejections++
 		}
@@ -49,15 +51,16 @@
 }
 
 func TestEnough(t *testing.T) {
-	for out, of := range map[int]int{1: 1, 4: 4, 8: 10} {
-		if !Enough(out, of) || Enough(out-1, of) {
-			t.Errorf("%d of %d: %v, one fewer: %v", out, of, Enough(out, of), Enough(out-1, of))
+	for ejected, total := range map[int]int{1: 1, 4: 4, 8: 10} {
+		if !TooManyEjected(ejected, total) || TooManyEjected(ejected-1, total) {
+			t.Errorf("%d of %d: too many %v, one fewer: %v",
+				ejected, total, TooManyEjected(ejected, total), TooManyEjected(ejected-1, total))
 		}
 	}
 }
 
 func TestSound(t *testing.T) {
-	if got := Sound([]Record{{Fails: 0.5}, {Fails: 0.25}}); got != 0.75 {
-		t.Errorf("%v of the class served best", got)
+	if got := BestSuccessRate([]Record{{FailureRate: 0.5}, {FailureRate: 0.25}}); got != 0.75 {
+		t.Errorf("success rate %v of the class served best", got)
 	}
 }
--- a/internal/weighted/mean.go
+++ b/internal/weighted/mean.go
@@ -1,16 +1,16 @@
 package weighted
 
-// Mean is an exponentially weighted moving average; its first sample is taken whole. The zero value
-// knows nothing.
+// Mean is an exponentially weighted moving average. The first sample sets it. The zero value knows
+// nothing.
 type Mean struct {
-	V     float64
+	Value float64
 	Known bool
 }
 
-// Add takes in a sample, of a weight from 0 to 1.
+// Add adds a sample with a weight from 0 to 1.
 func (m *Mean) Add(x, weight float64) {
 	if !m.Known {
-		m.V, m.Known = x, true
+		m.Value, m.Known = x, true
 	}
-	m.V += weight * (x - m.V)
+	m.Value += weight * (x - m.Value)
 }
--- a/internal/weighted/pairs.go
+++ b/internal/weighted/pairs.go
@@ -1,32 +1,32 @@
 package weighted
 
-// epsilonShare is the part of the bound on epsilon that is used: farthest from both ends, where a
-// pair starves.
+// epsilonShare is the part of the bound on epsilon that is used: at either end of the range some
+// pair gets no requests.
 const epsilonShare = 0.5
 
-// Pairs appends the running sums of the weights of a line's pairs, by the speeds of its servers in
-// the order of the line: He and Down's line variant of limited choice for servers of unequal speed.
-// A pair weighs the speed of its first server plus epsilon, the last pair what remains, so that all
-// weights together are all speeds. Epsilon lies below the bound beyond which a pair would weigh
-// less than nothing. A line of fewer than two servers has no pairs.
-func Pairs(speeds []float64, sums Sums) Sums {
+// PairWeights appends the running sums of the weights of neighboring pairs to sums. It implements
+// He and Down's line variant of limited choice for servers of unequal speed, which are given in the
+// order of the line. The weight of a pair is the speed of its first server plus epsilon, and that
+// of the last pair is the rest, so that the weights add up to all speeds. Epsilon is below the
+// bound at which the weight of a pair would become negative. Fewer than two servers have no pairs.
+func PairWeights(speeds []float64, sums PrefixSums) PrefixSums {
 	n := len(speeds)
 	if n < 2 {
 		return sums
 	}
-	eps := 0.0
+	epsilon := 0.0
 	if n > 2 {
 		bound := (speeds[n-1] + speeds[n-2]) / float64(n-2)
 		for j := 1; j < n-1; j++ {
 			bound = min(bound, speeds[j]/float64(j))
 		}
-		eps = epsilonShare * bound
+		epsilon = epsilonShare * bound
 	}
 	for j, speed := range speeds[:n-1] {
 		if j == n-2 {
-			eps = speeds[n-1] - float64(n-2)*eps
+			epsilon = speeds[n-1] - float64(n-2)*epsilon
 		}
-		sums = sums.Add(speed + eps)
+		sums = sums.Append(speed + epsilon)
 	}
 	return sums
 }
--- a/internal/weighted/weighted.go
+++ b/internal/weighted/weighted.go
@@ -1,27 +1,28 @@
-// Package weighted draws by weight and averages by weight.
+// Package weighted has weighted random choice and weighted averages.
 package weighted
 
 import "slices"
 
-// Sums are running sums of weights, for draws by weight in logarithmic time.
-type Sums []float64
+// PrefixSums are running sums of weights, for weighted random choice in logarithmic time.
+type PrefixSums []float64
 
-// Add appends a weight.
-func (s Sums) Add(weight float64) Sums { return append(s, s.Span(0, len(s))+weight) }
+// Append appends a weight.
+func (s PrefixSums) Append(weight float64) PrefixSums { return append(s, s.RangeSum(0, len(s))+weight) }
 
-// Span is the sum of the weights i to j-1, those that exist.
-func (s Sums) Span(i, j int) float64 {
-	upTo := func(k int) float64 {
+// RangeSum returns the sum of the weights i to j-1; those out of range count as 0.
+func (s PrefixSums) RangeSum(i, j int) float64 {
+	prefix := func(k int) float64 {
 		if k = min(k, len(s)); k <= 0 {
 			return 0
 		}
 		return s[k-1]
 	}
-	return upTo(j) - upTo(i)
+	return prefix(j) - prefix(i)
 }
 
-// Pick draws an index by weight, u being uniform in [0, 1). There must be a weight.
-func (s Sums) Pick(u float64) int {
+// Pick returns an index with a probability in proportion to its weight, u being uniform in [0, 1).
+// There must be a weight.
+func (s PrefixSums) Pick(u float64) int {
 	i, _ := slices.BinarySearch(s, u*s[len(s)-1])
 	return min(i, len(s)-1)
 }
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -1,7 +1,5 @@
 package policy
 
-// A request's beginning and end, and the right to send it.
-
 import (
 	"slices"
 	"time"
@@ -11,195 +9,192 @@
 )
 
 const (
-	retryRatio = 0.2  // retry budget where none is stated: further attempts for each request, as usual
-	retryFloor = 3.0  // and so many besides,
-	retrySpan  = 5.0  // in any so many seconds
-	trickle    = 0.03 // let through under any pressure, to learn when it is over
+	retryRatio    = 0.2  // default retry budget: retries for each request,
+	retryFloor    = 3.0  // plus this many,
+	retryWindow   = 5.0  // in any window of this many seconds
+	minAdmitShare = 0.03 // share of requests admitted under any overload, to learn when it ends
 )
 
 func (b *Balancer) onRequest(ev *Event) {
-	if ev.Class < 0 || ev.Class >= len(b.classes) || b.open[ev.Request] != nil {
+	if ev.Class < 0 || ev.Class >= len(b.classes) || b.requests[ev.Request] != nil {
 		return
 	}
 	c := &b.classes[ev.Class]
-	r := &request{id: ev.Request, class: c, tenant: ev.Tenant, held: 1}
-	r.deadline, r.aim = b.now+ev.TimeLeft, b.now+c.Aim
-	if passed := max(0, c.Deadline-ev.TimeLeft); !ev.Retry {
-		c.first = ev.TimeLeft
-	} else if (ev.TimeLeft - c.first).Abs() > 2*b.set.Tick { // it has all that remains
-		r.aim -= passed
+	r := &request{id: ev.Request, class: c, tenant: ev.Tenant, inFlightWeight: 1}
+	r.deadline, r.targetTime = b.now+ev.TimeLeft, b.now+c.Aim
+	if elapsed := max(0, c.Deadline-ev.TimeLeft); !ev.Retry {
+		c.firstTryTime = ev.TimeLeft
+	} else if (ev.TimeLeft - c.firstTryTime).Abs() > 2*b.cfg.Tick { // the last try has all the time that remains
+		r.targetTime -= elapsed
 	} else {
-		// Danger: a repeat with a first try's share came soon, after a refusal. Were all that may have passed taken
-		// off its aim, a short refusal would be a lasting one. Half of it is the mean.
-		r.aim -= passed / 2
+		// A retry with as much time as a first try came soon after a refusal. Deducting all the time that may have
+		// passed would turn a short refusal into a lasting one; the mean is half of it.
+		r.targetTime -= elapsed / 2
 	}
 	if c.LateWorth > 0 {
-		r.aim = r.deadline
+		r.targetTime = r.deadline
 	}
 	if ev.BodyPending {
-		r.held, r.aim = 0, r.deadline
+		r.inFlightWeight, r.targetTime = 0, r.deadline
 	}
-	b.open[r.id] = r
-	b.budget.Take(b.now)
-	if b.now >= r.aim || b.shed(r) || !b.place(r) {
-		b.end(r, true)
+	b.requests[r.id] = r
+	b.retryBudget.AddRequest(b.now)
+	if b.now >= r.targetTime || b.shouldShed(r) || !b.dispatch(r) {
+		b.finish(r, true)
 	}
 }
 
-// onArrived has what a request's last byte begins run from now.
-func (b *Balancer) onArrived(ev *Event) {
-	if r := b.open[ev.Request]; r != nil && r.held == 0 {
-		r.held, r.deadline, r.aim = 1, b.now+ev.TimeLeft, b.now+r.class.Aim
-		if r.out > 0 { // the last: it has no second copies
+// onArrived starts the time limits of a request whose body has arrived.
+func (b *Balancer) onBodyReceived(ev *Event) {
+	if r := b.requests[ev.Request]; r != nil && r.inFlightWeight == 0 {
+		r.inFlightWeight, r.deadline, r.targetTime = 1, b.now+ev.TimeLeft, b.now+r.class.Aim
+		if r.pending > 0 { // the only attempt in flight: a request whose body is pending is not hedged
 			a := &r.attempts[len(r.attempts)-1]
 			a.sent, a.server.inFlight = b.now, a.server.inFlight+1
 		}
 	}
 }
 
-// shed says whether there is no room for the request: tenants over their share and low worth go first.
-func (b *Balancer) shed(r *request) bool {
-	over := b.over(r.tenant)
-	if b.set.Gates {
-		return false // danger: what each agent sheds by chance the gates would have had room for
+// shouldShed says whether to refuse a request under overload, first from tenants over their share or of low worth.
+func (b *Balancer) shouldShed(r *request) bool {
+	usageRatio := b.usageRatio(r.tenant)
+	if b.cfg.Gates {
+		return false // gates may have room for what each agent would shed at random
 	}
-	b.pressure.Ease(b.now, b.classes[0].Aim)
-	chance := b.pressure.Shed() * over * over * b.worth / r.class.Worth
-	return b.rng.Float64() < min(chance, 1-trickle)
+	b.shedder.Decay(b.now, b.classes[0].Aim)
+	shedChance := b.shedder.ShedRatio() * usageRatio * usageRatio * b.meanWorth / r.class.Worth
+	return b.rng.Float64() < min(shedChance, 1-minAdmitShare)
 }
 
-// over counts a request and returns its tenant's part of the recent ones over its share.
-func (b *Balancer) over(tenant int) float64 {
-	if tenant < 0 || tenant >= len(b.set.Tenants) || !(b.set.Tenants[tenant].Portion > 0) {
+// usageRatio counts a request and returns its tenant's share of the recent ones over its guaranteed share.
+func (b *Balancer) usageRatio(tenant int) float64 {
+	if tenant < 0 || tenant >= len(b.cfg.Tenants) || !(b.cfg.Tenants[tenant].Portion > 0) {
 		return 1
 	}
-	portion := b.set.Tenants[tenant].Portion
-	return b.mix.AddRequest(tenant, portion)
+	portion := b.cfg.Tenants[tenant].Portion
+	return b.tenantMix.AddRequest(tenant, portion)
 }
 
-// press sheds by a part of the aim that a request has met. Where servers report, what comes together says more than one
-// does: a jam is near.
-func (b *Balancer) press(part float64) {
-	if b.set.Reports == ReportsOff && part > limit.Usual {
-		b.pressure.Meet(part, b.now, b.service.V)
+// updateShedding adjusts shedding to a load signal. With reports each one counts: many at once announce congestion.
+func (b *Balancer) updateShedding(load float64) {
+	if b.cfg.Reports == ReportsOff && load > limit.ShedSetpoint {
+		b.shedder.UpdateRateLimited(load, b.now, b.serviceTime.Value)
 		return
 	}
-	b.pressure.Move(part, 1)
+	b.shedder.Update(load, 1)
 }
 
-// may is the right to send: the one place that knows placement, effects, groups, windows and drains.
-func (b *Balancer) may(r *request, s *server) bool {
+// maySend is the only place that checks placement, effects, scopes, deduplication windows and drains before a send.
+func (b *Balancer) maySend(r *request, s *server) bool {
 	if r.ended || b.now >= r.deadline || s.State != Ready || !r.class.eligible(s) ||
-		len(r.attempts) >= b.set.MaxAttempts || r.out > 0 && !b.set.SecondCopies {
+		len(r.attempts) >= b.cfg.MaxAttempts || r.pending > 0 && !b.cfg.SecondCopies {
 		return false
 	}
-	if b.extra(r) && !b.budget.Allows(b.now, b.set.ExtraWindow, b.set.ExtraFloor, b.set.ExtraRatio) {
+	if b.countsAsRetry(r) && !b.retryBudget.Allows(b.now, b.cfg.ExtraWindow, b.cfg.ExtraFloor, b.cfg.ExtraRatio) {
 		return false
 	}
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		switch {
-		case a.out && a.server == s:
-			return false // danger: what swallows one copy swallows the other
-		case !a.ran:
+		case a.pending && a.server == s:
+			return false // it would lose the second copy as well
+		case !a.mayHaveRun:
 		case r.class.Effect == SideEffect:
-			return false // danger: the effect would happen twice
+			return false // the effect could happen twice
 		case r.class.Effect == Keyed && (b.now >= a.sent+r.class.Window ||
 			r.class.Scope == ScopeZone && a.server.Zone != s.Zone ||
 			r.class.Scope == ScopeCell && a.server.Cell != s.Cell):
-			return false // danger: this server does not, or no longer, know the key
+			return false // the server does not know the key, or no longer
 		}
 	}
 	return true
 }
 
-// extra says whether the next attempt is one beyond the request's first. What a gate refuses has not arrived.
-func (b *Balancer) extra(r *request) bool {
-	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.spent || a.ran || !b.set.Gates })
+// countsAsRetry says whether the next attempt is a retry. Attempts that a gate refused never reached a server.
+func (b *Balancer) countsAsRetry(r *request) bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.reachedServer || a.mayHaveRun || !b.cfg.Gates })
 }
 
-// remembered is how long the servers go on to drop a repeat of the request, 0 if they need not.
-func (r *request) remembered(now time.Duration) (within time.Duration) {
+// dedupTimeLeft is how long servers still drop a repeat of a request that may have run; 0 if none has to.
+func (r *request) dedupTimeLeft(now time.Duration) (timeLeft time.Duration) {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; a.ran && r.class.Effect == Keyed {
-			if left := a.sent + r.class.Window - now; within == 0 || left < within {
-				within = left
+		if a := &r.attempts[i]; a.mayHaveRun && r.class.Effect == Keyed {
+			if remaining := a.sent + r.class.Window - now; timeLeft == 0 || remaining < timeLeft {
+				timeLeft = remaining
 			}
 		}
 	}
-	return within
+	return timeLeft
 }
 
-// mayRefuse answers whether the client may be told that a further try is harmless.
-func (b *Balancer) mayRefuse(r *request) bool {
+func (b *Balancer) retryIsHarmless(r *request) bool {
 	return r.class.Effect == Pure || !slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		known := r.class.Effect == Keyed && r.class.Scope == ScopeAll && b.now < a.sent+r.class.Window
-		return a.ran && !known // danger: past the window nobody drops the client's repeat
+		deduplicated := r.class.Effect == Keyed && r.class.Scope == ScopeAll && b.now < a.sent+r.class.Window
+		return a.mayHaveRun && !deduplicated // after the window no server drops the client's repeat
 	})
 }
 
-// send is the only way to a server.
 func (b *Balancer) send(r *request, s *server) bool {
-	if !b.may(r, s) {
+	if !b.maySend(r, s) {
 		return false
 	}
-	if l := &r.class.line; b.warmth(s) < 1 && !b.set.Gates {
-		if i := slices.Index(l.servers, s); i >= 0 && b.rng.Float64() >= l.pass[i] {
+	if p := &r.class.pool; b.warmFraction(s) < 1 && !b.cfg.Gates {
+		if i := slices.Index(p.servers, s); i >= 0 && b.rng.Float64() >= p.admitChance[i] {
 			return false
 		}
 	}
-	n := uint64(len(r.attempts))
-	if b.extra(r) {
-		b.budget.Spend(b.now)
-	}
-	within := r.remembered(b.now)
-	r.attempts = append(r.attempts, attempt{server: s, sent: b.now, out: true, ran: true})
-	r.out++
-	s.since++
-	s.inFlight += r.held
-	wait := r.deadline - b.now
-	b.act(Action{Kind: ActSend, Request: r.id, Server: s.ID, Wait: wait, DeliverWithin: within})
-	token := tokenCheck | n<<32 | uint64(r.id)
-	b.act(Action{Kind: ActTimer, Token: token, Wait: r.class.patient()})
+	index := uint64(len(r.attempts))
+	if b.countsAsRetry(r) {
+		b.retryBudget.AddRetry(b.now)
+	}
+	deliverWithin := r.dedupTimeLeft(b.now)
+	r.attempts = append(r.attempts, attempt{server: s, sent: b.now, pending: true, mayHaveRun: true})
+	r.pending++
+	s.sentSinceReport++
+	s.inFlight += r.inFlightWeight
+	timeout := r.deadline - b.now
+	b.emit(Action{Kind: ActSend, Request: r.id, Server: s.ID, Wait: timeout, DeliverWithin: deliverWithin})
+	token := timerSilence | index<<32 | uint64(r.id)
+	b.emit(Action{Kind: ActTimer, Token: token, Wait: r.class.silenceTimeout()})
 	return true
 }
 
-// advice is when a refused client may come again: when the servers have answered what they hold, later the
-// more is shed. Danger: clients left to themselves come again at once and keep the overload up.
-func (b *Balancer) advice(c *class) time.Duration { return seconds(c.usual.V * (1 + b.pressure.Raw)) }
+// retryAdvice is when a refused client should retry: clients without advice retry at once and prolong the overload.
+func (b *Balancer) retryAdvice(c *class) time.Duration {
+	return seconds(c.typicalLatency.Value * (1 + b.shedder.Level))
+}
 
-// end is the only place where a request ends: by the answer of ours that promises most, or as it has one or
-// is gone. A request with attempts out stays known until they are back.
-func (b *Balancer) end(r *request, ours bool) {
-	if ours && r.out > 0 {
-		return // an attempt is still out and may yet serve it
+// finish is the only place where a request ends: with the Balancer's own final answer, a harmless refusal if possible,
+// or because it has an answer or no client. A request with attempts in flight is kept until they end.
+func (b *Balancer) finish(r *request, answer bool) {
+	if answer && r.pending > 0 {
+		return // the attempt in flight may still serve it
 	}
 	if !r.ended {
 		r.ended = true
 		missed := 0.0
-		if ours || b.now > r.aim {
+		if answer || b.now > r.targetTime {
 			missed = 1
 		}
-		b.lost += ewma.FleetGain * (missed - b.lost)
-		if ours && b.mayRefuse(r) {
-			b.act(Action{Kind: ActRefuse, Request: r.id, Wait: b.advice(r.class)})
-		} else if ours {
-			b.act(Action{Kind: ActFail, Request: r.id})
+		b.missRate += ewma.FleetGain * (missed - b.missRate)
+		if answer && b.retryIsHarmless(r) {
+			b.emit(Action{Kind: ActRefuse, Request: r.id, Wait: b.retryAdvice(r.class)})
+		} else if answer {
+			b.emit(Action{Kind: ActFail, Request: r.id})
 		}
 		for i := range r.attempts {
-			if b.set.Cancel && r.attempts[i].out {
-				b.act(Action{Kind: ActCancel, Request: r.id, Attempt: i})
+			if b.cfg.Cancel && r.attempts[i].pending {
+				b.emit(Action{Kind: ActCancel, Request: r.id, Attempt: i})
 			}
 		}
 	}
-	if r.out == 0 {
-		delete(b.open, r.id)
+	if r.pending == 0 {
+		delete(b.requests, r.id)
 	}
 }
 
-// Allow says from now on how many attempts a request may have, whether two may be out at once, and whether probes are
-// allowed, in place of what the settings say. Nothing that is under way is taken back. It must not allow what the
-// deployment forbids.
+// Allow replaces settings: how many attempts a request may have, whether two may be in flight (hedging), and whether
+// probes are allowed. Attempts in flight continue. The caller must not allow what the deployment forbids.
 func (b *Balancer) Allow(maxAttempts int, secondCopies, probes bool) {
-	b.set.MaxAttempts, b.set.SecondCopies, b.set.Probes = max(1, maxAttempts), secondCopies, probes
+	b.cfg.MaxAttempts, b.cfg.SecondCopies, b.cfg.Probes = max(1, maxAttempts), secondCopies, probes
 }
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -1,7 +1,5 @@
 package policy
 
-// Whether the servers drawn have room, and the choice among them.
-
 import (
 	"math"
 	"slices"
@@ -10,163 +8,159 @@
 )
 
 const (
-	draws      = 3    // draws before a request has nowhere to go,
-	homeDraws  = 2    // after so many in its own zone, where that is asked for
-	crowd      = 2.2  // waiting requests over the root of those served at once: beyond, servers jam,
-	crowdAlone = 3.0  // where this agent is the only one and knows all that is sent
-	reportLife = 6.0  // service times that half of a report's news lasts, as queues do
-	foresight  = 0.01 // of the requests is worth its probes though none are lost: after a jam they come late
-	roomy      = 0.4  // what a request that found room presses there: one without outweighs five with
+	maxDraws          = 3    // draws before a request is refused,
+	maxLocalDraws     = 2    // after this many in the agent's own zone with PreferLocalZone
+	queueFactor       = 2.2  // waiting requests over the root of parallelism: with more, servers become congested,
+	queueFactorAlone  = 3.0  // the same for a lone agent, which knows of all requests
+	reportHalfLife    = 6.0  // service times in which a report loses half its weight: queues change as fast
+	minProbeMissRate  = 0.01 // lowest miss rate that probes are weighed by: misses show only after congestion has begun
+	capacityFoundLoad = 0.4  // load signal of a request that found capacity: one that found none outweighs five
 )
 
-// held is what a server has in hand: our attempts and what other agents tell, or its report as far as that holds, or
-// the usual.
-func (b *Balancer) held(s *server) float64 {
-	held, own := b.width.Mean(), float64(s.inFlight)+s.others
+// outstanding estimates the requests at a server: own and other agents' attempts, or its last report, or the mean.
+func (b *Balancer) outstanding(s *server) float64 {
+	outstanding, own := b.parallelism.Mean(), float64(s.inFlight)+s.peerInFlight
 	if s.load.Known && s.load.InFlight >= 0 {
-		// Danger: attempts that are lost stay out until they time out, and their server would look busy all the
-		// while. Of those that are silent a fresh report knows better, but not of those on their way.
-		news := math.Exp2(-(b.now - s.loadAt).Seconds() / (reportLife * b.each(s)))
-		held += (s.load.InFlight - held + float64(s.since)) * news
-		own -= news * float64(s.silent)
+		// Lost attempts stay in flight until they time out, and would make their server look busy. A fresh report is
+		// trusted about overdue attempts, but not about those that are on their way.
+		reportWeight := math.Exp2(-(b.now - s.reportedAt).Seconds() / (reportHalfLife * b.serviceSeconds(s)))
+		outstanding += (s.load.InFlight - outstanding + float64(s.sentSinceReport)) * reportWeight
+		own -= reportWeight * float64(s.overdue)
 	}
-	return max(held, own)
+	return max(outstanding, own)
 }
 
-// each is how long a request of the usual size takes on a server, in seconds.
-func (b *Balancer) each(s *server) float64 {
+// serviceSeconds is how long a server takes for a request of typical size.
+func (b *Balancer) serviceSeconds(s *server) float64 {
 	if s.load.ServiceTime > 0 {
-		return b.fleet.Kind(s.Kind).Recent.V * s.pace.Slow
+		return b.fleet.Kind(s.Kind).ServiceTime.Value * s.speed.Slowdown
 	}
-	return b.service.V / (1 + b.queue.V) * s.pace.Slow
+	return b.serviceTime.Value / (1 + b.queueRatio.Value) * s.speed.Slowdown
 }
 
-// crowded says that a request would be late behind what the server holds, or help to jam it. Who had room is
-// not crowded: where nobody sends, old figures stay for good.
-func (b *Balancer) crowded(r *request, s *server) bool {
-	held, width := b.held(s), b.width.Requests()
+// overloaded says that a request would be late at the server, or add to its congestion. A server whose estimate shows
+// a free slot is not overloaded: without new requests an old report would keep it unused for good.
+func (b *Balancer) overloaded(r *request, s *server) bool {
+	outstanding, parallelism := b.outstanding(s), b.parallelism.Slots()
 	switch {
-	case s.probing || b.now < max(s.full, s.health[r.class.index].Until): // not even a probe is answered, or no room
+	case s.probePending || b.now < max(s.avoidUntil, s.health[r.class.index].EjectedUntil): // unanswered, full or ejected
 		return true
-	case b.set.Gates: // danger: a gate knows what it has, and what waits there goes by what it is worth
-		return b.now < s.health[r.class.index].Full || b.home(r) && (held >= width || r.tried(s))
-	case b.set.Reports == ReportsOff:
-		return held >= b.limit(s)
-	case !s.load.Known || held < width:
+	case b.cfg.Gates: // gates know their capacity, and queue requests by worth
+		return b.now < s.health[r.class.index].FullUntil || b.localOnly(r) && (outstanding >= parallelism || r.hasTried(s))
+	case b.cfg.Reports == ReportsOff:
+		return outstanding >= b.concurrencyLimit(s)
+	case !s.load.Known || outstanding < parallelism:
 		return false
 	}
-	wait, left := (held+1)/width*b.each(s), (r.aim - b.now).Seconds()
-	return b.tellsCrowd(s) && held >= width+b.crowd*math.Sqrt(width) || wait > left
+	wait, timeLeft := (outstanding+1)/parallelism*b.serviceSeconds(s), (r.targetTime - b.now).Seconds()
+	return b.reportsLoad(s) && outstanding >= parallelism+b.queueFactor*math.Sqrt(parallelism) || wait > timeLeft
 }
 
-// tried says whether a server has had the request: what failed it once is likelier to again.
-func (r *request) tried(s *server) bool {
+// hasTried says whether the server has had the request: a server that failed it once is likely to fail it again.
+func (r *request) hasTried(s *server) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
 
-// limit is how many attempts may be out at a server that reports nothing, those of other agents among them. Danger: an
-// agent that sends little learns late; were its limit its own, it would give way to all the others. Who has not told
-// of a limit yet is like the others, and before the first answer of all nothing is refused for one.
-func (b *Balancer) limit(s *server) float64 {
-	room, own := s.room.Limit(), float64(s.inFlight)+1
-	if !s.room.Known() {
-		room = max(room, b.room.V)
+// concurrencyLimit limits the attempts of all agents at a server: by its own limit alone an agent that sends, and so
+// learns, little would give way. An unknown limit is the mean of the others; before the first answer there is none.
+func (b *Balancer) concurrencyLimit(s *server) float64 {
+	concurrency, own := s.concurrency.Current(), float64(s.inFlight)+1
+	if !s.concurrency.Known() {
+		concurrency = max(concurrency, b.concurrency.Value)
 	}
-	if s.others > 0 {
-		return (own*room + s.others*s.theirs) / (own + s.others)
+	if s.peerInFlight > 0 {
+		return (own*concurrency + s.peerInFlight*s.peerLimit) / (own + s.peerInFlight)
 	}
-	return room
+	return concurrency
 }
 
-// place sends the request to a server, or lets it wait for a probe, or says that there is no room.
-func (b *Balancer) place(r *request) bool {
-	most := draws
-	if b.set.PreferLocalZone {
-		most += homeDraws
+// dispatch sends a request, or lets it wait for a probe. It returns false if there is no capacity.
+func (b *Balancer) dispatch(r *request) bool {
+	drawLimit := maxDraws
+	if b.cfg.PreferLocalZone {
+		drawLimit += maxLocalDraws
 	}
-	for ; r.draws < most; r.draws++ {
-		if r.a, r.c = b.draw(r); r.a == nil {
+	for ; r.draws < drawLimit; r.draws++ {
+		if r.candidateA, r.candidateB = b.drawCandidates(r); r.candidateA == nil {
 			return false
 		}
-		if r.looks = 0; b.settle(r) {
+		if r.probesAwaited = 0; b.sendToCandidate(r) {
 			return true
 		}
 	}
 	return false
 }
 
-// settle decides between the pair drawn and sends. A crowded or cold server is passed by for the other.
-func (b *Balancer) settle(r *request) bool {
-	first, second := b.shorter(r.a, r.c)
-	full := true
+// sendToCandidate sends to the better of the drawn pair, or to the other if that one is overloaded or cold.
+func (b *Balancer) sendToCandidate(r *request) bool {
+	first, second := b.orderByWait(r.candidateA, r.candidateB)
+	allOverloaded := true
 	for _, s := range [2]*server{first, second} {
-		if s == nil || !b.probe(r, s) && b.crowded(r, s) {
+		if s == nil || !b.awaitProbe(r, s) && b.overloaded(r, s) {
 			continue
 		}
-		full = false
-		if r.asked != nil || b.send(r, s) {
-			if b.set.Reports == ReportsOff {
-				b.press(roomy) // danger: what found no room has pressed, and nothing else would tell that there is room
+		allOverloaded = false
+		if r.awaitedProbe != nil || b.send(r, s) {
+			if b.cfg.Reports == ReportsOff {
+				b.updateShedding(capacityFoundLoad) // else only requests without capacity would count
 			}
 			return true
 		}
 	}
-	// Danger: a pair that has rejected something a moment ago is no crowd. It would press at every draw, and the
-	// refusals make themselves lasting.
-	if full && b.now >= first.full {
-		part := 1.0
-		if r.draws < draws-1 { // another pair may have room, which an agent alone will see and others take
-			part = limit.Usual + (1-limit.Usual)*b.herd
+	// A pair that is avoided after a rejection is no sign of overload: if each draw counted it, refusals would go on.
+	if allOverloaded && b.now >= first.avoidUntil {
+		load := 1.0
+		if r.draws < maxDraws-1 { // another pair may have capacity; among many agents it is soon used up
+			load = limit.ShedSetpoint + (1-limit.ShedSetpoint)*b.peerUncertainty
 		}
-		b.press(part)
+		b.updateShedding(load)
 	}
 	return false
 }
 
-// probe asks the server that a request is about to go to for its figures; the request waits for them. Danger: where a
-// probe has its price all agents together pay more than it saves. It is worth that as far as requests are being lost.
-func (b *Balancer) probe(r *request, s *server) bool {
-	worth := max(b.lost, foresight, s.health[r.class.index].Bad) // danger: what has failed of late is let in on trial
-	if !b.set.Probes || b.set.Reports == ReportsOff || b.now >= r.deadline || r.looks > 1 ||
-		s.load.Known && s.loadAt+2*b.set.Tick >= b.now || b.set.ProbeFee*b.rng.Float64() > worth {
-		return false // danger: a request that waits for probes past its deadline is lost
+// awaitProbe probes a request's server and lets the request wait for it. The agents' probes together cost more than
+// they save, so probing pays only in proportion to the requests that are being missed.
+func (b *Balancer) awaitProbe(r *request, s *server) bool {
+	probeValue := max(b.missRate, minProbeMissRate, s.health[r.class.index].FailureScore) // failing servers are on trial
+	if !b.cfg.Probes || b.cfg.Reports == ReportsOff || b.now >= r.deadline || r.probesAwaited > 1 ||
+		s.load.Known && s.reportedAt+2*b.cfg.Tick >= b.now || b.cfg.ProbeFee*b.rng.Float64() > probeValue {
+		return false // waiting for probes past the deadline loses the request
 	}
-	r.asked, r.looks = s, r.looks+1
-	b.waiting = append(b.waiting, r)
-	if !s.probing {
-		s.probing = true
-		b.act(Action{Kind: ActProbe, Server: s.ID})
+	r.awaitedProbe, r.probesAwaited = s, r.probesAwaited+1
+	b.awaitingProbe = append(b.awaitingProbe, r)
+	if !s.probePending {
+		s.probePending = true
+		b.emit(Action{Kind: ActProbe, Server: s.ID})
 	}
-	b.act(Action{Kind: ActTimer, Token: tokenWait | uint64(r.id), Wait: min(6*b.set.Tick, r.deadline-b.now)})
+	b.emit(Action{Kind: ActTimer, Token: timerProbe | uint64(r.id), Wait: min(6*b.cfg.Tick, r.deadline-b.now)})
 	return true
 }
 
-func (b *Balancer) onProbed(ev *Event) {
+func (b *Balancer) onProbeResult(ev *Event) {
 	s := b.servers[ev.Server]
 	if s == nil {
 		return
 	}
-	if s.probing = false; ev.Outcome == OK {
-		b.report(s, ev.Load, ev.AgentDelay)
+	if s.probePending = false; ev.Outcome == OK {
+		b.applyReport(s, ev.Load, ev.AgentDelay)
 	}
-	b.resume(func(r *request) bool { return r.asked == s })
+	b.resumeAfterProbe(func(r *request) bool { return r.awaitedProbe == s })
 }
 
-// resume goes on with the waiting requests whose probe is back or overdue.
-func (b *Balancer) resume(ready func(*request) bool) {
-	for _, r := range slices.Clone(b.waiting) {
-		if !ready(r) {
+func (b *Balancer) resumeAfterProbe(due func(*request) bool) {
+	for _, r := range slices.Clone(b.awaitingProbe) {
+		if !due(r) {
 			continue
 		}
-		b.waiting = slices.DeleteFunc(b.waiting, func(o *request) bool { return o == r })
-		if r.a.probing && (r.c == nil || r.c.probing) {
-			r.asked.probing = false // danger: where no probe is answered, each would be refused
+		b.awaitingProbe = slices.DeleteFunc(b.awaitingProbe, func(o *request) bool { return o == r })
+		if r.candidateA.probePending && (r.candidateB == nil || r.candidateB.probePending) {
+			r.awaitedProbe.probePending = false // if no probe is answered, all requests would be refused
 		}
-		if r.asked = nil; r.ended || b.settle(r) {
+		if r.awaitedProbe = nil; r.ended || b.sendToCandidate(r) {
 			continue
 		}
-		if r.draws++; !b.place(r) {
-			b.end(r, true)
+		if r.draws++; !b.dispatch(r) {
+			b.finish(r, true)
 		}
 	}
 }
--- a/policy/crowd_test.go
+++ b/policy/crowd_test.go
@@ -8,20 +8,20 @@
 	"example.org/micaline/internal/limit"
 )
 
-// A server that is cold gets no more than its present share even if it wins every pair.
+// A cold server gets no more than its current share, even if it wins every pair.
 func TestColdServerBudget(t *testing.T) {
 	list := fleet(4)
 	list[3].Start = time.Hour
-	x := start(t, settings(), list...)
+	x := newHarness(t, testSettings(), list...)
 	count := func(n int) (cold float64) {
 		for id := range RequestID(n) {
-			x.b.pressure.Raw = 0
-			for _, a := range x.ask(id, pure) {
+			x.b.shedder.Level = 0
+			for _, a := range x.sendRequest(id, classPure) {
 				if a.Kind == ActSend {
 					if a.Server == 4 {
 						cold++
 					}
-					x.ends(id, 0, OK)
+					x.endAttempt(id, 0, OK)
 				}
 			}
 		}
@@ -37,40 +37,40 @@
 	for i := range list {
 		list[i].Start = x.now
 	}
-	x.on(Event{Kind: EventList, ListMode: ListFull, Servers: list})
+	x.handle(Event{Kind: EventList, ListMode: ListFull, Servers: list})
 	sent := 0
 	for id := range RequestID(4000) {
-		x.b.pressure.Raw = 0
-		for _, a := range x.ask(id, pure) {
+		x.b.shedder.Level = 0
+		for _, a := range x.sendRequest(id, classPure) {
 			if a.Kind == ActSend {
 				sent++
-				x.ends(id, 0, OK)
+				x.endAttempt(id, 0, OK)
 			}
 		}
 	}
 	if share := float64(sent) / 4000; share > 1.25*0.2 || share < 0.1 {
-		t.Errorf("a fleet that is all cold got %v of the traffic", share)
+		t.Errorf("servers that are all cold got %v of the traffic", share)
 	}
 }
 
-// A crowded fleet turns requests away early, and tenants over their share go first.
+// Overloaded servers have requests refused early, first those of tenants over their share.
 func TestShedsTenantsOverTheirShare(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Tenants = []Tenant{{Portion: 0.5}, {Portion: 0.5}}
-	x := start(t, s, fleet(6)...)
+	x := newHarness(t, s, fleet(6)...)
 	var refused [2]int
 	for id := range RequestID(2000) {
-		x.b.pressure.Raw = 0.5
+		x.b.shedder.Level = 0.5
 		tenant := 0
 		if id%10 == 0 {
 			tenant = 1
 		}
-		for _, a := range x.on(Event{Kind: EventRequest, Request: id, Tenant: tenant, TimeLeft: 1000 * ms}) {
+		for _, a := range x.handle(Event{Kind: EventRequest, Request: id, Tenant: tenant, TimeLeft: 1000 * ms}) {
 			if a.Kind == ActRefuse {
 				refused[tenant]++
 			}
 			if a.Kind == ActSend {
-				x.ends(id, 0, OK)
+				x.endAttempt(id, 0, OK)
 			}
 		}
 	}
@@ -79,199 +79,205 @@
 	}
 }
 
-// Idle servers whose last report was bad must be used: nobody would ever hear better of them.
+// An idle server whose last report was bad must be used: without requests there would be no better
+// report.
 func TestIdleServerIsNeverCrowded(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Probes, s.Reports = true, ReportsOnProbe
-	x := start(t, s, fleet(2)...)
-	acts := x.ask(1, pure)
-	for _, a := range acts {
+	x := newHarness(t, s, fleet(2)...)
+	actions := x.sendRequest(1, classPure)
+	for _, a := range actions {
 		if a.Kind == ActProbe {
-			acts = x.on(Event{Kind: EventProbeResult, Server: a.Server, Outcome: OK,
+			actions = x.handle(Event{Kind: EventProbeResult, Server: a.Server, Outcome: OK,
 				Load: Load{Known: true, InFlight: 0, Queue: -1, ServiceTime: 5 * time.Second, Rate: 1}})
 		}
 	}
-	one(t, acts, ActSend)
+	onlyAction(t, actions, ActSend)
 }
 
-// Attempts that a fresh report does not know are lost: they take no room until the report is old.
+// Attempts that a fresh report does not include are lost. They take no capacity until the report is
+// old.
 func TestLostAttemptsTakeNoRoom(t *testing.T) {
-	x := start(t, settings(), fleet(2)...)
+	x := newHarness(t, testSettings(), fleet(2)...)
 	s := x.b.ring[0]
-	looks := make([]Action, 0, 8)
+	timers := make([]Action, 0, 8)
 	for id := RequestID(1); s.inFlight < 8; id++ {
-		for _, a := range x.ask(id, unsafe) {
-			if r := x.b.open[id]; a.Kind == ActTimer && r.attempts[0].server == s {
-				looks = append(looks, a)
+		for _, a := range x.sendRequest(id, classUnsafe) {
+			if r := x.b.requests[id]; a.Kind == ActTimer && r.attempts[0].server == s {
+				timers = append(timers, a)
 			}
 		}
 	}
-	for _, look := range looks[:7] {
-		x.on(Event{Kind: EventTimer, Token: look.Token})
+	for _, timer := range timers[:7] {
+		x.handle(Event{Kind: EventTimer, Token: timer.Token})
 	}
-	if got := x.b.held(s); got != 8 {
-		t.Errorf("without a report: %v held", got)
+	if got := x.b.outstanding(s); got != 8 {
+		t.Errorf("without a report: %v outstanding", got)
 	}
-	x.b.report(s, Load{Known: true, InFlight: 0, Queue: -1, ServiceTime: 10 * ms, Rate: 10}, 0)
-	if got := x.b.held(s); got != 1 {
-		t.Errorf("by a fresh report, 7 of 8 being silent: %v held", got)
+	x.b.applyReport(s, Load{Known: true, InFlight: 0, Queue: -1, ServiceTime: 10 * ms, Rate: 10}, 0)
+	if got := x.b.outstanding(s); got != 1 {
+		t.Errorf("with a fresh report and 7 of 8 overdue: %v outstanding", got)
 	}
-	if x.b.now += time.Second; x.b.held(s) < 7.5 {
-		t.Errorf("when the report is old: %v held", x.b.held(s))
+	if x.b.now += time.Second; x.b.outstanding(s) < 7.5 {
+		t.Errorf("when the report is old: %v outstanding", x.b.outstanding(s))
 	}
-	x.ends(RequestID(looks[0].Token&math.MaxUint32), 0, Reset)
-	if s.silent != 6 || s.inFlight != 7 {
-		t.Errorf("one of them ended: %d silent of %d", s.silent, s.inFlight)
+	x.endAttempt(RequestID(timers[0].Token&math.MaxUint32), 0, Reset)
+	if s.overdue != 6 || s.inFlight != 7 {
+		t.Errorf("after one of them ended: %d of %d are overdue", s.overdue, s.inFlight)
 	}
 }
 
-// Where no report tells a server's width, the number it holds says nothing: requests may wait on others.
+// While no report tells the parallelism, the number of requests at a server shows no overload: they
+// may be waiting for other systems.
 func TestCrowdNeedsAWidth(t *testing.T) {
-	x := start(t, settings(), fleet(2)...)
+	x := newHarness(t, testSettings(), fleet(2)...)
 	load := Load{Known: true, InFlight: 8, Queue: -1, ServiceTime: 10 * ms, Rate: -1}
 	s := x.b.ring[0]
 	for range 3 {
-		x.b.report(s, load, 0)
+		x.b.applyReport(s, load, 0)
 	}
-	r := &request{class: &x.b.classes[pure], aim: x.now + 400*ms}
-	if x.b.crowded(r, s) {
-		t.Error("8 in hand at 10 ms each are no crowd for 400 ms")
+	r := &request{class: &x.b.classes[classPure], targetTime: x.now + 400*ms}
+	if x.b.overloaded(r, s) {
+		t.Error("8 requests of 10 ms each count as overload for a target of 400 ms")
 	}
 	load.ServiceTime = 30 * ms
-	x.b.report(s, load, 0)
+	x.b.applyReport(s, load, 0)
 	load.Queue = 0
-	x.b.report(s, load, 0)
-	if s.load.InFlight = 2; x.b.crowded(r, s) {
-		t.Error("where the queue is told, the aim of the request itself is what counts")
+	x.b.applyReport(s, load, 0)
+	if s.load.InFlight = 2; x.b.overloaded(r, s) {
+		t.Error("with a reported queue, something other than the request's target counts")
 	}
 	load.ServiceTime, load.Queue = 10*ms, 7
-	x.b.report(s, load, 0)
-	if !x.b.crowded(r, s) {
-		t.Error("a queue of 7 at a width of 1 is a crowd")
+	x.b.applyReport(s, load, 0)
+	if !x.b.overloaded(r, s) {
+		t.Error("a queue of 7 at a parallelism of 1 does not count as overload")
 	}
 }
 
-// Incident i4d2661: under high pressure only 4% was let through, too little to tell that servers were idle again.
+// At high shedding only 4% of the requests were admitted, too few to show that servers were idle
+// again (incident i4d2661).
 func TestPressureEasesWithoutNews(t *testing.T) {
-	x := start(t, settings(), fleet(4)...)
-	x.b.pressure.Ease(x.now, 400*ms)
-	x.b.pressure.Raw = limit.MostPressure
+	x := newHarness(t, testSettings(), fleet(4)...)
+	x.b.shedder.Decay(x.now, 400*ms)
+	x.b.shedder.Level = limit.MaxShedLevel
 	x.now += seconds(4 * 16 * 0.4) // four half-lives
-	x.ask(1, pure)
-	if got := x.b.pressure.Raw; got > limit.MostPressure/15 || got <= 0 {
-		t.Errorf("pressure %v after four half-lives", got)
+	x.sendRequest(1, classPure)
+	if got := x.b.shedder.Level; got > limit.MaxShedLevel/15 || got <= 0 {
+		t.Errorf("shed level %v after four half-lives", got)
 	}
 }
 
-// Whatever else is on the list, a window holds servers for a bound class as long as there are any.
+// A pool contains servers for a class with placement as long as there are any, whatever else is in
+// the list.
 func TestSmallWindowHoldsBoundServers(t *testing.T) {
 	for rank := range 50 {
 		list := fleet(100)
 		for i := range list {
 			list[i].Zone = min(i, 1)
 		}
-		s := settings()
+		s := testSettings()
 		s.Agents, s.Rank = 50, rank
-		s.Classes[unsafe].Zones = []int{0}
-		x := start(t, s, list...)
-		if a := one(t, x.ask(1, unsafe), ActSend); a.Server != 1 {
+		s.Classes[classUnsafe].Zones = []int{0}
+		x := newHarness(t, s, list...)
+		if a := onlyAction(t, x.sendRequest(1, classUnsafe), ActSend); a.Server != 1 {
 			t.Fatalf("rank %d: sent to %d", rank, a.Server)
 		}
 	}
 }
 
-// An agent among few knows most of what a server is sent, and calls it crowded later than one among many.
+// One of few agents knows most of the load of a server, and considers it overloaded later than one
+// of many.
 func TestFewAgentsCrowdLater(t *testing.T) {
-	crowdedAt := func(agents int) int {
-		set := settings()
+	overloadedAt := func(agents int) int {
+		set := testSettings()
 		set.Agents = agents
-		x := start(t, set, fleet(1)...)
-		x.b.report(x.b.servers[1], Load{Known: true, InFlight: 2, Queue: -1, ServiceTime: 10 * ms, Rate: 200}, 0)
-		for held := 1; ; held++ {
-			x.b.servers[1].load.InFlight = float64(held)
-			if x.b.crowded(&request{class: &x.b.classes[pure], aim: x.now + time.Second}, x.b.servers[1]) {
-				return held
+		x := newHarness(t, set, fleet(1)...)
+		x.b.applyReport(x.b.servers[1], Load{Known: true, InFlight: 2, Queue: -1, ServiceTime: 10 * ms, Rate: 200}, 0)
+		for outstanding := 1; ; outstanding++ {
+			x.b.servers[1].load.InFlight = float64(outstanding)
+			if x.b.overloaded(&request{class: &x.b.classes[classPure], targetTime: x.now + time.Second}, x.b.servers[1]) {
+				return outstanding
 			}
 		}
 	}
-	if few, many := crowdedAt(1), crowdedAt(1000); few != 7 || many != 6 {
-		t.Errorf("crowded at %d and %d, want 7 and 6", few, many)
+	if few, many := overloadedAt(1), overloadedAt(1000); few != 7 || many != 6 {
+		t.Errorf("overloaded at %d and %d, want 7 and 6", few, many)
 	}
 }
 
-// Pressure is no belief that keeps itself: reports of room take it back though few answers come, and a pair that
-// rejected something a moment ago adds nothing. A crowded pair does.
+// Shedding must not sustain itself: reports of free capacity end it though few answers come, and a
+// pair that rejected something a moment ago adds nothing. An overloaded pair does.
 func TestPressureFollowsReports(t *testing.T) {
-	x := start(t, settings(), fleet(2)...)
-	report := func(held float64) {
+	x := newHarness(t, testSettings(), fleet(2)...)
+	applyReport := func(inFlight float64) {
 		for _, s := range x.b.ring {
-			x.b.report(s, Load{Known: true, InFlight: held, Queue: -1, ServiceTime: 20 * ms, Rate: 100}, 0)
+			x.b.applyReport(s, Load{Known: true, InFlight: inFlight, Queue: -1, ServiceTime: 20 * ms, Rate: 100}, 0)
 		}
 	}
 	for range 20 {
-		report(2)
+		applyReport(2)
 	}
-	x.b.pressure.Raw = limit.MostPressure
+	x.b.shedder.Level = limit.MaxShedLevel
 	for range 12 {
-		report(0)
+		applyReport(0)
 	}
-	if x.b.pressure.Raw > 0 {
-		t.Errorf("pressure %v, though all reports tell of room", x.b.pressure.Raw)
+	if x.b.shedder.Level > 0 {
+		t.Errorf("shed level %v, though all reports show free capacity", x.b.shedder.Level)
 	}
 	for _, s := range x.b.ring {
-		s.full = x.now + time.Second
+		s.avoidUntil = x.now + time.Second
 	}
-	if one(t, x.ask(1, pure), ActRefuse); x.b.pressure.Raw > 0 {
-		t.Errorf("pressure %v for a pair that is passed by", x.b.pressure.Raw)
+	if onlyAction(t, x.sendRequest(1, classPure), ActRefuse); x.b.shedder.Level > 0 {
+		t.Errorf("shed level %v from a pair that is being avoided", x.b.shedder.Level)
 	}
 	for _, s := range x.b.ring {
-		s.full = 0
+		s.avoidUntil = 0
 	}
-	report(40)
-	x.b.pressure.Raw = 0
-	if one(t, x.ask(2, pure), ActRefuse); x.b.pressure.Raw == 0 {
-		t.Error("no pressure for a pair that is crowded")
+	applyReport(40)
+	x.b.shedder.Level = 0
+	if onlyAction(t, x.sendRequest(2, classPure), ActRefuse); x.b.shedder.Level == 0 {
+		t.Error("an overloaded pair did not raise the shed level")
 	}
 }
 
-// Incident r0c59d3: in a jam more is in work at once. Were that soon taken for the width, jammed servers would not
-// look crowded.
+// Under congestion more requests are in processing at once. If that were soon taken for
+// parallelism, congested servers would not look overloaded (incident r0c59d3).
 func TestJamIsNoWidth(t *testing.T) {
-	x := start(t, settings(), fleet(2)...)
-	report := func(n int, held float64) {
+	x := newHarness(t, testSettings(), fleet(2)...)
+	applyReport := func(n int, inFlight float64) {
 		for range n {
-			x.b.report(x.b.ring[0], Load{Known: true, InFlight: held, Queue: -1, ServiceTime: 20 * ms, Rate: 50 * held}, 0)
+			x.b.applyReport(x.b.ring[0], Load{Known: true, InFlight: inFlight, Queue: -1, ServiceTime: 20 * ms, Rate: 50 * inFlight}, 0)
 		}
 	}
-	report(2500, 2)
-	before := x.b.width.Requests()
-	if report(300, 8); x.b.width.Requests() > before+1 {
-		t.Errorf("300 reports of a jam made a width of %v one of %v", before, x.b.width.Requests())
+	applyReport(2500, 2)
+	before := x.b.parallelism.Slots()
+	if applyReport(300, 8); x.b.parallelism.Slots() > before+1 {
+		t.Errorf("300 reports under congestion moved the parallelism from %v to %v", before, x.b.parallelism.Slots())
 	}
 }
 
-// Danger: where reports are rare, one of a server that had just become busy would say for good that servers take one request
-// at a time; pairs would look crowded and an agent would shed nearly all that it gets.
+// If reports are rare, a single one of a server that had just become busy would fix the parallelism
+// at 1: pairs would look overloaded, and the agent would shed nearly all requests.
 func TestOneReportSettlesNoWidth(t *testing.T) {
-	x := start(t, settings(), fleet(4)...)
-	told := func(rate float64) {
-		x.on(Event{Kind: EventProbeResult, Server: 1, Load: Load{
+	x := newHarness(t, testSettings(), fleet(4)...)
+	report := func(rate float64) {
+		x.handle(Event{Kind: EventProbeResult, Server: 1, Load: Load{
 			Known: true, InFlight: 4, Queue: -1, ServiceTime: 100 * ms, Rate: rate, ErrorRate: -1,
 		}})
 	}
-	for id := RequestID(1); id <= 200; id++ { // answers say nothing of it
-		x.ask(id, pure)
+	for id := RequestID(1); id <= 200; id++ { // answers do not tell the parallelism
+		x.sendRequest(id, classPure)
 		x.now += 10 * ms
-		x.ends(id, 0, OK)
+		x.endAttempt(id, 0, OK)
 	}
-	told(11)
-	if got := x.b.width.Requests(); got != 1 {
-		t.Fatalf("width %v after one report of 1.1", got)
+	report(11)
+	if got := x.b.parallelism.Slots(); got != 1 {
+		t.Fatalf("parallelism %v after one report of 1.1", got)
 	}
 	for range 9 {
-		told(25)
+		report(25)
 	}
-	if got := x.b.width.Requests(); got != 2 {
-		t.Errorf("width %v after nine reports of 2.5 more", got)
+	if got := x.b.parallelism.Slots(); got != 2 {
+		t.Errorf("parallelism %v after nine more reports of 2.5", got)
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"example.org/micaline/policy"
 )
 
-// One agent, two servers, one request: from the list to the answer.
+// One agent with two servers handles one request.
 func Example() {
 	b, err := policy.New(policy.Settings{
 		Agents: 1, MaxAttempts: 3, ColdFrom: 0.3, WarmAfter: 10 * time.Second, OverloadFactor: 2.5,
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -6,50 +6,52 @@
 	"time"
 )
 
-// try is what the checker knows of a request: what was sent for it, and whether it has its final answer.
-type try struct {
+// trackedRequest is what the checker knows of a request: its attempts, and whether it has its final
+// answer.
+type trackedRequest struct {
 	class    Class
 	deadline time.Duration
-	sends    []sent
+	attempts []trackedAttempt
 	ended    bool
 }
 
-type sent struct {
-	server   ServerEntry
-	at       time.Duration
-	out, ran bool
+type trackedAttempt struct {
+	server               ServerEntry
+	at                   time.Duration
+	inFlight, mayHaveRun bool
 }
 
-// checker holds a Balancer from outside to the rules on answers, effects, drains, placement and the retry budget.
+// checker drives a Balancer and checks the rules on answers, effects, drains, placement and the
+// retry budget.
 type checker struct {
-	taken   []time.Duration // when requests came
-	extra   []time.Duration // when attempts beyond a request's first were made
-	t       *testing.T
-	b       *Balancer
-	set     Settings
-	now     time.Duration
-	tries   map[RequestID]*try
-	list    map[ServerID]ServerEntry
-	timers  []Action
-	probes  []ServerID
-	pending []Action // sends without an outcome
+	requestTimes []time.Duration // of all requests
+	retryTimes   []time.Duration // of all attempts beyond a request's first
+	t            *testing.T
+	b            *Balancer
+	settings     Settings
+	now          time.Duration
+	tracked      map[RequestID]*trackedRequest
+	servers      map[ServerID]ServerEntry
+	timers       []Action
+	probes       []ServerID
+	pending      []Action // sends without an outcome
 }
 
-func (c *checker) on(ev Event) {
+func (c *checker) handle(ev Event) {
 	for _, a := range c.b.Handle(c.now, ev, nil) {
-		r := c.tries[a.Request]
+		r := c.tracked[a.Request]
 		switch a.Kind {
 		case ActSend:
-			c.send(r, a)
+			c.checkSend(r, a)
 		case ActRefuse, ActFail:
 			if r == nil || r.ended {
 				c.t.Fatalf("a second final answer: %+v", a)
 			}
 			r.ended = true
-			for _, s := range r.sends {
+			for _, s := range r.attempts {
 				harmless := r.class.Effect == Pure || r.class.Effect == Keyed && r.class.Scope == ScopeAll &&
 					c.now < s.at+r.class.Window
-				if a.Kind == ActRefuse && (s.ran || s.out) && !harmless {
+				if a.Kind == ActRefuse && (s.mayHaveRun || s.inFlight) && !harmless {
 					c.t.Fatalf("refused a request that may have run")
 				}
 			}
@@ -62,90 +64,92 @@
 	}
 }
 
-func (c *checker) send(r *try, a Action) {
-	s, known := c.list[a.Server]
+func (c *checker) checkSend(r *trackedRequest, a Action) {
+	s, known := c.servers[a.Server]
 	switch {
 	case r == nil || r.ended:
-		c.t.Fatalf("sent for a request that is over: %+v", a)
+		c.t.Fatalf("sent for a request that has ended: %+v", a)
 	case !known || s.State != Ready:
 		c.t.Fatalf("sent to a server that is not ready: %+v", a)
-	case len(r.sends) >= c.set.MaxAttempts:
-		c.t.Fatalf("attempt %d of %d", len(r.sends)+1, c.set.MaxAttempts)
+	case len(r.attempts) >= c.settings.MaxAttempts:
+		c.t.Fatalf("attempt %d of %d", len(r.attempts)+1, c.settings.MaxAttempts)
 	case c.now+a.Wait > r.deadline || a.Wait <= 0:
 		c.t.Fatalf("time-out %v with %v left", a.Wait, r.deadline-c.now)
 	}
 	if r.class.Zones != nil && !slices.Contains(r.class.Zones, s.Zone) ||
 		r.class.Kinds != nil && !slices.Contains(r.class.Kinds, s.Kind) {
-		c.t.Fatalf("a bound class sent to %+v", s)
+		c.t.Fatalf("a class with placement was sent to %+v", s)
 	}
-	if len(r.sends) > 0 {
-		c.extra = append(c.extra, c.now)
-		most := c.set.ExtraFloor + c.set.ExtraRatio*c.within(c.taken, false)
-		if n := c.within(c.extra, true); c.set.ExtraWindow > 0 && n > most {
-			c.t.Fatalf("%v further attempts in the window, %v allowed", n, most)
+	if len(r.attempts) > 0 {
+		c.retryTimes = append(c.retryTimes, c.now)
+		allowed := c.settings.ExtraFloor + c.settings.ExtraRatio*c.countInWindow(c.requestTimes, false)
+		if n := c.countInWindow(c.retryTimes, true); c.settings.ExtraWindow > 0 && n > allowed {
+			c.t.Fatalf("%v retries in the window, %v allowed", n, allowed)
 		}
 	}
-	for _, p := range r.sends {
-		if p.out && !c.set.SecondCopies {
-			c.t.Fatal("two attempts out at once")
+	for _, previous := range r.attempts {
+		if previous.inFlight && !c.settings.SecondCopies {
+			c.t.Fatal("two attempts in flight at once")
 		}
-		if !p.ran && !p.out {
+		if !previous.mayHaveRun && !previous.inFlight {
 			continue
 		}
 		if r.class.Effect == SideEffect {
-			c.t.Fatal("an unsafe request sent again")
+			c.t.Fatal("an unsafe request was retried")
 		}
-		if r.class.Effect == Keyed && (c.now >= p.at+r.class.Window ||
-			r.class.Scope == ScopeCell && p.server.Cell != s.Cell ||
-			r.class.Scope == ScopeZone && p.server.Zone != s.Zone) {
-			c.t.Fatal("a keyed request sent where its key is not known")
+		if r.class.Effect == Keyed && (c.now >= previous.at+r.class.Window ||
+			r.class.Scope == ScopeCell && previous.server.Cell != s.Cell ||
+			r.class.Scope == ScopeZone && previous.server.Zone != s.Zone) {
+			c.t.Fatal("a keyed request was retried where its key is not known")
 		}
 	}
-	a.Attempt = len(r.sends)
-	r.sends = append(r.sends, sent{server: s, at: c.now, out: true})
+	a.Attempt = len(r.attempts)
+	r.attempts = append(r.attempts, trackedAttempt{server: s, at: c.now, inFlight: true})
 	c.pending = append(c.pending, a)
 }
 
-// within counts what lies in the retry budget's window; edge says whether its far edge belongs to it.
-func (c *checker) within(times []time.Duration, edge bool) (n float64) {
+// countInWindow counts the times in the retry budget's window; includeStart says whether its start
+// is part of it.
+func (c *checker) countInWindow(times []time.Duration, includeStart bool) (n float64) {
 	for _, at := range times {
-		if from := c.now - c.set.ExtraWindow; at > from || edge && at == from {
+		if from := c.now - c.settings.ExtraWindow; at > from || includeStart && at == from {
 			n++
 		}
 	}
 	return n
 }
 
-// finish ends the attempt at place i of the pending ones.
-func (c *checker) finish(i int, how Outcome) {
+// endAttempt ends the pending attempt at index i.
+func (c *checker) endAttempt(i int, outcome Outcome) {
 	a := c.pending[i]
 	c.pending = append(c.pending[:i:i], c.pending[i+1:]...)
-	r := c.tries[a.Request]
-	s := &r.sends[a.Attempt]
-	s.out, s.ran = false, how != Full && how != ConnectFailed && how != NotSent
-	if how == OK {
+	r := c.tracked[a.Request]
+	s := &r.attempts[a.Attempt]
+	s.inFlight, s.mayHaveRun = false, outcome != Full && outcome != ConnectFailed && outcome != NotSent
+	if outcome == OK {
 		r.ended = true
 	}
-	c.on(Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Outcome: how,
-		AgentDelay: time.Duration(i%3) * (c.now - s.at) / 2, Final: r.ended, Load: Load{Known: true, InFlight: float64(i % 9), Queue: float64(i % 5)}})
+	c.handle(Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Outcome: outcome,
+		AgentDelay: time.Duration(i%3) * (c.now - s.at) / 2, Final: r.ended,
+		Load: Load{Known: true, InFlight: float64(i % 9), Queue: float64(i % 5)}})
 }
 
-// pass lets time go by; what is due happens on the way.
-func (c *checker) pass(by time.Duration) {
-	for end := c.now + by; c.now < end; {
+// advance moves the clock forward and delivers the timers and timeouts that expire on the way.
+func (c *checker) advance(duration time.Duration) {
+	for end := c.now + duration; c.now < end; {
 		c.now = min(end, c.now+5*time.Millisecond)
 		due := c.timers
 		c.timers = nil
 		for _, a := range due {
 			if a.Wait <= c.now {
-				c.on(Event{Kind: EventTimer, Token: a.Token})
+				c.handle(Event{Kind: EventTimer, Token: a.Token})
 			} else {
 				c.timers = append(c.timers, a)
 			}
 		}
 		for i := 0; i < len(c.pending); i++ {
-			if c.tries[c.pending[i].Request].deadline <= c.now {
-				c.finish(i, Timeout)
+			if c.tracked[c.pending[i].Request].deadline <= c.now {
+				c.endAttempt(i, Timeout)
 				i--
 			}
 		}
@@ -163,7 +167,7 @@
 		if len(data) == 0 || len(data) > 2000 {
 			return
 		}
-		s := settings()
+		s := testSettings()
 		s.SecondCopies = data[0]&1 != 0
 		if data[0]&2 != 0 {
 			s.Probes, s.Reports = true, ReportsOnProbe
@@ -173,58 +177,60 @@
 			s.ExtraWindow, s.ExtraFloor, s.ExtraRatio = 100*ms, 1, 0.25
 		}
 		if data[0]&32 != 0 {
-			s.Classes[unsafe].Zones, s.Classes[pure].Kinds, s.Classes[byAll].Zones = []int{1}, []int{0}, []int{}
+			s.Classes[classUnsafe].Zones, s.Classes[classPure].Kinds, s.Classes[classKeyedAll].Zones = []int{1}, []int{0}, []int{}
 		}
 		b, err := New(s, uint64(data[0]))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &checker{t: t, b: b, set: s, now: time.Hour, tries: map[RequestID]*try{}, list: map[ServerID]ServerEntry{}}
+		c := &checker{t: t, b: b, settings: s, now: time.Hour,
+			tracked: map[RequestID]*trackedRequest{}, servers: map[ServerID]ServerEntry{}}
 		for id := range RequestID(len(data)) {
 			c.step(id, data[id]>>4, int(data[id]&15))
 		}
-		c.pass(2 * time.Second)
-		for id, r := range c.tries {
+		c.advance(2 * time.Second)
+		for id, r := range c.tracked {
 			if !r.ended {
 				t.Fatalf("request %d was lost", id)
 			}
 		}
-		if len(b.open) != 0 {
-			t.Fatalf("%d requests left in the table", len(b.open))
+		if len(b.requests) != 0 {
+			t.Fatalf("%d requests left in the table", len(b.requests))
 		}
 	})
 }
 
-// step does one legal thing: what is the kind, arg a detail of it.
-func (c *checker) step(id RequestID, what byte, arg int) {
+// step performs one valid operation, selected by kind and arg.
+func (c *checker) step(id RequestID, kind byte, arg int) {
 	switch {
-	case what < 5:
-		class := c.set.Classes[arg%len(c.set.Classes)]
+	case kind < 5:
+		class := c.settings.Classes[arg%len(c.settings.Classes)]
 		left := time.Duration(1+arg) * 60 * time.Millisecond
-		c.tries[id] = &try{class: class, deadline: c.now + left}
-		c.taken = append(c.taken, c.now)
-		c.on(Event{Kind: EventRequest, Request: id, Class: arg % len(c.set.Classes), TimeLeft: left, Retry: arg == 15})
-	case what < 9 && len(c.pending) > 0:
-		c.finish(arg%len(c.pending), Outcome(what*5+byte(arg))%(NotSent+1))
-	case what < 11:
-		c.pass(time.Duration(arg) * 20 * time.Millisecond)
-	case what < 12 && len(c.probes) > 0:
+		c.tracked[id] = &trackedRequest{class: class, deadline: c.now + left}
+		c.requestTimes = append(c.requestTimes, c.now)
+		c.handle(Event{Kind: EventRequest, Request: id, Class: arg % len(c.settings.Classes), TimeLeft: left, Retry: arg == 15})
+	case kind < 9 && len(c.pending) > 0:
+		c.endAttempt(arg%len(c.pending), Outcome(kind*5+byte(arg))%(NotSent+1))
+	case kind < 11:
+		c.advance(time.Duration(arg) * 20 * time.Millisecond)
+	case kind < 12 && len(c.probes) > 0:
 		p := c.probes[0]
 		c.probes = c.probes[1:]
-		c.on(Event{Kind: EventProbeResult, Server: p, Outcome: Outcome(arg) % (NotSent + 1),
+		c.handle(Event{Kind: EventProbeResult, Server: p, Outcome: Outcome(arg) % (NotSent + 1),
 			Load: Load{Known: true, InFlight: float64(arg), Queue: -1, ServiceTime: time.Duration(arg) * ms, Rate: 9}})
-	case what < 13 && len(c.pending) > 0:
-		r := c.tries[c.pending[arg%len(c.pending)].Request]
+	case kind < 13 && len(c.pending) > 0:
+		r := c.tracked[c.pending[arg%len(c.pending)].Request]
 		if !r.ended {
 			r.ended = true
-			c.on(Event{Kind: EventClientGone, Request: c.pending[arg%len(c.pending)].Request})
+			c.handle(Event{Kind: EventClientGone, Request: c.pending[arg%len(c.pending)].Request})
 		}
 	default:
-		e := ServerEntry{ID: ServerID(arg), Cell: arg % 3, Zone: arg % 2, Kind: arg / 2 % 2, State: ServerState(what % 3), Weight: float64(arg)}
-		if what == 15 {
+		e := ServerEntry{ID: ServerID(arg), Cell: arg % 3, Zone: arg % 2, Kind: arg / 2 % 2,
+			State: ServerState(kind % 3), Weight: float64(arg)}
+		if kind == 15 {
 			e.State, e.Start = Ready, c.now
 		}
-		c.list[e.ID] = e
-		c.on(Event{Kind: EventList, Servers: []ServerEntry{e}})
+		c.servers[e.ID] = e
+		c.handle(Event{Kind: EventList, Servers: []ServerEntry{e}})
 	}
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -1,56 +1,53 @@
 package policy
 
-// What counts against a server, and its ejection.
-
 import "example.org/micaline/internal/outlier"
 
-const single = 0.34 // of one that a failure counts soon after an answer: three in a row eject
+const recoveringFailure = 0.34 // failure score soon after an answer: three in a row eject
 
-// failed counts an error or a broken connection against a server, unless it answers most of what it is sent.
-func (b *Balancer) failed(c *class, s *server, why string) {
-	if doubt := b.doubt(c, s); doubt == 1 || s.health[c.index].Failing() {
-		b.blame(c, s, doubt, why)
+// addFailure counts an error or broken connection, unless the server answers most of what it is sent.
+func (b *Balancer) addFailure(c *class, s *server, reason string) {
+	if failureWeight := b.failureWeight(c, s); failureWeight == 1 || s.health[c.index].Failing() {
+		b.addFailureScore(c, s, failureWeight, reason)
 	}
 }
 
-// doubt is what a failure says against a server. Danger: a busy agent meets single failures all the time; if
-// one were enough though answers come in between, half of the healthy would be out and the rest crowded.
-func (b *Balancer) doubt(c *class, s *server) float64 {
-	if s.used > 0 && b.now-s.used < c.Aim {
-		return single
+// failureWeight is the score of one failure. A busy agent sees single failures all the time: ejecting for each, even
+// between answers, would remove half of the healthy servers and overload the rest.
+func (b *Balancer) failureWeight(c *class, s *server) float64 {
+	if s.answeredAt > 0 && b.now-s.answeredAt < c.Aim {
+		return recoveringFailure
 	}
 	return 1
 }
 
-// silent counts an attempt's silence against its server, up to so much.
-func (b *Balancer) silent(c *class, a *attempt, much float64) {
-	if b.set.Reports == ReportsOff {
-		a.server.room.Congested(a.sent, b.now)
+// addSilence raises the failure score for an attempt's silence to the given value.
+func (b *Balancer) addSilence(c *class, a *attempt, score float64) {
+	if b.cfg.Reports == ReportsOff {
+		a.server.concurrency.OnCongestion(a.sent, b.now)
 	}
-	b.blame(c, a.server, much-a.blamed, "silence")
-	a.blamed = much
+	b.addFailureScore(c, a.server, score-a.failureScore, "silence")
+	a.failureScore = score
 }
 
-// blame counts failures of a class against a server and ejects it from the class's line when there are too
-// many. Danger: a server may fail one class and serve the others well.
-func (b *Balancer) blame(c *class, s *server, much float64, why string) {
+// addFailureScore counts failures, and ejects a server for the class alone: it may serve the others well.
+func (b *Balancer) addFailureScore(c *class, s *server, score float64, reason string) {
 	h := &s.health[c.index]
-	if !h.Blame(much, b.now) || s.State != Ready {
+	if !h.AddFailure(score, b.now) || s.State != Ready {
 		return
 	}
-	out, of := 1, 0
+	ejected, total := 1, 0
 	for _, o := range b.ring {
 		if o.State == Ready && c.eligible(o) {
-			of++
-			if o.health[c.index].Out(b.now) {
-				out++
+			total++
+			if o.health[c.index].IsEjected(b.now) {
+				ejected++
 			}
 		}
 	}
-	if outlier.Enough(out, of) {
+	if outlier.TooManyEjected(ejected, total) {
 		return
 	}
-	wait := h.Eject(b.now, c.Aim, b.rng.Float64())
+	duration := h.Eject(b.now, c.Aim, b.rng.Float64())
 	b.epoch++
-	b.log("server %d ejected for class %d for %.1f s: %s", s.ID, c.index, wait, why)
+	b.log("server %d ejected for class %d for %.1f s: %s", s.ID, c.index, duration, reason)
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -7,179 +7,183 @@
 	"time"
 )
 
-// Danger: quick errors look like quick, idle servers. One that errs leaves the line; it learns no speed.
+// A server that returns errors quickly looks like a fast, idle one. It must be ejected, and errors
+// must not teach its speed.
 func TestErrorsEjectAndTeachNothing(t *testing.T) {
-	x := start(t, settings(), fleet(6)...)
-	for range 9 { // none left in the retry budget
-		x.b.budget.Spend(x.now)
+	x := newHarness(t, testSettings(), fleet(6)...)
+	for range 9 { // spends the retry budget
+		x.b.retryBudget.AddRetry(x.now)
 	}
-	bad := one(t, x.ask(1, unsafe), ActSend).Server
+	faulty := onlyAction(t, x.sendRequest(1, classUnsafe), ActSend).Server
 	x.now += ms
-	one(t, x.ends(1, 0, Error), ActLog)
-	if s := x.b.servers[bad]; s.pace.Slow != 1 {
-		t.Errorf("an error taught that the server is %v times slower", s.pace.Slow)
+	onlyAction(t, x.endAttempt(1, 0, Error), ActLog)
+	if s := x.b.servers[faulty]; s.speed.Slowdown != 1 {
+		t.Errorf("an error changed the slowdown to %v", s.speed.Slowdown)
 	}
 	for id := range RequestID(60) {
-		if a := one(t, x.ask(10+id, unsafe), ActSend); a.Server == bad {
+		if a := onlyAction(t, x.sendRequest(10+id, classUnsafe), ActSend); a.Server == faulty {
 			t.Fatal("sent to the ejected server")
 		}
 	}
 	x.now += 6 * time.Second
-	back := false
+	readmitted := false
 	for id := range RequestID(60) {
-		back = back || one(t, x.ask(100+id, unsafe), ActSend).Server == bad
+		readmitted = readmitted || onlyAction(t, x.sendRequest(100+id, classUnsafe), ActSend).Server == faulty
 	}
-	if !back {
+	if !readmitted {
 		t.Error("never readmitted")
 	}
 }
 
-// Danger: when all servers look bad it is overload or our own blindness; a quarter must stay in use.
+// If all servers look faulty, overload or the agent is the cause. A quarter of them must stay in
+// use.
 func TestEjectionIsCapped(t *testing.T) {
-	x := start(t, settings(), fleet(9)...)
+	x := newHarness(t, testSettings(), fleet(9)...)
 	for _, s := range slices.Clone(x.b.ring) {
-		x.draw()
-		x.b.blame(&x.b.classes[pure], s, 5, "test")
+		x.drawCandidates()
+		x.b.addFailureScore(&x.b.classes[classPure], s, 5, "test")
 	}
-	x.draw()
-	if n := len(x.line().servers); n != 3 {
-		t.Errorf("%d of 9 servers left on the line, want 3", n)
+	x.drawCandidates()
+	if n := len(x.pool().servers); n != 3 {
+		t.Errorf("%d of 9 servers left in the pool, want 3", n)
 	}
 }
 
-// Incident i4fd1b4: a server that turns requests away at once has few in flight and won every pair.
+// A server that rejects requests at once has few in flight and would win every pair (incident
+// i4fd1b4).
 func TestFullServerIsPassedBy(t *testing.T) {
-	x := start(t, settings(), fleet(2)...)
-	for id := range RequestID(10) { // teach the usual time
-		x.ask(id, pure)
+	x := newHarness(t, testSettings(), fleet(2)...)
+	for id := range RequestID(10) { // teaches the typical latency
+		x.sendRequest(id, classPure)
 		x.now += 100 * ms
-		x.ends(id, 0, OK)
+		x.endAttempt(id, 0, OK)
 	}
-	full := one(t, x.ask(100, pure), ActSend).Server
-	x.ends(100, 0, Full)
+	full := onlyAction(t, x.sendRequest(100, classPure), ActSend).Server
+	x.endAttempt(100, 0, Full)
 	for id := range RequestID(20) {
-		for _, a := range x.ask(200+id, pure) {
+		for _, a := range x.sendRequest(200+id, classPure) {
 			if a.Kind == ActSend && a.Server == full {
 				t.Fatal("sent to the server that was full")
 			}
 		}
 	}
 	x.now += time.Second
-	x.b.pressure.Raw = 0
-	for id := range RequestID(20) { // the other has all the rest in flight
-		if a := one(t, x.ask(300+id, pure), ActSend); a.Server == full {
+	x.b.shedder.Level = 0
+	for id := range RequestID(20) { // the other server has all other requests in flight
+		if a := onlyAction(t, x.sendRequest(300+id, classPure), ActSend); a.Server == full {
 			return
 		}
 	}
-	t.Error("never used again")
+	t.Error("the server was never used again")
 }
 
-// A server that answers in between is not ejected for single failures, nor for one costly request; three failures in
-// a row are too many, and so is silence towards all.
+// A server that answers in between is not ejected for single failures, nor for one slow request.
+// Three failures in a row eject it, and so does silence towards all requests.
 func TestBusyServerSurvivesSingleFailures(t *testing.T) {
-	for _, how := range []Outcome{Error, Reset} {
-		x := start(t, settings(), fleet(3)...)
-		s, c := x.b.servers[1], &x.b.classes[pure]
+	for _, outcome := range []Outcome{Error, Reset} {
+		x := newHarness(t, testSettings(), fleet(3)...)
+		s, c := x.b.servers[1], &x.b.classes[classPure]
 		for range 20 {
-			x.b.judge(c, &attempt{server: s}, OK, 0.1, 1)
-			x.b.judge(c, &attempt{server: s}, how, 0.1, 1)
+			x.b.learnFromOutcome(c, &attempt{server: s}, OK, 0.1, 1)
+			x.b.learnFromOutcome(c, &attempt{server: s}, outcome, 0.1, 1)
 		}
-		if s.health[pure].Until > x.b.now {
-			t.Errorf("outcome %d: ejected for single failures", how)
+		if s.health[classPure].EjectedUntil > x.b.now {
+			t.Errorf("outcome %d: ejected for single failures", outcome)
 		}
 		for range 2 {
-			x.b.judge(c, &attempt{server: s}, how, 0.1, 1)
+			x.b.learnFromOutcome(c, &attempt{server: s}, outcome, 0.1, 1)
 		}
-		if s.health[pure].Until <= x.b.now {
-			t.Errorf("outcome %d: three failures in a row did not eject", how)
+		if s.health[classPure].EjectedUntil <= x.b.now {
+			t.Errorf("outcome %d: three failures in a row did not eject", outcome)
 		}
 	}
-	x := start(t, settings(), fleet(3)...)
-	sent := x.ask(1, pure)
-	s, check := x.b.servers[one(t, sent, ActSend).Server], one(t, sent, ActTimer)
+	x := newHarness(t, testSettings(), fleet(3)...)
+	sent := x.sendRequest(1, classPure)
+	s, check := x.b.servers[onlyAction(t, sent, ActSend).Server], onlyAction(t, sent, ActTimer)
 	x.now += check.Wait / 2
-	x.on(Event{Kind: EventTimer}) // brings the module's clock up to date
-	x.b.judge(&x.b.classes[pure], &attempt{server: s}, OK, 0.1, 1)
+	x.handle(Event{Kind: EventTimer}) // updates the Balancer's clock
+	x.b.learnFromOutcome(&x.b.classes[classPure], &attempt{server: s}, OK, 0.1, 1)
 	x.now += check.Wait / 2
-	if x.on(Event{Kind: EventTimer, Token: check.Token}); s.health[pure].Bad > 0 {
-		t.Errorf("blamed %v for a costly request", s.health[pure].Bad)
+	if x.handle(Event{Kind: EventTimer, Token: check.Token}); s.health[classPure].FailureScore > 0 {
+		t.Errorf("failure score %v for a slow request", s.health[classPure].FailureScore)
 	}
 	x.now += time.Second
-	for s.inFlight < 2 { // one that it does not answer, and nothing else
-		id := RequestID(len(x.b.open) + 2)
-		sent = x.ask(id, pure)
+	for s.inFlight < 2 { // until the server has a second request; it answers neither
+		id := RequestID(len(x.b.requests) + 2)
+		sent = x.sendRequest(id, classPure)
 	}
-	check = one(t, sent, ActTimer)
+	check = onlyAction(t, sent, ActTimer)
 	for range 3 {
 		x.now += check.Wait
-		x.on(Event{Kind: EventTimer, Token: check.Token})
+		x.handle(Event{Kind: EventTimer, Token: check.Token})
 	}
-	if s.health[pure].Until <= x.now {
-		t.Error("a server that has fallen silent was not ejected")
+	if s.health[classPure].EjectedUntil <= x.now {
+		t.Error("a server that stopped answering was not ejected")
 	}
 }
 
-// A server that takes no more connections while it answers over others, or turns requests away, is passed by for a
-// while and stays in; only one that is loaded says that there is a crowd.
+// A server that accepts no further connections while it answers over others, or rejects requests,
+// is avoided for a while and not ejected. Neither counts as overload.
 func TestServerWithoutRoomIsPassedBy(t *testing.T) {
-	for _, how := range []Outcome{ConnectFailed, Full} {
-		x := start(t, settings(), fleet(3)...)
-		s, c := x.b.servers[1], &x.b.classes[pure]
-		x.b.report(s, Load{Known: true, InFlight: 2, Queue: -1, ServiceTime: 10 * ms, Rate: 200}, 0)
-		x.b.judge(c, &attempt{server: s}, OK, 0.1, 1)
-		x.b.service.Add(0.01, 1)
+	for _, outcome := range []Outcome{ConnectFailed, Full} {
+		x := newHarness(t, testSettings(), fleet(3)...)
+		s, c := x.b.servers[1], &x.b.classes[classPure]
+		x.b.applyReport(s, Load{Known: true, InFlight: 2, Queue: -1, ServiceTime: 10 * ms, Rate: 200}, 0)
+		x.b.learnFromOutcome(c, &attempt{server: s}, OK, 0.1, 1)
+		x.b.serviceTime.Add(0.01, 1)
 		sent := x.b.now
 		var until time.Duration
-		for range 3 { // those that were out together count once
-			x.b.judge(c, &attempt{server: s, sent: sent}, how, 0.1, 1)
+		for range 3 { // attempts in flight together count once
+			x.b.learnFromOutcome(c, &attempt{server: s, sent: sent}, outcome, 0.1, 1)
 			if x.b.now += ms; until == 0 {
-				until = s.full
+				until = s.avoidUntil
 			}
 		}
-		if s.health[pure].Until > x.b.now || x.b.pressure.Raw > 0 {
-			t.Errorf("outcome %d: ejected until %v, pressure %v", how, s.health[pure].Until, x.b.pressure.Raw)
+		if s.health[classPure].EjectedUntil > x.b.now || x.b.shedder.Level > 0 {
+			t.Errorf("outcome %d: ejected until %v, shed level %v", outcome, s.health[classPure].EjectedUntil, x.b.shedder.Level)
 		}
-		if s.full <= x.b.now || s.full != until {
-			t.Errorf("outcome %d: passed by until %v, after the first until %v", how, s.full, until)
+		if s.avoidUntil <= x.b.now || s.avoidUntil != until {
+			t.Errorf("outcome %d: avoided until %v, after the first until %v", outcome, s.avoidUntil, until)
 		}
 	}
 }
 
-// Danger: a server that fails one class and serves the others well is out for that class alone, and their good
-// answers do not bring it back. Once its connections break, it is out for all.
+// A server that fails one class and serves the others is ejected for that class alone, and good
+// answers of other classes do not readmit it. Broken connections eject it for all classes.
 func TestHealthIsByClass(t *testing.T) {
-	x := start(t, settings(), fleet(6)...)
-	on := func(class int, id ServerID) bool {
+	x := newHarness(t, testSettings(), fleet(6)...)
+	inPool := func(class int, id ServerID) bool {
 		c := &x.b.classes[class]
-		x.b.draw(&request{class: c})
-		return slices.Contains(c.line.servers, x.b.servers[id])
+		x.b.drawCandidates(&request{class: c})
+		return slices.Contains(c.pool.servers, x.b.servers[id])
 	}
-	bad := one(t, x.ask(1, unsafe), ActSend).Server
+	faulty := onlyAction(t, x.sendRequest(1, classUnsafe), ActSend).Server
 	x.now += 900 * ms
-	x.ends(1, 0, Timeout)
-	if on(unsafe, bad) || !on(pure, bad) {
-		t.Fatalf("after a silent unsafe request: out for unsafe %v, for pure %v", !on(unsafe, bad), !on(pure, bad))
+	x.endAttempt(1, 0, Timeout)
+	if inPool(classUnsafe, faulty) || !inPool(classPure, faulty) {
+		t.Fatalf("after a silent unsafe request: ejected for unsafe %v, for pure %v",
+			!inPool(classUnsafe, faulty), !inPool(classPure, faulty))
 	}
 	for range 20 {
-		x.b.judge(&x.b.classes[pure], &attempt{server: x.b.servers[bad]}, OK, 0.1, 1)
+		x.b.learnFromOutcome(&x.b.classes[classPure], &attempt{server: x.b.servers[faulty]}, OK, 0.1, 1)
 	}
-	if on(unsafe, bad) {
-		t.Error("good answers of another class brought it back")
+	if inPool(classUnsafe, faulty) {
+		t.Error("good answers of another class readmitted the server")
 	}
 	other := x.b.ring[0].ID
-	if other == bad {
+	if other == faulty {
 		other = x.b.ring[1].ID
 	}
-	x.b.judge(&x.b.classes[pure], &attempt{server: x.b.servers[other]}, Reset, 0.1, 1)
-	if on(unsafe, other) {
-		t.Error("its connections break, but it is still sent unsafe requests")
+	x.b.learnFromOutcome(&x.b.classes[classPure], &attempt{server: x.b.servers[other]}, Reset, 0.1, 1)
+	if inPool(classUnsafe, other) {
+		t.Error("its connections break, but it is still in the pool of unsafe requests")
 	}
 }
 
-// Half of the fleet breaks a quarter of its requests, the rest is sound. Each such server used to be ejected after three
-// failures in a row, and whichever was let in on trial got nearly all of the traffic.
+// Half of the servers fail a quarter of their requests. If each of them were ejected after three
+// failures in a row, any that was readmitted would get nearly all of the traffic.
 func TestFlakyServersShareTheRest(t *testing.T) {
-	x := start(t, blind(), fleet(10)...)
+	x := newHarness(t, noReportSettings(), fleet(10)...)
 	sent, flaky := map[ServerID]int{}, map[ServerID]bool{}
 	for i, s := range x.b.ring {
 		flaky[s.ID] = i%2 == 0
@@ -190,22 +194,22 @@
 		id RequestID
 		to ServerID
 	}
-	var out []flight
+	var inFlight []flight
 	refused := 0
 	for id := RequestID(1); id <= 6000; id++ {
 		x.now += 3 * ms
-		for len(out) > 0 && out[0].at <= x.now {
-			how := OK
-			if flaky[out[0].to] && rng.Float64() < 0.27 {
-				how = Reset
+		for len(inFlight) > 0 && inFlight[0].at <= x.now {
+			outcome := OK
+			if flaky[inFlight[0].to] && rng.Float64() < 0.27 {
+				outcome = Reset
 			}
-			x.ends(out[0].id, 0, how)
-			out = out[1:]
+			x.endAttempt(inFlight[0].id, 0, outcome)
+			inFlight = inFlight[1:]
 		}
-		for _, a := range x.ask(id, unsafe) {
+		for _, a := range x.sendRequest(id, classUnsafe) {
 			switch a.Kind {
 			case ActSend:
-				out = append(out, flight{x.now + 60*ms, id, a.Server})
+				inFlight = append(inFlight, flight{x.now + 60*ms, id, a.Server})
 				if id > 1000 {
 					sent[a.Server]++
 				}
@@ -214,101 +218,105 @@
 			}
 		}
 	}
-	most, bad, all := 0, 0, 0
+	most, toFlaky, total := 0, 0, 0
 	for id, n := range sent {
-		if all += n; flaky[id] {
-			bad += n
+		if total += n; flaky[id] {
+			toFlaky += n
 		}
 		most = max(most, n)
 	}
-	if most > all/7 || refused > 40 {
-		t.Errorf("one server got %d of %d requests, %d were refused", most, all, refused)
+	if most > total/7 || refused > 40 {
+		t.Errorf("one server got %d of %d requests, %d were refused", most, total, refused)
 	}
-	if part := float64(bad) / float64(all); part < 0.1 || part > 0.48 {
-		t.Errorf("the flaky half got %.2f of the requests: neither as much as the sound, nor nothing", part)
+	if part := float64(toFlaky) / float64(total); part < 0.1 || part > 0.48 {
+		t.Errorf("the flaky half got %.2f of the requests, want less than the other half and more than a tenth", part)
 	}
 }
 
-// A server that fails more than half is ejected, however often it answers in between.
+// A server that fails more than half of its requests is ejected, however often it answers in
+// between.
 func TestMostlyFailingServerIsEjected(t *testing.T) {
-	x := start(t, blind(), fleet(4)...)
+	x := newHarness(t, noReportSettings(), fleet(4)...)
 	s := x.b.ring[0]
 	for i := range 40 {
 		x.b.now += 10 * ms
 		s.inFlight++
 		a := &attempt{server: s, sent: x.b.now - 5*ms}
-		how := Error
+		outcome := Error
 		if i%5 == 0 {
-			how = OK
+			outcome = OK
 		}
-		x.b.judge(&x.b.classes[pure], a, how, 0.2, 1)
+		x.b.learnFromOutcome(&x.b.classes[classPure], a, outcome, 0.2, 1)
 	}
-	if s.health[pure].Until <= x.b.now {
-		t.Errorf("not ejected with a share of failures of %.2f", s.health[pure].Fails)
+	if s.health[classPure].EjectedUntil <= x.b.now {
+		t.Errorf("not ejected at a failure rate of %.2f", s.health[classPure].FailureRate)
 	}
 }
 
-// On join+vast seven of sixty servers failed most of what they were sent, quickly, so that they looked idle. Each of eighty
-// agents had to be failed several times by each of them, though every probe told of it.
+// Servers that fail most requests quickly look idle. With many agents and servers, each agent would
+// have to see several failures of each server, though every report shows the errors (seen in
+// scenario join+vast with 80 agents and 60 servers, 7 of them faulty).
 func TestReportedErrorsEject(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Probes, s.Reports = true, ReportsOnProbe
 	for _, c := range []struct {
 		errors, rate float64
-		out          bool
+		ejected      bool
 	}{{7, 0.2, true}, {3, 6, false}, {0.4, 0, false}, {-1, 10, false}, {0, 0, false}} {
-		x := start(t, s, fleet(4)...)
-		acts := x.ask(1, pure)
-		bad := one(t, acts, ActProbe).Server
-		acts = x.on(Event{Kind: EventProbeResult, Server: bad, Outcome: OK, Load: Load{
+		x := newHarness(t, s, fleet(4)...)
+		actions := x.sendRequest(1, classPure)
+		faulty := onlyAction(t, actions, ActProbe).Server
+		actions = x.handle(Event{Kind: EventProbeResult, Server: faulty, Outcome: OK, Load: Load{
 			Known: true, InFlight: 0, Queue: -1, ServiceTime: 20 * ms, Rate: c.rate, ErrorRate: c.errors,
 		}})
-		sent := one(t, x.look(acts, nil), ActSend).Server
-		if out := x.b.servers[bad].health[pure].Until > x.now; out != c.out || out && sent == bad {
-			t.Errorf("%v errors and %v answers a second: ejected %v, want %v; sent to %d, %d reports them", c.errors, c.rate, out, c.out, sent, bad)
+		sent := onlyAction(t, x.answerProbes(actions, nil), ActSend).Server
+		if ejected := x.b.servers[faulty].health[classPure].EjectedUntil > x.now; ejected != c.ejected || ejected && sent == faulty {
+			t.Errorf("%v errors and %v answers a second: ejected %v, want %v; sent to %d, %d reports them",
+				c.errors, c.rate, ejected, c.ejected, sent, faulty)
 		}
-		if !c.out && sent != bad {
-			t.Errorf("%v errors and %v answers a second: an idle server is passed by", c.errors, c.rate)
+		if !c.ejected && sent != faulty {
+			t.Errorf("%v errors and %v answers a second: an idle server is avoided", c.errors, c.rate)
 		}
 	}
 }
 
-// One class that a server fails is no reason to take another from it that it answers.
+// A server that fails one class is not ejected for another class that it serves.
 func TestReportedErrorsLeaveWhatIsAnswered(t *testing.T) {
-	x := start(t, settings(), fleet(4)...)
+	x := newHarness(t, testSettings(), fleet(4)...)
 	s := x.b.ring[0]
 	for range 20 {
 		x.now += 50 * ms
 		x.b.now = x.now
-		x.b.judge(&x.b.classes[byAll], &attempt{server: s, sent: x.now - ms}, OK, 0.1, 1)
-		x.b.report(s, Load{Known: true, InFlight: 1, Queue: -1, ServiceTime: 20 * ms, Rate: 4, ErrorRate: 16}, 0)
+		x.b.learnFromOutcome(&x.b.classes[classKeyedAll], &attempt{server: s, sent: x.now - ms}, OK, 0.1, 1)
+		x.b.applyReport(s, Load{Known: true, InFlight: 1, Queue: -1, ServiceTime: 20 * ms, Rate: 4, ErrorRate: 16}, 0)
 	}
-	if s.health[byAll].Until > x.now {
-		t.Error("ejected for a class of which it answers everything")
+	if s.health[classKeyedAll].EjectedUntil > x.now {
+		t.Error("ejected for a class that it serves without failure")
 	}
 }
 
-// A server that is let in again on trial may still be bad: it is asked first, though nothing is being lost elsewhere.
+// A server that returns on trial may still be faulty: it is probed first, even if no requests are
+// being missed elsewhere.
 func TestServersInDoubtAreProbed(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Probes, s.Reports, s.ProbeFee = true, ReportsOnProbe, 0.08
 	for _, c := range []struct {
-		bad         float64
-		least, most int
+		failureScore float64
+		least, most  int
 	}{{0, 0, 30}, {0.5, 100, 100}} {
 		probed := 0
 		for id := range RequestID(100) {
-			x := start(t, s, fleet(2)...)
+			x := newHarness(t, s, fleet(2)...)
 			x.b.rng = rand.New(rand.NewPCG(uint64(id), 0))
 			for _, s := range x.b.ring {
-				s.health[pure].Bad = c.bad
+				s.health[classPure].FailureScore = c.failureScore
 			}
-			if slices.ContainsFunc(x.ask(id, pure), func(a Action) bool { return a.Kind == ActProbe }) {
+			if slices.ContainsFunc(x.sendRequest(id, classPure), func(a Action) bool { return a.Kind == ActProbe }) {
 				probed++
 			}
 		}
 		if probed < c.least || probed > c.most {
-			t.Errorf("with failures of %v, %d of 100 requests were probed for", c.bad, probed)
+			t.Errorf("at a failure score of %v, %d of 100 requests were probed for", c.failureScore, probed)
 		}
 	}
 }
--- a/policy/line.go
+++ b/policy/line.go
@@ -1,7 +1,5 @@
 package policy
 
-// He and Down's line variant: a class's line, and what is drawn from it. docs/design.md lists the exceptions.
-
 import (
 	"cmp"
 	"math"
@@ -11,118 +9,118 @@
 )
 
 const (
-	dedicated       = 0.1 // p: a little blind traffic keeps agents from moving as one
-	agentsPerServer = 15  // agents that share a server: fewer spread unevenly, more know it worse
-	requestsEach    = 10  // requests in retrySpan for each server of the line: busier agents use more servers
-	shortestLine    = 6   // servers on a line at least: two may be out and pairs still differ
-	coldMargin      = 0.5 // of overloadFactor that a cold server is sent; the rest is for peaks
+	singleDrawShare   = 0.1 // share of requests sent to one server drawn by weight, without a choice: prevents herding
+	agentsPerServer   = 15  // agents that share a server: fewer spread load unevenly, more learn too little of each server
+	requestsPerServer = 10  // requests in retryWindow for each server of a pool: busier agents use larger pools
+	minPoolSize       = 6   // servers in a pool: with two ejected the pairs still differ
+	coldLoadShare     = 0.5 // part of OverloadFactor that a cold server is sent; the rest is for peaks
 )
 
-// eligible is placement: whether a class may ever go to a server.
+// eligible applies placement: whether the class may ever be sent to the server.
 func (c *class) eligible(s *server) bool {
-	return (c.Zones == nil || slices.Contains(c.Zones, s.Zone)) &&
-		(c.Kinds == nil || slices.Contains(c.Kinds, s.Kind))
+	return (c.Zones == nil || slices.Contains(c.Zones, s.Zone)) && (c.Kinds == nil || slices.Contains(c.Kinds, s.Kind))
 }
 
-// rebuild makes a class's line, the first open to it on this agent's ring, and the sums that its draws use.
-func (b *Balancer) rebuild(c *class, l *line) {
-	l.epoch, l.next, l.servers = b.epoch, math.MaxInt64, l.servers[:0]
-	// Danger: agents x servers connections fill all tables; many teach little, few are overloaded.
-	size := max(shortestLine, agentsPerServer*len(b.ring)/b.set.Agents,
-		b.budget.Taken(b.now-seconds(retrySpan))/requestsEach)
-	if b.set.Gates {
+// rebuildPool fills a pool with the first eligible servers on this agent's ring, and the sums that draws use.
+func (b *Balancer) rebuildPool(c *class, p *pool) {
+	p.epoch, p.validUntil, p.servers = b.epoch, math.MaxInt64, p.servers[:0]
+	// Large pools use up connection tables and teach an agent little of each server; small pools become overloaded.
+	size := max(minPoolSize, agentsPerServer*len(b.ring)/b.cfg.Agents,
+		b.retryBudget.RequestsSince(b.now-seconds(retryWindow))/requestsPerServer)
+	if b.cfg.Gates {
 		size = len(b.ring) // gates keep few connections to servers, however many agents there are
 	}
 	for _, s := range b.ring {
-		until := s.health[c.index].Until
+		until := s.health[c.index].EjectedUntil
 		switch {
-		case s.State != Ready || !c.eligible(s) || l == &c.home && s.Zone != b.set.Zone:
+		case s.State != Ready || !c.eligible(s) || p == &c.localPool && s.Zone != b.cfg.Zone:
 		case until > b.now:
-			l.next = min(l.next, until)
-		case len(l.servers) < size:
-			l.servers = append(l.servers, s)
+			p.validUntil = min(p.validUntil, until)
+		case len(p.servers) < size:
+			p.servers = append(p.servers, s)
 		}
 	}
-	// Neighbours are of like size: ties are broken evenly and would blur unlike speeds.
-	slices.SortStableFunc(l.servers, func(x, y *server) int { return cmp.Compare(x.pace.Base, y.pace.Base) })
-	var full, cold float64
-	l.speeds, l.pass, l.mu = l.speeds[:0], l.pass[:0], l.mu[:0]
-	for _, s := range l.servers {
-		w := b.warmth(s)
-		s.built, full = b.weight(s), full+b.speed(s)
-		l.mu, l.speeds = append(l.mu, s.built), l.speeds.Add(s.built)
+	// Neighbors have similar speeds: ties in a pair are broken evenly, which would ignore a difference in speed.
+	slices.SortStableFunc(p.servers, func(x, y *server) int { return cmp.Compare(x.speed.BaseSpeed, y.speed.BaseSpeed) })
+	var warmSum, coldSum float64
+	p.weightSums, p.admitChance, p.weights = p.weightSums[:0], p.admitChance[:0], p.weights[:0]
+	for _, s := range p.servers {
+		w := b.warmFraction(s)
+		s.poolWeight, warmSum = b.drawWeight(s), warmSum+b.warmSpeed(s)
+		p.weights, p.weightSums = append(p.weights, s.poolWeight), p.weightSums.Append(s.poolWeight)
 		if w < 1 {
-			cold += s.built
-			l.next = min(l.next, b.now+b.set.WarmAfter/64)
+			coldSum += s.poolWeight
+			p.validUntil = min(p.validUntil, b.now+b.cfg.WarmAfter/64)
 		}
 	}
-	sum := l.speeds.Span(0, len(l.servers))
-	l.usualSum = max(full, l.usualSum*0.99)
-	l.pairs = weighted.Pairs(l.mu, l.pairs[:0])
-	for j, s := range l.servers {
-		pass := 1.0
-		if w := b.warmth(s); w < 1 && !b.set.Gates {
-			// Danger: all agents together push it over. Even if it wins each of its pairs, and what it turns
-			// away comes again, it gets its present share of this agent's traffic.
-			inflow := (dedicated*s.built + (1-dedicated)*l.pairs.Span(j-1, j+1)) / sum
-			again := 1 + (draws-1)*cold/sum
-			pass = min(1, coldMargin*b.set.OverloadFactor*w*b.speed(s)/l.usualSum/(inflow*again))
+	weightSum := p.weightSums.RangeSum(0, len(p.servers))
+	p.peakSpeed = max(warmSum, p.peakSpeed*0.99)
+	p.pairSums = weighted.PairWeights(p.weights, p.pairSums[:0])
+	for j, s := range p.servers {
+		admitChance := 1.0
+		if w := b.warmFraction(s); w < 1 && !b.cfg.Gates {
+			// All agents together could overload a cold server. Even if it wins each of its pairs, and what is not
+			// admitted is drawn again, it gets no more than its current share of this agent's traffic.
+			trafficShare := (singleDrawShare*s.poolWeight + (1-singleDrawShare)*p.pairSums.RangeSum(j-1, j+1)) / weightSum
+			retryFactor := 1 + (maxDraws-1)*coldSum/weightSum
+			admitChance = min(1, coldLoadShare*b.cfg.OverloadFactor*w*b.warmSpeed(s)/p.peakSpeed/(trafficShare*retryFactor))
 		}
-		l.pass = append(l.pass, pass)
+		p.admitChance = append(p.admitChance, admitChance)
 	}
 }
 
-// home says whether a request is drawn from its own zone's servers for now.
-func (b *Balancer) home(r *request) bool { return b.set.PreferLocalZone && r.draws < homeDraws }
+func (b *Balancer) localOnly(r *request) bool {
+	return b.cfg.PreferLocalZone && r.draws < maxLocalDraws
+}
 
-// draw picks a dedicated server (c is nil), or a pair. Both are nil when no server is ready.
-func (b *Balancer) draw(r *request) (a, c *server) {
-	of, l := r.class, &r.class.line
-	if b.home(r) {
-		l = &of.home
+// drawCandidates draws a single server (candidateB is nil) or a pair. Both are nil when no server is ready.
+func (b *Balancer) drawCandidates(r *request) (candidateA, candidateB *server) {
+	requestClass, p := r.class, &r.class.pool
+	if b.localOnly(r) {
+		p = &requestClass.localPool
 	}
-	if l.epoch != b.epoch || b.now >= l.next {
-		b.rebuild(of, l)
+	if p.epoch != b.epoch || b.now >= p.validUntil {
+		b.rebuildPool(requestClass, p)
 	}
-	if l == &of.home && len(l.servers) == 0 {
-		r.draws = homeDraws
-		return b.draw(r)
+	if p == &requestClass.localPool && len(p.servers) == 0 {
+		r.draws = maxLocalDraws
+		return b.drawCandidates(r)
 	}
-	switch n := len(l.servers); {
-	case r.remembered(b.now) > 0:
-		return b.mates(r)
+	switch n := len(p.servers); {
+	case r.dedupTimeLeft(b.now) > 0:
+		return b.drawKeyHolders(r)
 	case n == 0:
 		return nil, nil
-	case n == 1 || b.rng.Float64() < dedicated:
-		return l.servers[l.speeds.Pick(b.rng.Float64())], nil
+	case n == 1 || b.rng.Float64() < singleDrawShare:
+		return p.servers[p.weightSums.Pick(b.rng.Float64())], nil
 	}
-	j := l.pairs.Pick(b.rng.Float64())
-	return l.servers[j], l.servers[j+1]
+	j := p.pairSums.Pick(b.rng.Float64())
+	return p.servers[j], p.servers[j+1]
 }
 
-// mates draws a pair of those who know the key of a request that may have run: most pairs of the line hold none.
-func (b *Balancer) mates(r *request) (a, c *server) {
-	open, speeds := []*server(nil), weighted.Sums(nil)
-	for _, s := range r.class.line.servers {
-		if b.may(r, s) {
-			open, speeds = append(open, s), speeds.Add(s.built)
+// drawKeyHolders draws a pair that drops repeats of a request that may have run: few pairs of the pool do.
+func (b *Balancer) drawKeyHolders(r *request) (candidateA, candidateB *server) {
+	holders, weightSums := []*server(nil), weighted.PrefixSums(nil)
+	for _, s := range r.class.pool.servers {
+		if b.maySend(r, s) {
+			holders, weightSums = append(holders, s), weightSums.Append(s.poolWeight)
 		}
 	}
-	if len(open) == 0 {
+	if len(holders) == 0 {
 		return nil, nil
 	}
-	j := speeds.Pick(b.rng.Float64())
-	return open[j], append(open, nil)[j+1]
+	j := weightSums.Pick(b.rng.Float64())
+	return holders[j], append(holders, nil)[j+1]
 }
 
-// shorter puts the shorter expected wait of a pair, in flight over speed, first; ties at random.
-func (b *Balancer) shorter(a, c *server) (first, second *server) {
-	if c == nil {
-		return a, nil
+// orderByWait returns the server with the shorter expected wait, outstanding over weight, first; ties at random.
+func (b *Balancer) orderByWait(candidateA, candidateB *server) (first, second *server) {
+	if candidateB == nil {
+		return candidateA, nil
 	}
-	x, y := b.held(a)*c.built, b.held(c)*a.built
-	if x < y || x == y && b.rng.IntN(2) == 0 {
-		return a, c
+	waitA, waitB := b.outstanding(candidateA)*candidateB.poolWeight, b.outstanding(candidateB)*candidateA.poolWeight
+	if waitA < waitB || waitA == waitB && b.rng.IntN(2) == 0 {
+		return candidateA, candidateB
 	}
-	return c, a
+	return candidateB, candidateA
 }
--- a/policy/list.go
+++ b/policy/list.go
@@ -1,7 +1,5 @@
 package policy
 
-// The list of servers, and the order that they stand in.
-
 import (
 	"cmp"
 	"math/rand/v2"
@@ -13,27 +11,25 @@
 )
 
 func (b *Balancer) onList(ev *Event) {
-	if ev.ListMode == ListFailed {
-		// Danger: agents that fail together and ask again together fail again.
-		b.asks++
-		b.askIn((0.5 + b.rng.Float64()) * float64(min(b.set.MustAskIn, time.Second<<min(b.asks, 5))))
+	if ev.ListMode == ListFailed { // jitter and backoff: agents that failed together must not retry together
+		b.listFailures++
+		b.subscribeAfter((0.5 + b.rng.Float64()) * float64(min(b.cfg.MustAskIn, time.Second<<min(b.listFailures, 5))))
 		return
 	}
-	b.epoch, b.asks = b.epoch+1, 0
-	if ev.ListMode == ListCached && b.set.AskList {
-		// The list service has a fixed capacity: the agents' first calls are spread by rank.
-		b.askIn(0.6 * float64(b.set.MustAskIn) * (float64(b.set.Rank) + b.rng.Float64()) / float64(b.set.Agents))
+	b.epoch, b.listFailures = b.epoch+1, 0
+	if ev.ListMode == ListCached && b.cfg.AskList { // spread by rank: the capacity of the list service is fixed
+		b.subscribeAfter(0.6 * float64(b.cfg.MustAskIn) * (float64(b.cfg.Rank) + b.rng.Float64()) / float64(b.cfg.Agents))
 	}
 	if ev.ListMode != ListDelta {
-		for _, s := range b.ring { // who is absent from a whole list is gone
+		for _, s := range b.ring { // servers that are not in a full list are gone
 			s.State = Gone
 		}
 	}
 	for i := range ev.Servers {
 		e := &ev.Servers[i]
-		if s := b.entry(e); s != nil {
-			if s.pace.Base == 0 || s.Start != e.Start {
-				s.restart(e)
+		if s := b.findOrAdd(e); s != nil {
+			if s.speed.BaseSpeed == 0 || s.Start != e.Start {
+				s.resetLearned(e)
 			}
 			s.ServerEntry = *e
 		}
@@ -47,32 +43,29 @@
 	})
 }
 
-// restart forgets what was learnt of a process that is gone.
-func (s *server) restart(e *ServerEntry) {
-	s.full, s.used, s.load.Known, s.room = 0, 0, false, limit.Concurrency{}
-	s.pace.Restart(e.Weight)
+func (s *server) resetLearned(e *ServerEntry) {
+	s.avoidUntil, s.answeredAt, s.load.Known, s.concurrency = 0, 0, false, limit.ConcurrencyLimit{}
+	s.speed.Reset(e.Weight)
 	clear(s.health)
 }
 
-// entry finds the server of a line of the list, or makes it; a server not known that is gone stays unknown.
-func (b *Balancer) entry(e *ServerEntry) *server {
+func (b *Balancer) findOrAdd(e *ServerEntry) *server {
 	s := b.servers[e.ID]
 	if s == nil && e.State != Gone {
-		s = &server{rank: b.order(e.ID), health: make([]outlier.Record, len(b.classes))}
+		s = &server{position: b.ringPosition(e.ID), health: make([]outlier.Record, len(b.classes))}
 		b.servers[e.ID] = s
-		byRank := func(o *server, rank float64) int { return cmp.Compare(o.rank, rank) }
-		i, _ := slices.BinarySearchFunc(b.ring, s.rank, byRank)
+		byPosition := func(o *server, position float64) int { return cmp.Compare(o.position, position) }
+		i, _ := slices.BinarySearchFunc(b.ring, s.position, byPosition)
 		b.ring = slices.Insert(b.ring, i, s)
 	}
 	return s
 }
 
-// order places a server on this agent's ring by rendezvous hashing: one that comes or goes moves no other.
-func (b *Balancer) order(id ServerID) float64 {
-	return -float64(rand.NewPCG(uint64(id), uint64(b.set.Rank)).Uint64())
+// ringPosition places a server on this agent's ring by rendezvous hashing: one that joins or leaves moves no other.
+func (b *Balancer) ringPosition(id ServerID) float64 {
+	return -float64(rand.NewPCG(uint64(id), uint64(b.cfg.Rank)).Uint64())
 }
 
-// askIn asks for the list after a while.
-func (b *Balancer) askIn(wait float64) {
-	b.act(Action{Kind: ActTimer, Token: tokenAsk, Wait: time.Duration(wait)})
+func (b *Balancer) subscribeAfter(wait float64) {
+	b.emit(Action{Kind: ActTimer, Token: timerSubscribe, Wait: time.Duration(wait)})
 }
--- a/policy/silence_test.go
+++ b/policy/silence_test.go
@@ -5,110 +5,114 @@
 	"time"
 )
 
-// A silent request is sent again once, elsewhere and in time, if its class may be and second copies are allowed: at
-// the second look, or at the first if its server has reported since and no longer holds it.
+// A silent request is sent once more, to another server and in time, if its class permits and
+// hedging is allowed: at the second silence check, or at the first if its server has since reported
+// that it does not have the request.
 func TestSilentRequestsGetASecondCopy(t *testing.T) {
 	for _, c := range []struct {
 		class  int
 		copies bool
-		report float64 // what the server says it holds before the first look, if not negative
+		report float64 // requests at the server by a report before the first check; negative for none
 		after  time.Duration
-		want   [3]bool // whether a copy goes out at each look
+		want   [3]bool // whether a copy is sent at each check
 	}{
-		{byAll, true, -1, 0, [3]bool{1: true}},
-		{pure, true, 0, 0, [3]bool{0: true}},
-		{byAll, true, 1, 0, [3]bool{1: true}},
-		{byAll, true, -1, 300 * ms, [3]bool{}}, // too late
-		{byCell, true, -1, 0, [3]bool{}},       // each server is a cell of its own
-		{unsafe, true, 0, 0, [3]bool{}},
-		{byAll, false, 0, 0, [3]bool{}},
+		{classKeyedAll, true, -1, 0, [3]bool{1: true}},
+		{classPure, true, 0, 0, [3]bool{0: true}},
+		{classKeyedAll, true, 1, 0, [3]bool{1: true}},
+		{classKeyedAll, true, -1, 300 * ms, [3]bool{}}, // too late
+		{classKeyedCell, true, -1, 0, [3]bool{}},       // each server is a cell of its own
+		{classUnsafe, true, 0, 0, [3]bool{}},
+		{classKeyedAll, false, 0, 0, [3]bool{}},
 	} {
-		s := settings()
+		s := testSettings()
 		s.SecondCopies = c.copies
-		x := start(t, s, fleet(3)...)
-		acts := x.ask(1, c.class)
-		first, timer := one(t, acts, ActSend).Server, one(t, acts, ActTimer)
+		x := newHarness(t, s, fleet(3)...)
+		actions := x.sendRequest(1, c.class)
+		first, timer := onlyAction(t, actions, ActSend).Server, onlyAction(t, actions, ActTimer)
 		if x.now += ms; c.report >= 0 {
-			x.on(Event{Kind: EventProbeResult, Server: first, Load: Load{Known: true, InFlight: c.report, Queue: -1, ServiceTime: -1, Rate: -1}})
+			x.handle(Event{Kind: EventProbeResult, Server: first,
+				Load: Load{Known: true, InFlight: c.report, Queue: -1, ServiceTime: -1, Rate: -1}})
 		}
 		x.now += c.after
-		for look, want := range c.want {
-			acts := x.on(Event{Kind: EventTimer, Token: timer.Token})
+		for check, want := range c.want {
+			actions := x.handle(Event{Kind: EventTimer, Token: timer.Token})
 			if !want {
-				none(t, acts, ActSend)
-			} else if again := one(t, acts, ActSend); again.Server == first {
-				t.Errorf("%+v: sent again to the same server at look %d", c, look)
+				noAction(t, actions, ActSend)
+			} else if second := onlyAction(t, actions, ActSend); second.Server == first {
+				t.Errorf("%+v: the second copy went to the same server at check %d", c, check)
 			}
 		}
 	}
 }
 
-// A silent attempt counts half at three usual times and whole at six, and its time-out adds nothing.
+// A silent attempt counts as half a failure at three typical latencies and as one at six. Its
+// timeout adds nothing.
 func TestSilenceIsCountedOnce(t *testing.T) {
-	x := start(t, settings(), fleet(6)...)
-	acts := x.ask(1, unsafe)
-	s := x.b.servers[one(t, acts, ActSend).Server]
-	h := &s.health[unsafe]
+	x := newHarness(t, testSettings(), fleet(6)...)
+	actions := x.sendRequest(1, classUnsafe)
+	s := x.b.servers[onlyAction(t, actions, ActSend).Server]
+	h := &s.health[classUnsafe]
 	for _, want := range []float64{0.5, 1} {
-		a := one(t, acts, ActTimer)
+		a := onlyAction(t, actions, ActTimer)
 		x.now += a.Wait
-		before := h.Until
-		acts = x.on(Event{Kind: EventTimer, Token: a.Token})
-		if ejected := h.Until > before; ejected != (want == 1) {
-			t.Fatalf("after silence worth %v: ejected %v", want, ejected)
+		before := h.EjectedUntil
+		actions = x.handle(Event{Kind: EventTimer, Token: a.Token})
+		if ejected := h.EjectedUntil > before; ejected != (want == 1) {
+			t.Fatalf("at a failure score of %v: ejected %v", want, ejected)
 		}
 	}
-	h.Until, h.Bad = 0, 0
-	x.ends(1, 0, Timeout)
-	if h.Bad != 0 {
-		t.Errorf("the time-out counted %v again", h.Bad)
+	h.EjectedUntil, h.FailureScore = 0, 0
+	x.endAttempt(1, 0, Timeout)
+	if h.FailureScore != 0 {
+		t.Errorf("the timeout added a failure score of %v", h.FailureScore)
 	}
 }
 
-// An agent that had no processor takes what it has not read yet for no silence: it looks again before it blames anybody or sends
-// a second copy, which it does at the second look otherwise.
+// An agent that got no CPU time may have answers that it has not read. It must not take them for
+// silence, but check again before it counts a failure or sends a second copy.
 func TestNoSilenceWhileAway(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.SecondCopies, s.ExtraWindow, s.ExtraRatio, s.ExtraFloor = true, time.Minute, 1, 100
-	for _, away := range []time.Duration{0, 150 * ms} {
-		x := start(t, s, fleet(3)...)
-		check := one(t, x.ask(1, pure), ActTimer)
-		var acts []Action
+	for _, delay := range []time.Duration{0, 150 * ms} {
+		x := newHarness(t, s, fleet(3)...)
+		check := onlyAction(t, x.sendRequest(1, classPure), ActTimer)
+		var actions []Action
 		for range 2 {
-			x.now += 50 * ms // not the wait: a copy must still be in time
-			acts = x.on(Event{Kind: EventTimer, Token: check.Token, AgentDelay: away})
+			x.now += 50 * ms // less than the timer's wait: a copy must still be in time
+			actions = x.handle(Event{Kind: EventTimer, Token: check.Token, AgentDelay: delay})
 		}
-		blamed, copies := 0.0, 0
+		score, copies := 0.0, 0
 		for _, s := range x.b.ring {
-			blamed += s.health[pure].Bad
+			score += s.health[classPure].FailureScore
 		}
-		for _, a := range acts {
+		for _, a := range actions {
 			if a.Kind == ActSend {
 				copies++
 			}
 		}
-		if well := blamed > 0 && copies == 1; away == 0 && !well {
-			t.Errorf("silent twice: blamed %.2f, %d copies", blamed, copies)
+		if expected := score > 0 && copies == 1; delay == 0 && !expected {
+			t.Errorf("silent at two checks: failure score %.2f, %d copies", score, copies)
 		}
-		if away > 0 && (blamed > 0 || copies > 0 || one(t, acts, ActTimer).Token != check.Token) {
-			t.Errorf("blamed %.2f and %d copies for what had lain unread, then %+v", blamed, copies, acts)
+		if delay > 0 && (score > 0 || copies > 0 || onlyAction(t, actions, ActTimer).Token != check.Token) {
+			t.Errorf("failure score %.2f and %d copies for answers that may be unread, then %+v", score, copies, actions)
 		}
 	}
 }
 
-// Where probes have a price no report tells that an attempt is lost, so its second copy goes out at the first check.
+// If probes have a price, no report shows that an attempt is lost: its second copy is sent at the
+// first check.
 func TestCopiesGoOutEarlyWithoutReports(t *testing.T) {
 	for fee, want := range map[float64]int{0: 0, 0.1: 1} {
-		set := settings()
+		set := testSettings()
 		set.Reports, set.SecondCopies, set.ProbeFee = ReportsOnProbe, true, fee
-		x := start(t, set, fleet(4)...)
-		x.b.classes[pure].usual.V = 0.02 // so that there is time for a copy
-		acts := x.ask(1, pure)
-		one(t, acts, ActSend)
-		check := one(t, acts, ActTimer)
+		x := newHarness(t, set, fleet(4)...)
+		x.b.classes[classPure].typicalLatency.Value = 0.02 // leaves time for a copy
+		actions := x.sendRequest(1, classPure)
+		onlyAction(t, actions, ActSend)
+		check := onlyAction(t, actions, ActTimer)
 		x.now += check.Wait
 		copies := 0
-		for _, a := range x.on(Event{Kind: EventTimer, Token: check.Token}) {
+		for _, a := range x.handle(Event{Kind: EventTimer, Token: check.Token}) {
 			if a.Kind == ActSend {
 				copies++
 			}
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,30 +1,29 @@
-// Package policy decides, for one agent of a service mesh, where each request goes: which server,
-// with what time-out, whether to try again, refuse or fail.
+// Package policy is the decision module of an agent of a service mesh. For each request it decides which server gets
+// it, with what timeout, and whether to retry, refuse or fail it.
 //
-// A Balancer is a deterministic state machine. It has no clock, no goroutines and does no I/O: the caller
-// hands it events with the time they happened and carries out the actions it returns, in order. Use one
-// Balancer for each agent and never call it from two goroutines at once. Times are durations since any fixed
-// start and must not run backwards; timers are the caller's to keep.
+// A Balancer is a deterministic state machine without clock, goroutines or I/O. The caller passes in events with the
+// time at which they happened, and carries out the returned actions in order; timers are among them. Each agent has
+// its own Balancer and never calls it concurrently. Times are durations since any fixed start and never decrease.
 package policy
 
 import "time"
 
-// ServerID names a server; it stays the same when the server's process restarts.
+// ServerID identifies a server; it stays the same when the server's process restarts.
 type ServerID uint32
 
-// RequestID names one try of a client; ids are never used twice.
+// RequestID identifies one try of a client; ids are never reused.
 type RequestID uint32
 
 // Effect says whether a request may run more than once.
 type Effect uint8
 
 const (
-	Pure       Effect = iota // safe to repeat anywhere
-	Keyed                    // keyed: the servers of one Scope drop a repeat for a while
+	Pure       Effect = iota // safe to run again on any server
+	Keyed                    // has an idempotency key: the servers of one Scope drop a repeat within Class.Window
 	SideEffect               // must never run twice
 )
 
-// Scope is the group of servers that drop each other's repeats of a Token request.
+// Scope is the group of servers that drop each other's repeats of a Keyed request.
 type Scope uint8
 
 const (
@@ -35,62 +34,62 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Aim       time.Duration // an answer within Aim earns the full worth
+	Aim       time.Duration // target latency: an answer within it earns the full Worth
 	Deadline  time.Duration // how long a client waits over all its tries
-	Worth     float64
-	LateWorth float64 // share of Worth earned between Aim and Deadline
+	Worth     float64       // value of an answer
+	LateWorth float64       // share of Worth that an answer between Aim and Deadline earns
 	Effect    Effect
-	Scope     Scope
-	Window    time.Duration // Token: how long repeats are dropped, from the first attempt that may have run
-	Stream    bool          // the answer is streamed: EventBegun is delivered
-	Zones     []int         // placement: the only zones it may be sent to; nil is any, empty is none
+	Scope     Scope         // Keyed: the servers that drop repeats
+	Window    time.Duration // Keyed: how long repeats are dropped, from the first attempt that may have run
+	Stream    bool          // the answer is streamed: EventStreamStarted is delivered
+	Zones     []int         // placement: the only zones that it may be sent to; nil for any, empty for none
 	Kinds     []int         // placement: the only kinds of machine, likewise
 }
 
-// Tenant describes one of those who share the fleet.
+// Tenant is one of the customers that share the servers.
 type Tenant struct {
-	Portion float64 // share of the fleet's service
+	Portion float64 // guaranteed share of the servers' capacity
 }
 
 // ReportMode says where servers report their load.
 type ReportMode uint8
 
 const (
-	ReportsOff ReportMode = iota
-	ReportsInline
-	ReportsOnProbe
+	ReportsOff     ReportMode = iota
+	ReportsInline             // with answers
+	ReportsOnProbe            // in answers to probes
 )
 
-// Settings is all that a Balancer is told at its start. New checks it.
+// Settings configure a Balancer. New checks them.
 type Settings struct {
-	Rank, Agents    int     // this agent's number, from 0, and how many there are
-	Zone            int     // this agent's
-	CrossZone       float64 // what a request that leaves it costs, as a part of its worth
-	PreferLocalZone bool    // servers of this zone are drawn from first, as far as they are not crowded
-	ProbeFee        float64 // what a probe costs, as a part of a request's worth
+	Rank, Agents    int     // number of this agent, from 0, and how many agents there are
+	Zone            int     // of this agent
+	CrossZone       float64 // cost of a request that leaves the zone, as a part of its worth
+	PreferLocalZone bool    // draw servers of this zone first, as long as they are not overloaded
+	ProbeFee        float64 // cost of a probe, as a part of a request's worth
 	Classes         []Class
 	Tenants         []Tenant // may be empty
 	Reports         ReportMode
-	Width           float64       // requests that a server works on at once, 0: to be learnt from reports
-	AskList         bool          // the server list must be asked for (ActFollow)
-	MustAskIn       time.Duration // the longest an agent may go without asking for the list
-	IdleClose       time.Duration // a connection that is idle for so long is closed
-	Tick            time.Duration // events arrive no more often than this
+	Width           float64       // requests that a server processes in parallel; 0 to learn it from reports
+	AskList         bool          // the server list must be subscribed to (ActSubscribe)
+	MustAskIn       time.Duration // the longest time that an agent may go without subscribing
+	IdleClose       time.Duration // idle connections are closed after this time
+	Tick            time.Duration // shortest time between two events
 	MaxAttempts     int
 	Probes          bool          // ActProbe is allowed
 	Cancel          bool          // ActCancel is allowed
-	Gates           bool          // servers stand behind gates, which refuse what they have no room for before it arrives
-	SecondCopies    bool          // a request may have two attempts out at once
-	Peers           bool          // agents may tell one another things
-	ColdFrom        float64       // a starting server has at least this share of its capacity
+	Gates           bool          // servers are behind gates: proxies that refuse excess requests before they arrive
+	SecondCopies    bool          // hedging: a request may have two attempts in flight
+	Peers           bool          // agents may send each other messages
+	ColdFrom        float64       // a server that has just started has at least this share of its capacity
 	WarmAfter       time.Duration // and all of it after this time at most
-	OverloadFactor  float64       // sent more than this multiple of it for long, a cold server falls over
-	ExtraWindow     time.Duration // retry budget: in any such span, 0 for none stated,
-	ExtraFloor      float64       // attempts beyond each request's first number at most this
-	ExtraRatio      float64       // and this for each request taken in it
+	OverloadFactor  float64       // a cold server fails under a lasting load of more than this multiple of its capacity
+	ExtraWindow     time.Duration // retry budget: in any window of this length (0 for the default budget),
+	ExtraFloor      float64       // retries are at most this many
+	ExtraRatio      float64       // and this many for each request received in it
 }
 
-// ServerState is what the list says of a server.
+// ServerState is the state of a server in the server list.
 type ServerState uint8
 
 const (
@@ -99,71 +98,69 @@
 	Draining
 )
 
-// ServerEntry is one line of the server list.
+// ServerEntry is one entry of the server list.
 type ServerEntry struct {
 	ID     ServerID
 	Zone   int
-	Kind   int
-	Cell   int
+	Kind   int // of machine
+	Cell   int // see ScopeCell
 	State  ServerState
-	Weight float64       // relative size; not above 0 means unknown
-	Start  time.Duration // when its process started; 0 means long ago
-	Key    uint32        // names it to other agents: the same at each
+	Weight float64       // relative size; 0 or less for unknown
+	Start  time.Duration // when its process started; 0 for long ago
+	Key    uint32        // identifies the server in messages to other agents: the same at each of them
 }
 
-// Load is a server's report of its own load. A negative or NaN field is absent; so is all of it unless Known.
+// Load is a server's report of its own load. A negative or NaN field is absent; without Known all of them are.
 type Load struct {
 	Known       bool
-	InFlight    float64       // requests it holds
+	InFlight    float64       // requests waiting or being processed
 	Queue       float64       // requests waiting
-	ServiceTime time.Duration // its recent service time, without waiting
-	Rate        float64       // requests served a second
-	ErrorRate   float64       // errors a second
+	ServiceTime time.Duration // recent service time, without waiting
+	Rate        float64       // requests served per second
+	ErrorRate   float64       // errors per second
 }
 
-// Outcome is how an attempt or probe ended.
+// Outcome is how an attempt or probe ended. Full, ConnectFailed and NotSent prove that the attempt never ran.
 type Outcome uint8
 
-// The outcomes. Full, ConnectFailed and Moot prove that the attempt never ran.
 const (
-	OK Outcome = iota
-	Error
-	Full
+	OK    Outcome = iota
+	Error         // answered with an error
+	Full          // rejected for lack of capacity
 	Timeout
 	ConnectFailed
-	Reset
+	Reset // the connection broke
 	Cancelled
-	NotSent
+	NotSent // could not be sent any more
 )
 
-// ListMode says how a list event applies.
+// ListMode says how a server list event applies.
 type ListMode uint8
 
 const (
 	ListDelta  ListMode = iota // changed entries only
 	ListFull                   // the whole list: servers not in it are gone
-	ListCached                 // the whole list as last known, perhaps stale
-	ListFailed                 // a call for the list failed; the old list remains
+	ListCached                 // the whole list as last known, possibly stale
+	ListFailed                 // the list could not be fetched; the old list remains
 )
 
-// EventKind tells which fields of an Event count.
+// EventKind is the kind of an Event. The brackets list the fields of the Event that it uses.
 type EventKind uint8
 
-// The events. In brackets: the fields that count.
 const (
-	EventList          EventKind = iota // the server list [ListMode, Servers]
-	EventRequest                        // a request, owed one answer [Request, Class, Tenant, Left, Retry, Coming]
-	EventStreamStarted                  // a streamed answer has started [Request, Attempt, Server]
-	EventOutcome                        // an attempt ended [Attempt, Outcome, Arrived, After, Late, Closed, Load]
-	EventClientGone                     // the client has gone [Request]: nothing more is owed
-	EventTimer                          // an ActTimer fell due [Token, Late]
-	EventProbeResult                    // a probe ended [Server, Outcome, Late, Load]
-	EventPeerLoad                       // what other agents have out at a server, and may have [Server, Others, Limit]
-	EventPeerMessage                    // a message of another agent [Data], for package peers
-	EventBodyReceived                   // the last byte of a request that was Coming has [Request, Left]
+	EventList          EventKind = iota // server list [ListMode, Servers]
+	EventRequest                        // request to answer once [Request, Class, Tenant, TimeLeft, Retry, BodyPending]
+	EventStreamStarted                  // streamed answer has started [Request, Attempt, Server]
+	EventOutcome                        // result [Attempt, Outcome, ReachedServer, RetryAfter, AgentDelay, Final, Load]
+	EventClientGone                     // client has disconnected [Request]: no answer is owed any more
+	EventTimer                          // timer has expired [Token, AgentDelay]
+	EventProbeResult                    // probe ended [Server, Outcome, AgentDelay, Load]
+	EventPeerLoad                       // load of the other agents at a server [Server, PeerInFlight, PeerLimit]
+	EventPeerMessage                    // message of another agent, for package peers [Data]
+	EventBodyReceived                   // last byte of a request with BodyPending has arrived [Request, TimeLeft]
 )
 
-// Event is one thing that happened to the agent. The Balancer keeps no slice of it after Handle returns.
+// Event is something that happened to the agent. The Balancer keeps no slice of it after Handle returns.
 type Event struct {
 	Kind          EventKind
 	Request       RequestID
@@ -171,48 +168,47 @@
 	Attempt       int
 	Class         int
 	Tenant        int
-	TimeLeft      time.Duration // until the client gives this try up
-	Retry         bool          // the client marks this as a repeat
-	BodyPending   bool          // its last byte is to come, within Left; none begins it before
+	TimeLeft      time.Duration // until the client gives up this try
+	Retry         bool          // the client marks this try as a retry
+	BodyPending   bool          // the last byte is yet to come, within TimeLeft; no server starts it before
 	Outcome       Outcome
-	ReachedServer bool          // behind a gate: it was the server itself that did not run it
-	RetryAfter    time.Duration // Full, behind gates: when the server has room again
-	AgentDelay    time.Duration // what the agent itself may have been late with: of the time since it sent, or was due
-	Final         bool          // the request has its final answer, by this outcome or before
+	ReachedServer bool          // with Gates: the server itself, not its gate, did not run the attempt
+	RetryAfter    time.Duration // with Gates, for Full: when there is capacity again
+	AgentDelay    time.Duration // delay in the agent itself, part of the time since the send or the timer's expiry
+	Final         bool          // the request has its final answer, from this attempt or an earlier one
 	Load          Load
 	Token         uint64
 	ListMode      ListMode
 	Servers       []ServerEntry
-	PeerInFlight  float64
-	PeerLimit     float64
+	PeerInFlight  float64 // attempts of other agents in flight at the server
+	PeerLimit     float64 // their mean concurrency limit for it
 	Data          []byte
 }
 
-// ActionKind tells which fields of an Action count.
+// ActionKind is the kind of an Action. The brackets list the fields of the Action that it uses.
 type ActionKind uint8
 
-// The actions. In brackets: the fields that count.
 const (
-	ActSend      ActionKind = iota // start the request's next attempt, from 0 [Request, Server, Wait: time-out, Within]
-	ActRefuse                      // final answer: trying again is harmless [Request, Wait: advice, 0 for none]
-	ActFail                        // final answer: nothing is promised [Request]
+	ActSend      ActionKind = iota // start the next attempt, from 0 [Request, Server, Wait: timeout, DeliverWithin]
+	ActRefuse                      // final answer: a retry is harmless [Request, Wait: when to retry, 0 for no advice]
+	ActFail                        // final answer: the request may have run [Request]
 	ActCancel                      // stop waiting for an attempt [Request, Attempt]
 	ActTimer                       // deliver EventTimer [Wait, Token]
 	ActProbe                       // ask a server for its load [Server]
-	ActSubscribe                   // ask for the list and all later changes
-	ActLog                         // a line for the operators [Text]
-	ActBroadcast                   // tell all other agents, of package peers [Data]
+	ActSubscribe                   // subscribe to the server list and its changes
+	ActLog                         // write a log line [Text]
+	ActBroadcast                   // send a message to all other agents, for package peers [Data]
 )
 
-// Action is one thing that the caller must do, at once and in the order returned.
+// Action is something that the caller must do, at once and in the order returned.
 type Action struct {
 	Kind          ActionKind
 	Request       RequestID
 	Server        ServerID
 	Attempt       int
 	Wait          time.Duration
-	DeliverWithin time.Duration // the attempt must reach the server within this or not at all; 0 for no limit
+	DeliverWithin time.Duration // the attempt must reach the server within this time or not at all; 0 for no limit
 	Token         uint64
 	Text          string
-	Data          []byte // lives until the next Handle
+	Data          []byte // valid until the next Handle
 }
--- a/policy/view.go
+++ b/policy/view.go
@@ -2,45 +2,46 @@
 
 import "time"
 
-// ServerView is what a Balancer makes of a server, for people to read. Nothing is decided by it.
+// ServerView is what a Balancer knows of a server, for display. No decision depends on it.
 type ServerView struct {
 	ServerEntry
-	Speed            float64       // learnt, against other servers of this Balancer
-	WarmFraction     float64       // part of its capacity that it has by now, from 0 to 1
-	InFlight         int           // own attempts out
-	Overdue          int           // of these, those that have been silent for longer than usual
-	Outstanding      float64       // requests that it holds, as far as is known
-	ConcurrencyLimit float64       // requests that it serves at once, as far as is known
+	Speed            float64       // learned, relative to the Balancer's other servers
+	WarmFraction     float64       // share of its capacity that it has by now while it warms up, from 0 to 1
+	InFlight         int           // own attempts in flight
+	Overdue          int           // of these, attempts without an answer for longer than the silence timeout
+	Outstanding      float64       // estimated number of requests at the server
+	ConcurrencyLimit float64       // requests that it serves in parallel, estimated; without reports, limit on attempts
 	ReportAge        time.Duration // since its last report; negative if there is none
-	AvoidedFor       time.Duration // that it is still passed by for want of room
+	AvoidedFor       time.Duration // how long it is still avoided for lack of capacity
 	Ejected          []Ejection    // by class, where it is ejected now
 }
 
-// Ejection is one class that a server is ejected from.
+// Ejection is a class that a server is ejected from.
 type Ejection struct {
 	Class       int
-	Remaining   time.Duration // still
-	Consecutive int           // in a row
+	Remaining   time.Duration // time until it ends
+	Consecutive int           // ejections in a row
 }
 
-// View returns what the Balancer makes of each server at a time, in the order of its ring.
+// View returns what the Balancer knows of each server at a time, in the order of its ring.
 func (b *Balancer) View(now time.Duration) []ServerView {
 	b.now = max(now, b.now)
 	views := make([]ServerView, 0, len(b.ring))
 	for _, s := range b.ring {
 		v := ServerView{
-			ServerEntry: s.ServerEntry, Speed: b.speed(s), WarmFraction: b.warmth(s), InFlight: s.inFlight, Overdue: s.silent,
-			Outstanding: b.held(s), ConcurrencyLimit: b.width.Requests(), ReportAge: -1, AvoidedFor: max(0, s.full-b.now),
+			ServerEntry: s.ServerEntry, Speed: b.warmSpeed(s), WarmFraction: b.warmFraction(s),
+			InFlight: s.inFlight, Overdue: s.overdue, Outstanding: b.outstanding(s),
+			ConcurrencyLimit: b.parallelism.Slots(), ReportAge: -1, AvoidedFor: max(0, s.avoidUntil-b.now),
 		}
-		if b.set.Reports == ReportsOff {
-			v.ConcurrencyLimit = b.limit(s)
+		if b.cfg.Reports == ReportsOff {
+			v.ConcurrencyLimit = b.concurrencyLimit(s)
 		}
 		if s.load.Known {
-			v.ReportAge = b.now - s.loadAt
+			v.ReportAge = b.now - s.reportedAt
 		}
 		for c, h := range s.health {
-			if h.Out(b.now) {
-				v.Ejected = append(v.Ejected, Ejection{c, h.Until - b.now, h.Times})
+			if h.IsEjected(b.now) {
+				v.Ejected = append(v.Ejected, Ejection{c, h.EjectedUntil - b.now, h.Ejections})
 			}
 		}
 		views = append(views, v)
@@ -48,16 +49,17 @@
 	return views
 }
 
-// Shares calls a function for each server with what there is to tell other agents of it: the attempts of ours that are
-// out, and the limit that we have learnt.
-func (b *Balancer) EachServerLoad(f func(e *ServerEntry, out int, limit float64)) {
+// EachServerLoad calls f for each server with what other agents need to know of it: this agent's
+// attempts in flight and the limit that it has learned.
+func (b *Balancer) EachServerLoad(f func(e *ServerEntry, ownAttempts int, limit float64)) {
 	for _, s := range b.ring {
-		f(&s.ServerEntry, s.inFlight, s.room.Limit())
+		f(&s.ServerEntry, s.inFlight, s.concurrency.Current())
 	}
 }
 
-// Pressure is the share of the usual requests that the Balancer sheds at present, above 1 where more asks than that.
-func (b *Balancer) Pressure() float64 { return b.pressure.Shed() }
+// Pressure returns the share of ordinary requests that the Balancer currently sheds, which may be
+// above 1: tenants within their share and requests of high worth are shed less.
+func (b *Balancer) Pressure() float64 { return b.shedder.ShedRatio() }
 
 var outcomeNames = [...]string{
 	OK: "ok", Error: "error", Full: "rejected", Timeout: "timeout", ConnectFailed: "connect failed", Reset: "reset",
@@ -66,8 +68,8 @@
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Budget is how many attempts beyond each request's first were made in the window of the retry budget, and how many it allows
-// in it.
+// RetryBudget returns how many retries were sent in the window of the retry budget, and how many it
+// allows there.
 func (b *Balancer) RetryBudget(now time.Duration) (spent int, allowed float64) {
-	return b.budget.Spent(max(b.now, now), b.set.ExtraWindow, b.set.ExtraFloor, b.set.ExtraRatio)
+	return b.retryBudget.Usage(max(b.now, now), b.cfg.ExtraWindow, b.cfg.ExtraFloor, b.cfg.ExtraRatio)
 }
