--- a/policy/choose.go
+++ b/policy/choose.go
@@ -17,7 +17,7 @@
 	capacityFoundLoad = 0.4  // load signal of a request that found capacity: one that found none outweighs five
 )
 
-// outstanding estimates the requests at a server: own and other agents' attempts, or its last report, or the mean.
+// outstanding estimates the requests at a server: the agents' attempts or, if higher, its report, aging to the mean.
 func (b *Balancer) outstanding(s *server) float64 {
 	outstanding, own := b.parallelism.Mean(), float64(s.inFlight)+s.peerInFlight
 	if s.load.Known && s.load.InFlight >= 0 {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -9,7 +9,7 @@
 const (
 	avoidServiceTimes  = 3.0 // typical service times for which a server without capacity is avoided
 	silenceLatencies   = 3.0 // typical latencies until a silent attempt is overdue,
-	silenceTargetParts = 4   // but at least the target latency over this: quick answers come in bursts
+	silenceTargetParts = 4   // but at least the target latency divided by this: quick answers come in bursts
 )
 
 func (b *Balancer) onOutcome(ev *Event) {
@@ -62,7 +62,7 @@
 			s.concurrency.OnAnswer(latencyRatio, s.inFlight+1+int(s.peerInFlight), a.sent, b.now)
 			b.concurrency.Add(s.concurrency.Current(), ewma.FleetGain)
 		} else if !s.reportsQueue() {
-			b.shedder.Update(latencyRatio, confidence) // not with reported queues: one slow request is no overload
+			b.shedder.Update(latencyRatio, confidence) // reported queues tell more: one slow request is no overload
 		}
 	case Timeout:
 		b.observeSlowdown(s, ewma.MaxSlowdown/2, ewma.ServerGain*confidence)
@@ -82,7 +82,7 @@
 		if b.failureWeight(c, s) < 1 {
 			if outcome == Reset {
 				b.addFailure(c, s, "connections")
-			} else { // its connections are used up; if ejected, others would get them
+			} else { // it accepts no more connections; ejecting it would leave more to the others
 				b.avoidServer(a)
 			}
 			return
@@ -126,7 +126,7 @@
 	case timerSilence:
 		index := int(token >> 32 & 0xff)
 		if r := b.requests[RequestID(token)]; r != nil && index < len(r.attempts) && r.attempts[index].pending {
-			if r.inFlightWeight == 0 || ev.AgentDelay > r.class.silenceTimeout()/4 { // answers are unread, or it is not sent
+			if r.inFlightWeight == 0 || ev.AgentDelay > r.class.silenceTimeout()/4 { // body not sent, or answers still unread
 				b.emit(Action{Kind: ActTimer, Token: token, Wait: r.class.silenceTimeout()})
 				return
 			}
