--- a/cmd/micaline-mesh/requests.go
+++ b/cmd/micaline-mesh/requests.go
@@ -160,7 +160,7 @@
 		fmt.Fprintf(c.out, "; come back in %s", span(r.AfterMs))
 	}
 	fmt.Fprintf(c.out, "\n  %s, from %s to %s", r.class(), orDash(r.Caller), orDash(r.Service))
-	if r.Side == transport.AtSender {
+	if r.Side == transport.SideSender {
 		fmt.Fprintf(c.out, ", route %s %d of configuration %d, %d candidates, %d attempts", orDash(r.Route), r.Version, r.Index, r.Open, r.Started)
 	}
 	fmt.Fprintln(c.out)
@@ -185,7 +185,7 @@
 	if c.number < 1 || c.number > mostWays {
 		return misused("--number: %d is not in 1 to %d", c.number, mostWays)
 	}
-	if known := append(slices.Clone(transport.Reasons()), meshmetrics.Results...); c.reason != "" && !slices.Contains(known, c.reason) {
+	if known := append(slices.Clone(transport.ReasonNames()), meshmetrics.Results...); c.reason != "" && !slices.Contains(known, c.reason) {
 		return misused("--reason: %q is none of %s", c.reason, strings.Join(known, " "))
 	}
 	rows, silent, err := c.traces(transport.TraceQuery{Reason: c.reason, Most: c.number})
--- a/cmd/micaline-mesh/servers.go
+++ b/cmd/micaline-mesh/servers.go
@@ -22,7 +22,7 @@
 }
 
 // serverOf is the backend of a station, nil if it has none.
-func serverOf(h *transport.Heard) *server {
+func serverOf(h *transport.StationStatus) *server {
 	b := h.Station.Backend
 	if b == nil {
 		return nil
--- a/internal/mesh/controlplane/core.go
+++ b/internal/mesh/controlplane/core.go
@@ -149,7 +149,7 @@
 	if c.duty != nil {
 		go c.duty.run(owner)
 	}
-	go (&transport.Server{Uses: c.uses()}).Serve(inner)
+	go (&transport.Server{Handlers: c.uses()}).Serve(inner)
 	l, err := net.Listen("tcp4", c.set.Control)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
@@ -235,8 +235,8 @@
 func (c *Core) settling() bool { return c.now() < c.settled }
 
 func (c *Core) tick() {
-	if c.registry.Step(c.now()) {
-		c.revisions.Removed(func(agent string) bool { return c.registry.Station(agent) != nil })
+	if c.registry.Expire(c.now()) {
+		c.revisions.RecordRemoval(func(agent string) bool { return c.registry.Station(agent) != nil })
 	}
 	c.correctClock()
 	if c.duty != nil {
@@ -256,9 +256,9 @@
 // uses are what agents and other core machines connect for.
 func (c *Core) uses() map[string]func(transport.Hello, *transport.Conn) {
 	return map[string]func(transport.Hello, *transport.Conn){
-		transport.Peer:    func(_ transport.Hello, k *transport.Conn) { c.receivePeer(k) },
-		transport.FeedUse: func(h transport.Hello, k *transport.Conn) { c.serveFeed(h.From, k) },
-		transport.Stats:   func(_ transport.Hello, k *transport.Conn) { c.stats.Serve(k, c.figures) },
+		transport.UsePeer:  func(_ transport.Hello, k *transport.Conn) { c.receivePeer(k) },
+		transport.UseFeed:  func(h transport.Hello, k *transport.Conn) { c.serveFeed(h.From, k) },
+		transport.UseStats: func(_ transport.Hello, k *transport.Conn) { c.stats.Serve(k, c.figures) },
 	}
 }
 
--- a/internal/mesh/controlplane/feed.go
+++ b/internal/mesh/controlplane/feed.go
@@ -35,13 +35,13 @@
 	offset atomic.Int64 // of the agent's own time from this process's, ns
 	timed  atomic.Bool  // it has told its time
 
-	work *transport.Work // as told last; nil: not told; the owner's
+	work *transport.Workload // as told last; nil: not told; the owner's
 }
 
 // waiting is a backend's call that is to be told to the agent beside it.
 type waiting struct {
 	number uint64
-	beat   transport.Beat
+	beat   transport.RelayedHeartbeat
 }
 
 func newFeed(agent string, conn *transport.Conn) *feed {
@@ -83,18 +83,18 @@
 }
 
 // greet sends the first word of a feed, and returns the agent's, which answers it.
-func (c *Core) greet(conn *transport.Conn) (*transport.Up, error) {
+func (c *Core) greet(conn *transport.Conn) (*transport.AgentUpdate, error) {
 	conn.SetWriteDeadline(time.Now().Add(feedTimeout))
-	if err := conn.Send(&transport.Down{Core: c.life}, nil); err != nil {
+	if err := conn.Send(&transport.CoreUpdate{Core: c.life}, nil); err != nil {
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Now().Add(feedTimeout))
-	first := new(transport.Up)
+	first := new(transport.AgentUpdate)
 	return first, conn.Receive(first)
 }
 
 // open makes a feed the agent's feed, in place of the one before.
-func (c *Core) open(f *feed, heard transport.Resume) bool {
+func (c *Core) open(f *feed, heard transport.ResumePoint) bool {
 	opened := make(chan bool, 1)
 	c.do(func() {
 		old := c.feeds[f.agent]
@@ -114,11 +114,11 @@
 }
 
 // resume has an agent told what has changed since it last heard this process, if that is known.
-func (c *Core) resume(f *feed, heard transport.Resume) {
+func (c *Core) resume(f *feed, heard transport.ResumePoint) {
 	if heard.Core != c.life {
 		return
 	}
-	changed, ok := c.revisions.Since(heard.Revision)
+	changed, ok := c.revisions.ChangedSince(heard.Revision)
 	if !ok {
 		return
 	}
@@ -129,7 +129,7 @@
 }
 
 // receive takes in what an agent says until its connection breaks or it is silent for too long.
-func (c *Core) receive(f *feed, up *transport.Up) {
+func (c *Core) receive(f *feed, up *transport.AgentUpdate) {
 	for {
 		if up.Clock != 0 {
 			f.offset.Store(int64(time.Duration(up.Clock) - c.clock.Own()))
@@ -139,7 +139,7 @@
 			c.do(func() { c.heard(f, said) })
 		}
 		f.conn.SetReadDeadline(time.Now().Add(feedTimeout))
-		if up = new(transport.Up); f.conn.Receive(up) != nil {
+		if up = new(transport.AgentUpdate); f.conn.Receive(up) != nil {
 			return
 		}
 	}
@@ -161,8 +161,8 @@
 
 // lose takes in that an agent is not heard any more.
 func (c *Core) lose(agent string, life uint64) {
-	if c.registry.Lost("feeds", agent, life) {
-		c.revisions.Lost(agent)
+	if c.registry.MarkLost("feeds", agent, life) {
+		c.revisions.RecordLost(agent)
 		c.count.lost.Add(1)
 		c.log.WithField("agent", agent).Info("agent lost")
 		c.announce(agent)
@@ -170,7 +170,7 @@
 }
 
 // heard takes in what an agent says.
-func (c *Core) heard(f *feed, up *transport.Up) {
+func (c *Core) heard(f *feed, up *transport.AgentUpdate) {
 	if c.feeds[f.agent] != f {
 		return
 	}
@@ -212,18 +212,18 @@
 
 // hear takes in an agent's word of itself.
 func (c *Core) hear(s transport.Station) {
-	before, known := c.registry.Of(c.now(), s.Agent)
+	before, known := c.registry.Status(c.now(), s.Agent)
 	if known {
 		c.former.note(&before.Station, &s)
 	}
-	if !c.registry.Hear(c.now(), "feeds", false, []transport.Heard{{Station: s}}) {
+	if !c.registry.Merge(c.now(), "feeds", false, []transport.StationStatus{{Station: s}}) {
 		return
 	}
 	if known && before.Lost {
-		c.revisions.Back(s.Agent)
+		c.revisions.RecordRecovered(s.Agent)
 	}
 	if !known || s.Newer(&before.Station) {
-		c.revisions.Said(s.Agent)
+		c.revisions.RecordUpdate(s.Agent)
 	}
 	c.announce(s.Agent)
 }
@@ -269,7 +269,7 @@
 }
 
 // pass hands a backend's call to the agent beside it, and returns the agent's answer.
-func (c *Core) pass(ctx context.Context, agent string, b transport.Beat) int {
+func (c *Core) pass(ctx context.Context, agent string, b transport.RelayedHeartbeat) int {
 	reply := make(chan int, 1)
 	c.do(func() {
 		f := c.feeds[agent]
--- a/internal/mesh/controlplane/feed_send.go
+++ b/internal/mesh/controlplane/feed_send.go
@@ -19,7 +19,7 @@
 	defer beat.Stop()
 	for {
 		type message struct {
-			down transport.Down
+			down transport.CoreUpdate
 			raw  []byte
 		}
 		next := make(chan message, 1)
@@ -29,7 +29,7 @@
 		})
 		m := <-next
 		f.conn.SetWriteDeadline(time.Now().Add(feedTimeout))
-		if f.conn.Send(&m.down, nil) != nil || f.conn.SendLong(m.raw, feedTimeout) != nil {
+		if f.conn.Send(&m.down, nil) != nil || f.conn.SendChunked(m.raw, feedTimeout) != nil {
 			f.conn.Close()
 			return
 		}
@@ -53,7 +53,7 @@
 
 // next is what an agent is told next. Danger: a proof covers the configuration whose index goes out with it, so it is taken with it;
 // and who is ready is asked for all services, so it waits until all stations are told.
-func (c *Core) next(f *feed) (d transport.Down, raw []byte) {
+func (c *Core) next(f *feed) (d transport.CoreUpdate, raw []byte) {
 	s := c.table.now.Load()
 	if c.duty != nil {
 		d.Clock, d.Settled = int64(c.clock.Now()), c.table.dutiesNow.Load().Usage.Through
@@ -77,7 +77,7 @@
 		d.Cores, f.cores = c.cores, c.cores
 	}
 	if told {
-		if now := c.revisions.Now(); f.revision != now {
+		if now := c.revisions.Current(); f.revision != now {
 			d.Revision, f.revision = now, now
 		}
 		if f.known { // a proof without an index would prove any configuration
@@ -113,7 +113,7 @@
 
 // nextStations fills in stations that the agent has not been told of. It reports whether there are
 // no more.
-func (c *Core) nextStations(f *feed, d *transport.Down) bool {
+func (c *Core) nextStations(f *feed, d *transport.CoreUpdate) bool {
 	if f.whole {
 		d.Whole, f.whole = true, false
 		clear(f.dirty)
@@ -126,7 +126,7 @@
 			f.wake()
 			return false
 		}
-		if h, ok := c.registry.Of(c.now(), agent); ok {
+		if h, ok := c.registry.Status(c.now(), agent); ok {
 			d.Stations = append(d.Stations, h)
 		}
 		delete(f.dirty, agent)
--- a/internal/mesh/controlplane/feed_test.go
+++ b/internal/mesh/controlplane/feed_test.go
@@ -45,7 +45,7 @@
 	ip   string
 	conn *transport.Conn
 	core uint64 // process that greeted it
-	got  chan transport.Down
+	got  chan transport.CoreUpdate
 }
 
 // dial opens a feed up to the greeting.
@@ -56,9 +56,9 @@
 		defer k.Close()
 		c.serveFeed(ip+":8620", k)
 	}()
-	a := &agent{t: t, ip: ip, conn: transport.NewConn(near), got: make(chan transport.Down, 64)}
+	a := &agent{t: t, ip: ip, conn: transport.NewConn(near), got: make(chan transport.CoreUpdate, 64)}
 	a.conn.SetDeadline(time.Now().Add(time.Minute))
-	var greeting transport.Down
+	var greeting transport.CoreUpdate
 	require.NoError(t, a.conn.Receive(&greeting))
 	require.Empty(t, greeting.Stations)
 	require.False(t, greeting.Whole)
@@ -66,7 +66,7 @@
 	go func() {
 		defer close(a.got)
 		for {
-			var d transport.Down
+			var d transport.CoreUpdate
 			if a.conn.Receive(&d) != nil {
 				return
 			}
@@ -77,23 +77,23 @@
 }
 
 // answer says the first word, and beats until the test is over or the feed has ended.
-func (a *agent) answer(resume transport.Resume) {
+func (a *agent) answer(resume transport.ResumePoint) {
 	s := &transport.Station{Agent: a.ip, Life: 1, Seq: 1, Open: true}
-	require.NoError(a.t, a.conn.Send(&transport.Up{Station: s, Resume: resume}, nil))
+	require.NoError(a.t, a.conn.Send(&transport.AgentUpdate{Station: s, Resume: resume}, nil))
 	go func() {
-		for a.conn.Send(&transport.Up{}, nil) == nil {
+		for a.conn.Send(&transport.AgentUpdate{}, nil) == nil {
 			time.Sleep(heartbeat)
 		}
 	}()
 }
 
 // hear collects until all has been told up to a revision.
-func (a *agent) hear() (stations int, whole bool, resume transport.Resume) {
+func (a *agent) hear() (stations int, whole bool, resume transport.ResumePoint) {
 	for d := range a.got {
 		stations += len(d.Stations)
 		whole = whole || d.Whole
 		if d.Revision != 0 {
-			return stations, whole, transport.Resume{Core: a.core, Revision: d.Revision}
+			return stations, whole, transport.ResumePoint{Core: a.core, Revision: d.Revision}
 		}
 	}
 	a.t.Error("the feed has ended")
@@ -105,7 +105,7 @@
 func TestDeadConnectionsCostNothing(t *testing.T) {
 	withCore(t, func(c *Core) {
 		live := dial(t, c, "10.0.0.1")
-		live.answer(transport.Resume{})
+		live.answer(transport.ResumePoint{})
 		live.hear()
 		before := owned(c, func() *feed { return c.feeds["10.0.0.1"] })
 		for range 20 {
@@ -128,7 +128,7 @@
 		var others []*agent
 		for i := range 100 {
 			a := dial(t, c, fmt.Sprintf("10.0.1.%d", i))
-			a.answer(transport.Resume{})
+			a.answer(transport.ResumePoint{})
 			others = append(others, a)
 			go func() {
 				for range a.got {
@@ -137,7 +137,7 @@
 		}
 		time.Sleep(time.Second)
 		a := dial(t, c, "10.0.0.1")
-		a.answer(transport.Resume{})
+		a.answer(transport.ResumePoint{})
 		stations, whole, resume := a.hear()
 		require.True(t, whole)
 		require.GreaterOrEqual(t, stations, 100)
@@ -159,7 +159,7 @@
 		require.LessOrEqual(t, stations, 2, "the one that is lost, and its own")
 
 		stranger := dial(t, c, "10.0.0.2")
-		stranger.answer(transport.Resume{Core: resume.Core + 1, Revision: resume.Revision})
+		stranger.answer(transport.ResumePoint{Core: resume.Core + 1, Revision: resume.Revision})
 		_, whole, _ = stranger.hear()
 		require.True(t, whole, "what another process told says nothing here")
 		for _, a := range append(others, back, stranger) {
@@ -173,20 +173,20 @@
 func TestStallTakesNobodyOut(t *testing.T) {
 	withCore(t, func(c *Core) {
 		a, gone := dial(t, c, "10.0.0.1"), dial(t, c, "10.0.0.2")
-		a.answer(transport.Resume{})
-		gone.answer(transport.Resume{})
+		a.answer(transport.ResumePoint{})
+		gone.answer(transport.ResumePoint{})
 		time.Sleep(time.Second)
 		c.do(func() { time.Sleep(20 * time.Second) }) // the owner stands still; feeds run into their timeouts
 		time.Sleep(21 * time.Second)
 		lost := func(ip string) bool {
-			return owned(c, func() bool { h, _ := c.registry.Of(c.now(), ip); return h.Lost })
+			return owned(c, func() bool { h, _ := c.registry.Status(c.now(), ip); return h.Lost })
 		}
 		a.conn.Close()
 		gone.conn.Close()
 		synctest.Wait()
 		require.False(t, lost("10.0.0.1"), "nobody had time to come back")
 		back := dial(t, c, "10.0.0.1")
-		back.answer(transport.Resume{})
+		back.answer(transport.ResumePoint{})
 		time.Sleep(settleFor + 2*time.Second)
 		require.False(t, lost("10.0.0.1"))
 		require.True(t, lost("10.0.0.2"), "who does not come back is lost")
@@ -241,8 +241,8 @@
 			synctest.Wait()
 			owned(c, func() bool {
 				require.Len(t, f.beats, 1)
-				require.Equal(t, transport.Beat{ID: id, Leave: true}, f.beats[0].beat)
-				c.heard(f, &transport.Up{Handed: f.beats[0].number, Status: http.StatusOK})
+				require.Equal(t, transport.RelayedHeartbeat{ID: id, Leave: true}, f.beats[0].beat)
+				c.heard(f, &transport.AgentUpdate{Handed: f.beats[0].number, Status: http.StatusOK})
 				f.beats = nil
 				return true
 			})
@@ -286,7 +286,7 @@
 func TestManyChangesAreToldTogether(t *testing.T) {
 	withCore(t, func(c *Core) {
 		a := dial(t, c, "10.0.0.1")
-		a.answer(transport.Resume{})
+		a.answer(transport.ResumePoint{})
 		a.hear()
 		time.Sleep(time.Second)
 		const changes = 100
--- a/internal/mesh/controlplane/peers_test.go
+++ b/internal/mesh/controlplane/peers_test.go
@@ -23,14 +23,14 @@
 		l, err := net.Listen("tcp4", fmt.Sprintf("127.77.0.%d:0", i+1))
 		require.NoError(t, err)
 		t.Cleanup(func() { l.Close() })
-		uses := map[string]func(transport.Hello, *transport.Conn){transport.Peer: func(_ transport.Hello, c *transport.Conn) {
+		uses := map[string]func(transport.Hello, *transport.Conn){transport.UsePeer: func(_ transport.Hello, c *transport.Conn) {
 			var m consensus.Message
 			for c.Receive(&m) == nil {
 				heard <- m.To
 			}
 			ended <- m.To
 		}}
-		go (&transport.Server{Uses: uses}).Serve(l)
+		go (&transport.Server{Handlers: uses}).Serve(l)
 		return l.Addr().String()
 	}
 	p := newPeers(set)
--- a/internal/mesh/controlplane/servers.go
+++ b/internal/mesh/controlplane/servers.go
@@ -42,7 +42,7 @@
 		problem(w, http.StatusBadRequest, "address: not host:port")
 		return
 	}
-	h.handOver(w, r, host, transport.Beat{ID: r.PathValue("id"), Body: text})
+	h.handOver(w, r, host, transport.RelayedHeartbeat{ID: r.PathValue("id"), Body: text})
 }
 
 func (h *servers) delete(w http.ResponseWriter, r *http.Request) {
@@ -52,11 +52,11 @@
 		problem(w, http.StatusServiceUnavailable, "no agent has told of this backend here")
 		return
 	}
-	h.handOver(w, r, agent, transport.Beat{ID: id, Leave: true})
+	h.handOver(w, r, agent, transport.RelayedHeartbeat{ID: id, Leave: true})
 }
 
 // handOver has the agent beside a backend take in its call.
-func (h *servers) handOver(w http.ResponseWriter, r *http.Request, agent string, b transport.Beat) {
+func (h *servers) handOver(w http.ResponseWriter, r *http.Request, agent string, b transport.RelayedHeartbeat) {
 	ctx, cancel := context.WithTimeout(r.Context(), answerIn)
 	defer cancel()
 	if status := h.c.pass(ctx, agent, b); status != http.StatusOK {
--- a/internal/mesh/controlplane/stats.go
+++ b/internal/mesh/controlplane/stats.go
@@ -47,12 +47,12 @@
 
 // figures answers a question for the core machine's figures; nil if the owner does not get to it in
 // time.
-func (c *Core) figures(q transport.Question) *transport.Figures {
-	return transport.CountedBy(c.commands, 2*answerIn, func() *transport.Figures { return c.counted(q) })
+func (c *Core) figures(q transport.StatsQuery) *transport.StatsReport {
+	return transport.CollectStats(c.commands, 2*answerIn, func() *transport.StatsReport { return c.counted(q) })
 }
 
 // counted is the owner's.
-func (c *Core) counted(q transport.Question) *transport.Figures {
+func (c *Core) counted(q transport.StatsQuery) *transport.StatsReport {
 	status, state := c.node.Status(), c.table.now.Load()
 	var f meshmetrics.Set
 	f.Process(c.began, c.set.MemoryMB)
@@ -99,7 +99,7 @@
 	for zone := range c.set.Zones {
 		f.Flag("micaline_mesh_core_zone_evacuated", slices.Contains(evacuated, zone), zone)
 	}
-	answer := &transport.Figures{Samples: f.Samples}
+	answer := &transport.StatsReport{Samples: f.Samples}
 	if q.State {
 		answer.Core = &transport.CoreState{Node: c.set.NodeName, Zone: c.set.Zone, Self: c.set.Control, Role: status.Role,
 			Leader: status.Leader, Term: status.Term, Commit: status.Commit, Applied: status.Applied, LeaderChanges: status.LeaderChanges,
--- a/internal/mesh/controlplane/table.go
+++ b/internal/mesh/controlplane/table.go
@@ -20,7 +20,7 @@
 type state struct {
 	index  uint64
 	config *meshconfig.Config
-	steps  []transport.Step // that led here, one after the other, the last few
+	steps  []transport.ConfigStep // that led here, one after the other, the last few
 
 	once sync.Once
 	text []byte
@@ -56,7 +56,7 @@
 }
 
 // since returns the steps from an index that an agent has to this state; none if they are not kept.
-func (s *state) since(have uint64) []transport.Step {
+func (s *state) since(have uint64) []transport.ConfigStep {
 	for i := range s.steps {
 		if s.steps[i].Before == have {
 			return s.steps[i:]
@@ -66,7 +66,7 @@
 }
 
 // pushed returns the steps that an agent is sent unasked; none if they are too large for that.
-func (s *state) pushed(have uint64) []transport.Step {
+func (s *state) pushed(have uint64) []transport.ConfigStep {
 	steps := s.since(have)
 	if sizeOf(steps) > pushedBytes {
 		return nil
@@ -103,7 +103,7 @@
 	return s.compressed
 }
 
-func sizeOf(steps []transport.Step) (size int) {
+func sizeOf(steps []transport.ConfigStep) (size int) {
 	for i := range steps {
 		size += len(steps[i].Order.Body)
 	}
@@ -114,7 +114,7 @@
 func (s *state) after(index uint64, next *meshconfig.Config, o *meshconfig.Order) *state {
 	// The array is shared with the states before, which see no more of it than they have: each state
 	// is followed by one other.
-	steps := append(s.steps, transport.Step{Before: s.index, Index: index, Order: *o})
+	steps := append(s.steps, transport.ConfigStep{Before: s.index, Index: index, Order: *o})
 	size, most := 0, min(max(next.Size(), pushedBytes), mostStepBytes)
 	for i := len(steps) - 1; i >= 0; i-- {
 		if size += len(steps[i].Order.Body); size > most || len(steps)-i > mostSteps {
--- a/internal/mesh/controlplane/window_left.go
+++ b/internal/mesh/controlplane/window_left.go
@@ -59,7 +59,7 @@
 
 // workLeft tells what an agent of a window has in hand; empty: nothing. Danger: that it had nothing before
 // its gate was closed says nothing of now.
-func workLeft(phase maintenance.Phase, work *transport.Work) string {
+func workLeft(phase maintenance.Phase, work *transport.Workload) string {
 	switch {
 	case work == nil:
 		return "has not told what it has in hand"
--- a/internal/mesh/controlplane/window_table_test.go
+++ b/internal/mesh/controlplane/window_table_test.go
@@ -46,11 +46,11 @@
 
 // An agent's word that it has nothing in hand counts once its gate is closed, and no earlier one does.
 func TestClearRestsOnClosedGates(t *testing.T) {
-	idle := func(stage meshconfig.Stage) *transport.Work { return &transport.Work{Stage: stage} }
+	idle := func(stage meshconfig.Stage) *transport.Workload { return &transport.Workload{Stage: stage} }
 	require.Empty(t, workLeft(maintenance.Closed, idle(meshconfig.StageClosed)))
 	require.NotEmpty(t, workLeft(maintenance.Closed, idle(meshconfig.StageCalls)))
 	require.NotEmpty(t, workLeft(maintenance.Closed, nil))
-	require.NotEmpty(t, workLeft(maintenance.Closed, &transport.Work{Stage: meshconfig.StageClosed, Sender: 1}))
+	require.NotEmpty(t, workLeft(maintenance.Closed, &transport.Workload{Stage: meshconfig.StageClosed, Sender: 1}))
 	require.Empty(t, workLeft(maintenance.Moving, idle(meshconfig.StageOpen)))
 }
 
--- a/internal/mesh/exporter/exporter.go
+++ b/internal/mesh/exporter/exporter.go
@@ -135,7 +135,7 @@
 
 // process takes in the figures of one process. Danger: they come from another process, perhaps of
 // another version.
-func (p *page) process(f *transport.Figures, machine, zone, process string) {
+func (p *page) process(f *transport.StatsReport, machine, zone, process string) {
 	p.seen, p.counts = map[string]bool{}, map[string]int{}
 	common := []string{"machine", machine, "process", process, "zone", zone}
 	for i := range f.Samples {
--- a/internal/mesh/exporter/exporter_test.go
+++ b/internal/mesh/exporter/exporter_test.go
@@ -17,14 +17,14 @@
 )
 
 // standIn serves figures on a link address of its own.
-func standIn(t *testing.T, answer func() *transport.Figures) (link string) {
+func standIn(t *testing.T, answer func() *transport.StatsReport) (link string) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
 	var stats transport.StatsServer
-	server := &transport.Server{Uses: map[string]func(transport.Hello, *transport.Conn){
-		transport.Stats: func(_ transport.Hello, c *transport.Conn) {
-			stats.Serve(c, func(transport.Question) *transport.Figures { return answer() })
+	server := &transport.Server{Handlers: map[string]func(transport.Hello, *transport.Conn){
+		transport.UseStats: func(_ transport.Hello, c *transport.Conn) {
+			stats.Serve(c, func(transport.StatsQuery) *transport.StatsReport { return answer() })
 		},
 	}}
 	go server.Serve(l)
@@ -39,8 +39,8 @@
 // that hangs up, and one that gives figures that no process of this version has.
 func TestScrape(t *testing.T) {
 	agent := func(index uint64, samples ...transport.Sample) string {
-		return standIn(t, func() *transport.Figures {
-			return &transport.Figures{Samples: samples, Agent: &transport.AgentState{Index: index}}
+		return standIn(t, func() *transport.StatsReport {
+			return &transport.StatsReport{Samples: samples, Agent: &transport.AgentState{Index: index}}
 		})
 	}
 	var odd []transport.Sample
@@ -49,15 +49,15 @@
 	}
 	odd = append(odd, odd[0], gauge("micaline_mesh_new"), gauge("micaline_mesh_leaders"), gauge("micaline_mesh_budget_allowed", "svc", "s0"),
 		gauge("micaline_mesh_budget_allowed", "service", strings.Repeat("x", mostValue+1)))
-	stations := []transport.Heard{
+	stations := []transport.StationStatus{
 		{Station: transport.Station{Agent: "10.0.0.1", Zone: "a", Gate: agent(5, gauge("micaline_mesh_agent_ready"))}},
-		{Station: transport.Station{Agent: "10.0.0.2", Zone: "a", Gate: standIn(t, func() *transport.Figures { return nil })}},
+		{Station: transport.Station{Agent: "10.0.0.2", Zone: "a", Gate: standIn(t, func() *transport.StatsReport { return nil })}},
 		{Station: transport.Station{Agent: "10.0.0.3", Zone: "b\xff", Gate: agent(4, odd...)}},
 	}
 	var members []transport.Member
-	core := func(self, role string, stations []transport.Heard) string {
-		return standIn(t, func() *transport.Figures {
-			return &transport.Figures{Samples: []transport.Sample{gauge("micaline_mesh_uptime_seconds")}, Core: &transport.CoreState{
+	core := func(self, role string, stations []transport.StationStatus) string {
+		return standIn(t, func() *transport.StatsReport {
+			return &transport.StatsReport{Samples: []transport.Sample{gauge("micaline_mesh_uptime_seconds")}, Core: &transport.CoreState{
 				Self: self, Zone: "a", Role: role, Index: 5, Members: members, Stations: stations}}
 		})
 	}
--- a/internal/mesh/inbound/caller.go
+++ b/internal/mesh/inbound/caller.go
@@ -7,7 +7,7 @@
 type Caller struct {
 	// Look looks whether the caller has left, also where its close waits unread. It is asked after
 	// a wait.
-	Look func() bool
+	Disconnected func() bool
 
 	mu     sync.Mutex
 	left   bool
@@ -15,7 +15,7 @@
 }
 
 // Leave takes in that the caller has left.
-func (c *Caller) Leave() {
+func (c *Caller) MarkGone() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.left {
@@ -28,7 +28,7 @@
 }
 
 // HasLeft says whether the caller is known to have left.
-func (c *Caller) HasLeft() bool {
+func (c *Caller) IsGone() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.left
@@ -36,10 +36,10 @@
 
 // isGone looks whether the caller has left.
 func (c *Caller) isGone() bool {
-	if !c.HasLeft() && c.Look() {
-		c.Leave()
+	if !c.IsGone() && c.Disconnected() {
+		c.MarkGone()
 	}
-	return c.HasLeft()
+	return c.IsGone()
 }
 
 // whenLeft has a short function called once the caller leaves, at once if it has left, until the
--- a/internal/mesh/inbound/change.go
+++ b/internal/mesh/inbound/change.go
@@ -7,13 +7,13 @@
 
 // The causes.
 const (
-	BeatHere      Cause = iota // the backend's beat, at this machine
-	BeatByCore                 // its beat, passed on by a core machine
-	SignOffHere                // its word that it ends, at this machine
-	SignOffByCore              // that word, passed on by a core machine
-	Probed                     // its answer to a health probe
-	NotThere                   // its address refuses connections, or another life answers there
-	Silence                    // neither beats nor answers for long
+	LocalHeartbeat        Cause = iota // the backend's beat, at this machine
+	RelayedHeartbeat                   // its beat, passed on by a core machine
+	LocalDeregistration                // its word that it ends, at this machine
+	RelayedDeregistration              // that word, passed on by a core machine
+	ProbeAnswered                      // its answer to a health probe
+	NotAtAddress                       // its address refuses connections, or another life answers there
+	HeartbeatTimeout                   // neither beats nor answers for long
 	causes
 )
 
@@ -25,11 +25,11 @@
 const mostChanges = 16
 
 // Change is a change of what a gate knows of its backend.
-type Change struct {
-	Backend string // id of the life
-	State   string // one word of meshmetrics.Backends
-	Cause   Cause
-	Calls   uint64 // number of the call that brought it; 0: none did
+type BackendChange struct {
+	Backend         string // id of the life
+	State           string // one word of meshmetrics.Backends
+	Cause           Cause
+	HeartbeatNumber uint64 // number of the call that brought it; 0: none did
 }
 
 // noteChange returns a function that records whether the backend has changed from what it was.
@@ -38,7 +38,7 @@
 		if sameStanding(before, g.lives.serving) {
 			return
 		}
-		g.Changes[cause]++
+		g.BackendChanges[cause]++
 		if len(g.changes) == mostChanges {
 			return
 		}
@@ -46,7 +46,7 @@
 		if of == nil {
 			of = before
 		}
-		g.changes = append(g.changes, Change{Backend: of.ID, State: g.state(), Cause: cause, Calls: calls})
+		g.changes = append(g.changes, BackendChange{Backend: of.ID, State: g.state(), Cause: cause, HeartbeatNumber: calls})
 	}
 }
 
@@ -59,7 +59,7 @@
 }
 
 // takeChanges returns the changes since it was last called.
-func (g *Gate) takeChanges() []Change {
+func (g *Gate) takeChanges() []BackendChange {
 	taken := g.changes
 	g.changes = nil
 	return taken
--- a/internal/mesh/inbound/exchange.go
+++ b/internal/mesh/inbound/exchange.go
@@ -18,15 +18,15 @@
 
 // Headers that a backend and the mesh speak.
 const (
-	TryHeader    = "Try-Id"
-	LeftHeader   = "Time-Left"
-	TargetHeader = "Target-Server"
-	CallerHeader = "Calling-Service"
+	TryIDHeader          = "Try-Id"
+	TimeLeftHeader       = "Time-Left"
+	TargetServerHeader   = "Target-Server"
+	CallingServiceHeader = "Calling-Service"
 	// CustomerHeader names the tenant for whom a request runs.
 	CustomerHeader = "Customer"
 	SealHeader     = "Server-Seal"
 	NotRunHeader   = "Not-Run"
-	ServerHeader   = "Server-Id"
+	ServerIDHeader = "Server-Id"
 )
 
 const (
@@ -48,7 +48,7 @@
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true}
 
 // Passes says whether a header is passed on.
-func Passes(name string) bool { return !hop[name] }
+func IsEndToEndHeader(name string) bool { return !hop[name] }
 
 // encode writes the request as the backend gets it.
 func encode(b []byte, a *transport.Request, body []byte) []byte {
@@ -66,10 +66,10 @@
 	for i := 0; i+1 < len(a.Header); i += 2 {
 		line(a.Header[i], a.Header[i+1])
 	}
-	line(TryHeader, a.Try)
-	line(LeftHeader, strconv.FormatInt(max(1, a.Left.Milliseconds()), 10))
-	line(TargetHeader, a.Target)
-	line(CallerHeader, a.Caller)
+	line(TryIDHeader, a.Try)
+	line(TimeLeftHeader, strconv.FormatInt(max(1, a.Left.Milliseconds()), 10))
+	line(TargetServerHeader, a.Target)
+	line(CallingServiceHeader, a.Caller)
 	if a.Customer != "" {
 		line(CustomerHeader, a.Customer)
 	}
@@ -109,7 +109,7 @@
 			return broken(err)
 		}
 		if !r.due(resp) {
-			if id := resp.Header.Get(TryHeader); id == "" || strangers == mostStrangers {
+			if id := resp.Header.Get(TryIDHeader); id == "" || strangers == mostStrangers {
 				return spoilt("an answer to try %q", id)
 			}
 			strangers++
@@ -139,7 +139,7 @@
 // Danger: where another request has gone over the connection before, it may be a late one to that,
 // and would prove of this one what it does not know.
 func (r *reader) due(resp *http.Response) bool {
-	id := resp.Header.Get(TryHeader)
+	id := resp.Header.Get(TryIDHeader)
 	return id == r.ask.Try || id == "" && r.fresh && turnsAway(resp)
 }
 
@@ -168,7 +168,7 @@
 // passed lists the headers of an answer that go on to the client.
 func passed(h http.Header) (list []string) {
 	for name, values := range h {
-		if !Passes(name) {
+		if !IsEndToEndHeader(name) {
 			continue
 		}
 		for _, v := range values {
@@ -182,14 +182,14 @@
 func broken(err error) (*answer, *transport.Failure) {
 	reason := transport.Broken
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		reason = transport.Silent
+		reason = transport.ResponseTimeout
 	}
 	return nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: reason, Cause: err}
 }
 
 // spoilt is the failure of an answer that is not the whole one to the try.
 func spoilt(format string, args ...any) (*answer, *transport.Failure) {
-	return nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Spoilt, Cause: oops.Errorf(format, args...)}
+	return nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.InvalidResponse, Cause: oops.Errorf(format, args...)}
 }
 
 // meaning reads a whole answer: a failure if the backend did not run the request. Danger: only its own word proves that; a 503
@@ -200,7 +200,7 @@
 		switch a.header[i] {
 		case NotRunHeader:
 			notRun = true
-		case ServerHeader:
+		case ServerIDHeader:
 			id = a.header[i+1]
 		}
 	}
@@ -209,7 +209,7 @@
 	}
 	switch a.status {
 	case http.StatusMisdirectedRequest:
-		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Unknown, Cause: oops.Errorf("%s is here", id)}
+		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.UnknownBackend, Cause: oops.Errorf("%s is here", id)}
 	case http.StatusBadRequest:
 		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Broken}
 	}
@@ -249,9 +249,9 @@
 	f := &transport.Failure{Verdict: transport.NotRun, Reason: transport.Unreachable, Cause: err}
 	switch {
 	case refused(err):
-		f.Reason = transport.Unknown
+		f.Reason = transport.UnknownBackend
 	case connpool.IsShortage(err):
-		f.Reason = transport.Own
+		f.Reason = transport.LocalShortage
 	}
 	return nil, f
 }
--- a/internal/mesh/inbound/exchange_test.go
+++ b/internal/mesh/inbound/exchange_test.go
@@ -40,34 +40,34 @@
 		{"right", ok, 200, transport.Ran, 0, true, false},
 		{"another's first", other + ok, 200, transport.Ran, 0, false, false},
 		{"another's only", other, 0, transport.MayHaveRun, transport.Broken, false, false},
-		{"others' for ever", strings.Repeat(other, 9) + ok, 0, transport.MayHaveRun, transport.Spoilt, false, false},
-		{"no id", said("200 OK", "Server-Seal: s|Content-Length: 4", "body"), 0, transport.MayHaveRun, transport.Spoilt, false, false},
+		{"others' for ever", strings.Repeat(other, 9) + ok, 0, transport.MayHaveRun, transport.InvalidResponse, false, false},
+		{"no id", said("200 OK", "Server-Seal: s|Content-Length: 4", "body"), 0, transport.MayHaveRun, transport.InvalidResponse, false, false},
 		{"bytes behind", ok + "x", 200, transport.Ran, 0, false, false},
 		{"another's behind", ok + other, 200, transport.Ran, 0, false, false},
 		{"half", ok[:len(ok)-2], 0, transport.MayHaveRun, transport.Broken, false, false},
 		{"nothing", "", 0, transport.MayHaveRun, transport.Broken, false, false},
 		{"no answer", "\x00\x01 nonsense\r\n\r\n", 0, transport.MayHaveRun, transport.Broken, false, false},
-		{"no seal", said("200 OK", "Try-Id: t1|Content-Length: 4", "body"), 0, transport.MayHaveRun, transport.Spoilt, false, false},
-		{"encoded", said("200 OK", seal+"|Content-Encoding: gzip|Content-Length: 4", "body"), 0, transport.MayHaveRun, transport.Spoilt, false, false},
+		{"no seal", said("200 OK", "Try-Id: t1|Content-Length: 4", "body"), 0, transport.MayHaveRun, transport.InvalidResponse, false, false},
+		{"encoded", said("200 OK", seal+"|Content-Encoding: gzip|Content-Length: 4", "body"), 0, transport.MayHaveRun, transport.InvalidResponse, false, false},
 		{"chunked", said("200 OK", seal+"|Transfer-Encoding: chunked", "2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n"), 200, transport.Ran, 0, true, false},
 		{"chunked, cut", said("200 OK", seal+"|Transfer-Encoding: chunked", "2\r\nbo\r\n2\r\ndy\r\n"), 0, transport.MayHaveRun, transport.Broken, false, false},
-		{"no length", said("200 OK", seal, "body"), 0, transport.MayHaveRun, transport.Spoilt, false, false},
+		{"no length", said("200 OK", seal, "body"), 0, transport.MayHaveRun, transport.InvalidResponse, false, false},
 		{"too long", said("200 OK", seal+"|Content-Length: 9999", strings.Repeat("x", 9999)), 0, transport.MayHaveRun, transport.Broken, false, false},
 		{"1xx first", said("103 Early", "Try-Id: t1", "") + ok, 200, transport.Ran, 0, true, false},
-		{"other protocol", said("101 Switching", "Try-Id: t1|Upgrade: x|Connection: upgrade", "") + ok, 0, transport.MayHaveRun, transport.Spoilt, false, false},
+		{"other protocol", said("101 Switching", "Try-Id: t1|Upgrade: x|Connection: upgrade", "") + ok, 0, transport.MayHaveRun, transport.InvalidResponse, false, false},
 		{"leaving", said("200 OK", seal+"|Connection: close|Content-Length: 4", "body"), 200, transport.Ran, 0, false, false},
 		{"failure", said("500 Oh", "Try-Id: t1|Content-Length: 4", "body"), 500, transport.Ran, 0, true, false},
 		{"503 that ran", said("503 Oh", "Try-Id: t1|Content-Length: 4", "body"), 503, transport.Ran, 0, true, false},
 		{"full", full, 503, transport.NotRun, transport.Full, true, false},
 		{"not run, without id", said("400 Bad", "Not-Run: id|Content-Length: 0", ""), 400, transport.NotRun, transport.Broken, true, false},
-		{"not run, without id, behind another's request", said("400 Bad", "Not-Run: id|Content-Length: 0", ""), 0, transport.MayHaveRun, transport.Spoilt, false, true},
+		{"not run, without id, behind another's request", said("400 Bad", "Not-Run: id|Content-Length: 0", ""), 0, transport.MayHaveRun, transport.InvalidResponse, false, true},
 		{"full, behind another's request", full, 503, transport.NotRun, transport.Full, true, true},
-		{"ran and did not", said("200 OK", seal+"|Not-Run: 1|Content-Length: 4", "body"), 0, transport.MayHaveRun, transport.Spoilt, false, false},
-		{"a failure without a length", said("500 Oh", "Try-Id: t1", "bo"), 0, transport.MayHaveRun, transport.Spoilt, false, false},
-		{"no status", said("000 No", seal+"|Content-Length: 4", "body"), 0, transport.MayHaveRun, transport.Spoilt, false, false},
-		{"an unknown status", said("720 No", seal+"|Content-Length: 4", "body"), 0, transport.MayHaveRun, transport.Spoilt, false, false},
-		{"1xx for ever", strings.Repeat(said("103 Early", "Try-Id: t1", ""), 17) + ok, 0, transport.MayHaveRun, transport.Spoilt, false, false},
-		{"another life", said("421 No", "Try-Id: t1|Server-Id: b2|Content-Length: 0", ""), 421, transport.NotRun, transport.Unknown, true, false},
+		{"ran and did not", said("200 OK", seal+"|Not-Run: 1|Content-Length: 4", "body"), 0, transport.MayHaveRun, transport.InvalidResponse, false, false},
+		{"a failure without a length", said("500 Oh", "Try-Id: t1", "bo"), 0, transport.MayHaveRun, transport.InvalidResponse, false, false},
+		{"no status", said("000 No", seal+"|Content-Length: 4", "body"), 0, transport.MayHaveRun, transport.InvalidResponse, false, false},
+		{"an unknown status", said("720 No", seal+"|Content-Length: 4", "body"), 0, transport.MayHaveRun, transport.InvalidResponse, false, false},
+		{"1xx for ever", strings.Repeat(said("103 Early", "Try-Id: t1", ""), 17) + ok, 0, transport.MayHaveRun, transport.InvalidResponse, false, false},
+		{"another life", said("421 No", "Try-Id: t1|Server-Id: b2|Content-Length: 0", ""), 421, transport.NotRun, transport.UnknownBackend, true, false},
 		{"another's not run", othersFull, 0, transport.MayHaveRun, transport.Broken, false, false},
 		{"another's not run first", othersFull + ok, 200, transport.Ran, 0, false, false},
 		{"another's 421 first", said("421 No", "Try-Id: t0|Content-Length: 0", "") + ok, 200, transport.Ran, 0, false, false},
@@ -107,24 +107,27 @@
 	var h *Host
 	news, calls := 0, uint64(0)
 	handle := func(try string) *transport.Reply {
-		r, _ := h.Handle(&Caller{Look: func() bool { return false }}, &transport.Request{Try: try, Target: "b", Method: "GET", URI: "/", Host: "h", Caller: "s", Customer: "acme", Unsafe: true,
+		r, _ := h.Handle(&Caller{Disconnected: func() bool { return false }}, &transport.Request{Try: try, Target: "b", Method: "GET", URI: "/", Host: "h", Caller: "s", Customer: "acme", Unsafe: true,
 			Left: 5 * time.Second, Aim: time.Second, Patient: time.Second}, nil)
 		return r
 	}
 	beat := func(address string) {
 		calls++
 		b := transport.Backend{ID: "b", Address: address, Capacity: 2, Calls: calls}
-		h.With(func(now time.Duration, g *Gate) bool { g.Vouch(now, 0, b); return g.Beat(now, b, BeatHere) && false })
+		h.WithGate(func(now time.Duration, g *Gate) bool {
+			g.ProbeSucceeded(now, 0, b)
+			return g.Heartbeat(now, b, LocalHeartbeat) && false
+		})
 	}
 	gone := func(r *transport.Reply) {
 		for range 2 { // the second time without being asked: it is gone until its next beat
-			require.Equal(t, []any{transport.NotRun, transport.Unknown}, []any{r.Verdict, r.Reason})
+			require.Equal(t, []any{transport.NotRun, transport.UnknownBackend}, []any{r.Verdict, r.Reason})
 			r = handle("later")
 		}
 	}
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		try := r.Header.Get(TryHeader)
-		w.Header().Set(TryHeader, try)
+		try := r.Header.Get(TryIDHeader)
+		w.Header().Set(TryIDHeader, try)
 		w.Header().Set(SealHeader, "s")
 		switch try {
 		case "reset":
@@ -134,11 +137,11 @@
 		case "moved":
 			w.WriteHeader(http.StatusMisdirectedRequest)
 		case "run", "well": // a run makes a call of its own, and fails or not
-			call, deep := h.Parent(try+".1"), h.Parent(try+".1.2")
+			call, deep := h.FindParent(try+".1"), h.FindParent(try+".1.2")
 			if !call.Known || !deep.Known || call.Repeat || call.Customer != "acme" || r.Header.Get(CustomerHeader) != "acme" {
 				panic("a call of a run is not known as one")
 			}
-			h.CallFailed(try + ".1")
+			h.RecordCallFailure(try + ".1")
 			w.WriteHeader(map[string]int{"run": 500, "well": 200}[try])
 		default:
 			w.WriteHeader(500)
@@ -146,14 +149,14 @@
 	}))
 	defer backend.Close()
 	address := backend.Listener.Addr().String()
-	h = NewHost(Rules{BeatEvery: time.Minute}, most, transport.NewByteBudget(1<<30), func() { news++ })
+	h = NewHost(Rules{HeartbeatInterval: time.Minute}, most, transport.NewByteBudget(1<<30), func() { news++ })
 	beat(address)
 	for _, try := range []string{"reset", "run", "well", "plain", "reset"} {
 		r := handle(try)
 		require.Equal(t, []any{try != "reset", try == "run"}, []any{r.Verdict == transport.Ran, r.Inner}, try)
 		require.NotEqual(t, transport.NotRun, r.Verdict, try)
 	}
-	inner := h.Parent("run.1").Known
+	inner := h.FindParent("run.1").Known
 	require.False(t, inner, "a run that has ended calls nothing")
 	gone(handle("moved"))
 	require.Equal(t, 1, news)
@@ -165,9 +168,9 @@
 	require.Equal(t, 2, news)
 	beat(address)
 	require.Equal(t, transport.Ran, handle("back").Verdict)
-	h.Close()
+	h.StopAccepting()
 	require.Equal(t, transport.NotRun, handle("closed").Verdict)
-	for try, reasons := range map[string][]transport.Reason{"reset": {transport.Twice, transport.Broken}, "moved": {transport.Unknown},
+	for try, reasons := range map[string][]transport.Reason{"reset": {transport.Duplicate, transport.Broken}, "moved": {transport.UnknownBackend},
 		"closed": {transport.Draining}, "plain": nil} {
 		traces := h.Traces.Ask(time.Now(), &transport.TraceQuery{Try: try, Most: 9})
 		require.Len(t, traces, len(reasons), try)
--- a/internal/mesh/inbound/figures_test.go
+++ b/internal/mesh/inbound/figures_test.go
@@ -14,10 +14,10 @@
 // within its time figures are asked for.
 func TestColdPeak(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rules := Rules{WarmupPerS: rapid.Float64Range(1, 20).Draw(t, "per_s"), Excess: 1.5, Margin: 5, Warmup: time.Hour}
-		g := New(0, rules)
+		rules := Rules{WarmupRate: rapid.Float64Range(1, 20).Draw(t, "per_s"), WarmupExcess: 1.5, WarmupMargin: 5, Warmup: time.Hour}
+		g := NewGate(0, rules)
 		now := 2 * time.Second // past the span in which what an earlier process did is not known
-		g.Vouch(now, 0, transport.Backend{ID: "b", Capacity: 1000, ColdLeft: time.Hour, Calls: 1})
+		g.ProbeSucceeded(now, 0, transport.Backend{ID: "b", Capacity: 1000, ColdLeft: time.Hour, Calls: 1})
 		var handed []time.Duration
 		most := 0
 		for range rapid.IntRange(1, 80).Draw(t, "requests") {
@@ -31,7 +31,7 @@
 					}
 				}
 				most = max(most, n)
-				g.Done(now, 0, true, true)
+				g.Complete(now, 0, true, true)
 			}
 		}
 		var f meshmetrics.Set
--- a/internal/mesh/inbound/gate.go
+++ b/internal/mesh/inbound/gate.go
@@ -37,22 +37,22 @@
 
 // Rules are what the configuration and the deployment say of the backend's service and zone.
 type Rules struct {
-	Blind      bool // the configuration is not known: nothing is handed over
-	Evacuated  bool
-	NoUploads  bool // bodies that are offered before they are sent go elsewhere
-	Warmup     time.Duration
-	WarmupPerS float64
-	Excess     float64 // the bound in a second is WarmupPerS x Excess + Margin
-	Margin     float64
-	BeatEvery  time.Duration
-	LinkBps    float64 // of the machine's link, bits a second; 0: unknown
+	NoConfig          bool // the configuration is not known: nothing is handed over
+	Evacuated         bool
+	RefuseUploads     bool // bodies that are offered before they are sent go elsewhere
+	Warmup            time.Duration
+	WarmupRate        float64
+	WarmupExcess      float64 // the bound in a second is WarmupPerS x Excess + Margin
+	WarmupMargin      float64
+	HeartbeatInterval time.Duration
+	LinkBitsPerSecond float64 // of the machine's link, bits a second; 0: unknown
 }
 
 // coldLimit is how many requests a cold backend gets in a second. It bears WarmupPerS; the bound above that is for what is
 // counted differently where it arrives.
 func (r *Rules) coldLimit() int {
-	bound := r.WarmupPerS*r.Excess + r.Margin
-	return int(max(1, min(r.WarmupPerS*1.1+r.Margin*0.3, bound-2)))
+	bound := r.WarmupRate*r.WarmupExcess + r.WarmupMargin
+	return int(max(1, min(r.WarmupRate*1.1+r.WarmupMargin*0.3, bound-2)))
 }
 
 // Gate is the machine. It is not safe for concurrent use.
@@ -74,23 +74,23 @@
 	errors   meter
 	ids      *seenids.Set // of unsafe requests that were handed over, or wait
 	aged     time.Duration
-	names    [2]uint64 // lives of this process: the present one, and the one that it went by before
-	changes  []Change  // that nobody has been told of yet
+	names    [2]uint64       // lives of this process: the present one, and the one that it went by before
+	changes  []BackendChange // that nobody has been told of yet
 	// Refused counts by reason.
 	Refused [32]uint64
 	// Changes counts changes of the backend by cause, LateCalls its calls that came behind later ones.
-	Changes   [causes]uint64
-	LateCalls uint64
+	BackendChanges  [causes]uint64
+	StaleHeartbeats uint64
 }
 
 // New returns a gate that knows no backend.
-func New(now time.Duration, r Rules) *Gate {
+func NewGate(now time.Duration, r Rules) *Gate {
 	return &Gate{rules: r, lives: lives{started: now}, started: now, now: now, aged: now, ids: seenids.New(now, twiceFor, mostTwice)}
 }
 
 // Named takes in by which life others know this process. It changes once the core has heard an
 // earlier process by a later life; what was sent to the former name is still meant for this one.
-func (g *Gate) Named(life uint64) {
+func (g *Gate) SetLife(life uint64) {
 	if g.names[0] == 0 {
 		g.names[0] = life
 	}
@@ -115,27 +115,27 @@
 
 // Offer decides whether a body may come. What is refused here has not been carried for nothing: a body behind so many that it would
 // be late fares better at another gate.
-func (g *Gate) Offer(now time.Duration, a *transport.Request) *transport.Failure {
+func (g *Gate) AdmitUpload(now time.Duration, a *transport.Request) *transport.Failure {
 	g.step(now)
 	if f := g.may(a); f != nil {
 		return g.refuse(f)
 	}
-	if g.rules.NoUploads {
+	if g.rules.RefuseUploads {
 		return g.refuse(&transport.Failure{Verdict: transport.NotRun, Reason: transport.Evacuated})
 	}
-	if g.rules.LinkBps <= 0 {
+	if g.rules.LinkBitsPerSecond <= 0 {
 		return nil
 	}
 	before, patience := g.transferTime(g.bytes), g.bodyPatience(a)
 	if before > patience {
-		return g.refuse(&transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, After: before - patience})
+		return g.refuse(&transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: before - patience})
 	}
 	return nil
 }
 
 // transferTime is how long so many bytes take on the machine's link.
 func (g *Gate) transferTime(bytes int64) time.Duration {
-	return time.Duration(float64(bytes) * 8 / g.rules.LinkBps * float64(time.Second))
+	return time.Duration(float64(bytes) * 8 / g.rules.LinkBitsPerSecond * float64(time.Second))
 }
 
 // bodyPatience is how long a body that was offered may wait for the link. Unlike a wait for a slot, which
@@ -143,7 +143,7 @@
 // and the work leave of its aim; a client whose body is refused sends all of it again, over a link that
 // others wait for.
 func (g *Gate) bodyPatience(a *transport.Request) time.Duration {
-	if g.rules.LinkBps <= 0 {
+	if g.rules.LinkBitsPerSecond <= 0 {
 		return a.Patient
 	}
 	work := time.Duration(g.recent * float64(time.Second))
@@ -153,10 +153,10 @@
 
 // Coming counts a body that begins to come, and Came one that has come or never will: a link that is full of them is as good as a
 // backend that is.
-func (g *Gate) Coming(bytes int64) { g.coming, g.bytes = g.coming+1, g.bytes+bytes }
+func (g *Gate) BodyStarted(bytes int64) { g.coming, g.bytes = g.coming+1, g.bytes+bytes }
 
 // Came is the end of Coming.
-func (g *Gate) Came(bytes int64) {
+func (g *Gate) BodyEnded(bytes int64) {
 	if g.coming, g.bytes = g.coming-1, g.bytes-bytes; g.coming < 0 || g.bytes < 0 {
 		panic("inbound: more bodies came than had begun to")
 	}
@@ -164,7 +164,7 @@
 
 // Done takes in how a request that was handed over ended: how long the backend took, and whether it answered well, and hands
 // over who waits.
-func (g *Gate) Done(now, took time.Duration, answered, well bool) {
+func (g *Gate) Complete(now, took time.Duration, answered, well bool) {
 	g.step(now)
 	g.freeSlot()
 	if answered {
@@ -184,7 +184,7 @@
 
 // Withdraw takes in that a request's caller has gone: the request had a slot and was not handed
 // over, or its run was broken off. It is nobody's fault, and nothing is learnt of the backend.
-func (g *Gate) Withdraw(now time.Duration, a *transport.Request, handed bool) {
+func (g *Gate) Cancel(now time.Duration, a *transport.Request, handed bool) {
 	g.step(now)
 	g.freeSlot()
 	if a.Unsafe && !handed {
@@ -214,13 +214,13 @@
 func (g *Gate) shut() *transport.Failure {
 	switch {
 	case g.lives.serving == nil:
-		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Unknown}
+		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.UnknownBackend}
 	case g.lives.serving.Draining:
 		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Draining}
 	case g.rules.Evacuated:
 		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Evacuated}
-	case g.rules.Blind:
-		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Own}
+	case g.rules.NoConfig:
+		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.LocalShortage}
 	}
 	return nil
 }
@@ -229,16 +229,16 @@
 // process here may have run there, and this one has no memory of it.
 func (g *Gate) may(a *transport.Request) *transport.Failure {
 	if a.Unsafe && g.ids.Contains(a.Try) { // first: what may have run is never said to have not
-		return &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Twice}
+		return &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Duplicate}
 	}
 	if f := g.shut(); f != nil {
 		return f
 	}
 	switch {
 	case g.lives.serving.ID != a.Target || !slices.Contains(g.names[:], a.Life):
-		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Unknown}
+		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.UnknownBackend}
 	case a.Unsafe && g.ids.Full():
-		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Own, After: time.Second}
+		return &transport.Failure{Verdict: transport.NotRun, Reason: transport.LocalShortage, RetryAfter: time.Second}
 	}
 	return nil
 }
@@ -253,7 +253,7 @@
 			if len(g.handed) > 0 {
 				after = max(after, g.handed[0]+span-g.now)
 			}
-			return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Cold, After: after}
+			return &transport.Failure{Verdict: transport.NotRun, Reason: transport.Cold, RetryAfter: after}
 		}
 	}
 	g.handed = append(g.handed, g.now)
@@ -282,7 +282,7 @@
 		i++
 	}
 	g.handed = append(g.handed[:0], g.handed[i:]...)
-	g.ids.Step(g.now)
+	g.ids.Advance(g.now)
 	if g.now-g.aged >= twiceFor {
 		g.aged = g.now
 		g.peaks[0], g.peaks[1] = 0, g.peaks[0]
--- a/internal/mesh/inbound/gate_backend.go
+++ b/internal/mesh/inbound/gate_backend.go
@@ -7,13 +7,13 @@
 )
 
 // Beat takes in what the backend says of itself, and says whether others should hear of it.
-func (g *Gate) Beat(now time.Duration, b transport.Backend, cause Cause) (news bool) {
+func (g *Gate) Heartbeat(now time.Duration, b transport.Backend, cause Cause) (news bool) {
 	g.step(now)
 	old := g.lives.serving
 	defer g.noteChange(old, cause, b.Calls)()
 	switch g.lives.beat(now, b) {
 	case beatLate:
-		g.LateCalls++
+		g.StaleHeartbeats++
 		return false
 	case beatUnproven:
 		return false
@@ -23,15 +23,15 @@
 
 // Unproven says whether the backend should be asked who it is, as its calls may be late, or nothing has been heard of it. The answer
 // goes to Vouch, with the changes as of now.
-func (g *Gate) Unproven() (changes uint64, ask bool) {
+func (g *Gate) NeedsProbe() (changes uint64, ask bool) {
 	return g.lives.changes, g.lives.unproven != nil || g.lives.serving == nil && g.lives.last == nil
 }
 
 // Vouch takes in a life's answer to a health probe, by which it is well and does not leave, and says whether others should hear of it.
-func (g *Gate) Vouch(now time.Duration, changes uint64, b transport.Backend) (news bool) {
+func (g *Gate) ProbeSucceeded(now time.Duration, changes uint64, b transport.Backend) (news bool) {
 	g.step(now)
 	old := g.lives.serving
-	defer g.noteChange(old, Probed, 0)()
+	defer g.noteChange(old, ProbeAnswered, 0)()
 	return g.lives.vouch(changes, b) && g.served(old)
 }
 
@@ -44,7 +44,7 @@
 		g.recent, g.rate, g.errors = 0, meter{}, meter{}
 	}
 	if old != nil && old.ID != b.ID {
-		g.refuseWaiting(&transport.Failure{Verdict: transport.NotRun, Reason: transport.Unknown})
+		g.refuseWaiting(&transport.Failure{Verdict: transport.NotRun, Reason: transport.UnknownBackend})
 	} else if f := g.shut(); f != nil {
 		g.refuseWaiting(f)
 	}
@@ -53,12 +53,12 @@
 }
 
 // SignOff takes in a life's own word that it ends, which is final, and says whether others should hear of it.
-func (g *Gate) SignOff(now time.Duration, id string, cause Cause) (news bool) {
+func (g *Gate) Deregister(now time.Duration, id string, cause Cause) (news bool) {
 	return g.gone(now, id, cause, g.lives.signOff)
 }
 
 // Lost takes in that a life is silent, or not where it was, and says whether others should hear of it. Its next beat brings it back.
-func (g *Gate) Lost(now time.Duration, id string, cause Cause) (news bool) {
+func (g *Gate) MarkLost(now time.Duration, id string, cause Cause) (news bool) {
 	return g.gone(now, id, cause, g.lives.lose)
 }
 
@@ -76,8 +76,8 @@
 // Tick lets time pass: a backend that has said nothing and answered nothing for long is gone.
 func (g *Gate) Tick(now time.Duration) (news bool) {
 	g.step(now)
-	if b := g.lives.serving; b != nil && now-g.heard > deadAfter*g.rules.BeatEvery+g.rules.BeatEvery/2 {
-		return g.Lost(now, b.ID, Silence)
+	if b := g.lives.serving; b != nil && now-g.heard > deadAfter*g.rules.HeartbeatInterval+g.rules.HeartbeatInterval/2 {
+		return g.MarkLost(now, b.ID, HeartbeatTimeout)
 	}
 	return false
 }
--- a/internal/mesh/inbound/gate_queue.go
+++ b/internal/mesh/inbound/gate_queue.go
@@ -10,13 +10,13 @@
 
 // Ticket is a request's place at the gate.
 type Ticket struct {
-	order   order
-	due     time.Duration // its aim
-	try     string
-	unsafe  bool
-	waiting bool
-	began   time.Duration
-	Grant   func(ok bool, f *transport.Failure) // called when a waiting ticket's turn has come, or never will
+	order      order
+	due        time.Duration // its aim
+	try        string
+	unsafe     bool
+	waiting    bool
+	began      time.Duration
+	OnDecision func(ok bool, f *transport.Failure) // called when a waiting ticket's turn has come, or never will
 }
 
 // order is who goes first: what backends call, as a run of another waits for it and holds a slot; then what may yet be in time, then
@@ -57,7 +57,7 @@
 		i--
 	}
 	most := queueSlots * max(1, g.lives.serving.Capacity)
-	full := &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, After: max(g.wait(1), g.wait(i+1)-a.Patient)}
+	full := &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: max(g.wait(1), g.wait(i+1)-a.Patient)}
 	if g.wait(i+1) > a.Patient || i >= most {
 		return nil, g.refuse(full)
 	}
@@ -96,7 +96,7 @@
 // settle ends a ticket's wait and tells its holder: it is handed over, or refused.
 func (g *Gate) settle(t *Ticket, f *transport.Failure) {
 	g.unqueue(t, f == nil)
-	t.Grant(f == nil, f)
+	t.OnDecision(f == nil, f)
 }
 
 // next hands over those who wait, as far as there is room.
--- a/internal/mesh/inbound/gate_test.go
+++ b/internal/mesh/inbound/gate_test.go
@@ -61,11 +61,11 @@
 func (y *yard) at() time.Duration { return y.now - y.base }
 
 func (y *yard) start() {
-	y.base, y.gate, y.proven, y.known, y.probe, y.running = y.now, New(0, y.rules), false, false, probe{}, 0
+	y.base, y.gate, y.proven, y.known, y.probe, y.running = y.now, NewGate(0, y.rules), false, false, probe{}, 0
 	y.served, y.elsewhere = map[string]bool{}, nil
 	y.waiting, y.past, y.unsafe = nil, nil, map[string]bool{}
 	y.life++
-	y.gate.Named(y.life)
+	y.gate.SetLife(y.life)
 }
 
 func (y *yard) pick(n int) bool { return y.r.IntN(n) == 0 }
@@ -75,7 +75,7 @@
 	y.counted["handed"]++
 	y.False(y.left[a.Target], "DRAIN: handed over after the backend left")
 	y.True(y.served[a.Target] && (y.known || y.truth.ID != a.Target), "ROUTE: handed to a life that nothing vouches for, or that is gone")
-	y.False(y.rules.Evacuated || y.rules.Blind, "EVAC: handed over in an evacuated zone, or without a configuration")
+	y.False(y.rules.Evacuated || y.rules.NoConfig, "EVAC: handed over in an evacuated zone, or without a configuration")
 	y.Equal(y.life, a.Life, "TWICE: handed over though it was meant for an earlier process")
 	y.False(a.Unsafe && y.unsafe[a.Try], "TWICE: %s handed over again", a.Try)
 	y.unsafe[a.Try] = y.unsafe[a.Try] || a.Unsafe
@@ -90,13 +90,13 @@
 		y.counted["cold"]++
 		y.toCold = append(y.toCold, y.now)
 		y.toCold = slices.DeleteFunc(y.toCold, func(at time.Duration) bool { return at <= y.now-time.Second })
-		y.LessOrEqual(float64(len(y.toCold)), y.rules.WarmupPerS*y.rules.Excess+y.rules.Margin, "FAILBACK")
+		y.LessOrEqual(float64(len(y.toCold)), y.rules.WarmupRate*y.rules.WarmupExcess+y.rules.WarmupMargin, "FAILBACK")
 	}
 }
 
 func (y *yard) refused(a *transport.Request, f *transport.Failure) {
 	y.counted[f.Reason.String()]++
-	y.Equal(f.Reason == transport.Twice, f.Verdict != transport.NotRun, "REFUSED: only an id that was handed over is no promise")
+	y.Equal(f.Reason == transport.Duplicate, f.Verdict != transport.NotRun, "REFUSED: only an id that was handed over is no promise")
 	y.False(a.Unsafe && y.unsafe[a.Try] && f.Verdict == transport.NotRun, "REFUSED: %s was handed over, and now has not run", a.Try)
 }
 
@@ -121,7 +121,7 @@
 	} else {
 		q := &queued{ask: a, ticket: ticket}
 		y.waiting = append(y.waiting, q)
-		ticket.Grant = func(ok bool, f *transport.Failure) { y.granted(q, ok, f) }
+		ticket.OnDecision = func(ok bool, f *transport.Failure) { y.granted(q, ok, f) }
 	}
 }
 
@@ -164,7 +164,7 @@
 	y.cold, y.known = y.now+y.truth.ColdLeft, y.proven
 	y.served[y.truth.ID] = y.served[y.truth.ID] || y.proven
 	y.heard = append(y.heard, heard{y.truth, y.now})
-	y.gate.Beat(y.at(), y.truth, BeatHere)
+	y.gate.Heartbeat(y.at(), y.truth, LocalHeartbeat)
 }
 
 // late has a call come late: a gate has heard later ones, this or an earlier one.
@@ -187,13 +187,13 @@
 		y.served[late.ID] = true
 		y.known = y.known || !y.proven && late.ID == y.truth.ID
 	}
-	y.gate.Beat(y.at(), late, BeatHere)
+	y.gate.Heartbeat(y.at(), late, LocalHeartbeat)
 }
 
 // ask begins or ends a probe. Between, the life that answers may have left.
 func (y *yard) ask() {
 	if y.probe.id == "" {
-		if changes, ask := y.gate.Unproven(); ask && !y.left[y.truth.ID] {
+		if changes, ask := y.gate.NeedsProbe(); ask && !y.left[y.truth.ID] {
 			y.probe = probe{y.truth.ID, changes}
 		}
 		return
@@ -202,14 +202,14 @@
 	if !y.left[y.truth.ID] {
 		y.proven, y.known, y.served[y.truth.ID] = true, true, true
 	}
-	y.gate.Vouch(y.at(), y.probe.changes, transport.Backend{ID: y.probe.id, Capacity: 1, ColdLeft: max(0, y.cold-y.now)})
+	y.gate.ProbeSucceeded(y.at(), y.probe.changes, transport.Backend{ID: y.probe.id, Capacity: 1, ColdLeft: max(0, y.cold-y.now)})
 	y.probe = probe{}
 }
 
 func (y *yard) done() {
 	if y.running > len(y.elsewhere) {
 		y.running--
-		y.gate.Done(y.at(), time.Duration(y.r.IntN(100))*time.Millisecond, !y.pick(5), !y.pick(4))
+		y.gate.Complete(y.at(), time.Duration(y.r.IntN(100))*time.Millisecond, !y.pick(5), !y.pick(4))
 	}
 }
 
@@ -228,16 +228,16 @@
 		}
 	case 5: // it is gone: its address refuses, or it is mute for long
 		if y.known = y.known && !y.pick(2); !y.known && y.pick(2) {
-			y.now += 6 * y.rules.BeatEvery
+			y.now += 6 * y.rules.HeartbeatInterval
 			y.gate.Tick(y.at())
 		} else if !y.known {
-			y.gate.Lost(y.at(), y.truth.ID, NotThere)
+			y.gate.MarkLost(y.at(), y.truth.ID, NotAtAddress)
 		}
 	case 14: // it signs off, and may have done so at the process before
 		if y.pick(6) {
 			y.counted["sign-off"]++
 			y.left[y.truth.ID], y.signedOff, y.known = true, true, false
-			if y.gate.SignOff(y.at(), y.truth.ID, SignOffHere); y.pick(2) {
+			if y.gate.Deregister(y.at(), y.truth.ID, LocalDeregistration); y.pick(2) {
 				y.counted["restart behind a sign-off"]++
 				y.start()
 			}
@@ -246,7 +246,7 @@
 		y.ask()
 	case 6, 7:
 		back := y.rules.Evacuated
-		y.rules.Evacuated, y.rules.Blind = y.pick(4), y.pick(5)
+		y.rules.Evacuated, y.rules.NoConfig = y.pick(4), y.pick(5)
 		y.gate.Configure(y.at(), y.rules)
 		if back && !y.rules.Evacuated { // a crowd, before the backend has said how cold it is
 			y.cold = max(y.cold, y.now+y.rules.Warmup)
@@ -272,8 +272,8 @@
 	}
 	for _, target := range y.elsewhere {
 		y.running--
-		y.gate.Done(y.at(), 0, false, false)
-		y.gate.Lost(y.at(), target, NotThere)
+		y.gate.Complete(y.at(), 0, false, false)
+		y.gate.MarkLost(y.at(), target, NotAtAddress)
 	}
 	y.elsewhere = nil
 	for _, q := range slices.Clone(y.waiting) {
@@ -293,8 +293,8 @@
 func newYard(t require.TestingT, seed uint64, counted map[string]int) *yard {
 	r := rand.New(rand.NewPCG(seed, 1))
 	y := &yard{Assertions: require.New(t), r: r, now: time.Hour, counted: counted, left: map[string]bool{}, lives: 1,
-		truth: transport.Backend{ID: "b1", Capacity: 4}, rules: Rules{Warmup: 3 * time.Second, WarmupPerS: 1 + 8*r.Float64(),
-			Excess: 1 + r.Float64(), Margin: 2 + 4*r.Float64(), BeatEvery: 1300 * time.Millisecond}}
+		truth: transport.Backend{ID: "b1", Capacity: 4}, rules: Rules{Warmup: 3 * time.Second, WarmupRate: 1 + 8*r.Float64(),
+			WarmupExcess: 1 + r.Float64(), WarmupMargin: 2 + 4*r.Float64(), HeartbeatInterval: 1300 * time.Millisecond}}
 	y.start()
 	y.beat()
 	return y
@@ -372,15 +372,15 @@
 		{"a link of unknown width", 1e9, 200e3, 1500 * time.Millisecond, 0, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := New(0, Rules{BeatEvery: time.Minute, LinkBps: c.link})
-			g.Named(1)
-			g.Beat(lateCalls, transport.Backend{ID: "b", Capacity: 4, Calls: 1}, BeatHere)
-			g.Coming(c.coming)
+			g := NewGate(0, Rules{HeartbeatInterval: time.Minute, LinkBitsPerSecond: c.link})
+			g.SetLife(1)
+			g.Heartbeat(lateCalls, transport.Backend{ID: "b", Capacity: 4, Calls: 1}, LocalHeartbeat)
+			g.BodyStarted(c.coming)
 			ask := &transport.Request{Life: 1, Target: "b", Body: c.body, Aim: c.aim, Patient: 375 * time.Millisecond}
-			f := g.Offer(lateCalls, ask)
+			f := g.AdmitUpload(lateCalls, ask)
 			require.Equal(t, c.mayBeTried, f == nil)
 			if f != nil {
-				require.InDelta(t, c.after.Seconds(), f.After.Seconds(), 0.002)
+				require.InDelta(t, c.after.Seconds(), f.RetryAfter.Seconds(), 0.002)
 				require.Equal(t, transport.NotRun, f.Verdict)
 			}
 		})
@@ -390,14 +390,14 @@
 // While planned work turns uploads away, a body that is offered goes elsewhere, and one that has come
 // is handed over as before.
 func TestUploadsTurnedAway(t *testing.T) {
-	g := New(0, Rules{BeatEvery: time.Minute, NoUploads: true})
-	g.Named(1)
-	g.Beat(lateCalls, transport.Backend{ID: "b", Capacity: 4, Calls: 1}, BeatHere)
+	g := NewGate(0, Rules{HeartbeatInterval: time.Minute, RefuseUploads: true})
+	g.SetLife(1)
+	g.Heartbeat(lateCalls, transport.Backend{ID: "b", Capacity: 4, Calls: 1}, LocalHeartbeat)
 	ask := &transport.Request{Life: 1, Target: "b", Body: 1e6, Try: "t", Unsafe: true}
-	f := g.Offer(lateCalls, ask)
+	f := g.AdmitUpload(lateCalls, ask)
 	require.Equal(t, []any{transport.NotRun, transport.Evacuated}, []any{f.Verdict, f.Reason})
-	g.Configure(lateCalls, Rules{BeatEvery: time.Minute})
-	require.Nil(t, g.Offer(lateCalls, ask))
-	g.Configure(lateCalls, Rules{BeatEvery: time.Minute, NoUploads: true})
+	g.Configure(lateCalls, Rules{HeartbeatInterval: time.Minute})
+	require.Nil(t, g.AdmitUpload(lateCalls, ask))
+	g.Configure(lateCalls, Rules{HeartbeatInterval: time.Minute, RefuseUploads: true})
 	require.Nil(t, g.may(ask), "it has come")
 }
--- a/internal/mesh/inbound/handle.go
+++ b/internal/mesh/inbound/handle.go
@@ -19,7 +19,7 @@
 	var address string
 	var waited time.Duration
 	f := cancelled(transport.NotRun)
-	if !caller.HasLeft() {
+	if !caller.IsGone() {
 		address, waited, f = h.admit(caller, a)
 	}
 	if f != nil {
@@ -28,7 +28,7 @@
 		r.Waited = waited
 		return r, nil
 	}
-	h.Handed.Add(1)
+	h.Dispatched.Add(1)
 	working := h.begin(a)
 	a.Left = max(a.Left-time.Since(arrived), time.Millisecond)
 	sent := time.Now()
@@ -73,7 +73,7 @@
 // nothing, so it is waited for until nobody waits for the answer.
 func (h *Host) call(caller *Caller, address string, a *transport.Request, body []byte, sent time.Time) (*answer, *transport.Failure) {
 	c, f := h.connect(caller, address, a, sent)
-	if caller.HasLeft() && (c != nil || f.Reason == transport.Unreachable) {
+	if caller.IsGone() && (c != nil || f.Reason == transport.Unreachable) {
 		if c != nil {
 			h.pool.Put(c)
 		}
@@ -93,7 +93,7 @@
 // with one that counts. Danger: where nobody listens, or somebody else does, the backend is gone
 // until a beat tells otherwise.
 func (h *Host) done(a *transport.Request, working *run, ans *answer, f, meant *transport.Failure, took time.Duration) {
-	h.With(func(now time.Duration, g *Gate) (lost bool) {
+	h.WithGate(func(now time.Duration, g *Gate) (lost bool) {
 		ran := f == nil && meant == nil
 		if h.runs[a.Try] == working { // a copy of it may have begun since
 			delete(h.runs, a.Try)
@@ -102,12 +102,12 @@
 			h.usage.Undo(working.counted)
 		}
 		if f != nil && f.Reason == transport.Cancelled {
-			g.Withdraw(now, a, f.Verdict != transport.NotRun)
+			g.Cancel(now, a, f.Verdict != transport.NotRun)
 			return false
 		}
-		g.Done(now, took, ran, ran && (ans.status < 500 || working.failed))
-		if f != nil && f.Reason == transport.Unknown || meant != nil && meant.Reason == transport.Unknown {
-			return g.Lost(now, a.Target, NotThere)
+		g.Complete(now, took, ran, ran && (ans.status < 500 || working.failed))
+		if f != nil && f.Reason == transport.UnknownBackend || meant != nil && meant.Reason == transport.UnknownBackend {
+			return g.MarkLost(now, a.Target, NotAtAddress)
 		}
 		return false
 	})
--- a/internal/mesh/inbound/host.go
+++ b/internal/mesh/inbound/host.go
@@ -25,7 +25,7 @@
 	uploads    chan struct{}         // long bodies on their way
 	began      time.Time
 	news       func() // others should hear of the backend; called without the lock
-	observe    func(Change)
+	observe    func(BackendChange)
 
 	mu       sync.Mutex
 	gate     *Gate
@@ -39,13 +39,13 @@
 	Traces flightrecorder.Ring // of what was refused or broke here
 
 	// Counters.
-	Handed, Answered, Failed atomic.Uint64
-	open                     atomic.Bool
+	Dispatched, Answered, Failed atomic.Uint64
+	open                         atomic.Bool
 }
 
 // Observe has each change of the backend told to a function, which is called without the lock. It
 // must be called before the host is used.
-func (h *Host) Observe(f func(Change)) { h.observe = f }
+func (h *Host) ObserveBackend(f func(BackendChange)) { h.observe = f }
 
 // CountUsage has what the backend begins counted by tenant. It must be called before the host is used.
 func (h *Host) CountUsage(by *usage.Counter) { h.usage = by }
@@ -53,9 +53,9 @@
 // NewHost returns a host whose backend has not been heard.
 func NewHost(r Rules, mostBody int64, budget *transport.ByteBudget, news func()) *Host {
 	h := &Host{budget: budget, began: time.Now(), mostAnswer: mostBody, mostBody: mostBody, news: news, runs: map[string]*run{},
-		observe: func(Change) {}}
-	h.gate = New(0, r)
-	h.uploads = make(chan struct{}, uploadSlots(r.LinkBps))
+		observe: func(BackendChange) {}}
+	h.gate = NewGate(0, r)
+	h.uploads = make(chan struct{}, uploadSlots(r.LinkBitsPerSecond))
 	h.pool = connpool.New(connpool.Options{Network: connpool.TCP{}, ConnectTimeout: connectTime, IdleClose: idleClose, Most: mostConns})
 	h.open.Store(true)
 	return h
@@ -64,7 +64,7 @@
 func (h *Host) now() time.Duration { return time.Since(h.began) }
 
 // With runs a function on the gate; if it says so, others hear of the backend.
-func (h *Host) With(f func(now time.Duration, g *Gate) (news bool)) {
+func (h *Host) WithGate(f func(now time.Duration, g *Gate) (news bool)) {
 	h.mu.Lock()
 	news := f(h.now(), h.gate)
 	changes := h.gate.takeChanges()
@@ -95,7 +95,7 @@
 	}
 	began := time.Now()
 	granted := make(chan *transport.Failure, 1)
-	t.Grant = func(ok bool, f *transport.Failure) { granted <- f }
+	t.OnDecision = func(ok bool, f *transport.Failure) { granted <- f }
 	h.mu.Unlock()
 	left := make(chan struct{})
 	stop := caller.whenLeft(func() { close(left) })
@@ -106,7 +106,7 @@
 	case f = <-granted:
 		return address, time.Since(began), h.keep(caller, a, f)
 	case <-timer.C:
-		f = &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, After: a.Patient}
+		f = &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: a.Patient}
 	case <-left:
 		f = cancelled(transport.NotRun)
 	}
@@ -124,12 +124,12 @@
 	if f != nil || !caller.isGone() {
 		return f
 	}
-	h.With(func(now time.Duration, g *Gate) bool { g.Withdraw(now, a, false); return false })
+	h.WithGate(func(now time.Duration, g *Gate) bool { g.Cancel(now, a, false); return false })
 	return cancelled(transport.NotRun)
 }
 
 func (h *Host) reply(f *transport.Failure) *transport.Reply {
-	return &transport.Reply{Verdict: f.Verdict, Reason: f.Reason, After: f.After, Load: h.Load()}
+	return &transport.Reply{Verdict: f.Verdict, Reason: f.Reason, After: f.RetryAfter, Load: h.Load()}
 }
 
 // Load is what others are told of the backend.
@@ -140,14 +140,14 @@
 }
 
 // Close has it take nothing more; what it has in hand goes on.
-func (h *Host) Close() { h.open.Store(false) }
+func (h *Host) StopAccepting() { h.open.Store(false) }
 
 // Open says whether it takes requests.
-func (h *Host) Open() bool { return h.open.Load() }
+func (h *Host) Accepting() bool { return h.open.Load() }
 
 // Tick lets time pass.
 func (h *Host) Tick() {
-	h.With(func(now time.Duration, g *Gate) bool { return g.Tick(now) })
+	h.WithGate(func(now time.Duration, g *Gate) bool { return g.Tick(now) })
 	h.pool.Sweep()
 	now := time.Now()
 	h.sessions.Range(func(s, _ any) bool {
@@ -157,7 +157,7 @@
 }
 
 // Held is how many requests it has in hand.
-func (h *Host) Held() int {
+func (h *Host) Outstanding() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.gate.inFlight + len(h.gate.waiting)
--- a/internal/mesh/inbound/note.go
+++ b/internal/mesh/inbound/note.go
@@ -21,8 +21,8 @@
 	case f.Verdict == transport.NotRun:
 		result = "refused"
 	}
-	h.Traces.Add(time.Now(), transport.RequestTrace{Side: transport.AtGate, Try: a.Try, Took: took, Caller: a.Caller, Service: service, Unsafe: a.Unsafe,
-		Inner: a.Inner, Repeat: a.Repeat, Started: 1, Result: result, Why: f.Error(), After: f.After,
-		Steps: []transport.Attempt{{Backend: a.Target, Verdict: f.Verdict, Reason: f.Reason, AtGate: waited, Took: took, After: f.After,
+	h.Traces.Add(time.Now(), transport.RequestTrace{Side: transport.SideGate, Try: a.Try, Took: took, Caller: a.Caller, Service: service, Unsafe: a.Unsafe,
+		Inner: a.Inner, Repeat: a.Repeat, Started: 1, Result: result, Why: f.Error(), After: f.RetryAfter,
+		Steps: []transport.Attempt{{Backend: a.Target, Verdict: f.Verdict, Reason: f.Reason, AtGate: waited, Took: took, After: f.RetryAfter,
 			InFlight: load.InFlight, Waiting: load.Waiting}}})
 }
--- a/internal/mesh/inbound/runs.go
+++ b/internal/mesh/inbound/runs.go
@@ -15,7 +15,7 @@
 }
 
 // Parent is the run on this machine that makes a call. The zero value is none.
-type Parent struct {
+type ParentRun struct {
 	Known    bool
 	Repeat   bool   // the run is a repeat
 	Customer string // the tenant for whom it runs
@@ -23,21 +23,21 @@
 
 // Parent finds the run that makes a call with a try. A backend's own calls have ids that begin with the one of the request it runs,
 // and a dot; where they don't, none is found, and the call is one like any other.
-func (h *Host) Parent(try string) Parent {
+func (h *Host) FindParent(try string) ParentRun {
 	if !strings.Contains(try, ".") {
-		return Parent{}
+		return ParentRun{}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.parent(try)
 	if r == nil {
-		return Parent{}
+		return ParentRun{}
 	}
-	return Parent{Known: true, Repeat: r.repeat, Customer: r.customer}
+	return ParentRun{Known: true, Repeat: r.repeat, Customer: r.customer}
 }
 
 // CallFailed says that a call of a run on this machine brought no success: if the run fails too, that is not the backend's fault.
-func (h *Host) CallFailed(try string) {
+func (h *Host) RecordCallFailure(try string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if r := h.parent(try); r != nil {
--- a/internal/mesh/inbound/serve.go
+++ b/internal/mesh/inbound/serve.go
@@ -64,7 +64,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.budget.Release(-a.Body)
-	h.gate.Coming(a.Body)
+	h.gate.BodyStarted(a.Body)
 }
 
 // admitLong decides whether a body that was offered may come. Long ones come one after the other as
@@ -73,12 +73,12 @@
 func (h *Host) admitLong(a *arrival) *transport.Failure {
 	ask := a.ask
 	h.mu.Lock()
-	f, patience := h.gate.Offer(h.now(), ask), h.gate.bodyPatience(ask)
+	f, patience := h.gate.AdmitUpload(h.now(), ask), h.gate.bodyPatience(ask)
 	if f == nil && !h.budget.Reserve(ask.Body) {
-		f = &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, After: roomAgain}
+		f = &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: roomAgain}
 	}
 	if f == nil {
-		h.gate.Coming(ask.Body)
+		h.gate.BodyStarted(ask.Body)
 	}
 	h.mu.Unlock()
 	if f != nil {
@@ -98,12 +98,12 @@
 	case h.uploads <- struct{}{}:
 		return nil
 	case <-timer.C:
-		f = &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, After: patience}
+		f = &transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: patience}
 	case <-left:
 		f = cancelled(transport.NotRun)
 	}
 	h.mu.Lock()
-	h.gate.Came(ask.Body)
+	h.gate.BodyEnded(ask.Body)
 	h.mu.Unlock()
 	h.budget.Release(ask.Body)
 	return f
@@ -114,7 +114,7 @@
 		<-h.uploads
 	}
 	h.mu.Lock()
-	h.gate.Came(a.Body)
+	h.gate.BodyEnded(a.Body)
 	h.mu.Unlock()
 }
 
--- a/internal/mesh/inbound/session.go
+++ b/internal/mesh/inbound/session.go
@@ -75,7 +75,7 @@
 
 // take hands a request to the worker with its body, which may only have been offered.
 func (s *session) take(ask *transport.Request) bool {
-	a := &arrival{Caller: Caller{Look: s.gone}, ask: ask, began: time.Now()}
+	a := &arrival{Caller: Caller{Disconnected: s.gone}, ask: ask, began: time.Now()}
 	if ask.ExpectContinue {
 		a.wanted, a.came = make(chan bool, 1), make(chan []byte, 1)
 		defer close(a.came)
@@ -107,14 +107,14 @@
 	if s.conn.Receive(&next) != nil || !next.Cancel || next.Number != a.ask.Number {
 		return false
 	}
-	a.Leave()
+	a.MarkGone()
 	return true
 }
 
 // offered reads a body once the worker has asked for it. Until then only the end of the connection
 // can come: a sender cancels what it has only offered by closing.
 func (s *session) offered(a *arrival) bool {
-	if s.conn.Await() != nil {
+	if s.conn.WaitReadable() != nil {
 		return false
 	}
 	if !<-a.wanted {
@@ -136,7 +136,7 @@
 	}
 	s.conn.SetReadDeadline(a.began.Add(max(a.ask.Left, answerSlack)))
 	defer s.conn.SetReadDeadline(time.Time{})
-	return s.conn.SummedBody(a.ask.Body, s.host.mostBody, a.ask.Sum)
+	return s.conn.ReceiveVerifiedBody(a.ask.Body, s.host.mostBody, a.ask.Sum)
 }
 
 // cancel takes in that the sender wants no answer to the exchange in hand any more.
@@ -144,7 +144,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current != nil {
-		s.current.Leave()
+		s.current.MarkGone()
 	}
 }
 
@@ -159,7 +159,7 @@
 			s.conn.Close() // its body never came
 			continue
 		}
-		reply.Number, reply.Sum = a.ask.Number, transport.Sum(out)
+		reply.Number, reply.Sum = a.ask.Number, transport.Checksum(out)
 		if s.conn.Send(reply, out) != nil {
 			s.conn.Close()
 		}
@@ -168,7 +168,7 @@
 
 // gone looks whether the sender has closed the connection, or has cancelled the exchange in hand:
 // it says nothing else meanwhile.
-func (s *session) gone() bool { return !s.conn.Quiet() }
+func (s *session) gone() bool { return !s.conn.IsQuiet() }
 
 // probe has the kernel ask for a sign of the sender while an exchange lasts long, and no longer.
 func (s *session) probe(now time.Time) {
--- a/internal/mesh/inbound/session_test.go
+++ b/internal/mesh/inbound/session_test.go
@@ -58,9 +58,9 @@
 		sender, gate := link(t)
 		ask := transport.Request{Number: 1, Life: 1, Try: "t", Target: "b", Unsafe: true, Left: 100 * time.Millisecond, Patient: time.Second,
 			Body: 1000, ExpectContinue: offered}
-		h.With(func(now time.Duration, g *Gate) bool {
-			g.Named(1)
-			return g.Vouch(now, 0, transport.Backend{ID: "b", Capacity: 1, Calls: 1}) && false
+		h.WithGate(func(now time.Duration, g *Gate) bool {
+			g.SetLife(1)
+			return g.ProbeSucceeded(now, 0, transport.Backend{ID: "b", Capacity: 1, Calls: 1}) && false
 		})
 		require.NoError(t, sender.Send(&ask, []byte("half")))
 		over := make(chan struct{})
--- a/internal/mesh/meshclient/survey.go
+++ b/internal/mesh/meshclient/survey.go
@@ -27,15 +27,15 @@
 
 // Core is what a core machine says.
 type Core struct {
-	Control string             // its own word for it, once it has answered
-	Figures *transport.Figures // nil: none came
+	Control string                 // its own word for it, once it has answered
+	Figures *transport.StatsReport // nil: none came
 	Err     error
 }
 
 // Agent is what an agent says, and what the core machines say of it.
 type Agent struct {
-	Heard   transport.Heard
-	Figures *transport.Figures // nil: none came
+	Heard   transport.StationStatus
+	Figures *transport.StatsReport // nil: none came
 	Err     error
 }
 
@@ -88,7 +88,7 @@
 	s.Agents = merge(s.Cores)
 	if agents {
 		parallel(s.Agents, func(a *Agent) {
-			if a.Figures, a.Err = ask(ctx, a.Heard.Station.Gate, transport.Question{State: true}); a.Err == nil && a.Figures.Agent == nil {
+			if a.Figures, a.Err = ask(ctx, a.Heard.Station.Gate, transport.StatsQuery{State: true}); a.Err == nil && a.Figures.Agent == nil {
 				a.Figures, a.Err = nil, errors.New("what answers is no agent")
 			}
 		})
@@ -114,7 +114,7 @@
 // merge lists the agents that any core machine knows. Of two words of one agent the later counts;
 // it is lost only if it is lost to all.
 func merge(cores []Core) []Agent {
-	by := map[string]*transport.Heard{}
+	by := map[string]*transport.StationStatus{}
 	for i := range cores {
 		if cores[i].Figures == nil {
 			continue
@@ -124,7 +124,7 @@
 			h := stations[k]
 			old := by[h.Station.Agent]
 			switch {
-			case old == nil && len(by) < registry.Most:
+			case old == nil && len(by) < registry.MaxStations:
 				by[h.Station.Agent] = &h
 			case old == nil:
 			default:
@@ -159,15 +159,15 @@
 		}
 		link = said.Address
 	}
-	if c.Figures, c.Err = ask(ctx, link, transport.Question{State: true}); c.Err == nil && c.Figures.Core == nil {
+	if c.Figures, c.Err = ask(ctx, link, transport.StatsQuery{State: true}); c.Err == nil && c.Figures.Core == nil {
 		c.Figures, c.Err = nil, errors.New("what answers is no core machine")
 	}
 }
 
-func ask(ctx context.Context, link string, q transport.Question) (*transport.Figures, error) {
+func ask(ctx context.Context, link string, q transport.StatsQuery) (*transport.StatsReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, eachFigure)
 	defer cancel()
-	return transport.AskStats(ctx, link, q)
+	return transport.QueryStats(ctx, link, q)
 }
 
 // parallel runs a function on each element, a bounded number at once.
--- a/internal/mesh/meshclient/traces.go
+++ b/internal/mesh/meshclient/traces.go
@@ -14,7 +14,7 @@
 func (m *Mesh) Traces(ctx context.Context, s *Survey, ip string, q transport.TraceQuery) (traces []transport.RequestTrace, silent []Agent) {
 	agents := slices.DeleteFunc(slices.Clone(s.Agents), func(a Agent) bool { return ip != "" && a.Heard.Station.Agent != ip })
 	parallel(agents, func(a *Agent) {
-		a.Figures, a.Err = ask(ctx, a.Heard.Station.Gate, transport.Question{Traces: &q})
+		a.Figures, a.Err = ask(ctx, a.Heard.Station.Gate, transport.StatsQuery{Traces: &q})
 	})
 	for i := range agents {
 		a := &agents[i]
--- a/internal/mesh/outbound/answer.go
+++ b/internal/mesh/outbound/answer.go
@@ -32,7 +32,7 @@
 		return false
 	case o.refused && !j.mayHaveRun():
 		if at != nil && at.fail != nil {
-			o.after = max(o.after, at.fail.After)
+			o.after = max(o.after, at.fail.RetryAfter)
 		}
 		s.refuse(w, o.after)
 		return false
@@ -62,7 +62,7 @@
 	if at != nil {
 		what = at.fail.Reason.String()
 	}
-	if at == nil || at.fail.Reason == transport.Silent {
+	if at == nil || at.fail.Reason == transport.ResponseTimeout {
 		status = http.StatusGatewayTimeout
 	}
 	s.Count.Failed.Add(1)
--- a/internal/mesh/outbound/answers_test.go
+++ b/internal/mesh/outbound/answers_test.go
@@ -73,11 +73,11 @@
 	p := &path{t: t, plant: plant, asked: map[string]sent{}, runs: map[string][]ran{}}
 	var gates []string
 	for i := range 2 {
-		n := &node{host: inbound.NewHost(inbound.Rules{BeatEvery: time.Hour}, 1<<20, transport.NewByteBudget(1<<30), func() {})}
+		n := &node{host: inbound.NewHost(inbound.Rules{HeartbeatInterval: time.Hour}, 1<<20, transport.NewByteBudget(1<<30), func() {})}
 		n.backend = p.linkTo(p.listen(func(l net.Listener) { (&http.Server{Handler: http.HandlerFunc(p.work)}).Serve(l) }), uint64(i))
-		n.host.With(func(now time.Duration, g *inbound.Gate) bool {
-			g.Named(1)
-			return g.Vouch(now, 0, transport.Backend{ID: fmt.Sprint("b", i), Service: "s", Zone: "z", Capacity: 64, Address: n.backend.Address(), Calls: 1})
+		n.host.WithGate(func(now time.Duration, g *inbound.Gate) bool {
+			g.SetLife(1)
+			return g.ProbeSucceeded(now, 0, transport.Backend{ID: fmt.Sprint("b", i), Service: "s", Zone: "z", Capacity: 64, Address: n.backend.Address(), Calls: 1})
 		})
 		n.link = p.linkTo(p.listen(func(l net.Listener) { serveGate(l, n.host) }), uint64(i))
 		p.nodes, gates = append(p.nodes, n), append(gates, n.link.Address())
@@ -168,8 +168,8 @@
 	if err != nil {
 		return // it is not whole
 	}
-	try := r.Header.Get(inbound.TryHeader)
-	w.Header().Set(inbound.TryHeader, try)
+	try := r.Header.Get(inbound.TryIDHeader)
+	w.Header().Set(inbound.TryIDHeader, try)
 	if r.URL.Path == "/unsafe/full" {
 		w.Header().Set(inbound.NotRunHeader, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -177,7 +177,7 @@
 	}
 	p.mu.Lock()
 	answer := fmt.Sprintf("answer %d to %s", len(p.runs[try]), try)
-	p.runs[try] = append(p.runs[try], ran{r.Method, r.RequestURI, r.Header.Get(inbound.CallerHeader), string(body), answer})
+	p.runs[try] = append(p.runs[try], ran{r.Method, r.RequestURI, r.Header.Get(inbound.CallingServiceHeader), string(body), answer})
 	p.mu.Unlock()
 	w.Header().Set(inbound.SealHeader, answer)
 	io.WriteString(w, answer[:5])
@@ -190,8 +190,8 @@
 // write puts a request on a client's connection.
 func (q *sent) write(c net.Conn, left time.Duration) error {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: d\r\n%s: %s\r\n%s: %d\r\n%s: forged\r\n", q.method, q.uri, inbound.TryHeader, q.try,
-		inbound.LeftHeader, left.Milliseconds(), inbound.CallerHeader)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: d\r\n%s: %s\r\n%s: %d\r\n%s: forged\r\n", q.method, q.uri, inbound.TryIDHeader, q.try,
+		inbound.TimeLeftHeader, left.Milliseconds(), inbound.CallingServiceHeader)
 	switch {
 	case q.chunked:
 		fmt.Fprintf(&b, "Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", 4, q.body[:4], len(q.body)-4, q.body[4:])
@@ -220,7 +220,7 @@
 	runs := p.runs[q.try]
 	unsafe := strings.HasPrefix(q.uri, "/unsafe/")
 	if resp.StatusCode/100 == 2 && !slices.ContainsFunc(runs, func(run ran) bool {
-		return run.answer == string(text) && resp.Header.Get(inbound.SealHeader) == run.answer && resp.Header.Get(inbound.TryHeader) == q.try
+		return run.answer == string(text) && resp.Header.Get(inbound.SealHeader) == run.answer && resp.Header.Get(inbound.TryIDHeader) == q.try
 	}) {
 		p.breach("MIXED", q, "%d %q, made were %q", resp.StatusCode, text, runs)
 	}
@@ -425,19 +425,19 @@
 		defer mu.Unlock()
 		c := kept[gate]
 		if c == nil {
-			c, _ = transport.Dial(context.Background(), transport.Exchange, "", gate.Address)
+			c, _ = transport.Dial(context.Background(), transport.UseExchange, "", gate.Address)
 			kept[gate] = c
 		}
 		var reply transport.Reply
 		var text []byte
-		ask.Number, ask.Sum = c.NextNumber(), transport.Sum(j.body)
+		ask.Number, ask.Sum = c.NextExchangeNumber(), transport.Checksum(j.body)
 		c.SetDeadline(j.deadline)
 		err := c.Send(ask, j.body)
 		if err == nil {
 			err = c.Receive(&reply)
 		}
 		if err == nil {
-			text, err = c.Body(reply.Body, mostAnswer)
+			text, err = c.ReceiveBody(reply.Body, mostAnswer)
 		}
 		if err != nil {
 			c.Close()
--- a/internal/mesh/outbound/attempt.go
+++ b/internal/mesh/outbound/attempt.go
@@ -34,13 +34,13 @@
 	left := j.deadline.Sub(at.began)
 	switch {
 	case t == nil:
-		return at.refuse(transport.Unknown)
+		return at.refuse(transport.UnknownBackend)
 	case j.isExpired() || left <= 0:
-		return at.refuse(transport.Late)
+		return at.refuse(transport.TooLate)
 	case j.isOver() || j.clientGone():
 		return at.refuse(transport.Cancelled)
 	case !j.mayStart():
-		return at.refuse(transport.Own) // the route's tries are used up, or it may have run
+		return at.refuse(transport.LocalShortage) // the route's tries are used up, or it may have run
 	}
 	s.Count.Attempts.Add(1)
 	ask := j.request
@@ -55,7 +55,7 @@
 		at.reply, at.body, at.fail = s.send(j, transport.Endpoint{Address: t.gate, Life: t.life}, &ask)
 	}
 	if at.reply != nil && at.reply.Verdict != transport.Ran {
-		at.fail = &transport.Failure{Verdict: at.reply.Verdict, Reason: at.reply.Reason, After: at.reply.After}
+		at.fail = &transport.Failure{Verdict: at.reply.Verdict, Reason: at.reply.Reason, RetryAfter: at.reply.After}
 	}
 	j.excuse(at)
 	if at.fail != nil && at.fail.Verdict == transport.NotRun {
@@ -80,7 +80,7 @@
 		reply *transport.Reply
 		body  []byte
 	}
-	caller := localCaller{Caller: inbound.Caller{Look: j.clientGone}}
+	caller := localCaller{Caller: inbound.Caller{Disconnected: j.clientGone}}
 	if !j.enter(&caller) {
 		return nil, nil, &transport.Failure{Verdict: transport.NotRun, Reason: transport.Cancelled}
 	}
@@ -96,7 +96,7 @@
 	case <-j.over:
 	}
 	if !j.hasLeft() {
-		return nil, nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Silent}
+		return nil, nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.ResponseTimeout}
 	}
 	a := <-came
 	return a.reply, a.body, nil
@@ -105,7 +105,7 @@
 // localCaller is a job as the caller of the gate on this machine.
 type localCaller struct{ inbound.Caller }
 
-func (c *localCaller) withdraw(bool) { c.Leave() }
+func (c *localCaller) withdraw(bool) { c.MarkGone() }
 
 // copy carries out an attempt beside one that is out.
 func (s *Sender) copy(j *job, a policy.Action, t *target) {
@@ -121,7 +121,7 @@
 	switch {
 	case at.fail != nil:
 		s.Count.unanswered(at.fail)
-		how, after = outcomeOf(at.fail), max(at.fail.After, leastFull)
+		how, after = outcomeOf(at.fail), max(at.fail.RetryAfter, leastFull)
 	case at.reply.Status >= 500 && at.reply.Inner:
 		how = policy.Cancelled // danger: were it the backend's fault, a service that is out would take out all that call it
 	case at.reply.Status >= 500:
@@ -155,11 +155,11 @@
 		return policy.ConnectFailed
 	case f.Reason == transport.Cancelled && f.Verdict != transport.NotRun:
 		return policy.Cancelled
-	case f.Verdict == transport.NotRun && (f.Reason == transport.Own || f.Reason == transport.Cancelled):
+	case f.Verdict == transport.NotRun && (f.Reason == transport.LocalShortage || f.Reason == transport.Cancelled):
 		return policy.NotSent
 	case f.Verdict == transport.NotRun:
 		return policy.Full
-	case f.Reason == transport.Silent:
+	case f.Reason == transport.ResponseTimeout:
 		return policy.Timeout
 	}
 	return policy.Reset
--- a/internal/mesh/outbound/exchange.go
+++ b/internal/mesh/outbound/exchange.go
@@ -119,7 +119,7 @@
 	if x.request.ExpectContinue = len(x.body) > x.unasked; x.request.ExpectContinue {
 		first, x.verdict = nil, transport.NotRun // nothing can run before its body has gone out
 	}
-	x.request.Number, x.request.Sum = x.conn.NextNumber(), transport.Sum(x.body)
+	x.request.Number, x.request.Sum = x.conn.NextExchangeNumber(), transport.Checksum(x.body)
 	if err := x.conn.Send(x.request, first); err != nil {
 		return nil, nil, err
 	}
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	text, err := x.conn.SummedBody(reply.Body, mostAnswer, reply.Sum)
+	text, err := x.conn.ReceiveVerifiedBody(reply.Body, mostAnswer, reply.Sum)
 	return reply, text, err
 }
 
@@ -164,7 +164,7 @@
 func (x *exchange) failure(err error) *transport.Failure {
 	f := &transport.Failure{Verdict: x.verdict, Reason: transport.Broken, Cause: err}
 	if isTimeout(err) {
-		f.Reason = transport.Silent
+		f.Reason = transport.ResponseTimeout
 	}
 	return f
 }
--- a/internal/mesh/outbound/exchange_test.go
+++ b/internal/mesh/outbound/exchange_test.go
@@ -34,11 +34,11 @@
 				c.Send(&transport.Reply{Number: a.Number, Continue: true}, nil)
 				c.Send(&transport.Reply{Number: a.Number, Continue: true}, nil)
 			}
-			if _, err := c.Body(a.Body, 1<<20); err != nil {
+			if _, err := c.ReceiveBody(a.Body, 1<<20); err != nil {
 				return
 			}
 			last = &transport.Reply{Number: a.Number, Verdict: transport.Ran, Status: 200, Header: []string{"Try-Id", a.Try},
-				Body: int64(len(a.Try)), Sum: transport.Sum([]byte(a.Try))}
+				Body: int64(len(a.Try)), Sum: transport.Checksum([]byte(a.Try))}
 			if c.Send(last, []byte(a.Try)) != nil {
 				return
 			}
@@ -126,7 +126,7 @@
 		go func() {
 			gate, a := transport.NewConn(theirs), new(transport.Request)
 			if gate.Receive(a) == nil && !a.ExpectContinue {
-				gate.Body(a.Body, longBody)
+				gate.ReceiveBody(a.Body, longBody)
 			}
 			refused <- a
 			gate.Send(&transport.Reply{Number: a.Number, Verdict: transport.NotRun, Reason: transport.Full}, nil)
--- a/internal/mesh/outbound/figures.go
+++ b/internal/mesh/outbound/figures.go
@@ -30,7 +30,7 @@
 	f.Add("micaline_mesh_attempts_repeated_total", float64(c.Repeats.Load()))
 	f.Add("micaline_mesh_attempts_local_total", float64(c.Local.Load()))
 	for verdict := range c.Unanswered {
-		for reason, name := range transport.Reasons() {
+		for reason, name := range transport.ReasonNames() {
 			if n := c.Unanswered[verdict][reason].Load(); n > 0 {
 				f.Add("micaline_mesh_attempts_unanswered_total", float64(n), verdictLabels[verdict], name)
 			}
--- a/internal/mesh/outbound/leave_test.go
+++ b/internal/mesh/outbound/leave_test.go
@@ -50,7 +50,7 @@
 
 func (b *holdingBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
-	try := r.Header.Get(inbound.TryHeader)
+	try := r.Header.Get(inbound.TryIDHeader)
 	b.mu.Lock()
 	answer := b.answers[try]
 	if answer == nil {
@@ -65,7 +65,7 @@
 		b.dropped <- try
 		return
 	}
-	w.Header().Set(inbound.TryHeader, try)
+	w.Header().Set(inbound.TryIDHeader, try)
 	w.Header().Set(inbound.SealHeader, "s")
 	io.WriteString(w, try)
 }
@@ -98,15 +98,15 @@
 // gateOf is a gate beside a backend, as others reach it.
 func gateOf(t *testing.T, b *holdingBackend, id string, capacity int) (*inbound.Host, string) {
 	host := inbound.NewHost(inbound.Rules{}, 1<<20, transport.NewByteBudget(1<<30), func() {})
-	host.With(func(now time.Duration, g *inbound.Gate) bool {
-		g.Named(1)
-		return g.Vouch(now, 0, transport.Backend{ID: id, Service: "s", Address: b.address, Zone: "z", Capacity: capacity, Calls: 1})
+	host.WithGate(func(now time.Duration, g *inbound.Gate) bool {
+		g.SetLife(1)
+		return g.ProbeSucceeded(now, 0, transport.Backend{ID: id, Service: "s", Address: b.address, Zone: "z", Capacity: capacity, Calls: 1})
 	})
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
 	serve := func(_ transport.Hello, c *transport.Conn) { host.Serve(c) }
-	go (&transport.Server{Uses: map[string]func(transport.Hello, *transport.Conn){transport.Exchange: serve}}).Serve(l)
+	go (&transport.Server{Handlers: map[string]func(transport.Hello, *transport.Conn){transport.UseExchange: serve}}).Serve(l)
 	return host, l.Addr().String()
 }
 
@@ -153,7 +153,7 @@
 		body = "body"
 	}
 	_, err := fmt.Fprintf(c, "POST /%s/ HTTP/1.1\r\nHost: d\r\n%s: %s\r\n%s: %d\r\nContent-Length: %d\r\n\r\n%s",
-		kind, inbound.TryHeader, try, inbound.LeftHeader, patiently.Milliseconds(), len(body), body)
+		kind, inbound.TryIDHeader, try, inbound.TimeLeftHeader, patiently.Milliseconds(), len(body), body)
 	require.NoError(t, err)
 }
 
@@ -168,7 +168,7 @@
 func idle(hosts ...*inbound.Host) func() bool {
 	return func() bool {
 		for _, h := range hosts {
-			if h.Held() > 0 {
+			if h.Outstanding() > 0 {
 				return false
 			}
 		}
@@ -308,9 +308,9 @@
 	b.awaitArrival("first")
 	for _, kind := range []string{"safe", "unsafe"} {
 		c := ask(t, address, kind+" "+kind)
-		require.Eventually(t, func() bool { return host.Held() == 2 }, soon, time.Millisecond, "it waits")
+		require.Eventually(t, func() bool { return host.Outstanding() == 2 }, soon, time.Millisecond, "it waits")
 		c.Close()
-		require.Eventually(t, func() bool { return host.Held() == 1 }, soon, time.Millisecond, "it waits no more")
+		require.Eventually(t, func() bool { return host.Outstanding() == 1 }, soon, time.Millisecond, "it waits no more")
 	}
 	b.answer("first")
 	ask(t, address, "safe last")
@@ -383,8 +383,8 @@
 		caller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			call, _ := http.NewRequestWithContext(r.Context(), "GET", "http://"+next+"/safe/", nil)
 			call.Host = "d"
-			call.Header.Set(inbound.TryHeader, r.Header.Get(inbound.TryHeader)+".1")
-			call.Header.Set(inbound.LeftHeader, r.Header.Get(inbound.LeftHeader))
+			call.Header.Set(inbound.TryIDHeader, r.Header.Get(inbound.TryIDHeader)+".1")
+			call.Header.Set(inbound.TimeLeftHeader, r.Header.Get(inbound.TimeLeftHeader))
 			if resp, err := http.DefaultTransport.RoundTrip(call); err == nil {
 				resp.Body.Close()
 			}
@@ -408,7 +408,7 @@
 func TestLeavesAtAnyMoment(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		try := r.Header.Get(inbound.TryHeader)
+		try := r.Header.Get(inbound.TryIDHeader)
 		timer := time.NewTimer(rand.N(2 * time.Millisecond))
 		defer timer.Stop()
 		select {
@@ -416,7 +416,7 @@
 		case <-r.Context().Done():
 			return
 		}
-		w.Header().Set(inbound.TryHeader, try)
+		w.Header().Set(inbound.TryIDHeader, try)
 		w.Header().Set(inbound.SealHeader, "s")
 		io.WriteString(w, try)
 	}))
@@ -450,5 +450,5 @@
 	require.Eventually(t, func() bool { return idle(hosts...)() && s.Held() == 0 }, soon, time.Millisecond)
 	open, made := s.links.Counts()
 	require.Less(t, made, uint64(200), "links are made anew for each that leaves")
-	require.LessOrEqual(t, open, 2*s.links.Most)
+	require.LessOrEqual(t, open, 2*s.links.MaxIdlePerGate)
 }
--- a/internal/mesh/outbound/note.go
+++ b/internal/mesh/outbound/note.go
@@ -16,7 +16,7 @@
 	view    *View
 	route   *meshconfig.Route
 	tenant  tenant
-	parent  inbound.Parent // the run of the backend here that makes the request
+	parent  inbound.ParentRun // the run of the backend here that makes the request
 	service string
 	job     *job
 	status  int  // 0: there is no answer
@@ -38,7 +38,7 @@
 		s.Backend, s.Agent = at.to.backend, at.to.agent
 	}
 	if at.fail != nil {
-		s.Verdict, s.Reason, s.After = at.fail.Verdict, at.fail.Reason, at.fail.After
+		s.Verdict, s.Reason, s.After = at.fail.Verdict, at.fail.Reason, at.fail.RetryAfter
 	}
 	if r := at.reply; r != nil {
 		s.Status, s.Inner, s.AtGate, s.InFlight, s.Waiting = r.Status, r.Inner, r.Waited, r.Load.InFlight, r.Load.Waiting
@@ -49,7 +49,7 @@
 // note records how a request ended. What simply succeeded at its first attempt is only counted.
 func (s *Sender) note(w *answered, r *http.Request) {
 	j := w.job
-	way := transport.RequestTrace{Side: transport.AtSender, Caller: s.set.Service, Service: w.service, Status: w.status, Why: w.why, After: w.after}
+	way := transport.RequestTrace{Side: transport.SideSender, Caller: s.set.Service, Service: w.service, Status: w.status, Why: w.why, After: w.after}
 	if j != nil {
 		j.mu.Lock()
 		way.Steps, way.Started = j.steps, j.attempts // of what is added later nothing is in this slice
@@ -79,7 +79,7 @@
 	if way.Result == "refused" || way.Result == "failed" {
 		way.Why = cause(w, way.Steps)
 	}
-	way.Try, way.Took = r.Header.Get(inbound.TryHeader), time.Since(w.began)
+	way.Try, way.Took = r.Header.Get(inbound.TryIDHeader), time.Since(w.began)
 	if w.view != nil {
 		way.Index = w.view.Index
 	}
--- a/internal/mesh/outbound/order_test.go
+++ b/internal/mesh/outbound/order_test.go
@@ -124,26 +124,26 @@
 	m.NoError(err)
 	config, _, err := meshconfig.New().Apply(patch)
 	m.NoError(err)
-	var stations []transport.Heard
+	var stations []transport.StationStatus
 	for service, width := range slots {
 		for i := range eachService {
 			name := fmt.Sprint(service, i)
 			set := &bootstrap.Settings{IP: "sender of " + name, Zone: fmt.Sprint(i % 3), Zones: map[string]string{"0": "r", "1": "r", "2": "r"}, Service: service}
 			set.Bounds.RetryWindow, set.Bounds.RetryRatio, set.Bounds.ExtraTries = 10*time.Second, 0.2, 62
-			p := &spot{gate: inbound.New(0, inbound.Rules{BeatEvery: far}), zone: i % 3, speed: speeds[(i+i/3)%3], backed: name}
+			p := &spot{gate: inbound.NewGate(0, inbound.Rules{HeartbeatInterval: far}), zone: i % 3, speed: speeds[(i+i/3)%3], backed: name}
 			b := transport.Backend{ID: name, Service: service, Zone: set.Zone, Capacity: width, Calls: 1}
-			p.gate.Named(1)
-			p.gate.Vouch(0, 0, b)
+			p.gate.SetLife(1)
+			p.gate.ProbeSucceeded(0, 0, b)
 			p.agent = New(set, inbound.NewHost(inbound.Rules{}, 1, transport.NewByteBudget(1), func() {}), nil, transport.NewByteBudget(1), &log.Logger{Handler: discard.New(), Level: log.FatalLevel})
 			p.agent.send = func(j *job, gate transport.Endpoint, ask *transport.Request) (*transport.Reply, []byte, *transport.Failure) {
 				return m.send(p, j, gate.Address, ask)
 			}
 			m.spots[name] = p
-			stations = append(stations, transport.Heard{Station: transport.Station{Agent: name, Gate: name, Zone: set.Zone, Life: 1, Seq: 1, Open: true, Backend: &b}})
+			stations = append(stations, transport.StationStatus{Station: transport.Station{Agent: name, Gate: name, Zone: set.Zone, Life: 1, Seq: 1, Open: true, Backend: &b}})
 		}
 	}
 	view := func(lost bool) {
-		list := make([]transport.Heard, len(stations))
+		list := make([]transport.StationStatus, len(stations))
 		for i, h := range stations {
 			h.Lost = lost && h.Station.Zone == "0"
 			list[i] = h
@@ -157,7 +157,7 @@
 		time.AfterFunc(at, func() {
 			m.mu.Lock()
 			for _, p := range m.spots {
-				p.gate.Configure(m.now(), inbound.Rules{BeatEvery: far, Evacuated: lost && p.zone == 0})
+				p.gate.Configure(m.now(), inbound.Rules{HeartbeatInterval: far, Evacuated: lost && p.zone == 0})
 			}
 			m.mu.Unlock()
 		})
@@ -189,20 +189,20 @@
 	case <-late.C:
 	case <-j.over:
 	}
-	return nil, nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Silent}
+	return nil, nil, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.ResponseTimeout}
 }
 
 // handle is what a gate's host does.
 func (m *meshModel) handle(p *spot, j *job, ask *transport.Request) *transport.Reply {
 	refused := func(f *transport.Failure) *transport.Reply {
-		return &transport.Reply{Verdict: f.Verdict, Reason: f.Reason, After: f.After, Load: p.gate.Load(m.now())}
+		return &transport.Reply{Verdict: f.Verdict, Reason: f.Reason, After: f.RetryAfter, Load: p.gate.Load(m.now())}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	told := *ask
 	m.order.tell(&told, m.now())
 	if m.order.late && !ask.Inner && ask.Aim < p.gate.Load(m.now()).Recent {
-		return refused(&transport.Failure{Verdict: transport.NotRun, Reason: transport.Late})
+		return refused(&transport.Failure{Verdict: transport.NotRun, Reason: transport.TooLate})
 	}
 	t, f := p.gate.Admit(m.now(), &told)
 	if f != nil {
@@ -210,14 +210,14 @@
 	}
 	if t != nil {
 		granted := make(chan *transport.Failure, 1)
-		t.Grant = func(_ bool, f *transport.Failure) { granted <- f }
+		t.OnDecision = func(_ bool, f *transport.Failure) { granted <- f }
 		m.mu.Unlock()
 		timer := time.NewTimer(ask.Patient)
 		select {
 		case f = <-granted:
 		case <-timer.C:
 			m.mu.Lock()
-			if f = (&transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, After: ask.Patient}); !p.gate.Abandon(m.now(), t, f.Reason) {
+			if f = (&transport.Failure{Verdict: transport.NotRun, Reason: transport.Full, RetryAfter: ask.Patient}); !p.gate.Abandon(m.now(), t, f.Reason) {
 				f = <-granted
 			}
 			m.mu.Unlock()
@@ -251,14 +251,14 @@
 	m.mu.Lock()
 	took := m.now() - sent
 	silent := took >= limit
-	p.gate.Done(m.now(), took, !silent, !silent)
+	p.gate.Complete(m.now(), took, !silent, !silent)
 	if ask.URI == pickup.path {
 		if m.runs++; reply.Inner {
 			m.broken++
 		}
 	}
 	if silent {
-		return refused(&transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Silent})
+		return refused(&transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.ResponseTimeout})
 	}
 	reply.Load = p.gate.Load(m.now())
 	return reply
@@ -293,7 +293,7 @@
 	switch at := e.attempt; {
 	case e.refused:
 		if at != nil && at.fail != nil {
-			e.after = max(e.after, at.fail.After)
+			e.after = max(e.after, at.fail.RetryAfter)
 		}
 		return 503, min(max(e.after, leastAfter), mostAfter)
 	case at == nil || at.fail != nil:
--- a/internal/mesh/outbound/path_bench_test.go
+++ b/internal/mesh/outbound/path_bench_test.go
@@ -147,7 +147,7 @@
 	config, _, err := meshconfig.New().Apply(patch)
 	require.NoError(b, err)
 	view := &outbound.View{Config: config, Index: 1}
-	rules := inbound.Rules{BeatEvery: time.Hour}
+	rules := inbound.Rules{HeartbeatInterval: time.Hour}
 	for i := range gates {
 		host := inbound.NewHost(rules, 1<<20, transport.NewByteBudget(1<<30), func() {})
 		at := listen(b, func(raw net.Conn) {
@@ -158,13 +158,13 @@
 			}
 		})
 		life := transport.Backend{ID: fmt.Sprint("i-", i), Service: "s", Address: listen(b, backend), Zone: "z", Capacity: width, Calls: 1}
-		host.With(func(now time.Duration, g *inbound.Gate) bool { g.Named(1); return g.Vouch(now, 0, life) })
-		view.Stations = append(view.Stations, transport.Heard{Station: transport.Station{Agent: fmt.Sprint("10.0.0.", i), Gate: at, Zone: "z",
+		host.WithGate(func(now time.Duration, g *inbound.Gate) bool { g.SetLife(1); return g.ProbeSucceeded(now, 0, life) })
+		view.Stations = append(view.Stations, transport.StationStatus{Station: transport.Station{Agent: fmt.Sprint("10.0.0.", i), Gate: at, Zone: "z",
 			Life: 1, Seq: 1, Open: true, Backend: &life}})
 	}
 	set := &bootstrap.Settings{IP: "10.0.1.1", Zone: "z", Zones: map[string]string{"z": "r"}, Service: "caller"}
 	set.Bounds.RetryRatio, set.Bounds.RetryWindow, set.Bounds.ExtraTries = 0.2, 10*time.Second, 60
-	links := &transport.Pool{From: "10.0.1.1:1", Connect: time.Second, Idle: time.Minute, Most: 64}
+	links := &transport.Pool{ControlAddress: "10.0.1.1:1", ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxIdlePerGate: 64}
 	s := outbound.New(set, inbound.NewHost(rules, 1<<20, transport.NewByteBudget(1<<30), func() {}), links, transport.NewByteBudget(1<<30), &log.Logger{Handler: discard.New()})
 	s.SetView(view)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/mesh/outbound/request.go
+++ b/internal/mesh/outbound/request.go
@@ -65,7 +65,7 @@
 // where that is shorter, or where the client does not say; told is what it said, 0 if nothing.
 func timeLeft(h http.Header, giveUp time.Duration) (left, told time.Duration) {
 	left = giveUp
-	ms, err := strconv.ParseFloat(h.Get(inbound.LeftHeader), 64)
+	ms, err := strconv.ParseFloat(h.Get(inbound.TimeLeftHeader), 64)
 	if err != nil || !(ms >= 0 && ms < 1e9) {
 		return left, 0
 	}
@@ -83,14 +83,14 @@
 	oneHop := connectionOptions(h)
 	for name, values := range h {
 		switch name {
-		case inbound.TryHeader, inbound.LeftHeader, inbound.TargetHeader, inbound.CallerHeader:
+		case inbound.TryIDHeader, inbound.TimeLeftHeader, inbound.TargetServerHeader, inbound.CallingServiceHeader:
 			continue
 		case keyHeader, inbound.CustomerHeader:
 			if keyed {
 				continue
 			}
 		}
-		if !inbound.Passes(name) || slices.Contains(oneHop, name) {
+		if !inbound.IsEndToEndHeader(name) || slices.Contains(oneHop, name) {
 			continue
 		}
 		for _, v := range values {
--- a/internal/mesh/outbound/sender.go
+++ b/internal/mesh/outbound/sender.go
@@ -31,7 +31,7 @@
 type View struct {
 	Config   *meshconfig.Config
 	Index    uint64 // of the configuration
-	Stations []transport.Heard
+	Stations []transport.StationStatus
 }
 
 const (
--- a/internal/mesh/outbound/serve.go
+++ b/internal/mesh/outbound/serve.go
@@ -66,7 +66,7 @@
 	}
 	o := s.serve(r.Context(), j, left)
 	if !s.answer(w, j, o) && j.inner {
-		s.host.CallFailed(j.request.Try)
+		s.host.RecordCallFailure(j.request.Try)
 	}
 }
 
@@ -124,7 +124,7 @@
 	}
 	j.deadline, j.aim = now.Add(left), now.Add(route.TargetTime)
 	j.request = transport.Request{
-		Try: r.Header.Get(inbound.TryHeader), Method: r.Method, URI: r.RequestURI, Host: r.Host, Caller: s.set.Service,
+		Try: r.Header.Get(inbound.TryIDHeader), Method: r.Method, URI: r.RequestURI, Host: r.Host, Caller: s.set.Service,
 		Unsafe: route.Kind != meshconfig.Safe, Rank: w.tenant.rank, Customer: w.tenant.name, Body: int64(len(body)),
 		Header:  passedOn(r.Header, w.view.Config.HasCustomers()),
 		Patient: max(route.TargetTime/patientPart, 10*time.Millisecond),
@@ -147,7 +147,7 @@
 	}
 	s.idsMu.Lock()
 	defer s.idsMu.Unlock()
-	s.ids.Step(time.Since(s.began))
+	s.ids.Advance(time.Since(s.began))
 	switch {
 	case s.ids.Contains(j.request.Try):
 		s.Count.Failed.Add(1)
--- a/internal/mesh/outbound/serve_test.go
+++ b/internal/mesh/outbound/serve_test.go
@@ -43,10 +43,10 @@
 					if c.Receive(&a) != nil {
 						return
 					}
-					body, _ := c.Body(a.Body, 1<<20)
+					body, _ := c.ReceiveBody(a.Body, 1<<20)
 					reply, out := say(&a, body)
 					if ok = reply != nil; ok {
-						reply.Number, reply.Body, reply.Sum = a.Number, int64(len(out)), transport.Sum(out)
+						reply.Number, reply.Body, reply.Sum = a.Number, int64(len(out)), transport.Checksum(out)
 						c.Send(reply, out)
 					}
 				}
@@ -68,11 +68,11 @@
 	require.NoError(t, err)
 	set := &bootstrap.Settings{IP: "10.0.0.1", Zone: "z", Zones: map[string]string{"z": "r"}, Service: "caller"}
 	set.Bounds.RetryWindow, set.Bounds.RetryRatio, set.Bounds.ExtraTries = 10*time.Second, 0.2, 50
-	links := &transport.Pool{Connect: time.Second, Idle: time.Minute, Most: 8}
+	links := &transport.Pool{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxIdlePerGate: 8}
 	s := New(set, inbound.NewHost(inbound.Rules{}, 1<<20, transport.NewByteBudget(1<<30), func() {}), links, transport.NewByteBudget(1<<30), &log.Logger{Handler: discard.New(), Level: log.FatalLevel})
 	view := &View{Config: config, Index: 1}
 	for i, g := range gates {
-		view.Stations = append(view.Stations, transport.Heard{Station: transport.Station{Agent: fmt.Sprint("10.0.1.", i), Gate: g, Zone: "z",
+		view.Stations = append(view.Stations, transport.StationStatus{Station: transport.Station{Agent: fmt.Sprint("10.0.1.", i), Gate: g, Zone: "z",
 			Life: 1, Seq: 1, Open: true, Backend: &transport.Backend{ID: fmt.Sprint("b", i), Service: "s", Zone: "z", Capacity: 4}}})
 	}
 	s.SetView(view)
@@ -95,8 +95,8 @@
 func request(method, path, try string, body io.Reader) *http.Request {
 	r := httptest.NewRequest(method, path, body)
 	r.Host = "d"
-	r.Header.Set(inbound.TryHeader, try)
-	r.Header.Set(inbound.LeftHeader, "4000")
+	r.Header.Set(inbound.TryIDHeader, try)
+	r.Header.Set(inbound.TimeLeftHeader, "4000")
 	return r
 }
 
@@ -183,7 +183,7 @@
 		return w
 	}
 	r := request("HEAD", "/safe/%41?q=%42", "t", nil)
-	for name, value := range map[string]string{inbound.CallerHeader: "forged", inbound.TargetHeader: "forged", "X-Kept": "yes", "Cookie": "c",
+	for name, value := range map[string]string{inbound.CallingServiceHeader: "forged", inbound.TargetServerHeader: "forged", "X-Kept": "yes", "Cookie": "c",
 		"Connection": "x-hop", "X-Hop": "no", "Te": "trailers"} {
 		r.Header.Set(name, value)
 	}
@@ -200,7 +200,7 @@
 	chunked := request("POST", "/safe/", "t", strings.NewReader(long))
 	chunked.ContentLength = -1
 	late := request("POST", "/unsafe/", "t", nil)
-	late.Header.Set(inbound.LeftHeader, "0")
+	late.Header.Set(inbound.TimeLeftHeader, "0")
 	require.Equal(t, 404, say(request("GET", "/none/", "t", nil)).Code)
 	require.Equal(t, 413, say(request("POST", "/safe/", "t", strings.NewReader(long))).Code)
 	require.Equal(t, 413, say(chunked).Code)
@@ -232,7 +232,7 @@
 	to := s.chooser("s").targets[idOf("10.0.1.0")]
 	send = func() transport.Reason { return s.attempt(j, policy.Action{Server: to.id}, to, 0).fail.Reason }
 	require.Equal(t, transport.Full, send())
-	require.Equal(t, transport.Own, copied, "sent to a second backend on a route of one try")
+	require.Equal(t, transport.LocalShortage, copied, "sent to a second backend on a route of one try")
 	require.Equal(t, transport.Full, send())
 }
 
@@ -248,7 +248,7 @@
 	}))
 	for _, left := range []string{"100", "2000"} {
 		w, r := httptest.NewRecorder(), request("GET", "/unsafe/", left, nil)
-		r.Header.Set(inbound.LeftHeader, left)
+		r.Header.Set(inbound.TimeLeftHeader, left)
 		s.ServeHTTP(w, r)
 		require.Equal(t, map[string]int{"100": 504, "2000": 200}[left], w.Code)
 	}
@@ -266,7 +266,7 @@
 		aim        float64
 	}{{"/safe/", "3000", 4}, {"/safe/", "4000", 4}, {"/safe/", "3000", 3}, {"/safe/", "500", 0.5}, {"/unsafe/", "500", 4}} {
 		r := request("GET", c.path, "t", nil)
-		r.Header.Set(inbound.LeftHeader, c.left)
+		r.Header.Set(inbound.TimeLeftHeader, c.left)
 		s.ServeHTTP(httptest.NewRecorder(), r)
 		require.InDelta(t, c.aim, aim.Seconds(), 0.2, "%+v", c)
 	}
@@ -288,9 +288,9 @@
 		if local {
 			view := *s.View()
 			view.Stations[0].Station.Agent = s.set.IP
-			s.host.With(func(now time.Duration, g *inbound.Gate) bool {
-				g.Named(view.Stations[0].Station.Life)
-				return g.Vouch(now, 0, transport.Backend{ID: "b0", Service: "s", Address: silent.Addr().String(), Capacity: 4, Calls: 1})
+			s.host.WithGate(func(now time.Duration, g *inbound.Gate) bool {
+				g.SetLife(view.Stations[0].Station.Life)
+				return g.ProbeSucceeded(now, 0, transport.Backend{ID: "b0", Service: "s", Address: silent.Addr().String(), Capacity: 4, Calls: 1})
 			})
 			s.SetView(&view)
 		}
--- a/internal/mesh/outbound/tenant.go
+++ b/internal/mesh/outbound/tenant.go
@@ -22,7 +22,7 @@
 // customers a request needs the key of one, but for those of public routes and those that a backend
 // makes for a run of its own, which are its tenant's.
 func (s *Sender) authenticate(w *answered, r *http.Request) bool {
-	w.parent = s.host.Parent(r.Header.Get(inbound.TryHeader))
+	w.parent = s.host.FindParent(r.Header.Get(inbound.TryIDHeader))
 	w.tenant = tenant{rank: w.route.Rank}
 	if !w.view.Config.HasCustomers() {
 		return true
@@ -60,5 +60,5 @@
 // isCall says whether a request is a call of a backend's run that is not known, as the process that
 // handed it over has ended since. It brings no key, and is refused without a word on that.
 func isCall(r *http.Request) bool {
-	return r.Header.Get(keyHeader) == "" && strings.Contains(r.Header.Get(inbound.TryHeader), ".")
+	return r.Header.Get(keyHeader) == "" && strings.Contains(r.Header.Get(inbound.TryIDHeader), ".")
 }
--- a/internal/mesh/registry/revisions.go
+++ b/internal/mesh/registry/revisions.go
@@ -32,7 +32,7 @@
 }
 
 // Now is the present revision.
-func (r *Revisions) Now() uint64 { return r.now }
+func (r *Revisions) Current() uint64 { return r.now }
 
 func (r *Revisions) of(agent string) *marks {
 	if r.marks == nil {
@@ -48,20 +48,20 @@
 }
 
 // Said notes that an agent has said a new word of itself.
-func (r *Revisions) Said(agent string) { m := r.of(agent); m.said = r.now }
+func (r *Revisions) RecordUpdate(agent string) { m := r.of(agent); m.said = r.now }
 
 // Lost notes that an agent is lost.
-func (r *Revisions) Lost(agent string) {
+func (r *Revisions) RecordLost(agent string) {
 	if m := r.of(agent); !m.isLost() {
 		m.lost, m.backBefore = r.now, m.back
 	}
 }
 
 // Back notes that an agent that was lost is heard again.
-func (r *Revisions) Back(agent string) { m := r.of(agent); m.back = r.now }
+func (r *Revisions) RecordRecovered(agent string) { m := r.of(agent); m.back = r.now }
 
 // Removed notes that stations were removed, and keeps what there is of the others.
-func (r *Revisions) Removed(there func(agent string) bool) {
+func (r *Revisions) RecordRemoval(there func(agent string) bool) {
 	r.now++
 	r.removed = r.now
 	for agent := range r.marks {
@@ -73,7 +73,7 @@
 
 // Since returns the agents of which somebody who has heard all up to a revision has to hear. It
 // reports false where all has to be told.
-func (r *Revisions) Since(revision uint64) (agents []string, ok bool) {
+func (r *Revisions) ChangedSince(revision uint64) (agents []string, ok bool) {
 	if revision == 0 || revision > r.now || revision < r.removed {
 		return nil, false
 	}
--- a/internal/mesh/registry/revisions_test.go
+++ b/internal/mesh/registry/revisions_test.go
@@ -28,23 +28,23 @@
 			switch do := rng.IntN(8); {
 			case do < 3 || !there:
 				if k.lost {
-					r.Back(agent)
+					r.RecordRecovered(agent)
 				}
-				r.Said(agent)
+				r.RecordUpdate(agent)
 				table[agent] = known{word: k.word + 1}
 			case do < 5 && !k.lost:
-				r.Lost(agent)
+				r.RecordLost(agent)
 				table[agent] = known{k.word, true}
 			case do < 7 && k.lost:
-				r.Back(agent)
+				r.RecordRecovered(agent)
 				table[agent] = known{k.word, false}
 			case do == 7 && k.lost && rng.IntN(4) == 0:
 				delete(table, agent)
-				r.Removed(func(a string) bool { _, ok := table[a]; return ok })
+				r.RecordRemoval(func(a string) bool { _, ok := table[a]; return ok })
 			}
-			moments[r.Now()] = maps.Clone(table)
+			moments[r.Current()] = maps.Clone(table)
 			for at, have := range moments {
-				agents, ok := r.Since(at)
+				agents, ok := r.ChangedSince(at)
 				if !ok {
 					continue
 				}
@@ -54,15 +54,15 @@
 				for _, a := range agents {
 					have[a] = table[a]
 				}
-				require.Equal(t, table, have, "seed %d: from %d to %d", seed, at, r.Now())
+				require.Equal(t, table, have, "seed %d: from %d to %d", seed, at, r.Current())
 			}
 		}
 	}
 	require.Greater(t, resumed, 5000)
 	require.Greater(t, spared, 5000)
 	var r Revisions
-	_, ok := r.Since(0)
+	_, ok := r.ChangedSince(0)
 	require.False(t, ok)
-	_, ok = r.Since(7)
+	_, ok = r.ChangedSince(7)
 	require.False(t, ok, "a revision of another core process")
 }
--- a/internal/mesh/registry/table.go
+++ b/internal/mesh/registry/table.go
@@ -20,13 +20,13 @@
 )
 
 // Forget is how long a station is kept that no source tells of, or that is lost for all.
-const Forget = 20 * time.Second
+const ForgetAfter = 20 * time.Second
 
 // Most is how many stations are kept: more than the agents that the mesh is made for.
-const Most = 4096
+const MaxStations = 4096
 
 // Self is the source that an agent is of its own station. It tells of nobody else, so it is no sign of being in touch.
-const Self = "self"
+const SelfSource = "self"
 
 // Table merges the words of sources. It is not safe for concurrent use.
 type Table struct {
@@ -64,7 +64,7 @@
 }
 
 // Hear takes in what a source tells. Whole says that it tells of all that it knows.
-func (t *Table) Hear(now time.Duration, from string, whole bool, heard []transport.Heard) (changed bool) {
+func (t *Table) Merge(now time.Duration, from string, whole bool, heard []transport.StationStatus) (changed bool) {
 	changed = !t.isUp(from) // what it told before counts again
 	s := t.source(from)
 	if whole {
@@ -74,7 +74,7 @@
 		h := &heard[i]
 		e := t.stations[h.Station.Agent]
 		if e == nil {
-			if len(t.stations) >= Most {
+			if len(t.stations) >= MaxStations {
 				continue
 			}
 			e = &entry{seen: now}
@@ -95,14 +95,14 @@
 }
 
 // Down takes in that a source is out of reach: what it told holds on, but its word that somebody is lost does not count.
-func (t *Table) Down(from string) {
+func (t *Table) MarkSourceDown(from string) {
 	if s := t.sources[from]; s != nil {
 		s.up = false
 	}
 }
 
 // Lost says that a source lost an agent's present life.
-func (t *Table) Lost(from, agent string, life uint64) (changed bool) {
+func (t *Table) MarkLost(from, agent string, life uint64) (changed bool) {
 	e, s := t.stations[agent], t.source(from)
 	if e == nil || e.Life != life {
 		return false
@@ -127,10 +127,10 @@
 }
 
 // Step forgets what nobody has told of for long.
-func (t *Table) Step(now time.Duration) (changed bool) {
+func (t *Table) Expire(now time.Duration) (changed bool) {
 	inTouch := false
 	for name, s := range t.sources {
-		inTouch = inTouch || s.up && name != Self
+		inTouch = inTouch || s.up && name != SelfSource
 	}
 	if !inTouch {
 		// Danger: who is cut off would forget all that it could still use, or would as soon as a core machine is back that
@@ -148,7 +148,7 @@
 		}
 		if here {
 			e.seen = now
-		} else if now-e.seen > Forget {
+		} else if now-e.seen > ForgetAfter {
 			delete(t.stations, agent)
 			for _, s := range t.sources {
 				delete(s.heard, agent)
@@ -170,8 +170,8 @@
 
 // heard is a station as of now. Danger: what is left of a warm-up was left when it was said; passed on as it was, a backend would be
 // cold for ever to who hears of it late.
-func (t *Table) heard(now time.Duration, e *entry) transport.Heard {
-	h := transport.Heard{Station: e.Station, Lost: t.lost(e.Agent)}
+func (t *Table) heard(now time.Duration, e *entry) transport.StationStatus {
+	h := transport.StationStatus{Station: e.Station, Lost: t.lost(e.Agent)}
 	if b := h.Station.Backend; b != nil && b.ColdLeft > 0 {
 		since := *b
 		since.ColdLeft = max(0, b.ColdLeft-(now-e.told))
@@ -181,12 +181,12 @@
 }
 
 // All returns all stations, as of now, in the order of their agents.
-func (t *Table) All(now time.Duration) []transport.Heard {
-	all := make([]transport.Heard, 0, len(t.stations))
+func (t *Table) All(now time.Duration) []transport.StationStatus {
+	all := make([]transport.StationStatus, 0, len(t.stations))
 	for _, e := range t.stations {
 		all = append(all, t.heard(now, e))
 	}
-	slices.SortFunc(all, func(x, y transport.Heard) int { return cmp.Compare(x.Station.Agent, y.Station.Agent) })
+	slices.SortFunc(all, func(x, y transport.StationStatus) int { return cmp.Compare(x.Station.Agent, y.Station.Agent) })
 	return all
 }
 
@@ -194,10 +194,10 @@
 func (t *Table) Agents() []string { return slices.Collect(maps.Keys(t.stations)) }
 
 // Of returns one station as All does.
-func (t *Table) Of(now time.Duration, agent string) (transport.Heard, bool) {
+func (t *Table) Status(now time.Duration, agent string) (transport.StationStatus, bool) {
 	e := t.stations[agent]
 	if e == nil {
-		return transport.Heard{}, false
+		return transport.StationStatus{}, false
 	}
 	return t.heard(now, e), true
 }
--- a/internal/mesh/registry/table_test.go
+++ b/internal/mesh/registry/table_test.go
@@ -29,11 +29,11 @@
 
 // drawn is what a source may say of the agents; what one word says is the same whoever passes it
 // on.
-func drawn(r *rand.Rand, from string, step int) (list []transport.Heard) {
+func drawn(r *rand.Rand, from string, step int) (list []transport.StationStatus) {
 	for agent := range 4 {
-		if r.IntN(3) > 0 && (from != Self || agent == 0) {
+		if r.IntN(3) > 0 && (from != SelfSource || agent == 0) {
 			life, seq := uint64(1+r.IntN(3)), uint64(1+r.IntN(step+1))
-			list = append(list, transport.Heard{Lost: from != Self && r.IntN(3) > 0, Station: transport.Station{Agent: fmt.Sprint("a", agent),
+			list = append(list, transport.StationStatus{Lost: from != SelfSource && r.IntN(3) > 0, Station: transport.Station{Agent: fmt.Sprint("a", agent),
 				Life: life, Seq: seq, Backend: &transport.Backend{ColdLeft: time.Duration((life*7+seq*1300)%5000) * time.Millisecond}}})
 		}
 	}
@@ -57,19 +57,19 @@
 	tables, now, up, book := [2]*Table{New(), New()}, time.Hour, map[string]bool{}, map[string]*known{}
 	each := func(f func(t *Table)) { f(tables[0]); f(tables[1]) }
 	down := func(from string) {
-		each(func(t *Table) { t.Down(from) })
+		each(func(t *Table) { t.MarkSourceDown(from) })
 		up[from] = false
 	}
 	check := func() {
-		each(func(t *Table) { t.Step(now) })
+		each(func(t *Table) { t.Expire(now) })
 		is.Equal(tables[0].All(now), tables[1].All(now), "tables that heard the same words differ")
 		for agent, k := range book {
 			lost, here := k.state(up)
 			if here || !up["core0"] && !up["core1"] && !up["core2"] {
 				k.seen = now
 			}
-			h, there := tables[0].Of(now, agent)
-			is.Equal(there, now-k.seen <= Forget, "%s is forgotten too soon, by one that is cut off, or never", agent)
+			h, there := tables[0].Status(now, agent)
+			is.Equal(there, now-k.seen <= ForgetAfter, "%s is forgotten too soon, by one that is cut off, or never", agent)
 			if !there {
 				counted["forgotten"]++
 				delete(book, agent)
@@ -83,7 +83,7 @@
 	}
 	for step := range 300 {
 		now += time.Duration(r.IntN(1000)) * time.Millisecond
-		names := []string{"core0", "core1", "core2", Self}
+		names := []string{"core0", "core1", "core2", SelfSource}
 		r.Shuffle(3, func(i, j int) { names[i], names[j] = names[j], names[i] })
 		switch r.IntN(8) {
 		case 0:
@@ -100,7 +100,7 @@
 			}
 		case 2:
 			agent, life := fmt.Sprint("a", r.IntN(4)), uint64(1+r.IntN(3))
-			each(func(t *Table) { t.Lost(names[0], agent, life) })
+			each(func(t *Table) { t.MarkLost(names[0], agent, life) })
 			up[names[0]] = true
 			if k := book[agent]; k != nil && k.best.Life == life {
 				k.says[names[0]] = true
@@ -108,8 +108,8 @@
 		default: // two sources speak, and are heard in either order
 			var calls [2]func(t *Table)
 			for i, from := range []string{names[0], names[1+r.IntN(3)]} {
-				list, whole := drawn(r, from, step), from != Self && r.IntN(3) == 0
-				calls[i] = func(t *Table) { t.Hear(now, from, whole, list) }
+				list, whole := drawn(r, from, step), from != SelfSource && r.IntN(3) == 0
+				calls[i] = func(t *Table) { t.Merge(now, from, whole, list) }
 				up[from] = true
 				for _, k := range book {
 					if whole {
--- a/internal/mesh/seenids/seenids.go
+++ b/internal/mesh/seenids/seenids.go
@@ -23,7 +23,7 @@
 }
 
 // Step lets time pass.
-func (s *Set) Step(now time.Duration) {
+func (s *Set) Advance(now time.Duration) {
 	for range s.generations {
 		if now-s.turned < s.lasts {
 			return
--- a/internal/mesh/seenids/seenids_test.go
+++ b/internal/mesh/seenids/seenids_test.go
@@ -21,7 +21,7 @@
 		if rng.IntN(200) == 0 {
 			now += 2 * lasts
 		}
-		s.Step(now)
+		s.Advance(now)
 		if id := strconv.Itoa(n); !s.Full() {
 			s.Add(id)
 			added[id] = now
--- a/internal/mesh/sidecar/agent.go
+++ b/internal/mesh/sidecar/agent.go
@@ -93,13 +93,13 @@
 func New(path string, set *bootstrap.Settings, l log.Interface) *Agent {
 	a := &Agent{path: path, set: set, log: l, commands: make(chan func(), queue), table: registry.New(), began: time.Now(),
 		config: meshconfig.New(), feeds: map[string]*feed{}, life: uint64(time.Now().UnixNano())}
-	a.links = &transport.Pool{From: set.Control, Connect: time.Second, Idle: 30 * time.Second, Most: 64}
+	a.links = &transport.Pool{ControlAddress: set.Control, ConnectTimeout: time.Second, IdleTimeout: 30 * time.Second, MaxIdlePerGate: 64}
 	budget := transport.NewByteBudget(mostBody)
 	if set.MemoryMB > 0 {
 		budget = transport.NewByteBudget(int64(set.MemoryMB) << 20 / bodyPart)
 	}
 	a.host = inbound.NewHost(a.rules(), mostBody, budget, a.news)
-	a.host.Observe(a.backendChanged)
+	a.host.ObserveBackend(a.backendChanged)
 	a.clock = meshtime.New()
 	if set.Platform.Has(duties.UsageReport) {
 		a.usage = usage.NewCounter(rand.Uint64(), set.Bounds.ReportWindow, a.clock)
@@ -126,7 +126,7 @@
 		return oops.In("listen").Wrap(err)
 	}
 	defer inner.Close()
-	go (&transport.Server{Uses: a.uses()}).Serve(inner)
+	go (&transport.Server{Handlers: a.uses()}).Serve(inner)
 	serve := func(addr string, h http.Handler) (*http.Server, error) {
 		l, err := net.Listen("tcp4", addr)
 		if err != nil {
@@ -164,8 +164,8 @@
 // uses are what other processes connect for.
 func (a *Agent) uses() map[string]func(transport.Hello, *transport.Conn) {
 	return map[string]func(transport.Hello, *transport.Conn){
-		transport.Exchange: func(_ transport.Hello, c *transport.Conn) { a.host.Serve(c) },
-		transport.Stats:    func(_ transport.Hello, c *transport.Conn) { a.stats.Serve(c, a.figures) },
+		transport.UseExchange: func(_ transport.Hello, c *transport.Conn) { a.host.Serve(c) },
+		transport.UseStats:    func(_ transport.Hello, c *transport.Conn) { a.stats.Serve(c, a.figures) },
 	}
 }
 
@@ -192,9 +192,9 @@
 }
 
 // backendChanged writes down a change of the backend. Each decides what may reach it.
-func (a *Agent) backendChanged(c inbound.Change) {
+func (a *Agent) backendChanged(c inbound.BackendChange) {
 	a.log.WithField("id", c.Backend).WithField("state", c.State).WithField("cause", c.Cause.String()).
-		WithField("call", c.Calls).Info("backend")
+		WithField("call", c.HeartbeatNumber).Info("backend")
 }
 
 // own works through the commands.
@@ -232,7 +232,7 @@
 func (a *Agent) tick() {
 	a.host.Tick()
 	a.measureWork()
-	if a.table.Step(a.now()) {
+	if a.table.Expire(a.now()) {
 		a.dirty = true
 		// Danger: a core machine that is away now would not tell again of what is forgotten here.
 		for _, f := range a.feeds {
@@ -276,7 +276,7 @@
 
 // named tells the gate by which life others know this process.
 func (a *Agent) named() {
-	a.host.With(func(_ time.Duration, g *inbound.Gate) bool { g.Named(a.life); return false })
+	a.host.WithGate(func(_ time.Duration, g *inbound.Gate) bool { g.SetLife(a.life); return false })
 }
 
 // say makes the station's next word and has the feeds tell it.
@@ -284,14 +284,14 @@
 	a.publish.Store(false)
 	a.seq++
 	s := &transport.Station{Agent: a.set.IP, Gate: cmp.Or(a.set.Gate, Inner(a.set, a.set.Control)), Zone: a.set.Zone, Life: a.life, Seq: a.seq,
-		Open: a.host.Open() && a.fresh && !a.went.Load()}
-	a.host.With(func(now time.Duration, g *inbound.Gate) bool { s.Backend = g.Backend(now); return false })
+		Open: a.host.Accepting() && a.fresh && !a.went.Load()}
+	a.host.WithGate(func(now time.Duration, g *inbound.Gate) bool { s.Backend = g.Backend(now); return false })
 	a.station.Store(s)
 	for _, f := range a.feeds {
 		f.wake()
 	}
 	// Its own backend is known at once, also to an agent that is cut off.
-	if a.table.Hear(a.now(), registry.Self, false, []transport.Heard{{Station: *s}}) {
+	if a.table.Merge(a.now(), registry.SelfSource, false, []transport.StationStatus{{Station: *s}}) {
 		a.dirty = true
 	}
 }
@@ -300,10 +300,10 @@
 func (a *Agent) rules() inbound.Rules {
 	b := &a.set.Bounds
 	stage := a.config.Stage(a.set.Zone, a.set.IP)
-	r := inbound.Rules{Blind: !a.fresh, Excess: b.WarmupExcess, Margin: b.WarmupMargin, BeatEvery: a.set.BeatEvery, LinkBps: a.set.LinkMbps * 1e6,
-		Evacuated: a.config.Evacuated(a.set.Zone) || stage >= meshconfig.StageClosed, NoUploads: stage >= meshconfig.StageUploads}
+	r := inbound.Rules{NoConfig: !a.fresh, WarmupExcess: b.WarmupExcess, WarmupMargin: b.WarmupMargin, HeartbeatInterval: a.set.BeatEvery, LinkBitsPerSecond: a.set.LinkMbps * 1e6,
+		Evacuated: a.config.Evacuated(a.set.Zone) || stage >= meshconfig.StageClosed, RefuseUploads: stage >= meshconfig.StageUploads}
 	if s := a.config.Service(a.set.Service); s != nil {
-		r.Warmup, r.WarmupPerS = s.Warmup, s.WarmupPerS
+		r.Warmup, r.WarmupRate = s.Warmup, s.WarmupPerS
 	}
 	return r
 }
@@ -317,7 +317,7 @@
 	if s := a.config.Service(a.set.Service); s != nil {
 		a.healthPath.Store(&s.HealthPath)
 	}
-	a.host.With(func(now time.Duration, g *inbound.Gate) bool { g.Configure(now, a.rules()); return false })
+	a.host.WithGate(func(now time.Duration, g *inbound.Gate) bool { g.Configure(now, a.rules()); return false })
 	a.setStage()
 	if !a.fresh && a.index == 0 {
 		return
--- a/internal/mesh/sidecar/beats.go
+++ b/internal/mesh/sidecar/beats.go
@@ -37,10 +37,10 @@
 			http.Error(w, "the body can't be read whole", http.StatusBadRequest)
 			return
 		}
-		reply(w, a.beat(r.PathValue("id"), inbound.BeatHere, body))
+		reply(w, a.beat(r.PathValue("id"), inbound.LocalHeartbeat, body))
 	})
 	mux.HandleFunc("DELETE /api/servers/{id}", func(w http.ResponseWriter, r *http.Request) {
-		reply(w, a.beat(r.PathValue("id"), inbound.SignOffHere, nil))
+		reply(w, a.beat(r.PathValue("id"), inbound.LocalDeregistration, nil))
 	})
 	return mux
 }
@@ -58,8 +58,8 @@
 
 // beat takes in a backend's call. What it says holds at the gate before it is acknowledged.
 func (a *Agent) beat(id string, call inbound.Cause, body []byte) int {
-	if call == inbound.SignOffHere || call == inbound.SignOffByCore {
-		a.host.With(func(now time.Duration, g *gate) bool { return g.SignOff(now, id, call) })
+	if call == inbound.LocalDeregistration || call == inbound.RelayedDeregistration {
+		a.host.WithGate(func(now time.Duration, g *gate) bool { return g.Deregister(now, id, call) })
 		return http.StatusOK
 	}
 	var b beat
@@ -73,8 +73,8 @@
 	if b.Zone == "" {
 		b.Zone = a.set.Zone
 	}
-	a.host.With(func(now time.Duration, g *gate) bool {
-		return g.Beat(now, transport.Backend{ID: id, Service: b.Service, Address: b.Address, Zone: b.Zone, Version: b.Version,
+	a.host.WithGate(func(now time.Duration, g *gate) bool {
+		return g.Heartbeat(now, transport.Backend{ID: id, Service: b.Service, Address: b.Address, Zone: b.Zone, Version: b.Version,
 			Capacity: b.Capacity, Draining: b.State != "ready", ColdLeft: max(0, cold), Calls: b.CallCount}, call)
 	})
 	a.probeIfUnproven()
--- a/internal/mesh/sidecar/beats_test.go
+++ b/internal/mesh/sidecar/beats_test.go
@@ -33,7 +33,7 @@
 func newApplication(t *testing.T) *application {
 	app := &application{t: t}
 	app.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(inbound.ServerHeader, applicationID)
+		w.Header().Set(inbound.ServerIDHeader, applicationID)
 		if !app.healthy.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -70,10 +70,10 @@
 func (app *application) open() bool {
 	ask := &transport.Request{Try: "t", Target: applicationID, Life: app.agent.life, Patient: time.Second}
 	admitted := false
-	app.agent.host.With(func(now time.Duration, g *inbound.Gate) bool {
+	app.agent.host.WithGate(func(now time.Duration, g *inbound.Gate) bool {
 		ticket, failure := g.Admit(now, ask)
 		if admitted = ticket == nil && failure == nil; admitted {
-			g.Withdraw(now, ask, false)
+			g.Cancel(now, ask, false)
 		}
 		return false
 	})
--- a/internal/mesh/sidecar/config.go
+++ b/internal/mesh/sidecar/config.go
@@ -14,7 +14,7 @@
 
 // take brings the configuration forward by what a core machine sent: steps from one that the agent has, or the whole, which it has
 // to ask for. Danger: what does not have the digest of what was agreed on is never shown to sender and gate.
-func (a *Agent) take(f *feed, d *transport.Down, whole []byte) {
+func (a *Agent) take(f *feed, d *transport.CoreUpdate, whole []byte) {
 	if len(whole) > 0 && a.asking == f {
 		a.asking = nil
 	}
@@ -37,7 +37,7 @@
 }
 
 // forward returns the configuration at the index that a message tells.
-func forward(config *meshconfig.Config, index uint64, d *transport.Down, whole []byte) (*meshconfig.Config, error) {
+func forward(config *meshconfig.Config, index uint64, d *transport.CoreUpdate, whole []byte) (*meshconfig.Config, error) {
 	steps := d.Steps
 	switch {
 	case d.RawSteps:
--- a/internal/mesh/sidecar/config_test.go
+++ b/internal/mesh/sidecar/config_test.go
@@ -22,8 +22,8 @@
 	first := meshconfig.New().Evacuate("a")
 	second := first.Evacuate("b")
 	whole := first.Encode()
-	step := func(before, index uint64, zone string) transport.Step {
-		return transport.Step{Before: before, Index: index, Order: meshconfig.Order{Op: meshconfig.OpEvacuate, Zone: zone}}
+	step := func(before, index uint64, zone string) transport.ConfigStep {
+		return transport.ConfigStep{Before: before, Index: index, Order: meshconfig.Order{Op: meshconfig.OpEvacuate, Zone: zone}}
 	}
 	has := func(index uint64, c *meshconfig.Config) {
 		t.Helper()
@@ -32,43 +32,43 @@
 	}
 	asked := func() uint64 { return max(f.want.Swap(0), other.want.Swap(0)) }
 
-	a.hear(f, &transport.Down{Index: 5, Fresh: 1}, nil)
+	a.hear(f, &transport.CoreUpdate{Index: 5, Fresh: 1}, nil)
 	require.False(t, a.proven)
 	require.EqualValues(t, 5, asked())
-	a.hear(a.asking, &transport.Down{Index: 5, Digest: first.Digest() + 1, Raw: int64(len(whole))}, whole)
+	a.hear(a.asking, &transport.CoreUpdate{Index: 5, Digest: first.Digest() + 1, Raw: int64(len(whole))}, whole)
 	has(0, meshconfig.New())
 	require.EqualValues(t, 5, asked(), "another one is asked for what came spoilt")
-	a.hear(a.asking, &transport.Down{Index: 5, Digest: first.Digest(), Raw: int64(len(whole))}, whole)
+	a.hear(a.asking, &transport.CoreUpdate{Index: 5, Digest: first.Digest(), Raw: int64(len(whole))}, whole)
 	has(5, first)
 	require.True(t, a.proven)
 	require.Zero(t, asked())
 
-	next := transport.Down{Index: 9, Digest: second.Digest()}
-	for _, steps := range [][]transport.Step{{step(7, 9, "b")}, {step(5, 9, "c")}, {step(5, 7, "b")}, {{Before: 5, Index: 9}}} {
+	next := transport.CoreUpdate{Index: 9, Digest: second.Digest()}
+	for _, steps := range [][]transport.ConfigStep{{step(7, 9, "b")}, {step(5, 9, "c")}, {step(5, 7, "b")}, {{Before: 5, Index: 9}}} {
 		next.Steps = steps
 		a.hear(f, &next, nil)
 		has(5, first)
 	}
 	require.EqualValues(t, 9, asked(), "asked for once, while the answer may come")
-	next.Steps = []transport.Step{step(2, 5, "a"), step(5, 9, "b")}
+	next.Steps = []transport.ConfigStep{step(2, 5, "a"), step(5, 9, "b")}
 	a.hear(f, &next, nil)
 	has(9, second)
-	a.hear(other, &transport.Down{Index: 5, Digest: first.Digest(), Raw: int64(len(whole))}, whole)
+	a.hear(other, &transport.CoreUpdate{Index: 5, Digest: first.Digest(), Raw: int64(len(whole))}, whole)
 	has(9, second)
 
 	third := second.Evacuate("c")
 	a.asking = nil
-	a.hear(f, &transport.Down{Index: 12}, nil)
+	a.hear(f, &transport.CoreUpdate{Index: 12}, nil)
 	require.EqualValues(t, 9, a.asking.since.Load(), "steps from what it has will do")
-	raw := transport.EncodeSteps([]transport.Step{step(9, 12, "d")})
-	a.hear(a.asking, &transport.Down{Index: 12, Digest: third.Digest(), RawSteps: true}, raw)
+	raw := transport.EncodeSteps([]transport.ConfigStep{step(9, 12, "d")})
+	a.hear(a.asking, &transport.CoreUpdate{Index: 12, Digest: third.Digest(), RawSteps: true}, raw)
 	has(9, second)
 	require.Zero(t, a.asking.since.Load(), "the steps led elsewhere")
-	raw = transport.EncodeSteps([]transport.Step{step(5, 9, "b"), step(9, 12, "c")})
-	a.hear(a.asking, &transport.Down{Index: 12, Digest: third.Digest(), RawSteps: true}, raw)
+	raw = transport.EncodeSteps([]transport.ConfigStep{step(5, 9, "b"), step(9, 12, "c")})
+	a.hear(a.asking, &transport.CoreUpdate{Index: 12, Digest: third.Digest(), RawSteps: true}, raw)
 	has(12, third)
 	a.asking = nil
-	a.hear(f, &transport.Down{Index: 13}, nil)
+	a.hear(f, &transport.CoreUpdate{Index: 13}, nil)
 	require.EqualValues(t, 12, a.asking.since.Load())
 }
 
--- a/internal/mesh/sidecar/feed.go
+++ b/internal/mesh/sidecar/feed.go
@@ -36,20 +36,20 @@
 	core     string
 	stop     context.CancelFunc
 	woken    chan struct{}
-	up       chan transport.Up // answers to beats that came over it
-	heard    time.Time         // when the core machine last said anything; the owner's
-	since    atomic.Uint64     // with want: what the agent has, or 0 if it does not trust it
-	want     atomic.Uint64     // to be asked for: the whole configuration, of this index or a later one
-	arriving atomic.Bool       // raw bytes of a configuration are on their way
-	alive    bool              // the core machine has been heard over the present connection; the owner's
-	index    uint64            // of the configuration there, as told last; the owner's
-	cores    []string          // members of the agreement, as told last; the owner's
+	up       chan transport.AgentUpdate // answers to beats that came over it
+	heard    time.Time                  // when the core machine last said anything; the owner's
+	since    atomic.Uint64              // with want: what the agent has, or 0 if it does not trust it
+	want     atomic.Uint64              // to be asked for: the whole configuration, of this index or a later one
+	arriving atomic.Bool                // raw bytes of a configuration are on their way
+	alive    bool                       // the core machine has been heard over the present connection; the owner's
+	index    uint64                     // of the configuration there, as told last; the owner's
+	cores    []string                   // members of the agreement, as told last; the owner's
 
 	offset atomic.Int64 // of the mesh's time, as it tells, from this process's own, ns
 	timed  atomic.Bool  // it has told a time
 
-	process uint64                           // number of the core process that it hears; the owner's
-	resume  atomic.Pointer[transport.Resume] // what has been heard of all stations; nil: not all
+	process uint64                                // number of the core process that it hears; the owner's
+	resume  atomic.Pointer[transport.ResumePoint] // what has been heard of all stations; nil: not all
 }
 
 func (f *feed) wake() {
@@ -66,13 +66,13 @@
 		if !slices.Contains(want, core) {
 			f.stop()
 			delete(a.feeds, core)
-			a.table.Down(core)
+			a.table.MarkSourceDown(core)
 		}
 	}
 	for _, core := range want {
 		if a.feeds[core] == nil {
 			ctx, stop := context.WithCancel(context.Background())
-			f := &feed{core: core, stop: stop, woken: make(chan struct{}, 1), up: make(chan transport.Up, 16)}
+			f := &feed{core: core, stop: stop, woken: make(chan struct{}, 1), up: make(chan transport.AgentUpdate, 16)}
 			a.feeds[core] = f
 			go a.keep(ctx, f)
 		}
@@ -95,7 +95,7 @@
 }
 
 // hearStations takes in what a core machine says of agents.
-func (a *Agent) hearStations(f *feed, d *transport.Down) {
+func (a *Agent) hearStations(f *feed, d *transport.CoreUpdate) {
 	if d.Core != 0 {
 		f.process = d.Core
 	}
@@ -105,11 +105,11 @@
 	if d.Stations == nil && !d.Whole && d.Revision == 0 {
 		return
 	}
-	if a.table.Hear(a.now(), f.core, d.Whole, d.Stations) {
+	if a.table.Merge(a.now(), f.core, d.Whole, d.Stations) {
 		a.dirty = true
 	}
 	if d.Revision != 0 {
-		f.resume.Store(&transport.Resume{Core: f.process, Revision: d.Revision})
+		f.resume.Store(&transport.ResumePoint{Core: f.process, Revision: d.Revision})
 	}
 }
 
@@ -142,7 +142,7 @@
 	wait := redialMin
 	for ctx.Err() == nil {
 		dialing, cancel := context.WithTimeout(ctx, dialTimeout)
-		c, err := transport.Dial(dialing, transport.FeedUse, a.set.Control, Inner(a.set, f.core))
+		c, err := transport.Dial(dialing, transport.UseFeed, a.set.Control, Inner(a.set, f.core))
 		cancel()
 		if err == nil {
 			if a.serve(ctx, f, c) {
@@ -165,7 +165,7 @@
 	if a.feeds[f.core] != f {
 		return
 	}
-	a.table.Down(f.core)
+	a.table.MarkSourceDown(f.core)
 	a.dirty = true
 	a.follow()
 	if a.asking == f {
@@ -207,12 +207,12 @@
 	patience := greetTimeout
 	for first := true; ; first, patience = false, feedTimeout {
 		c.SetReadDeadline(time.Now().Add(patience))
-		var d transport.Down
+		var d transport.CoreUpdate
 		if c.Receive(&d) != nil {
 			return
 		}
 		f.arriving.Store(d.Raw > 0)
-		whole, err := c.LongBody(d.Raw, mostWhole, feedTimeout)
+		whole, err := c.ReceiveChunked(d.Raw, mostWhole, feedTimeout)
 		if err == nil && d.Deflated {
 			whole, err = transport.Decompress(whole, mostWhole)
 		}
@@ -241,7 +241,7 @@
 	beat := time.NewTimer(0)
 	defer beat.Stop()
 	for {
-		var up transport.Up
+		var up transport.AgentUpdate
 		if s := a.station.Load(); s != said {
 			said, up.Station = s, s
 			up.Have = a.have.Load()
@@ -279,7 +279,7 @@
 }
 
 // hear takes in what a core machine says.
-func (a *Agent) hear(f *feed, d *transport.Down, whole []byte) {
+func (a *Agent) hear(f *feed, d *transport.CoreUpdate, whole []byte) {
 	if a.feeds[f.core] != f {
 		return
 	}
@@ -309,13 +309,13 @@
 		a.follow()
 	}
 	if d.Beat != nil {
-		call := inbound.BeatByCore
+		call := inbound.RelayedHeartbeat
 		if d.Beat.Leave {
-			call = inbound.SignOffByCore
+			call = inbound.RelayedDeregistration
 		}
 		status := a.beat(d.Beat.ID, call, d.Beat.Body)
 		select {
-		case f.up <- transport.Up{Handed: d.Number, Status: status}:
+		case f.up <- transport.AgentUpdate{Handed: d.Number, Status: status}:
 			f.wake()
 		default: // it asks again
 		}
--- a/internal/mesh/sidecar/feed_test.go
+++ b/internal/mesh/sidecar/feed_test.go
@@ -17,8 +17,8 @@
 	order := meshconfig.Order{Op: meshconfig.OpEvacuate, Zone: "z"}
 	config, err := meshconfig.New().Carry(&order)
 	require.NoError(t, err)
-	down := func(index uint64) *transport.Down {
-		return &transport.Down{Index: index, Digest: config.Digest(), Steps: []transport.Step{{Index: index, Order: order}}}
+	down := func(index uint64) *transport.CoreUpdate {
+		return &transport.CoreUpdate{Index: index, Digest: config.Digest(), Steps: []transport.ConfigStep{{Index: index, Order: order}}}
 	}
 	a := &Agent{config: meshconfig.New(), table: registry.New(), feeds: map[string]*feed{}, commands: make(chan func(), queue), life: 1,
 		log: &log.Logger{Handler: discard.Default}}
@@ -27,11 +27,11 @@
 	a.hear(stale, down(3), nil)
 	require.EqualValues(t, 3, a.index)
 	require.False(t, a.proven, "nobody has said that this is current")
-	a.hear(sound, &transport.Down{Index: 5, Fresh: 1}, nil)
+	a.hear(sound, &transport.CoreUpdate{Index: 5, Fresh: 1}, nil)
 	require.False(t, a.proven, "it does not have what is current")
-	a.hear(stale, &transport.Down{Index: 3}, nil)
+	a.hear(stale, &transport.CoreUpdate{Index: 3}, nil)
 	require.False(t, a.proven)
-	a.hear(sound, &transport.Down{Index: 5, Digest: config.Digest(), Steps: []transport.Step{{Before: 3, Index: 5, Order: order}}}, nil)
+	a.hear(sound, &transport.CoreUpdate{Index: 5, Digest: config.Digest(), Steps: []transport.ConfigStep{{Before: 3, Index: 5, Order: order}}}, nil)
 	require.True(t, a.proven)
 }
 
--- a/internal/mesh/sidecar/leave.go
+++ b/internal/mesh/sidecar/leave.go
@@ -51,16 +51,16 @@
 	a.news()
 	schedule := outbound.NewDeparture(began, a.set.Bounds.Grace)
 	a.sender.Leave(schedule)
-	closing := time.AfterFunc(time.Until(schedule.TakeUntil), a.host.Close)
+	closing := time.AfterFunc(time.Until(schedule.TakeUntil), a.host.StopAccepting)
 	defer closing.Stop()
 	for now := began; now.Before(schedule.End) && !a.mayEnd(now, began); now = time.Now() {
 		time.Sleep(50 * time.Millisecond)
 	}
-	a.host.Close()
+	a.host.StopAccepting()
 	ctx, cancel := context.WithDeadline(context.Background(), schedule.Gone)
 	defer cancel()
 	out.Shutdown(ctx)
-	for time.Now().Before(schedule.End) && a.host.Held() > 0 {
+	for time.Now().Before(schedule.End) && a.host.Outstanding() > 0 {
 		time.Sleep(20 * time.Millisecond)
 	}
 	a.log.WithField("after", time.Since(began).Round(time.Millisecond).String()).Info("agent ended")
@@ -69,5 +69,5 @@
 // mayEnd says whether a process that was told to end at a time has nothing to wait for any more.
 func (a *Agent) mayEnd(now, told time.Time) bool {
 	known := now.Sub(told) >= leaveNotice || a.refused.away(now)
-	return known && a.sender.Held() == 0 && a.host.Held() == 0
+	return known && a.sender.Held() == 0 && a.host.Outstanding() == 0
 }
--- a/internal/mesh/sidecar/probe.go
+++ b/internal/mesh/sidecar/probe.go
@@ -27,7 +27,7 @@
 	}
 	var changes uint64
 	ask := false
-	a.host.With(func(_ time.Duration, g *gate) bool { changes, ask = g.Unproven(); return false })
+	a.host.WithGate(func(_ time.Duration, g *gate) bool { changes, ask = g.NeedsProbe(); return false })
 	if !ask {
 		a.probing.Store(false)
 		return
@@ -35,7 +35,7 @@
 	go func() {
 		defer a.probing.Store(false)
 		if b := a.probe(*path); b != nil {
-			a.host.With(func(now time.Duration, g *gate) bool { return g.Vouch(now, changes, *b) })
+			a.host.WithGate(func(now time.Duration, g *gate) bool { return g.ProbeSucceeded(now, changes, *b) })
 		}
 	}()
 }
@@ -54,7 +54,7 @@
 		return nil
 	}
 	resp.Body.Close()
-	id := resp.Header.Get(inbound.ServerHeader)
+	id := resp.Header.Get(inbound.ServerIDHeader)
 	if resp.StatusCode != http.StatusOK || id == "" {
 		return nil
 	}
--- a/internal/mesh/sidecar/stats.go
+++ b/internal/mesh/sidecar/stats.go
@@ -11,21 +11,21 @@
 const answerIn = 2 * time.Second
 
 // figures answers a question for the agent's figures; nil if the owner does not get to it.
-func (a *Agent) figures(q transport.Question) *transport.Figures {
+func (a *Agent) figures(q transport.StatsQuery) *transport.StatsReport {
 	if q.Traces != nil { // the rings stand by themselves: an owner that hangs is when they are wanted
 		now := time.Now()
 		traces := append(a.sender.Traces.Ask(now, q.Traces), a.host.Traces.Ask(now, q.Traces)...)
-		return &transport.Figures{Traces: traces}
+		return &transport.StatsReport{Traces: traces}
 	}
-	return transport.CountedBy(a.commands, answerIn, func() *transport.Figures { return a.count(q) })
+	return transport.CollectStats(a.commands, answerIn, func() *transport.StatsReport { return a.count(q) })
 }
 
 // count is the owner's.
-func (a *Agent) count(q transport.Question) *transport.Figures {
+func (a *Agent) count(q transport.StatsQuery) *transport.StatsReport {
 	var f meshmetrics.Set
 	f.Process(a.began, a.set.MemoryMB)
 	a.sender.Figures(&f)
-	a.host.Figures(&f)
+	a.host.AddMetrics(&f)
 	up := 0
 	for _, feed := range a.feeds {
 		if time.Since(feed.heard) < feedTimeout {
@@ -42,7 +42,7 @@
 	if a.usage != nil {
 		f.Add("micaline_mesh_usage_uncounted_total", float64(a.usage.Dropped()))
 	}
-	answer := &transport.Figures{Samples: f.Samples}
+	answer := &transport.StatsReport{Samples: f.Samples}
 	if q.State {
 		answer.Agent = &transport.AgentState{Node: a.set.NodeName, Zone: a.set.Zone, Service: a.set.Service, Ready: a.isReady(),
 			Index: a.index, Proven: proven, Unheard: unheard, Feeds: up, Station: *a.station.Load()}
--- a/internal/mesh/sidecar/usage.go
+++ b/internal/mesh/sidecar/usage.go
@@ -33,7 +33,7 @@
 }
 
 // tells fills in what counts by the mesh's time need.
-func (t *usageTeller) tells(a *Agent, up *transport.Up) {
+func (t *usageTeller) tells(a *Agent, up *transport.AgentUpdate) {
 	up.Clock = int64(a.clock.Own())
 	up.Usage = t.next(time.Now())
 }
--- a/internal/mesh/sidecar/work.go
+++ b/internal/mesh/sidecar/work.go
@@ -19,18 +19,18 @@
 // measureWork takes in what the backend works on, once a second.
 func (a *Agent) measureWork() {
 	mean := math.Float64frombits(a.meanWork.Load())
-	a.meanWork.Store(math.Float64bits(mean + workGain*(float64(a.host.Held())-mean)))
+	a.meanWork.Store(math.Float64bits(mean + workGain*(float64(a.host.Outstanding())-mean)))
 }
 
 // workTeller tells one core machine over one connection what the agent has in hand: seldom, or
 // exactly and at once while planned work takes this machine out of use.
 type workTeller struct {
-	told *transport.Work
+	told *transport.Workload
 	at   time.Time
 }
 
-func (t *workTeller) next(a *Agent, now time.Time) *transport.Work {
-	work := transport.Work{Stage: a.stage()} // first: what is counted after it is of a machine at that stage
+func (t *workTeller) next(a *Agent, now time.Time) *transport.Workload {
+	work := transport.Workload{Stage: a.stage()} // first: what is counted after it is of a machine at that stage
 	work.Mean, work.Gate, work.Sender = math.Float64frombits(a.meanWork.Load()), a.host.Load().InFlight, a.sender.Held()
 	switch {
 	case t.told == nil:
--- a/internal/mesh/transport/conn.go
+++ b/internal/mesh/transport/conn.go
@@ -32,9 +32,9 @@
 
 // Uses of a connection.
 const (
-	Exchange = "exchange"
-	FeedUse  = "feed"
-	Peer     = "peer"
+	UseExchange = "exchange"
+	UseFeed     = "feed"
+	UsePeer     = "peer"
 )
 
 // Hello opens a connection. A process that does not know the use or the version closes it.
@@ -45,7 +45,7 @@
 }
 
 // Version is the version of the messages.
-const Version = 3
+const ProtocolVersion = 3
 
 // keepScratch is how large a buffer for writing is kept, in bytes: one large body must not hold its memory for good.
 const keepScratch = 64 << 10
@@ -114,7 +114,7 @@
 
 // SendLong writes raw bytes that belong to a message sent before. It fails once nothing of them
 // passes for as long as the patience: how long all of them take is up to the link.
-func (c *Conn) SendLong(raw []byte, patience time.Duration) error {
+func (c *Conn) SendChunked(raw []byte, patience time.Duration) error {
 	for part := range slices.Chunk(raw, chunk) {
 		c.SetWriteDeadline(time.Now().Add(patience))
 		if err := c.SendRaw(part); err != nil {
@@ -125,7 +125,7 @@
 }
 
 // LongBody reads the raw bytes behind a message as SendLong writes them.
-func (c *Conn) LongBody(n, most int64, patience time.Duration) ([]byte, error) {
+func (c *Conn) ReceiveChunked(n, most int64, patience time.Duration) ([]byte, error) {
 	if n < 0 || n > most {
 		return nil, oops.Code("body").Errorf("a body of %d bytes, at most %d are taken", n, most)
 	}
@@ -147,14 +147,14 @@
 }
 
 // Await waits until something has come that can be read, or the connection ends.
-func (c *Conn) Await() error {
+func (c *Conn) WaitReadable() error {
 	c.lr.N = mostHead
 	_, err := c.r.Peek(1)
 	return err
 }
 
 // Body reads the raw bytes behind a message.
-func (c *Conn) Body(n int64, most int64) ([]byte, error) {
+func (c *Conn) ReceiveBody(n int64, most int64) ([]byte, error) {
 	if n < 0 || n > most {
 		return nil, oops.Code("body").Errorf("a body of %d bytes, at most %d are taken", n, most)
 	}
@@ -171,12 +171,12 @@
 
 // Sum is a checksum of a body. TCP's own is of 16 bits, which some damage passes; and bytes that come
 // twice, or that are another message's, leave the count of them right.
-func Sum(body []byte) uint32 { return crc32.Checksum(body, castagnoli) }
+func Checksum(body []byte) uint32 { return crc32.Checksum(body, castagnoli) }
 
 // SummedBody reads the raw bytes behind a message and checks them.
-func (c *Conn) SummedBody(n, most int64, sum uint32) ([]byte, error) {
-	body, err := c.Body(n, most)
-	if err == nil && Sum(body) != sum {
+func (c *Conn) ReceiveVerifiedBody(n, most int64, sum uint32) ([]byte, error) {
+	body, err := c.ReceiveBody(n, most)
+	if err == nil && Checksum(body) != sum {
 		return nil, oops.Code("sum").Errorf("a body of %d bytes is not the one that was sent", n)
 	}
 	return body, err
@@ -184,14 +184,14 @@
 
 // NextNumber numbers the next exchange on the connection. Danger: a reply that came late or twice
 // would be taken for that to the next request; its number shows that it is not.
-func (c *Conn) NextNumber() uint64 {
+func (c *Conn) NextExchangeNumber() uint64 {
 	c.number++
 	return c.number
 }
 
 // Quiet says that the peer has neither closed the connection nor sent what is not yet received. What
 // is no socket counts as quiet.
-func (c *Conn) Quiet() bool { return c.raw == nil || tcp.RawQuiet(c.raw) }
+func (c *Conn) IsQuiet() bool { return c.raw == nil || tcp.RawQuiet(c.raw) }
 
 // Buffered says how many bytes have come that nobody has read.
 func (c *Conn) Buffered() int { return c.r.Buffered() }
@@ -206,9 +206,9 @@
 	if err != nil {
 		return nil, err
 	}
-	Bound(raw)
+	SetUserTimeout(raw)
 	c := NewConn(raw)
-	if err := c.Send(Hello{Version: Version, Use: use, From: from}, nil); err != nil {
+	if err := c.Send(Hello{Version: ProtocolVersion, Use: use, From: from}, nil); err != nil {
 		c.Close()
 		return nil, err
 	}
@@ -216,7 +216,7 @@
 }
 
 // Bound sets how long a connection's peer may be mute while there is something for it.
-func Bound(c net.Conn) {
+func SetUserTimeout(c net.Conn) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return
--- a/internal/mesh/transport/longbody_test.go
+++ b/internal/mesh/transport/longbody_test.go
@@ -34,8 +34,8 @@
 				}()
 				body := bytes.Repeat([]byte("configuration"), 20*chunk/13)
 				sent := make(chan error, 1)
-				go func() { sent <- sender.SendLong(body, patience) }()
-				got, err := receiver.LongBody(int64(len(body)), int64(len(body)), patience)
+				go func() { sent <- sender.SendChunked(body, patience) }()
+				got, err := receiver.ReceiveChunked(int64(len(body)), int64(len(body)), patience)
 				if link.fails {
 					require.Error(t, err)
 					require.Error(t, <-sent)
@@ -47,6 +47,6 @@
 			})
 		})
 	}
-	_, err := NewConn(nil).LongBody(chunk, chunk-1, patience)
+	_, err := NewConn(nil).ReceiveChunked(chunk, chunk-1, patience)
 	require.Error(t, err)
 }
--- a/internal/mesh/transport/message.go
+++ b/internal/mesh/transport/message.go
@@ -95,7 +95,7 @@
 }
 
 // Up is what an agent says to a core machine over its feed; fields that are not set say nothing.
-type Up struct {
+type AgentUpdate struct {
 	Station *Station
 	Have    uint64        // index of the configuration that the agent has; told with every station
 	Want    uint64        // not 0: send the whole configuration, of this index or a later one
@@ -104,14 +104,14 @@
 	Fresh   uint64        // not 0: answer with this number once what you have sent is current
 	Handed  uint64        // number of a Down.Beat that has been dealt with
 	Status  int           // the answer to it
-	Resume  Resume        // with the first message of a feed: what has been heard before
+	Resume  ResumePoint   // with the first message of a feed: what has been heard before
 	Clock   int64         // of meshtime, ns: the agent's own; 0: not told
 	Usage   *usage.Update // what has changed of its counts; nil: nothing
-	Work    *Work         // nil: as told before
+	Work    *Workload     // nil: as told before
 }
 
 // Work is what an agent has in hand.
-type Work struct {
+type Workload struct {
 	Mean   float64          // requests that its backend works on or that wait there, over some seconds
 	Gate   int              // of these, now, and bodies that are on their way there
 	Sender int              // requests of its clients, and of its backend, now
@@ -120,43 +120,43 @@
 
 // Resume says that an agent has heard all stations of a core process up to a revision. The zero
 // value is of an agent that has not.
-type Resume struct {
+type ResumePoint struct {
 	Core     uint64 // Down.Core
 	Revision uint64 // Down.Revision
 }
 
 // Step is an order that changed the configuration, and the indexes before and after it.
-type Step struct {
+type ConfigStep struct {
 	Before, Index uint64
 	Order         meshconfig.Order
 }
 
 // EncodeSteps gives steps as the raw bytes behind a Down: within it, large ones would stay in the
 // buffers of each connection.
-func EncodeSteps(steps []Step) []byte { return plaingob.Encode(steps) }
+func EncodeSteps(steps []ConfigStep) []byte { return plaingob.Encode(steps) }
 
 // DecodeSteps reads what EncodeSteps gave.
-func DecodeSteps(raw []byte) ([]Step, error) {
-	var steps []Step
+func DecodeSteps(raw []byte) ([]ConfigStep, error) {
+	var steps []ConfigStep
 	err := gob.NewDecoder(bytes.NewReader(raw)).Decode(&steps)
 	return steps, oops.In("steps").Wrap(err)
 }
 
 // Down is what a core machine says to an agent. Raw bytes follow it: the whole
 // configuration, or steps to it, which an agent gets that wants it.
-type Down struct {
-	Index    uint64 // of the configuration at the core machine
-	Digest   uint64 // of it, with Steps or Raw
-	Steps    []Step // that lead to it, from one that the agent has
+type CoreUpdate struct {
+	Index    uint64       // of the configuration at the core machine
+	Digest   uint64       // of it, with Steps or Raw
+	Steps    []ConfigStep // that lead to it, from one that the agent has
 	Raw      int64
 	RawSteps bool // Raw is of EncodeSteps rather than the whole configuration
 	Deflated bool // Raw is of Compress, of either
-	Stations []Heard
+	Stations []StationStatus
 	Whole    bool // what was told before is void: all that there are follow, in this message and the next
 	Fresh    uint64
 	Cores    []string // control addresses of the members of the agreement
 	MinLife  uint64   // the agent's life must be above this: an earlier one of it was heard with it
-	Beat     *Beat
+	Beat     *RelayedHeartbeat
 	Number   uint64 // of Beat
 	Core     uint64 // with the first message of a feed: the core process, by a number of its own
 	Revision uint64 // not 0: all stations have been told up to this
@@ -165,13 +165,13 @@
 }
 
 // Heard is a station and whether the core machine hears it.
-type Heard struct {
+type StationStatus struct {
 	Station Station
 	Lost    bool
 }
 
 // Beat is a backend's call that reached a core machine instead of the agent beside the backend.
-type Beat struct {
+type RelayedHeartbeat struct {
 	ID    string
 	Leave bool // DELETE
 	Body  []byte
--- a/internal/mesh/transport/pool.go
+++ b/internal/mesh/transport/pool.go
@@ -17,10 +17,10 @@
 // Pool keeps connections for exchanges, by the life of the gate. All fields are set before its
 // first use.
 type Pool struct {
-	From    string        // own control address
-	Connect time.Duration // for a connection to come up
-	Idle    time.Duration // how long one is kept idle
-	Most    int           // connections kept idle for each gate
+	ControlAddress string        // own control address
+	ConnectTimeout time.Duration // for a connection to come up
+	IdleTimeout    time.Duration // how long one is kept idle
+	MaxIdlePerGate int           // connections kept idle for each gate
 
 	mu   sync.Mutex
 	idle map[Endpoint][]kept
@@ -40,14 +40,14 @@
 		if !ok {
 			break
 		}
-		if k.Buffered() == 0 && k.Quiet() {
+		if k.Buffered() == 0 && k.IsQuiet() {
 			return k, nil
 		}
 		p.Discard(k)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), min(within, p.Connect))
+	ctx, cancel := context.WithTimeout(context.Background(), min(within, p.ConnectTimeout))
 	defer cancel()
-	c, err := Dial(ctx, Exchange, p.From, gate.Address)
+	c, err := Dial(ctx, UseExchange, p.ControlAddress, gate.Address)
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 	if p.idle == nil {
 		p.idle = map[Endpoint][]kept{}
 	}
-	full := len(p.idle[gate]) >= p.Most
+	full := len(p.idle[gate]) >= p.MaxIdlePerGate
 	if !full {
 		p.idle[gate] = append(p.idle[gate], kept{c, time.Now()})
 	}
@@ -105,7 +105,7 @@
 	p.mu.Lock()
 	for gate, list := range p.idle {
 		n := 0
-		for n < len(list) && now.Sub(list[n].since) > p.Idle {
+		for n < len(list) && now.Sub(list[n].since) > p.IdleTimeout {
 			old = append(old, list[n].c)
 			n++
 		}
--- a/internal/mesh/transport/server.go
+++ b/internal/mesh/transport/server.go
@@ -17,7 +17,7 @@
 // Server takes connections of the mesh's processes and hands each to who serves its use.
 type Server struct {
 	// Uses serve a connection by the use that its Hello names, until they return; then it is closed.
-	Uses map[string]func(Hello, *Conn)
+	Handlers map[string]func(Hello, *Conn)
 }
 
 // Serve accepts until the listener is closed. Danger: accepting fails for a while where descriptors
@@ -41,16 +41,16 @@
 		raw.Close() // cheaper than to read its Hello: after a stall of the process there are thousands
 		return
 	}
-	Bound(raw)
+	SetUserTimeout(raw)
 	c := NewConn(raw)
 	defer c.Close()
 	var hello Hello
 	raw.SetReadDeadline(time.Now().Add(helloTimeout))
-	if c.Receive(&hello) != nil || hello.Version != Version {
+	if c.Receive(&hello) != nil || hello.Version != ProtocolVersion {
 		return
 	}
 	raw.SetReadDeadline(time.Time{})
-	if serve := s.Uses[hello.Use]; serve != nil {
+	if serve := s.Handlers[hello.Use]; serve != nil {
 		serve(hello, c)
 	}
 }
--- a/internal/mesh/transport/server_test.go
+++ b/internal/mesh/transport/server_test.go
@@ -37,7 +37,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := &scarce{failures: 3, next: make(chan net.Conn)}
 		served := make(chan string, 1)
-		s := &Server{Uses: map[string]func(Hello, *Conn){Peer: func(h Hello, _ *Conn) { served <- h.From }}}
+		s := &Server{Handlers: map[string]func(Hello, *Conn){UsePeer: func(h Hello, _ *Conn) { served <- h.From }}}
 		done := make(chan struct{})
 		go func() { s.Serve(l); close(done) }()
 		dial := func(h *Hello) net.Conn {
@@ -52,10 +52,10 @@
 			_, err := c.Read(make([]byte, 1))
 			require.ErrorIs(t, err, io.EOF)
 		}
-		requireClosed(dial(&Hello{Version: Version, Use: Peer, From: "a"}))
+		requireClosed(dial(&Hello{Version: ProtocolVersion, Use: UsePeer, From: "a"}))
 		require.Equal(t, "a", <-served)
-		requireClosed(dial(&Hello{Version: Version, Use: "unknown"}))
-		requireClosed(dial(&Hello{Version: Version + 1, Use: Peer}))
+		requireClosed(dial(&Hello{Version: ProtocolVersion, Use: "unknown"}))
+		requireClosed(dial(&Hello{Version: ProtocolVersion + 1, Use: UsePeer}))
 		began := time.Now()
 		requireClosed(dial(nil))
 		require.Equal(t, helloTimeout, time.Since(began))
--- a/internal/mesh/transport/stats.go
+++ b/internal/mesh/transport/stats.go
@@ -10,7 +10,7 @@
 
 // Stats is the use of a connection over which a process is asked for its figures: a Question goes,
 // Figures come, and so on until who asks closes it.
-const Stats = "stats"
+const UseStats = "stats"
 
 const (
 	maxStatsConns = 8                // connections for figures that a process serves at once
@@ -19,13 +19,13 @@
 )
 
 // Question asks for the figures as they are now.
-type Question struct {
+type StatsQuery struct {
 	State  bool        // with the structured state
 	Traces *TraceQuery // only these; nil: none
 }
 
 // Figures are what a process counts, and how it stands.
-type Figures struct {
+type StatsReport struct {
 	Samples []Sample
 	Agent   *AgentState    // of an agent, where the state was asked for
 	Core    *CoreState     // of a core machine, likewise
@@ -65,7 +65,7 @@
 	Index         uint64   // of the configuration
 	Evacuated     []string // zones
 	Feeds         int      // agents that it hears itself
-	Stations      []Heard
+	Stations      []StationStatus
 	Duties        []DutyState
 }
 
@@ -105,14 +105,14 @@
 
 // Serve answers questions on a connection until it ends. Answer may be called from several
 // goroutines at once; nil closes.
-func (s *StatsServer) Serve(c *Conn, answer func(Question) *Figures) {
+func (s *StatsServer) Serve(c *Conn, answer func(StatsQuery) *StatsReport) {
 	defer s.now.Add(-1)
 	if s.now.Add(1) > maxStatsConns {
 		return
 	}
 	for {
 		c.SetReadDeadline(time.Now().Add(statsIdle))
-		var q Question
+		var q StatsQuery
 		if c.Receive(&q) != nil {
 			return
 		}
@@ -129,8 +129,8 @@
 
 // CountedBy has the goroutine that owns a process's state count, through its queue of commands. It
 // returns nil if the owner does not get to it in time: a process that hangs must not look well.
-func CountedBy(owner chan<- func(), wait time.Duration, count func() *Figures) *Figures {
-	answer := make(chan *Figures, 1)
+func CollectStats(owner chan<- func(), wait time.Duration, count func() *StatsReport) *StatsReport {
+	answer := make(chan *StatsReport, 1)
 	late := time.NewTimer(wait)
 	defer late.Stop()
 	select {
@@ -147,8 +147,8 @@
 }
 
 // AskStats asks the process at a link address once.
-func AskStats(ctx context.Context, link string, q Question) (*Figures, error) {
-	c, err := Dial(ctx, Stats, "", link)
+func QueryStats(ctx context.Context, link string, q StatsQuery) (*StatsReport, error) {
+	c, err := Dial(ctx, UseStats, "", link)
 	if err != nil {
 		return nil, oops.Code("dial").Wrap(err)
 	}
@@ -158,7 +158,7 @@
 	if err := c.Send(q, nil); err != nil {
 		return nil, oops.Code("send").Wrap(err)
 	}
-	var f Figures
+	var f StatsReport
 	if err := c.Receive(&f); err != nil {
 		return nil, oops.Code("receive").Wrapf(err, "%s gives no figures", link)
 	}
--- a/internal/mesh/transport/trace.go
+++ b/internal/mesh/transport/trace.go
@@ -4,8 +4,8 @@
 
 // Sides of a request that a RequestTrace was seen from.
 const (
-	AtSender = "sender"
-	AtGate   = "gate"
+	SideSender = "sender"
+	SideGate   = "gate"
 )
 
 // RequestTrace is the record of a request that did not simply succeed at its first attempt, as one side of
--- a/internal/mesh/transport/verdict.go
+++ b/internal/mesh/transport/verdict.go
@@ -25,21 +25,21 @@
 
 // The reasons.
 const (
-	NoReason    Reason = iota
-	Full               // the backend has all that it can take
-	Cold               // it is warming up and has got what it can bear
-	Draining           // it leaves
-	Evacuated          // its zone is emptied
-	Unknown            // it is not here: another life, or none that has been heard
-	Late               // too late to be run in time
-	Twice              // its id has been handed over before
-	Unreachable        // no connection came up
-	Broken             // a connection broke, or what came was no answer
-	Spoilt             // the answer was not the whole answer to this request
-	Silent             // no answer in time
-	Own                // the agent's own want: sockets, memory, a configuration
-	TooLarge           // the request is over a limit
-	Cancelled          // nobody waits for its answer any more
+	NoReason        Reason = iota
+	Full                   // the backend has all that it can take
+	Cold                   // it is warming up and has got what it can bear
+	Draining               // it leaves
+	Evacuated              // its zone is emptied
+	UnknownBackend         // it is not here: another life, or none that has been heard
+	TooLate                // too late to be run in time
+	Duplicate              // its id has been handed over before
+	Unreachable            // no connection came up
+	Broken                 // a connection broke, or what came was no answer
+	InvalidResponse        // the answer was not the whole answer to this request
+	ResponseTimeout        // no answer in time
+	LocalShortage          // the agent's own want: sockets, memory, a configuration
+	TooLarge               // the request is over a limit
+	Cancelled              // nobody waits for its answer any more
 	reasons
 )
 
@@ -49,14 +49,14 @@
 func (r Reason) String() string { return reasonNames[min(r, reasons-1)] }
 
 // Reasons lists the names of all reasons.
-func Reasons() []string { return reasonNames[:] }
+func ReasonNames() []string { return reasonNames[:] }
 
 // Failure is the error of a step that ended without the answer of a backend.
 type Failure struct {
-	Verdict Verdict
-	Reason  Reason
-	After   time.Duration // when to come back, 0 if that is not known
-	Cause   error
+	Verdict    Verdict
+	Reason     Reason
+	RetryAfter time.Duration // when to come back, 0 if that is not known
+	Cause      error
 }
 
 func (f *Failure) Error() string {
