--- a/internal/mesh/inbound/exchange.go
+++ b/internal/mesh/inbound/exchange.go
@@ -227,7 +227,7 @@
 		if h.target != nil {
 			h.pool.Retire(h.target)
 		}
-		h.target, h.targetID = h.pool.Target(address, h.now()), id
+		h.target, h.targetID = h.pool.NewTarget(address, h.now()), id
 	}
 	return h.target
 }
@@ -250,7 +250,7 @@
 	switch {
 	case refused(err):
 		f.Reason = transport.UnknownBackend
-	case connpool.IsShortage(err):
+	case connpool.IsSocketShortage(err):
 		f.Reason = transport.LocalShortage
 	}
 	return nil, f
@@ -259,7 +259,7 @@
 // exchangeUntil hands a request to the backend and breaks its run off once the caller has gone: the
 // close of its connection is what tells the backend. What had come whole by then counts.
 func (h *Host) exchangeUntil(caller *Caller, c *connpool.Conn, a *transport.Request, body []byte) (*answer, *transport.Failure) {
-	stop := caller.whenLeft(c.Overdue)
+	stop := caller.whenLeft(c.Expire)
 	ans, reuse, f := h.roundTrip(c, a, body)
 	left := stop()
 	if f != nil && left {
@@ -291,7 +291,7 @@
 	if _, err := c.Write(encode(make([]byte, 0, 512+len(body)), a, body)); err != nil {
 		return nil, false, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Broken, Cause: err}
 	}
-	r := reader{from: c.Reader, limit: c.Limit, most: h.mostAnswer, ask: a, fresh: c.Fresh()}
+	r := reader{from: c.Reader, limit: c.LimitRead, most: h.mostAnswer, ask: a, fresh: c.IsNew()}
 	if ans, f = r.read(); f != nil {
 		return nil, false, f
 	}
--- a/internal/mesh/inbound/host.go
+++ b/internal/mesh/inbound/host.go
@@ -56,7 +56,7 @@
 		observe: func(BackendChange) {}}
 	h.gate = NewGate(0, r)
 	h.uploads = make(chan struct{}, uploadSlots(r.LinkBitsPerSecond))
-	h.pool = connpool.New(connpool.Options{Network: connpool.TCP{}, ConnectTimeout: connectTime, IdleClose: idleClose, Most: mostConns})
+	h.pool = connpool.New(connpool.Options{Network: connpool.TCP{}, ConnectTimeout: connectTime, BackendIdleTimeout: idleClose, MaxConns: mostConns})
 	h.open.Store(true)
 	return h
 }
@@ -148,7 +148,7 @@
 // Tick lets time pass.
 func (h *Host) Tick() {
 	h.WithGate(func(now time.Duration, g *Gate) bool { return g.Tick(now) })
-	h.pool.Sweep()
+	h.pool.CloseExpired()
 	now := time.Now()
 	h.sessions.Range(func(s, _ any) bool {
 		s.(*session).probe(now)
