--- a/internal/ewma/ewma.go
+++ b/internal/ewma/ewma.go
@@ -19,10 +19,10 @@
 
 const (
 	ServerGain  = 0.15           // weight of a sample of one server: a dozen settle a mean
-	FleetGain   = ServerGain / 4 // weight of a sample of all servers
+	FleetGain   = ServerGain / 4 // weight of a sample in a mean over many servers
 	MaxSlowdown = 8.0            // upper bound of a slowdown; slower servers are left to ejection
 
-	priorWeight        = 8.0  // samples after which the learned speed of a kind counts as much as the prior
+	priorWeight        = 8.0  // samples of all kinds after which learned speeds count as much as the prior
 	slowdownHalfLife   = 40.0 // typical latencies after which half of a slowdown is forgotten
 	minRelativeLatency = 1e-3 // lower bound of a kind's relative latency
 )
--- a/internal/lag/lag.go
+++ b/internal/lag/lag.go
@@ -21,10 +21,10 @@
 	meanWeight       = 0.1 // weight of a tick in the mean
 )
 
-// Detector evaluates the ticks. While the processor keeps up, its error is bounded: it attributes
-// at most one interval and its tolerance, a little more than a twentieth of the timescale, of the
-// program's own delay to others. It attributes to the program all delay by others that occurs while
-// the program is late.
+// Detector detects the program's own delay from the ticks. While the processor keeps up, its error
+// is bounded: it attributes at most one interval and its tolerance, a little more than a twentieth
+// of the timescale, of the program's own delay to others. It attributes to the program all delay by
+// others that occurs while the program is late.
 type Detector struct {
 	interval time.Duration
 	nextTick time.Duration // when the next tick is due
--- a/internal/level/config.go
+++ b/internal/level/config.go
@@ -48,7 +48,7 @@
 // Thresholds are limits for the measured values. Values from a threshold up reach it, except that
 // InAim is reached from its threshold down. A nil threshold is not checked.
 type Thresholds struct {
-	Pressure *float64  // pressure on the decision module, from 0 to 2
+	Pressure *float64  // share of ordinary requests that the decision module sheds, from 0 to 2
 	InAim    *float64  `toml:"in_aim"` // share of requests answered within the target latency
 	Refused  *float64  // share of requests refused by the decision module
 	Out      *float64  // share of backends ejected
--- a/internal/level/figures.go
+++ b/internal/level/figures.go
@@ -38,8 +38,8 @@
 		allInAim, noneRefused := 1.0, 0.0
 		r.inAim, r.refused = &allInAim, &noneRefused
 	}
-	// The pressure on the decision module decreases only as requests arrive, so without requests
-	// its value is meaningless.
+	// The decision module reduces its pressure only as requests arrive, so without requests the
+	// value is meaningless.
 	if last.Pressure >= 0 && completed > 0 {
 		r.pressure = &last.Pressure
 	} else if last.Pressure >= 0 && len(c.samples) == sampleWindow && shed == 0 {
--- a/internal/level/level.go
+++ b/internal/level/level.go
@@ -52,7 +52,7 @@
 	InAim          int           // completed requests that were answered within the target latency
 	Refused        int           // completed requests that the decision module refused
 	Shed           int           // requests that the level refused
-	Pressure       float64       // pressure on the decision module; negative if unknown
+	Pressure       float64       // share of ordinary requests that the decision module sheds; negative if unknown
 	ListAge        time.Duration // time since the last message from discovery; negative if unknown
 	Backends       int           // backends listed as ready; 0 if unknown
 	Ejected        int           // ready backends that are ejected for at least one class
--- a/internal/limit/budget.go
+++ b/internal/limit/budget.go
@@ -35,7 +35,8 @@
 // there.
 func (b *RetryBudget) Usage(now, window time.Duration, floor, ratio float64) (spent int, allowed float64) {
 	from := now - window
-	// At the start of the window a retry counts and a request does not.
+	// At the start of the window a retry counts and a request does not, so that the budget holds
+	// whether or not the window includes its start.
 	requests, retries := b.requests.countSince(from+1), b.retries.countSince(from)
 	return retries, min(floor+ratio*float64(requests), maxTimestamps/2)
 }
--- a/internal/limit/width.go
+++ b/internal/limit/width.go
@@ -45,8 +45,9 @@
 func (p *Parallelism) Mean() float64 { return p.mean }
 
 // Slots returns the number of requests that a server processes in parallel, a whole number of at
-// least 1 if it is learned. It is one value for all kinds of machine: of a kind that is sent little
-// it would be too low, so that the kind looks overloaded and is sent even less.
+// least 1 if it is learned. It is one value for all kinds of machine. If it were learned for each
+// kind, it would be too low for a kind that is sent little, which would then look overloaded and be
+// sent even less.
 func (p *Parallelism) Slots() float64 {
 	if p.Configured > 0 {
 		return p.Configured
--- a/internal/site/explore_test.go
+++ b/internal/site/explore_test.go
@@ -35,7 +35,7 @@
 	wasAdmitted    [siteCount * serversPerSite]bool
 	probes         bool
 	bug            string
-	paced          bool // whether a pacer's status may start a recovery without an own probe
+	paced          bool // whether a pacer's status may start a recovery without a probe by this agent
 }
 
 func newSimulation(probes bool, bug string) *simulation {
--- a/internal/site/pace_test.go
+++ b/internal/site/pace_test.go
@@ -17,7 +17,7 @@
 	rng             *rand.Rand
 	// Whether site a is up, and whether each agent can reach it.
 	siteUp, followerConnected, pacerConnected bool
-	pacerHeard                                bool // whether the follower receives the status
+	statusReceived                            bool // by the follower, from the pacer
 	epoch                                     uint64
 	// Losses that the pacer reported to the follower.
 	reportedLosses map[PacerStatus]bool
@@ -46,7 +46,7 @@
 	case 2:
 		p.followerConnected = !p.followerConnected
 	case 3:
-		p.pacerHeard = !p.pacerHeard
+		p.statusReceived = !p.statusReceived
 	case 5:
 		p.follower.apply("return a")
 	case 4: // another agent becomes the pacer and knows of no loss
@@ -68,7 +68,7 @@
 	siteA := &monitor.sites[0]
 	status, hasStatus := p.pacer.monitor.PacerStatus("a")
 	switch {
-	case !p.pacerHeard || !hasStatus:
+	case !p.statusReceived || !hasStatus:
 		monitor.FollowPacer(p.follower.now, "a", 0, nil)
 		p.pacerReportsLost, hasStatus = false, false
 	default:
@@ -115,7 +115,7 @@
 func runPacedPair(seed uint64, bug string) error {
 	p := &pacedPair{
 		pacer: healthySimulation(time.Hour), follower: healthySimulation(time.Hour), rng: rand.New(rand.NewPCG(seed, 3)),
-		siteUp: true, followerConnected: true, pacerConnected: true, pacerHeard: true, reportedLosses: map[PacerStatus]bool{}, bug: bug,
+		siteUp: true, followerConnected: true, pacerConnected: true, statusReceived: true, reportedLosses: map[PacerStatus]bool{}, bug: bug,
 	}
 	p.follower.paced = true
 	for range 60 {
@@ -140,7 +140,7 @@
 		}
 	}
 	if siteA := &p.follower.monitor.sites[0]; siteA.state != Healthy {
-		return fmt.Errorf("Recovery: the site is %v in the end with %d servers admitted; pacer isolated: %v, status received: %v", siteA.state, siteA.switched, pacerIsolated, p.pacerHeard)
+		return fmt.Errorf("Recovery: the site is %v in the end with %d servers admitted; pacer isolated: %v, status received: %v", siteA.state, siteA.switched, pacerIsolated, p.statusReceived)
 	}
 	return nil
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,14 +1,14 @@
 // Package site detects zone failures for one agent. A site is a zone whose servers are expected to
-// fail together. The package decides which servers of each site the agent may use. It does no I/O,
-// has no clock and starts no goroutines.
+// fail together. The package decides which servers of each site the agent may use (Admitted). It
+// does no I/O, has no clock and starts no goroutines.
 //
 // A Monitor is given the outcomes of attempts and probes on single servers (ReportOutcome,
 // ReportProbe), the server list (SetServers) and the load on each server (Evaluate). It declares a
 // site lost when so many of its servers have failed, and so few have answered since the first of
 // those failures, that independent failures are a very unlikely explanation. The probability that a
-// server fails independently is estimated from the other sites. A single server never makes a site
-// lost. If no other site has answered since the failures began, the agent itself is taken to be
-// isolated and no server is withdrawn.
+// server fails independently is estimated from the other sites. The failures of a single server are
+// never enough. If no other site has answered since the failures began, the agent itself is taken
+// to be isolated and no server is withdrawn.
 //
 // All servers of a lost site are withdrawn at once, including those that have not been tried yet.
 // The site is retried after a wait that doubles each time it is lost again soon afterwards. It
@@ -18,23 +18,25 @@
 // reverted when they fail. If the first step fails, the site is lost again. Admitted servers count
 // as just started, so that the total load from all agents stays within what cold servers can take.
 //
-// Where agents share a group that grants leases on duties, one agent paces the recovery of a site
-// for all (PacerStatus). It probes the lost site, while the others probe it only at the longest
-// interval, and the others admit no larger part of the site than the pacer has admitted
-// (FollowPacer). The followers keep checking for themselves. They revert steps that fail for them,
-// whatever the pacer reports, and stop following a pacer whose status has not changed for a long
-// time.
+// If the agents share a group that grants leases, the holder of the lease for a site is its pacer:
+// it paces the recovery of the site for all (PacerStatus). It probes the lost site, while the
+// others probe it only at the longest interval, and the others admit no larger part of the site
+// than the pacer has admitted (FollowPacer). The followers keep checking for themselves. They
+// revert steps that fail for them, whatever the pacer reports, and stop following a pacer whose
+// status has not changed for a long time.
 //
 // The package keeps these invariants, among others that explore_test.go and pace_test.go check:
 //   - SiteInUse: at least one site is not withdrawn, unless operators have forced the evacuation of
 //     all.
-//   - SingleServer: failures of a single server never make a site lost, however many there are.
+//   - SingleServer: failures of a single server never make a site lost, however many there are,
+//     except in the first step of a recovery.
 //   - OtherSiteAnswered: a site is declared lost only if another site has answered since its first
-//     failure.
+//     failure, except in the first step of a recovery.
 //   - AdmittedServers: a lost site has no admitted servers, a recovering site has some, and a
 //     healthy one has all of them.
-//   - Recovery: from any history, once the servers answer, the site is healthy after at most
-//     MaxRetryWait plus one step for each doubling.
+//   - Recovery: from any history, once the servers answer and no evacuation is in force, the site
+//     is healthy after at most MaxRetryWait and its jitter, which is a quarter, plus one step for
+//     each doubling.
 //   - PacerLimit: an agent that follows a pacer admits no larger part of a recovering site than the
 //     pacer does, as long as the pacer's status keeps changing.
 //   - Evacuation: a site that operators evacuated comes back when they end the evacuation or its
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// onArrived starts the time limits of a request whose body has arrived.
+// onBodyReceived starts the time limits of a request whose body has arrived.
 func (b *Balancer) onBodyReceived(ev *Event) {
 	if r := b.requests[ev.Request]; r != nil && r.inFlightWeight == 0 {
 		r.inFlightWeight, r.deadline, r.targetTime = 1, b.now+ev.TimeLeft, b.now+r.class.Aim
@@ -75,7 +75,7 @@
 	return b.tenantMix.AddRequest(tenant, portion)
 }
 
-// updateShedding adjusts shedding to a load signal. With reports each one counts: many at once announce congestion.
+// updateShedding adjusts shedding to a load signal. If servers report, all signals count: many at once mean congestion.
 func (b *Balancer) updateShedding(load float64) {
 	if b.cfg.Reports == ReportsOff && load > limit.ShedSetpoint {
 		b.shedder.UpdateRateLimited(load, b.now, b.serviceTime.Value)
@@ -161,7 +161,7 @@
 
 // retryAdvice is when a refused client should retry: clients without advice retry at once and prolong the overload.
 func (b *Balancer) retryAdvice(c *class) time.Duration {
-	return seconds(c.typicalLatency.Value * (1 + b.shedder.Level))
+	return seconds(c.typicalLatency.Value * (1 + b.shedder.Level)) // when servers have answered, later the more is shed
 }
 
 // finish is the only place where a request ends: with the Balancer's own final answer, a harmless refusal if possible,
--- a/policy/attempt_test.go
+++ b/policy/attempt_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// A keyed retry outside its cell would run twice. If all servers are in one cell it may go to any
-// of them.
+// A keyed retry outside its cell could run twice, since only the servers of one cell drop the
+// repeat.
 func TestKeyedRetryStaysInCell(t *testing.T) {
 	list := fleet(8)
 	for i := range list {
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -17,7 +17,7 @@
 	capacityFoundLoad = 0.4  // load signal of a request that found capacity: one that found none outweighs five
 )
 
-// outstanding estimates the requests at a server: the agents' attempts or, if higher, its report, aging to the mean.
+// outstanding estimates the requests at a server: its report, decaying to the mean, or the agents' attempts if higher.
 func (b *Balancer) outstanding(s *server) float64 {
 	outstanding, own := b.parallelism.Mean(), float64(s.inFlight)+s.peerInFlight
 	if s.load.Known && s.load.InFlight >= 0 {
@@ -61,8 +61,8 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.server == s })
 }
 
-// concurrencyLimit limits the attempts of all agents at a server: by its own limit alone an agent that sends, and so
-// learns, little would give way. An unknown limit is the mean of the others; before the first answer there is none.
+// concurrencyLimit limits the attempts of all agents at a server to the mean of their limits. By its own alone, an
+// agent that sends little, and so learns late, would yield. An unknown limit is the servers' mean, at first infinite.
 func (b *Balancer) concurrencyLimit(s *server) float64 {
 	concurrency, own := s.concurrency.Current(), float64(s.inFlight)+1
 	if !s.concurrency.Known() {
@@ -118,10 +118,10 @@
 	return false
 }
 
-// awaitProbe probes a request's server and lets the request wait for it. The agents' probes together cost more than
-// they save, so probing pays only in proportion to the requests that are being missed.
+// awaitProbe probes a request's server and lets the request wait for it. If probes have a fee, the agents together pay
+// more than they save, so requests are probed for only in proportion to those that are being missed.
 func (b *Balancer) awaitProbe(r *request, s *server) bool {
-	probeValue := max(b.missRate, minProbeMissRate, s.health[r.class.index].FailureScore) // failing servers are on trial
+	probeValue := max(b.missRate, minProbeMissRate, s.health[r.class.index].FailureScore) // failed servers are on trial
 	if !b.cfg.Probes || b.cfg.Reports == ReportsOff || b.now >= r.deadline || r.probesAwaited > 1 ||
 		s.load.Known && s.reportedAt+2*b.cfg.Tick >= b.now || b.cfg.ProbeFee*b.rng.Float64() > probeValue {
 		return false // waiting for probes past the deadline loses the request
--- a/policy/health.go
+++ b/policy/health.go
@@ -2,7 +2,7 @@
 
 import "example.org/micaline/internal/outlier"
 
-const recoveringFailure = 0.34 // failure score soon after an answer: three in a row eject
+const failureScoreSoonAfterAnswer = 0.34 // three in a row eject
 
 // addFailure counts an error or broken connection, unless the server answers most of what it is sent.
 func (b *Balancer) addFailure(c *class, s *server, reason string) {
@@ -15,7 +15,7 @@
 // between answers, would remove half of the healthy servers and overload the rest.
 func (b *Balancer) failureWeight(c *class, s *server) float64 {
 	if s.answeredAt > 0 && b.now-s.answeredAt < c.Aim {
-		return recoveringFailure
+		return failureScoreSoonAfterAnswer
 	}
 	return 1
 }
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// learnFromOutcome updates what is known of the server; confidence (0 to 1) weighs the latency over its target.
+// learnFromOutcome learns about the server. latencyRatio is latency over target, and confidence (0 to 1) its weight.
 func (b *Balancer) learnFromOutcome(c *class, a *attempt, outcome Outcome, latencyRatio, confidence float64) {
 	s := a.server
 	h := &s.health[c.index]
--- a/policy/speed_test.go
+++ b/policy/speed_test.go
@@ -117,8 +117,8 @@
 }
 
 // One slow server is no overload: while the others answer well within the target latency, nothing
-// is refused. If each silent attempt counted by how late other answers are, shedding would rise
-// several times faster than answers could lower it.
+// is refused. If each silent attempt raised shedding by how late other answers are, it would count
+// up to four times, and no answers could lower shedding again.
 func TestSlowServerShedsNothing(t *testing.T) {
 	x := newHarness(t, noReportSettings(), fleet(6)...)
 	type due struct {
--- a/policy/state.go
+++ b/policy/state.go
@@ -101,7 +101,7 @@
 	awaitingProbe   []*request
 	serviceTime     weighted.Mean // of an answer, seconds
 	queueRatio      weighted.Mean // reported waiting requests over parallelism
-	peerUncertainty float64       // share of traffic that others send unseen: 0 for a lone agent, near 1 among many
+	peerUncertainty float64       // about load from other agents: 0 for a lone agent, near 1 among many
 	queueFactor     float64       // between the constants queueFactor and queueFactorAlone
 	missRate        float64       // share of requests not served within the target latency
 	shedder         limit.ShedController
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,9 +1,9 @@
-// Package policy is the decision module of an agent of a service mesh. For each request it decides which server gets
-// it, with what timeout, and whether to retry, refuse or fail it.
+// Package policy is the decision module of an agent, a service mesh proxy between clients and servers. For each request
+// it decides which server gets it, with what timeout, and whether to retry, refuse or fail it.
 //
 // A Balancer is a deterministic state machine without clock, goroutines or I/O. The caller passes in events with the
-// time at which they happened, and carries out the returned actions in order; timers are among them. Each agent has
-// its own Balancer and never calls it concurrently. Times are durations since any fixed start and never decrease.
+// time at which they happened, and carries out the returned actions, timers included, in order. Each agent has its own
+// Balancer and never calls it concurrently. Times are durations since any fixed start and never decrease.
 package policy
 
 import "time"
@@ -11,7 +11,7 @@
 // ServerID identifies a server; it stays the same when the server's process restarts.
 type ServerID uint32
 
-// RequestID identifies one try of a client; ids are never reused.
+// RequestID identifies a request, which is one try of a client; ids are never reused.
 type RequestID uint32
 
 // Effect says whether a request may run more than once.
@@ -75,7 +75,7 @@
 	MustAskIn       time.Duration // the longest time that an agent may go without subscribing
 	IdleClose       time.Duration // idle connections are closed after this time
 	Tick            time.Duration // shortest time between two events
-	MaxAttempts     int
+	MaxAttempts     int           // how often a request may be sent to servers, retries and hedges included
 	Probes          bool          // ActProbe is allowed
 	Cancel          bool          // ActCancel is allowed
 	Gates           bool          // servers are behind gates: proxies that refuse excess requests before they arrive
@@ -131,7 +131,7 @@
 	ConnectFailed
 	Reset // the connection broke
 	Cancelled
-	NotSent // could not be sent any more
+	NotSent // the agent did not send it
 )
 
 // ListMode says how a server list event applies.
@@ -174,7 +174,7 @@
 	Outcome       Outcome
 	ReachedServer bool          // with Gates: the server itself, not its gate, did not run the attempt
 	RetryAfter    time.Duration // with Gates, for Full: when there is capacity again
-	AgentDelay    time.Duration // delay in the agent itself, part of the time since the send or the timer's expiry
+	AgentDelay    time.Duration // upper bound of the agent's own delay since the send or the timer's expiry
 	Final         bool          // the request has its final answer, from this attempt or an earlier one
 	Load          Load
 	Token         uint64
