--- a/internal/mesh/duties/duties.go
+++ b/internal/mesh/duties/duties.go
@@ -1,14 +1,15 @@
-// Package duties is what the core machines agree on about calls to the operators' platform that one
-// process at a time makes. It does no I/O and has no clock.
+// Package duties holds the replicated state for calls to the operators' platform that only one
+// control-plane node may make at a time. It does no I/O and has no clock.
 //
-// A duty is split into parts, and each part has its own holder: a part is a duty and what the
-// platform numbers its calls by (its subject), as a fence rises within one subject. The usage report
-// has one subject, all windows, and so one part. Parts are leases (package lease), and the fence of a
-// holder is the epoch of its grant. A report is fixed by the holder of its part before it is sent, so
-// that whoever holds the part next sends the same.
+// A duty is split into parts, each with its own holder. A part consists of a duty and a subject, by
+// which the platform tracks fencing tokens: tokens increase within one subject. The usage report
+// has a single subject (all windows) and so a single part. Each part is a lease (package lease),
+// and the epoch of its grant is the holder's fencing token. A holder makes a report final in the
+// replicated state before it sends the report, so that the next holder of the part sends the same.
 //
-// A grant's epoch is never lower than the index of the log at which it was granted. So fences go on
-// to rise where a mesh is made anew from a backup, as its indexes begin far above those of before.
+// The epoch of a grant is never lower than the log index at which the part was granted. Fencing
+// tokens therefore continue to increase when a mesh is restored from a backup, because the restored
+// log starts at indexes far above those of the old one.
 package duties
 
 import (
@@ -22,42 +23,43 @@
 	"example.org/micaline/internal/mesh/usage"
 )
 
-// UsageReport is the duty to report to the platform what backends began, by tenant, in each window.
+// UsageReport is the duty to report to the platform, for each window, the number of requests that
+// backends started, by tenant.
 const UsageReport = "usage_report"
 
-// Command is a change that is asked for: one of its fields is set.
+// Command is a change of the Table. Exactly one field is set.
 type Command struct {
 	Lease *lease.Op
 	Fix   *FinalizeReport
 	Taken *ReportAccepted
 }
 
-// Fix asks that a report is made final. Only the holder of the part may.
+// FinalizeReport makes a report final. Only the holder of the part may do this.
 type FinalizeReport struct {
 	Holder string
 	Epoch  uint64
 	Report *usage.Report
 }
 
-// Taken says that the platform has a report.
+// ReportAccepted records that the platform has accepted the report of a window.
 type ReportAccepted struct{ Window int64 }
 
-// Reply is what a command has come to.
+// Reply is the result of a Command.
 type Reply struct {
 	Lease   lease.Answer
-	Refused string // why; empty: it is done
+	Refused string // the reason for a refusal; empty if the command was applied
 }
 
-// Table is the state. It is not safe for concurrent use.
+// Table is the replicated state. It is not safe for concurrent use.
 type Table struct {
 	Leases lease.Table   `json:"leases"`
 	Usage  *usage.Ledger `json:"usage"`
 }
 
-// New returns a table in which nothing has been granted.
+// NewTable returns a table without grants and reports.
 func NewTable() *Table { return &Table{Usage: &usage.Ledger{}} }
 
-// Apply carries a command out, which stands at an index of the log.
+// Apply applies the command at the given log index.
 func (t *Table) Apply(index uint64, c *Command) Reply {
 	switch {
 	case c.Lease != nil:
@@ -66,14 +68,14 @@
 		}
 		return Reply{Lease: t.Leases.Apply(c.Lease)}
 	case c.Fix != nil:
-		return refusal(t.fix(c.Fix))
+		return replyFor(t.finalize(c.Fix))
 	case c.Taken != nil:
-		return refusal(t.Usage.MarkAccepted(c.Taken.Window))
+		return replyFor(t.Usage.MarkAccepted(c.Taken.Window))
 	}
-	return Reply{Refused: "command: it asks for nothing"}
+	return Reply{Refused: "command: it has no content"}
 }
 
-func (t *Table) fix(f *FinalizeReport) error {
+func (t *Table) finalize(f *FinalizeReport) error {
 	d := t.Leases.Duties[UsageReport]
 	if d == nil || d.Holder != f.Holder || d.Epoch != f.Epoch {
 		return fmt.Errorf("holder: %s does not hold %s under epoch %d", f.Holder, UsageReport, f.Epoch)
@@ -81,14 +83,14 @@
 	return t.Usage.Finalize(f.Report)
 }
 
-func refusal(err error) Reply {
+func replyFor(err error) Reply {
 	if err != nil {
 		return Reply{Refused: err.Error()}
 	}
 	return Reply{}
 }
 
-// Clone returns a table that changes by itself.
+// Clone returns a copy that can change independently.
 func (t *Table) Clone() *Table {
 	c := &Table{Leases: t.Leases, Usage: t.Usage.Clone()}
 	c.Leases.History = slices.Clone(t.Leases.History)
@@ -100,7 +102,7 @@
 	return c
 }
 
-// Encode gives the table for a snapshot. Equal tables give equal bytes.
+// Encode encodes the table for a snapshot. Equal tables have equal encodings.
 func (t *Table) Encode() []byte {
 	text, err := json.Marshal(t)
 	if err != nil {
@@ -109,14 +111,14 @@
 	return text
 }
 
-// Decode reads what Encode gave; nothing is a table in which nothing has been granted.
+// Decode decodes the output of Encode. Empty input yields an empty table.
 func Decode(text []byte) (*Table, error) {
 	t := NewTable()
 	if len(text) == 0 {
 		return t, nil
 	}
 	if err := json.Unmarshal(text, t); err != nil {
-		return nil, fmt.Errorf("the duties of a snapshot: %w", err)
+		return nil, fmt.Errorf("duties in the snapshot: %w", err)
 	}
 	if t.Usage == nil {
 		t.Usage = &usage.Ledger{}
@@ -124,14 +126,14 @@
 	return t, nil
 }
 
-// EncodeCommand gives a command for the log.
+// EncodeCommand encodes a command as a log entry.
 func EncodeCommand(c *Command) []byte { return plaingob.Encode(c) }
 
-// DecodeCommand reads what EncodeCommand gave.
+// DecodeCommand decodes the output of EncodeCommand.
 func DecodeCommand(text []byte) (*Command, error) { return plaingob.Decode[Command](text) }
 
-// EncodeReply gives a reply for the proposer.
+// EncodeReply encodes a reply for the proposer.
 func EncodeReply(r *Reply) []byte { return plaingob.Encode(r) }
 
-// DecodeReply reads what EncodeReply gave.
+// DecodeReply decodes the output of EncodeReply.
 func DecodeReply(text []byte) (*Reply, error) { return plaingob.Decode[Reply](text) }
--- a/internal/mesh/duties/holder.go
+++ b/internal/mesh/duties/holder.go
@@ -10,233 +10,237 @@
 )
 
 const (
-	// PatienceTerm is the time within which one machine after the other asks for a free part.
+	// AcquireStagger is the period over which the nodes spread their requests for a free part.
 	AcquireStagger = 600 * time.Millisecond
-	// actMargin is by how much longer than a lease a machine that held a part before stays quiet.
-	actMargin = 500 * time.Millisecond
-	// sendRoom is how long before it is due a report is fixed at the latest, whoever's counts are missing:
-	// for what an agent counts that is cut off is waited as long as it can be.
-	sendRoom = 2500 * time.Millisecond
-	// termPart of the lease that the platform's rule names is the term of the holder's own: the shorter
-	// it is, the sooner a part that has lost its holder has another.
-	termPart = 2.0 / 3
-	// callRoom is how much of a lease must be left for a call.
-	callRoom = 300 * time.Millisecond
+	// quietMargin is added to the lease duration during which a previous holder makes no calls.
+	quietMargin = 500 * time.Millisecond
+	// sendReserve is the time before a report is due at which it is made final at the latest, even
+	// if counts are missing. An agent that is cut off gets as much time as possible to deliver its
+	// counts.
+	sendReserve = 2500 * time.Millisecond
+	// termFraction is the term of a holder's lease as a fraction of the platform's lease duration.
+	// The shorter the term, the sooner a part that has lost its holder gets a new one.
+	termFraction = 2.0 / 3
+	// minCallTime is the remaining lease time that is needed to start a call.
+	minCallTime = 300 * time.Millisecond
 
-	firstRetry = 250 * time.Millisecond
-	lastRetry  = 2 * time.Second
+	minRetryDelay = 250 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
-// Bounds are the figures of the rules that a Holder goes by.
+// Bounds are the limits that the platform's rules set for a Holder.
 type Bounds struct {
-	Lease        time.Duration // within which a duty may not go to another machine and back
-	WindowLength time.Duration // that a usage report is about
-	DueAfter     time.Duration // after a window's end, until its report is due
+	Lease        time.Duration // a duty must not move to another node and back within this time
+	WindowLength time.Duration // length of the period that one usage report covers
+	DueAfter     time.Duration // time from the end of a window until its report is due
 }
 
-// View is what a machine sees of agents and their counts.
+// View is a node's current information about the agents and their counts.
 type View struct {
-	Time           time.Duration // of the mesh, since the start of 1970
-	Cordoned       bool          // this machine is taken out of use: another is to hold the part
-	Connected      bool          // over half of the agents that are known are heard here
-	Window         int64         // to be fixed next; 0: there is none
-	Complete       bool          // all agents that are heard have closed it
-	LostIncomplete bool          // an agent that is lost, and had not said that it leaves, has not
+	Time           time.Duration // agreed mesh time, since the Unix epoch
+	Cordoned       bool          // for maintenance; another node should hold the part
+	Connected      bool          // more than half of the known agents are connected to this node
+	Window         int64         // the next window to make final; 0 if there is none
+	Complete       bool          // all connected agents have closed the window
+	LostIncomplete bool          // an agent that was lost without deregistering has not closed the window
 	Counts         map[string]uint64
 }
 
-// Call is a report to be sent to the platform under a fence, before a time of the holder's clock.
+// Call is a report to send to the platform before Deadline, a time of the holder's clock.
 type Call struct {
 	Fence    uint64
 	Deadline time.Duration
 	Report   *usage.Report
 }
 
-// Result is what a call has come to.
+// Result is the outcome of a Call.
 type Result uint8
 
-// The results.
+// Outcomes of a call.
 const (
 	CallAccepted Result = iota
-	CallFenced          // the platform has seen a higher fence
-	CallUnknown         // no answer, or none that tells
+	CallFenced          // the platform has seen a higher fencing token
+	CallUnknown         // no response, or one that does not tell whether the report was accepted
 )
 
-// Ask is a command that is to be agreed on. What comes of it goes to Replied with its number.
+// Request is a command to propose. Its reply goes to Holder.HandleReply, with the same number.
 type Request struct {
 	Number  uint64
 	Command *Command
 }
 
-// Todo is what a step leads to.
+// Actions are the requests and the call that a Holder wants to be carried out.
 type Actions struct {
 	Requests []Request
-	Call     *Call // nil: none
+	Call     *Call // nil if there is none
 }
 
-// Holder is a machine's side of the usage report: it asks for the part, and while it holds it fixes
-// the report of each window that has ended, and has it sent until the platform has it. It does no I/O;
-// its clock is monotonic, begins with its process, and may drift.
+// Holder is a node's part in the usage report. It requests the lease, and while it holds the lease
+// it makes the report of each ended window final and has it sent until the platform accepts it. It
+// does no I/O. Its clock is monotonic, starts with the process and may drift.
 //
-// It calls the platform only while its lease lasts by its own clock, never under a fence that the
-// platform has refused, and not within a lease of its last call under an earlier fence, nor of its
-// start: no duty goes to another machine and back within a lease.
+// It calls the platform only while its lease is valid by its own clock, and never with a fencing
+// token that the platform has refused. It also makes no call within a lease duration of its last
+// call under an earlier token, or of its start. A duty therefore never moves to another node and
+// back within a lease duration.
 type Holder struct {
 	bounds Bounds
 	node   string
 	lease  lease.Holder
 
-	last     uint64         // number of an Ask
-	asked    uint64         // number of the Ask for the lease
-	turn     uint64         // of the lease, that it asked
-	fixing   uint64         // number of the Ask that fixes a report; 0: none is out
-	calling  *Call          // that is out
-	taken    map[int64]bool // windows that the platform has, which the table still shows as open
-	actEpoch uint64         // under which the platform was called last
-	acted    time.Duration  // when
-	quiet    time.Duration  // nothing is called before
-	refused  uint64         // epoch that the platform has refused
-	retry    time.Duration  // pause after the next failure
-	next     time.Duration  // when the platform may be called again
-	apart    time.Duration  // since when too few agents are heard
+	lastRequest       uint64         // number of the latest Request
+	leaseRequest      uint64         // number of the latest Request for the lease
+	leaseTurn         uint64         // lease.Ask.Turn of that request
+	finalizeRequest   uint64         // number of the pending FinalizeReport request; 0 if there is none
+	inFlight          *Call          // nil if there is none
+	accepted          map[int64]bool // accepted, but open in the table; true: ReportAccepted is requested
+	lastCallEpoch     uint64         // token of the latest call to the platform
+	lastCallAt        time.Duration  // time of that call
+	quietUntil        time.Duration  // no calls before this time
+	refusedEpoch      uint64         // token that the platform has refused; 0 if none
+	retryDelay        time.Duration  // delay after the next failed call
+	nextCallAt        time.Duration  // earliest time of the next call
+	disconnectedSince time.Duration  // since when too few agents are connected; 0 if enough are
 }
 
-// NewHolder returns a Holder of a machine's process, whose name no other process has ever had.
+// NewHolder returns the Holder of a node's process. The process name must never have been used by
+// another process.
 func NewHolder(node, process string, b Bounds) *Holder {
-	term := min(max(time.Duration(termPart*float64(b.Lease)), lease.MinTerm), lease.MaxTerm)
-	return &Holder{bounds: b, node: node, retry: firstRetry, taken: map[int64]bool{},
+	term := min(max(time.Duration(termFraction*float64(b.Lease)), lease.MinTerm), lease.MaxTerm)
+	return &Holder{bounds: b, node: node, retryDelay: minRetryDelay, accepted: map[int64]bool{},
 		lease: lease.Holder{Duty: UsageReport, Name: process, Term: term, NoRest: true}}
 }
 
-// Holds is the epoch under which the part is held; 0: it is not.
+// HeldEpoch returns the epoch under which this process holds the part, or 0 if it does not.
 func (h *Holder) HeldEpoch(now time.Duration) uint64 {
 	epoch, _, _ := h.lease.Holds(now)
 	return epoch
 }
 
-// Calling says whether a call is out.
-func (h *Holder) CallInFlight() bool { return h.calling != nil }
+// CallInFlight reports whether a call to the platform is in progress.
+func (h *Holder) CallInFlight() bool { return h.inFlight != nil }
 
-// NeedsView says whether Step goes by a view now.
+// NeedsView reports whether the next Tick uses its view.
 func (h *Holder) NeedsView(now time.Duration, table *Table) bool {
 	return h.HeldEpoch(now) != 0 || table.isFree()
 }
 
-// isFree says whether nobody holds the part.
+// isFree reports whether the part has no holder.
 func (t *Table) isFree() bool {
 	d := t.Leases.Duties[UsageReport]
 	return d == nil || d.Holder == ""
 }
 
-// isHandedTo says whether the part is kept for a process.
-func (t *Table) isHandedTo(process string) bool {
+// isReservedFor reports whether the part is being handed over to a process.
+func (t *Table) isReservedFor(process string) bool {
 	d := t.Leases.Duties[UsageReport]
 	return d != nil && d.To != "" && lease.Meant(d.To, process)
 }
 
-// Step goes on by what is known. The view may be empty where NeedsView says so.
-func (h *Holder) Tick(now time.Duration, table *Table, view *View) (todo Actions) {
-	// Danger: this machine may have called the platform before its process started.
-	able := view.Connected && !view.Cordoned && now > h.bounds.Lease+actMargin
-	patience := lease.Patience(UsageReport, h.node, 1, AcquireStagger)
-	if table.isHandedTo(h.lease.Name) {
-		patience = 0 // it is kept for this machine for a term, which may be little longer than its patience
+// Tick returns the actions that are due. The view may be empty if NeedsView returned false.
+func (h *Holder) Tick(now time.Duration, table *Table, view *View) (actions Actions) {
+	// An earlier process on this node may have called the platform shortly before this one started.
+	eligible := view.Connected && !view.Cordoned && now > h.bounds.Lease+quietMargin
+	acquireDelay := lease.Patience(UsageReport, h.node, 1, AcquireStagger)
+	if table.isReservedFor(h.lease.Name) {
+		acquireDelay = 0 // the reservation lasts one term, hardly longer than the usual delay
 	}
-	if ask := h.lease.Step(now, table.isFree() && able, patience); ask != nil {
-		h.askLease(&todo, ask)
+	if request := h.lease.Step(now, table.isFree() && eligible, acquireDelay); request != nil {
+		h.addLeaseRequest(&actions, request)
 	}
-	epoch, until, holds := h.lease.Holds(now)
-	if !holds {
-		return todo
+	epoch, deadline, held := h.lease.Holds(now)
+	if !held {
+		return actions
 	}
-	if h.unwanted(now, epoch, view) {
-		if h.calling == nil && h.fixing == 0 { // else the next step does
-			h.Release(now, &todo)
+	if h.shouldRelease(now, epoch, view) {
+		if h.inFlight == nil && h.finalizeRequest == 0 { // otherwise a later tick releases the part
+			h.Release(now, &actions)
 		}
-		return todo
+		return actions
 	}
-	if epoch != h.actEpoch && h.actEpoch != 0 {
-		h.quiet = h.acted + h.bounds.Lease + actMargin
+	if epoch != h.lastCallEpoch && h.lastCallEpoch != 0 {
+		h.quietUntil = h.lastCallAt + h.bounds.Lease + quietMargin
 	}
-	h.settle(&todo, table)
-	h.fix(&todo, epoch, view)
-	if r := h.due(now, until, table, view); r != nil {
-		h.calling = &Call{Fence: epoch, Deadline: until, Report: r}
-		h.acted, h.actEpoch = now, epoch
-		todo.Call = h.calling
+	h.confirmAccepted(&actions, table)
+	h.finalizeNext(&actions, epoch, view)
+	if report := h.nextReport(now, deadline, table, view); report != nil {
+		h.inFlight = &Call{Fence: epoch, Deadline: deadline, Report: report}
+		h.lastCallAt, h.lastCallEpoch = now, epoch
+		actions.Call = h.inFlight
 	}
-	return todo
+	return actions
 }
 
-func (h *Holder) ask(todo *Actions, c *Command) uint64 {
-	h.last++
-	todo.Requests = append(todo.Requests, Request{h.last, c})
-	return h.last
+func (h *Holder) addRequest(actions *Actions, command *Command) uint64 {
+	h.lastRequest++
+	actions.Requests = append(actions.Requests, Request{h.lastRequest, command})
+	return h.lastRequest
 }
 
-func (h *Holder) askLease(todo *Actions, ask *lease.Ask) {
-	h.turn = ask.Turn
-	h.asked = h.ask(todo, &Command{Lease: &ask.Op})
+func (h *Holder) addLeaseRequest(actions *Actions, request *lease.Ask) {
+	h.leaseTurn = request.Turn
+	h.leaseRequest = h.addRequest(actions, &Command{Lease: &request.Op})
 }
 
-// LetGo gives the part back, if it is held. Calls must have ended.
-func (h *Holder) Release(now time.Duration, todo *Actions) {
-	if ask := h.lease.LetGo(now, "", nil); ask != nil {
-		h.askLease(todo, ask)
+// Release gives the part back if it is held. No call may be in flight.
+func (h *Holder) Release(now time.Duration, actions *Actions) {
+	if request := h.lease.LetGo(now, "", nil); request != nil {
+		h.addLeaseRequest(actions, request)
 	}
 }
 
-// unwanted says whether the part is to be given up.
-func (h *Holder) unwanted(now time.Duration, epoch uint64, view *View) bool {
+// shouldRelease reports whether the part should be given back.
+func (h *Holder) shouldRelease(now time.Duration, epoch uint64, view *View) bool {
 	switch {
 	case view.Connected:
-		h.apart = 0
-	case h.apart == 0:
-		h.apart = now
+		h.disconnectedSince = 0
+	case h.disconnectedSince == 0:
+		h.disconnectedSince = now
 	}
-	return view.Cordoned || epoch == h.refused || h.lease.Wanted() != "" || h.apart != 0 && now-h.apart > h.bounds.Lease
+	return view.Cordoned || epoch == h.refusedEpoch || h.lease.Wanted() != "" || h.disconnectedSince != 0 && now-h.disconnectedSince > h.bounds.Lease
 }
 
-// settle has reports noted as taken that the platform has.
-func (h *Holder) settle(todo *Actions, table *Table) {
-	for window, asked := range h.taken {
+// confirmAccepted requests ReportAccepted for the reports that the platform has accepted.
+func (h *Holder) confirmAccepted(actions *Actions, table *Table) {
+	for window, requested := range h.accepted {
 		switch {
 		case !slices.ContainsFunc(table.Usage.Open, func(r *usage.Report) bool { return r.Window == window }):
-			delete(h.taken, window)
-		case !asked:
-			h.taken[window] = true
-			h.ask(todo, &Command{Taken: &ReportAccepted{window}})
+			delete(h.accepted, window)
+		case !requested:
+			h.accepted[window] = true
+			h.addRequest(actions, &Command{Taken: &ReportAccepted{window}})
 		}
 	}
 }
 
-// fix makes the report of the oldest window final that has ended, once its counts are there.
-func (h *Holder) fix(todo *Actions, epoch uint64, view *View) {
-	over := view.Time - meshtime.WindowEnd(view.Window, h.bounds.WindowLength)
+// finalizeNext makes the report of the oldest ended window final once its counts are complete or
+// the time for them has run out.
+func (h *Holder) finalizeNext(actions *Actions, epoch uint64, view *View) {
+	sinceEnd := view.Time - meshtime.WindowEnd(view.Window, h.bounds.WindowLength)
 	switch {
-	case h.fixing != 0 || view.Window == 0 || over < 0:
+	case h.finalizeRequest != 0 || view.Window == 0 || sinceEnd < 0:
 		return
-	case !view.Complete && over < h.bounds.DueAfter/2 || view.LostIncomplete && over < h.bounds.DueAfter-sendRoom:
+	case !view.Complete && sinceEnd < h.bounds.DueAfter/2 || view.LostIncomplete && sinceEnd < h.bounds.DueAfter-sendReserve:
 		return
 	}
 	report := &usage.Report{Window: view.Window, Counts: view.Counts}
-	h.fixing = h.ask(todo, &Command{Fix: &FinalizeReport{Holder: h.lease.Name, Epoch: epoch, Report: report}})
+	h.finalizeRequest = h.addRequest(actions, &Command{Fix: &FinalizeReport{Holder: h.lease.Name, Epoch: epoch, Report: report}})
 }
 
-// due is the report that is to be sent now, nil if there is none.
-func (h *Holder) due(now, until time.Duration, table *Table, view *View) *usage.Report {
-	if h.calling != nil || now < h.next || now < h.quiet || until-now < callRoom {
+// nextReport returns the report to send now, or nil if there is none.
+func (h *Holder) nextReport(now, deadline time.Duration, table *Table, view *View) *usage.Report {
+	if h.inFlight != nil || now < h.nextCallAt || now < h.quietUntil || deadline-now < minCallTime {
 		return nil
 	}
 	open := slices.Clone(table.Usage.Open)
-	open = slices.DeleteFunc(open, func(r *usage.Report) bool { _, has := h.taken[r.Window]; return has })
+	open = slices.DeleteFunc(open, func(r *usage.Report) bool { _, accepted := h.accepted[r.Window]; return accepted })
 	return mostUrgent(open, view.Time-h.bounds.DueAfter, h.bounds.WindowLength)
 }
 
-// mostUrgent is the report that is due first, or, of those that are overdue, the newest. Overdue are
-// windows that ended before a time.
-func mostUrgent(open []*usage.Report, before, length time.Duration) *usage.Report {
-	i := slices.IndexFunc(open, func(r *usage.Report) bool { return meshtime.WindowEnd(r.Window, length) >= before })
+// mostUrgent returns the report that is due first. If all are overdue, it returns the newest. A
+// report is overdue if its window ended before the cutoff.
+func mostUrgent(open []*usage.Report, cutoff, windowLength time.Duration) *usage.Report {
+	i := slices.IndexFunc(open, func(r *usage.Report) bool { return meshtime.WindowEnd(r.Window, windowLength) >= cutoff })
 	switch {
 	case i >= 0:
 		return open[i]
@@ -246,33 +250,33 @@
 	return nil
 }
 
-// Replied takes in what an Ask has come to; nil: that is not known.
+// HandleReply handles the reply to a Request. The reply is nil if the outcome is unknown.
 func (h *Holder) HandleReply(now time.Duration, number uint64, reply *Reply) {
 	switch {
-	case number == h.fixing:
-		h.fixing = 0
+	case number == h.finalizeRequest:
+		h.finalizeRequest = 0
 	case reply == nil:
-		for window := range h.taken {
-			h.taken[window] = false // to be asked again: a second time it is refused, which harms nothing
+		for window := range h.accepted {
+			h.accepted[window] = false // request it again; a repeated ReportAccepted is refused without harm
 		}
-	case number == h.asked:
-		h.lease.Answered(now, h.turn, reply.Lease)
+	case number == h.leaseRequest:
+		h.lease.Answered(now, h.leaseTurn, reply.Lease)
 	}
 }
 
-// Called takes in what the call has come to. After is when the platform wants to be called again, 0 if
-// it did not say.
-func (h *Holder) HandleResult(now time.Duration, result Result, after time.Duration) {
-	call := h.calling
-	h.calling = nil
+// HandleResult handles the outcome of a call. If retryAfter is not 0, the platform asked for a
+// pause of that length.
+func (h *Holder) HandleResult(now time.Duration, result Result, retryAfter time.Duration) {
+	call := h.inFlight
+	h.inFlight = nil
 	switch result {
 	case CallAccepted:
-		h.taken[call.Report.Window] = false
-		h.retry, h.next = firstRetry, now
+		h.accepted[call.Report.Window] = false
+		h.retryDelay, h.nextCallAt = minRetryDelay, now
 		return
 	case CallFenced:
-		h.refused = call.Fence
+		h.refusedEpoch = call.Fence
 	}
-	h.next = now + max(after, h.retry)
-	h.retry = min(2*h.retry, lastRetry)
+	h.nextCallAt = now + max(retryAfter, h.retryDelay)
+	h.retryDelay = min(2*h.retryDelay, maxRetryDelay)
 }
--- a/internal/mesh/maintenance/decide.go
+++ b/internal/mesh/maintenance/decide.go
@@ -8,37 +8,40 @@
 )
 
 const (
-	// Full is the part of their room up to which backends that stay in use may be used by forecast.
+	// MaxUtilization is the highest forecast utilization of the remaining backends at which a
+	// window's machines may be drained.
 	MaxUtilization = 0.8
-	// goesOn is the part of Full below which a window that waits goes on, so that it doesn't begin and
-	// wait in turn.
-	goesOn = 0.9
-	// tooFull is the part beyond which a step is taken back before the window's start.
-	tooFull = 1.0
-	// clearFor is how long nothing must be left until a window is clear.
-	clearFor = time.Second
-	// returnPace bounds how long a step of a return lasts.
-	minReturnPace, maxReturnPace = 500 * time.Millisecond, 10 * time.Second
+	// resumeFraction of MaxUtilization is the limit for a blocked window. The lower limit keeps a
+	// window from stopping and resuming again and again.
+	resumeFraction = 0.9
+	// rollbackUtilization is the utilization beyond which a step is undone before the window's
+	// start.
+	rollbackUtilization = 1.0
+	// clearAfter is how long nothing must remain on the machines until a window is clear.
+	clearAfter = time.Second
+	// minReturnStep and maxReturnStep bound the duration of a step while machines return to
+	// service.
+	minReturnStep, maxReturnStep = 500 * time.Millisecond, 10 * time.Second
 )
 
-// Backend is what a core machine knows of one.
+// Backend is the information about a backend that a decision needs.
 type Backend struct {
 	Service, Zone, Node string
-	Capacity            int     // requests that it works on at once
-	Load                float64 // requests in work, on the mean of late
-	Ready               bool    // it serves: it is not lost, and does not leave
+	Capacity            int     // number of requests that it handles at once
+	Load                float64 // requests in progress, averaged over the last seconds
+	Ready               bool    // it is in service: neither lost nor draining
 }
 
-// Share is how far a service's backends would be used.
+// Share is the forecast utilization of a service's backends.
 type Share struct {
 	Service string  `json:"service"`
-	Load    float64 `json:"load"`  // requests in work
-	Room    int     `json:"room"`  // that those which stay work on at once
-	After   float64 `json:"after"` // part of their room; beyond 1 they could not bear it
+	Load    float64 `json:"load"`  // requests in progress
+	Room    int     `json:"room"`  // requests that the remaining backends handle at once
+	After   float64 `json:"after"` // Load divided by Room; beyond 1 the remaining backends are overloaded
 }
 
-// Forecast says how far the backends of each service would be used without a window's machines, the
-// fullest first.
+// Forecast returns the utilization of each service's backends without the machines of a window, the
+// highest first.
 func Forecast(w *Window, backends []Backend) []Share {
 	byService := map[string]*Share{}
 	for i := range backends {
@@ -53,101 +56,101 @@
 			s.Room += b.Capacity
 		}
 	}
-	var list []Share
+	var shares []Share
 	for _, s := range byService {
 		switch {
 		case s.Room > 0:
 			s.After = s.Load / float64(s.Room)
 		default:
-			s.After = 2 * tooFull // also where nothing is asked for: nobody would serve it
+			s.After = 2 * rollbackUtilization // also without load, since no backend would serve the service
 		}
-		list = append(list, *s)
+		shares = append(shares, *s)
 	}
-	slices.SortFunc(list, func(a, b Share) int {
+	slices.SortFunc(shares, func(a, b Share) int {
 		return cmp.Or(cmp.Compare(b.After, a.After), cmp.Compare(a.Service, b.Service))
 	})
-	return list
+	return shares
 }
 
-// String tells a share to people.
+// String describes a share to operators.
 func (s *Share) String() string {
 	if s.Room == 0 {
-		return fmt.Sprintf("%s: no backend would stay in use", s.Service)
+		return fmt.Sprintf("%s: no backend would remain in service", s.Service)
 	}
-	return fmt.Sprintf("%s: %.1f requests in work, and room for %d stays: %.0f%%", s.Service, s.Load, s.Room, 100*s.After)
+	return fmt.Sprintf("%s: %.1f requests in progress, capacity for %d would remain: %.0f%%", s.Service, s.Load, s.Room, 100*s.After)
 }
 
-// View is what the machine that leads sees.
+// View is the leader's current information, on which it decides about a window.
 type View struct {
-	Now          time.Duration // of the mesh, since the start of 1970
+	Now          time.Duration // agreed mesh time, since the Unix epoch
 	Backends     []Backend
-	Remaining    int           // what is left on the machines of the window
-	UnchangedFor time.Duration // since when Left is as it is, 0 or not
-	Unreliable   string        // why what is seen is not to be relied on; empty: it is
+	Remaining    int           // number of agents and roles still active on the window's machines
+	UnchangedFor time.Duration // how long Remaining has had this value
+	Unreliable   string        // why the view can't be relied on; empty if it can
 }
 
-// Decide says what is to become of a window now; nil: nothing new.
-func Decide(w *Window, v *View) *Advance {
-	a := &Advance{Name: w.Name, Changed: w.Changed, Phase: w.Phase, Step: w.Step, Clear: w.Clear, Waits: w.Waits}
-	switch w.Phase {
+// Decide returns the change of a window that is due, or nil if there is none.
+func Decide(window *Window, view *View) *Advance {
+	advance := &Advance{Name: window.Name, Changed: window.Changed, Phase: window.Phase, Step: window.Step, Clear: window.Clear, Waits: window.Waits}
+	switch window.Phase {
 	case PhasePlanned:
-		decidePlanned(w, v, a)
+		decidePlanned(window, view, advance)
 	case PhaseDraining:
-		decideMoving(w, v, a)
+		decideDraining(window, view, advance)
 	case PhaseClosed:
-		decideClosed(w, v, a)
+		decideClosed(window, view, advance)
 	case PhaseReturning:
-		decideReturning(w, v, a)
+		decideReturning(window, view, advance)
 	}
-	if a.Phase == w.Phase && a.Step == w.Step && a.Clear == w.Clear && a.Waits == w.Waits {
+	if advance.Phase == window.Phase && advance.Step == window.Step && advance.Clear == window.Clear && advance.Waits == window.Waits {
 		return nil
 	}
-	return a
+	return advance
 }
 
 func decidePlanned(w *Window, v *View, a *Advance) {
 	switch {
 	case v.Now >= w.End:
-		a.Phase, a.Ended, a.Waits = PhaseOver, "lapsed: "+cmp.Or(w.Waits, "nobody led in its time"), ""
+		a.Phase, a.Ended, a.Waits = PhaseOver, "lapsed: "+cmp.Or(w.Waits, "there was no leader in its time"), ""
 	case v.Now < w.Start-w.Lead && !w.Begun:
 	default:
-		if a.Waits = hindrance(w, v); a.Waits == "" {
+		if a.Waits = blockReason(w, v); a.Waits == "" {
 			a.Phase, a.Step = PhaseDraining, 1
 		}
 	}
 }
 
-func decideMoving(w *Window, v *View, a *Advance) {
-	if endIfTime(w, v, a) || v.Now-w.Stepped < w.pace() {
+func decideDraining(w *Window, v *View, a *Advance) {
+	if endIfExpired(w, v, a) || v.Now-w.Stepped < w.stepDuration() {
 		return
 	}
-	a.Waits = hindrance(w, v)
+	a.Waits = blockReason(w, v)
 	switch {
 	case a.Waits == "" && w.Step == LastStep-1:
 		a.Phase, a.Step = PhaseClosed, LastStep
 	case a.Waits == "":
 		a.Step++
-	case v.Unreliable == "" && v.Now < w.Start && w.Step > 1 && Forecast(w, v.Backends)[0].After > tooFull:
-		a.Step-- // work has not begun: what was taken out of use helps more than it harms
+	case v.Unreliable == "" && v.Now < w.Start && w.Step > 1 && Forecast(w, v.Backends)[0].After > rollbackUtilization:
+		a.Step-- // work has not begun, so the capacity is worth more than an early drain
 	}
 }
 
 func decideClosed(w *Window, v *View, a *Advance) {
-	if endIfTime(w, v, a) {
+	if endIfExpired(w, v, a) {
 		return
 	}
 	switch {
 	case v.Unreliable != "":
 		a.Clear = false
-	case v.UnchangedFor >= clearFor:
+	case v.UnchangedFor >= clearAfter:
 		a.Clear = v.Remaining == 0
 	}
-	a.Waits = hindrance(w, v)
+	a.Waits = blockReason(w, v)
 }
 
 func decideReturning(w *Window, v *View, a *Advance) {
 	a.Clear, a.Waits = false, ""
-	if v.Now-w.Stepped < min(max(w.pace(), minReturnPace), maxReturnPace) {
+	if v.Now-w.Stepped < min(max(w.stepDuration(), minReturnStep), maxReturnStep) {
 		return
 	}
 	if a.Step--; a.Step <= 0 {
@@ -155,7 +158,7 @@
 	}
 }
 
-func endIfTime(w *Window, v *View, a *Advance) bool {
+func endIfExpired(w *Window, v *View, a *Advance) bool {
 	if v.Now < w.End {
 		return false
 	}
@@ -163,17 +166,17 @@
 	return true
 }
 
-// hindrance says why a window must not go on; empty: it may.
-func hindrance(w *Window, v *View) string {
+// blockReason returns why a window must not progress; empty if it may.
+func blockReason(w *Window, v *View) string {
 	if v.Unreliable != "" {
 		return v.Unreliable
 	}
-	bears := MaxUtilization
+	limit := MaxUtilization
 	if w.Waits != "" {
-		bears = goesOn * MaxUtilization
+		limit = resumeFraction * MaxUtilization
 	}
 	shares := Forecast(w, v.Backends)
-	if len(shares) == 0 || w.Forced || shares[0].After <= bears {
+	if len(shares) == 0 || w.Forced || shares[0].After <= limit {
 		return ""
 	}
 	return "what stays in use would not bear the load: " + shares[0].Service
--- a/internal/mesh/maintenance/maintenance.go
+++ b/internal/mesh/maintenance/maintenance.go
@@ -1,19 +1,21 @@
-// Package maintenance is what the core machines agree on about windows of planned work, and the
-// decisions about them. It does no I/O and has no clock.
+// Package maintenance holds the replicated state of maintenance windows, and the decisions about
+// them. It does no I/O and has no clock.
 //
-// A Window names zones, or some machines, and when work on them begins and ends. Before it begins
-// the machines are taken out of use in Steps, and after it ends they are put back in the same steps
-// in reverse. Each step is a cordon of the configuration, so all agents get it as they get any
-// change. A Table is the agreed state; it changes by Commands that all core machines carry out in the
-// same order. Decide, at the machine that leads, says which Command is due.
+// A Window names zones or individual machines, and the time at which work on them begins and ends.
+// Before it begins the machines are taken out of service in steps, and after it ends they return in
+// the reverse order of these steps. Each step is a cordon in the configuration, so agents receive
+// it like any other change. A Table is the replicated state. It changes by Commands that all
+// control-plane nodes apply in the same order. On the leader, Decide determines the Command that is
+// due.
 //
-// What is promised:
+// Guarantees:
 //
-//   - Windows that are not over do not overlap: at most one has machines out of use at a time.
-//   - A window goes on only while what stays in use bears the load, by the forecast of the machine
-//     that leads; it says so if it waits.
-//   - Once its end has come its machines are put back, whoever leads, unless none does.
-//   - A command that comes twice, or late, changes nothing a second time.
+//   - Windows that are not over don't overlap: at most one has machines out of service at a time.
+//   - A window progresses only while the remaining backends can bear the load, by the leader's
+//     forecast. Otherwise it is blocked and states the reason.
+//   - After its end the window's machines return to service, whichever node leads, unless there is
+//     no leader.
+//   - A command that arrives late or twice has no further effect.
 package maintenance
 
 import (
@@ -26,61 +28,63 @@
 )
 
 const (
-	// MostWindows are kept, with those that are over; of these the oldest go first.
+	// MaxWindows limits the number of windows that are kept. Of those that are over, the oldest are
+	// dropped first.
 	MaxWindows = 64
-	// MinLead and MaxLead bound the time before its start in which machines are taken out of use.
+	// MinLead and MaxLead bound the lead time, in which machines are drained before a window's
+	// start.
 	MinLead = 3 * time.Second
 	MaxLead = time.Hour
-	// MaxLength is the longest that a window lasts.
+	// MaxDuration is the longest duration of a window.
 	MaxDuration = 7 * 24 * time.Hour
 
-	maxText = 200 // bytes of who plans a window, and why
+	maxTextBytes = 200 // limit for each of By and Why
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 
-// Phase is how far a window is.
+// Phase is the progress of a window.
 type Phase string
 
-// The phases.
+// Phases of a window.
 const (
 	PhasePlanned   Phase = "planned"
-	PhaseDraining  Phase = "moving" // machines are being taken out of use
-	PhaseClosed    Phase = "closed" // all of them are
-	PhaseReturning Phase = "returning"
+	PhaseDraining  Phase = "moving"    // machines are being taken out of service
+	PhaseClosed    Phase = "closed"    // all of its machines are out of service
+	PhaseReturning Phase = "returning" // machines are returning to service
 	PhaseOver      Phase = "over"
 )
 
-// Window is one of planned work. Times are of the mesh, since the start of 1970.
+// Window is a maintenance window. Times are agreed mesh times, since the Unix epoch.
 type Window struct {
 	Name  string        `json:"name"`
-	Zones []string      `json:"zones,omitempty"` // whole zones, or
-	Nodes []string      `json:"nodes,omitempty"` // the ips of machines
-	Start time.Duration `json:"start"`           // work begins
+	Zones []string      `json:"zones,omitempty"` // complete zones; empty if Nodes is set
+	Nodes []string      `json:"nodes,omitempty"` // IPs of individual machines
+	Start time.Duration `json:"start"`           // planned begin of the work
 	End   time.Duration `json:"end"`
-	Lead  time.Duration `json:"lead"` // before Start, in which machines are taken out of use
+	Lead  time.Duration `json:"lead"` // time before Start in which machines are drained
 	By    string        `json:"by,omitempty"`
 	Why   string        `json:"why,omitempty"`
 
 	Phase   Phase         `json:"phase"`
-	Step    int           `json:"step"`             // of Steps, that is in force
-	Stepped time.Duration `json:"stepped"`          // when it was put in force
-	Clear   bool          `json:"clear"`            // nothing is left on its machines
-	Waits   string        `json:"waits,omitempty"`  // why it does not go on
-	Ended   string        `json:"ended,omitempty"`  // how, once it is to return: its time is over, by hand, cancelled
-	Changed uint64        `json:"changed"`          // index of the log, of the last change
-	Begun   bool          `json:"begun,omitempty"`  // by hand, before its time
-	Forced  bool          `json:"forced,omitempty"` // it was planned although what stays does not bear the load
+	Step    int           `json:"step"`             // index of the current step
+	Stepped time.Duration `json:"stepped"`          // when the current step began
+	Clear   bool          `json:"clear"`            // its machines are idle, so work may begin
+	Waits   string        `json:"waits,omitempty"`  // why it does not progress; empty if it does
+	Ended   string        `json:"ended,omitempty"`  // why it is over or returning: expired, cancelled, ended early
+	Changed uint64        `json:"changed"`          // log index of the last change
+	Begun   bool          `json:"begun,omitempty"`  // started by an operator, before its time
+	Forced  bool          `json:"forced,omitempty"` // planned although the forecast was too high
 }
 
-// step is a state between all in use and none.
+// step is one of the states between fully in service and out of service.
 type step struct {
 	stage meshconfig.Stage
 	part  float64
 }
 
-// steps are gone through one after the other. What lasts long goes first, then new clients, then
-// calls; the last one closes the gates.
+// steps are the states in the order in which a window goes through them. Long transfers are moved
+// away first, then new clients, then calls. The last step closes the gates.
 var steps = [...]step{
 	{meshconfig.StageOpen, 1},
 	{meshconfig.StageUploads, 1},
@@ -89,60 +93,60 @@
 	{meshconfig.StageClosed, 1},
 }
 
-// LastStep is the one at which all machines of a window are out of use.
+// LastStep is the step at which all machines of a window are out of service.
 const LastStep = len(steps) - 1
 
-// pace is how long a step lasts. One step's time is left before the start.
-func (w *Window) pace() time.Duration { return w.Lead / time.Duration(LastStep+1) }
+// stepDuration returns how long a step lasts. The time of one step is left before the start.
+func (w *Window) stepDuration() time.Duration { return w.Lead / time.Duration(LastStep+1) }
 
-// same says whether two people ask for the same window.
-func (w *Window) same(as *Window) bool {
-	return slices.Equal(w.Zones, as.Zones) && slices.Equal(w.Nodes, as.Nodes) && w.Start == as.Start && w.End == as.End && w.Lead == as.Lead
+// sameRequest reports whether both windows were requested with the same content.
+func (w *Window) sameRequest(other *Window) bool {
+	return slices.Equal(w.Zones, other.Zones) && slices.Equal(w.Nodes, other.Nodes) && w.Start == other.Start && w.End == other.End && w.Lead == other.Lead
 }
 
-// overlaps says whether two windows may have machines out of use at one time.
+// overlaps reports whether both windows may have machines out of service at the same time.
 func (w *Window) overlaps(other *Window) bool {
 	return w.Start-w.Lead < other.End+other.Lead && other.Start-other.Lead < w.End+w.Lead
 }
 
-// cordon is what the configuration holds for the window now, if anything.
+// cordon returns the window's current cordon, and false if it has none.
 func (w *Window) cordon() (meshconfig.Cordon, bool) {
-	now := steps[w.Step]
-	return meshconfig.Cordon{Zones: w.Zones, Nodes: w.Nodes, Stage: now.stage, Part: now.part}, w.Step > 0
+	current := steps[w.Step]
+	return meshconfig.Cordon{Zones: w.Zones, Nodes: w.Nodes, Stage: current.stage, Part: current.part}, w.Step > 0
 }
 
-// Covers says whether a machine is one of the window's.
+// Covers reports whether a machine belongs to the window.
 func (w *Window) Covers(zone, node string) bool {
 	return slices.Contains(w.Zones, zone) || slices.Contains(w.Nodes, node)
 }
 
-// Check says what is wrong with a window that is asked for, whatever else there is. Now is the time
-// at which it is asked for.
+// Validate checks a requested window on its own. Now is the time of the request. Errors are of type
+// *meshconfig.Invalid.
 func (w *Window) Validate(now time.Duration) error {
-	wrong := func(field, format string, args ...any) error {
+	invalid := func(field, format string, args ...any) error {
 		return &meshconfig.Invalid{Field: field, Problem: fmt.Sprintf(format, args...)}
 	}
 	switch {
 	case !namePattern.MatchString(w.Name):
-		return wrong("name", "1 to 63 lower case letters, digits, dots and hyphens, not %.70q", w.Name)
+		return invalid("name", "must be 1 to 63 lower-case letters, digits, dots and hyphens, not %.70q", w.Name)
 	case (len(w.Zones) == 0) == (len(w.Nodes) == 0):
-		return wrong("zones", "name zones or nodes, and not both")
+		return invalid("zones", "give either zones or nodes")
 	case len(w.Zones) > meshconfig.MostZones:
-		return wrong("zones", "there are %d, at most %d", len(w.Zones), meshconfig.MostZones)
+		return invalid("zones", "%d zones, at most %d are allowed", len(w.Zones), meshconfig.MostZones)
 	case len(w.Nodes) > meshconfig.MostCordonNodes:
-		return wrong("nodes", "there are %d, at most %d", len(w.Nodes), meshconfig.MostCordonNodes)
+		return invalid("nodes", "%d nodes, at most %d are allowed", len(w.Nodes), meshconfig.MostCordonNodes)
 	case w.Lead < MinLead || w.Lead > MaxLead:
-		return wrong("lead", "%v is not from %v to %v", w.Lead, MinLead, MaxLead)
+		return invalid("lead", "%v is not between %v and %v", w.Lead, MinLead, MaxLead)
 	case w.Start <= now:
-		return wrong("start", "it was %v ago", (now - w.Start).Round(time.Second))
+		return invalid("start", "%v in the past", (now - w.Start).Round(time.Second))
 	case w.Start-w.Lead < now:
-		return wrong("start", "it is in %v, and lead asks for %v before it", (w.Start - now).Round(time.Millisecond), w.Lead)
+		return invalid("start", "in %v, but lead needs %v before it", (w.Start - now).Round(time.Millisecond), w.Lead)
 	case w.End <= w.Start:
-		return wrong("end", "it is not after start")
+		return invalid("end", "must be after start")
 	case w.End-w.Start > MaxDuration:
-		return wrong("end", "%v after start, at most %v", w.End-w.Start, MaxDuration)
-	case len(w.By) > maxText || len(w.Why) > maxText:
-		return wrong("by, why", "at most %d bytes", maxText)
+		return invalid("end", "%v after start, at most %v is allowed", w.End-w.Start, MaxDuration)
+	case len(w.By) > maxTextBytes || len(w.Why) > maxTextBytes:
+		return invalid("by, why", "at most %d bytes each", maxTextBytes)
 	}
 	return nil
 }
--- a/internal/mesh/maintenance/maintenance_test.go
+++ b/internal/mesh/maintenance/maintenance_test.go
@@ -11,27 +11,27 @@
 	"example.org/micaline/internal/mesh/meshconfig"
 )
 
-// stale is the age at which the agreement refuses what was proposed.
-const stale = 2 * time.Second
+// staleAfter is the age at which consensus refuses a proposal.
+const staleAfter = 2 * time.Second
 
-// world plays windows: operators plan and stop them, leaders come and go with clocks of their own,
-// and commands are lost, come twice, or late.
+// world simulates windows: operators plan and stop them, leaders with different clocks come and go,
+// and commands are lost, repeated or delayed.
 type world struct {
-	rng     *rand.Rand
-	planted string
-	now     time.Duration
-	index   uint64
-	table   *Table
-	skew    time.Duration // of the leader's clock
-	room    float64       // of what stays, as a part of the load
-	late    []*Command
-	held    map[string]time.Duration // since when a window may not go on
-	wrong   string
+	rng          *rand.Rand
+	plantedBug   string
+	now          time.Duration
+	index        uint64
+	table        *Table
+	clockSkew    time.Duration // of the leader's clock
+	loadFactor   float64       // load in the other zone, as a fraction of the initial load
+	delayed      []*Command
+	blockedSince map[string]time.Duration // by window: since when it must not progress
+	failure      string
 }
 
 func (w *world) fail(format string, args ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf(format, args...)
+	if w.failure == "" {
+		w.failure = fmt.Sprintf(format, args...)
 	}
 }
 
@@ -42,76 +42,76 @@
 }
 
 func (w *world) view(window *Window) *View {
-	v := &View{Now: w.now + w.skew, Remaining: w.rng.IntN(2), UnchangedFor: time.Duration(w.rng.IntN(3)) * time.Second,
-		Backends: []Backend{{"s", "a", "1", 10, 5, true}, {"s", "b", "2", 10, 5 * w.room, true}}}
+	v := &View{Now: w.now + w.clockSkew, Remaining: w.rng.IntN(2), UnchangedFor: time.Duration(w.rng.IntN(3)) * time.Second,
+		Backends: []Backend{{"s", "a", "1", 10, 5, true}, {"s", "b", "2", 10, 5 * w.loadFactor, true}}}
 	if w.rng.IntN(20) == 0 {
 		v.Unreliable = "no"
 	}
 	return v
 }
 
-// apply carries a command out, and judges what has become of the windows by it.
+// apply applies a command and checks the resulting changes of the windows.
 func (w *world) apply(c *Command) Reply {
 	before := w.table.Clone()
 	w.index++
-	if w.planted == "late decisions count" && c.Advance != nil {
+	if w.plantedBug == "late decisions apply" && c.Advance != nil {
 		if window := w.table.Find(c.Advance.Name); window != nil {
 			c.Advance.Changed = window.Changed
 		}
 	}
-	reply := w.carryOut(c)
-	out := 0
+	reply := w.applyToTable(c)
+	cordonedCount := 0
 	for _, window := range w.table.Windows {
 		if _, cordoned := window.cordon(); cordoned {
-			out++
+			cordonedCount++
 		}
 		old := before.Find(window.Name)
 		if old == nil {
 			continue
 		}
-		if d := window.Step - old.Step; d < -1 || d > 1 {
+		if delta := window.Step - old.Step; delta < -1 || delta > 1 {
 			w.fail("%s went from step %d to %d", window.Name, old.Step, window.Step)
 		}
-		if window.Step > old.Step && w.now < old.Start-old.Lead-w.slack() && !old.Begun {
-			w.fail("%s begins %v before its time", window.Name, old.Start-old.Lead-w.now)
+		if window.Step > old.Step && w.now < old.Start-old.Lead-w.maxClockSkew() && !old.Begun {
+			w.fail("%s started %v early", window.Name, old.Start-old.Lead-w.now)
 		}
 		if window.Step > old.Step && old.Phase == PhaseReturning {
-			w.fail("%s goes on while it returns", window.Name)
+			w.fail("%s progressed while returning", window.Name)
 		}
 		if window.Clear && window.Step != LastStep {
 			w.fail("%s is clear at step %d", window.Name, window.Step)
 		}
-		if since, held := w.held[window.Name]; held && window.Step > old.Step && w.now-since > stale+w.slack() {
-			w.fail("%s goes on though the rest can't bear it", window.Name)
+		if since, blocked := w.blockedSince[window.Name]; blocked && window.Step > old.Step && w.now-since > staleAfter+w.maxClockSkew() {
+			w.fail("%s progressed although the rest can't bear the load", window.Name)
 		}
 	}
-	if out > 1 {
-		w.fail("%d windows have machines out of use", out)
+	if cordonedCount > 1 {
+		w.fail("%d windows have machines out of service", cordonedCount)
 	}
 	return reply
 }
 
-func (w *world) carryOut(c *Command) Reply {
-	if a := c.Advance; a != nil && w.planted == "two windows move at once" {
-		return w.table.change(w.index, a.Name, func(window *Window) string { return window.advance(a, c.Now) })
+func (w *world) applyToTable(c *Command) Reply {
+	if a := c.Advance; a != nil && w.plantedBug == "two windows drain at once" {
+		return w.table.update(w.index, a.Name, func(window *Window) string { return window.advance(a, c.Now) })
 	}
 	return w.table.Apply(w.index, c)
 }
 
-// slack is how far clocks are apart at most.
-func (w *world) slack() time.Duration { return 600 * time.Millisecond }
+// maxClockSkew returns the largest difference between two clocks.
+func (w *world) maxClockSkew() time.Duration { return 600 * time.Millisecond }
 
 func (w *world) decide() {
 	for _, window := range w.table.Windows {
 		v := w.view(window)
 		if v.Unreliable == "" && Forecast(window, v.Backends)[0].After > MaxUtilization {
-			if _, known := w.held[window.Name]; !known {
-				w.held[window.Name] = w.now
+			if _, known := w.blockedSince[window.Name]; !known {
+				w.blockedSince[window.Name] = w.now
 			}
 		} else if v.Unreliable == "" {
-			delete(w.held, window.Name)
+			delete(w.blockedSince, window.Name)
 		}
-		if w.planted == "the forecast is not asked" {
+		if w.plantedBug == "no forecast" {
 			v.Backends = nil
 		}
 		a := Decide(window, v)
@@ -122,7 +122,7 @@
 		switch w.rng.IntN(8) {
 		case 0: // lost
 		case 1:
-			w.late = append(w.late, c)
+			w.delayed = append(w.delayed, c)
 		default:
 			w.apply(c)
 			again := *c
@@ -133,7 +133,7 @@
 	}
 }
 
-func (w *world) operate(n int) {
+func (w *world) operatorCall(n int) {
 	name := fmt.Sprint("w", w.rng.IntN(max(1, n)))
 	c := &Command{Now: w.now}
 	switch w.rng.IntN(6) {
@@ -146,10 +146,10 @@
 	default:
 		c.Plan = w.window(n)
 	}
-	first := w.apply(c)
+	firstReply := w.apply(c)
 	changed := w.index
-	if second := w.apply(c); first.Refused != second.Refused || w.changedAfter(changed) {
-		w.fail("a call that came twice: %+v, %+v", first, second)
+	if secondReply := w.apply(c); firstReply.Refused != secondReply.Refused || w.changedAfter(changed) {
+		w.fail("a repeated call had another result: %+v, %+v", firstReply, secondReply)
 	}
 }
 
@@ -162,75 +162,75 @@
 	return false
 }
 
-func (w *world) play() string {
-	w.room, w.held = 1, map[string]time.Duration{}
+func (w *world) run() string {
+	w.loadFactor, w.blockedSince = 1, map[string]time.Duration{}
 	for n := range 600 {
 		w.now += 250 * time.Millisecond
 		switch {
 		case w.rng.IntN(60) == 0:
-			w.operate(n)
+			w.operatorCall(n)
 		case w.rng.IntN(40) == 0:
-			w.skew = time.Duration(w.rng.IntN(600)-300) * time.Millisecond
+			w.clockSkew = time.Duration(w.rng.IntN(600)-300) * time.Millisecond
 		case w.rng.IntN(100) == 0:
-			w.room = w.rng.Float64() // of what the other zone has in work: some of it is not borne
-		case len(w.late) > 0 && w.rng.IntN(10) == 0:
-			if c := w.late[0]; w.now-c.Now < stale+w.slack() {
+			w.loadFactor = w.rng.Float64() // load of the other zone; some values are too much for it
+		case len(w.delayed) > 0 && w.rng.IntN(10) == 0:
+			if c := w.delayed[0]; w.now-c.Now < staleAfter+w.maxClockSkew() {
 				w.apply(c)
 			}
-			w.late = w.late[1:]
+			w.delayed = w.delayed[1:]
 		}
 		w.decide()
 		if decoded, err := Decode(w.table.Encode()); err != nil || len(decoded.Windows) != len(w.table.Windows) {
-			w.fail("a snapshot: %v", err)
+			w.fail("snapshot: %v", err)
 		}
 	}
-	w.late = nil
-	for range 20 * 60 * 4 { // no trouble any more
+	w.delayed = nil
+	for range 20 * 60 * 4 { // without further faults
 		w.now += 250 * time.Millisecond
-		if w.planted != "nothing returns" {
+		if w.plantedBug != "no return" {
 			w.decide()
 		}
 	}
 	for _, window := range w.table.Windows {
 		if window.Phase != PhaseOver || window.Step != 0 {
-			w.fail("%s is %s in the end, step %d", window.Name, window.Phase, window.Step)
+			w.fail("%s ended in phase %s, step %d", window.Name, window.Phase, window.Step)
 		}
 	}
-	return w.wrong
+	return w.failure
 }
 
-func explore(planted string, seeds int) (wrong string) {
+func explore(plantedBug string, seeds int) (failure string) {
 	for seed := range seeds {
-		w := &world{rng: rand.New(rand.NewPCG(uint64(seed), 64)), planted: planted, table: &Table{}}
-		if wrong = w.play(); wrong != "" {
-			return fmt.Sprintf("seed %d: %s", seed, wrong)
+		w := &world{rng: rand.New(rand.NewPCG(uint64(seed), 64)), plantedBug: plantedBug, table: &Table{}}
+		if failure = w.run(); failure != "" {
+			return fmt.Sprintf("seed %d: %s", seed, failure)
 		}
 	}
 	return ""
 }
 
-// What the package promises holds whatever is lost, comes late or twice.
+// The package's guarantees hold with lost, delayed and repeated commands.
 func TestExploreWindows(t *testing.T) {
 	seeds := 600
-	if testing.Short() { // with the race detector; all of them is for a run without
+	if testing.Short() { // -short runs with the race detector; a run without it covers all seeds
 		seeds = 100
 	}
 	require.Empty(t, explore("", seeds))
 }
 
 func TestWindowsPlanted(t *testing.T) {
-	for _, planted := range []string{"late decisions count", "the forecast is not asked", "two windows move at once", "nothing returns"} {
-		require.NotEmpty(t, explore(planted, 200), planted)
+	for _, plantedBug := range []string{"late decisions apply", "no forecast", "two windows drain at once", "no return"} {
+		require.NotEmpty(t, explore(plantedBug, 200), plantedBug)
 	}
 }
 
-// What is wrong with a plan is told by its field and with a figure.
+// A refused plan names the invalid field and gives the limit.
 func TestPlansThatAreRefused(t *testing.T) {
 	const now = 1000 * time.Second
-	good := func() *Window {
+	validWindow := func() *Window {
 		return &Window{Name: "power", Zones: []string{"a"}, Start: now + 120*time.Second, End: now + 180*time.Second, Lead: time.Minute}
 	}
-	for field, change := range map[string]func(w *Window){
+	for field, modify := range map[string]func(w *Window){
 		"name":  func(w *Window) { w.Name = "Power work" },
 		"zones": func(w *Window) { w.Nodes = []string{"10.0.0.1"} },
 		"nodes": func(w *Window) { w.Zones, w.Nodes = nil, make([]string, meshconfig.MostCordonNodes+1) },
@@ -238,15 +238,15 @@
 		"start": func(w *Window) { w.Start = now - time.Second },
 		"end":   func(w *Window) { w.End = w.Start },
 	} {
-		w := good()
-		change(w)
+		w := validWindow()
+		modify(w)
 		reply := (&Table{}).Apply(1, &Command{Now: now, Plan: w})
 		require.Equal(t, []any{field, true}, []any{reply.Field, reply.Invalid}, reply.Refused)
 	}
 	table := &Table{}
-	require.Empty(t, table.Apply(1, &Command{Now: now, Plan: good()}).Refused)
-	require.Empty(t, table.Apply(2, &Command{Now: now, Plan: good()}).Refused, "twice")
-	other := good()
+	require.Empty(t, table.Apply(1, &Command{Now: now, Plan: validWindow()}).Refused)
+	require.Empty(t, table.Apply(2, &Command{Now: now, Plan: validWindow()}).Refused, "twice")
+	other := validWindow()
 	other.Name, other.Zones = "racks", []string{"b"}
 	require.Contains(t, table.Apply(3, &Command{Now: now, Plan: other}).Refused, "power")
 	other.Name = "power"
@@ -254,7 +254,7 @@
 	require.Contains(t, table.Apply(5, &Command{Now: now, Begin: "none"}).Refused, "no window")
 }
 
-// Each machine's stage follows the steps, and comes back the same way.
+// Each machine's stage follows the steps, and returns the same way.
 func TestCordons(t *testing.T) {
 	for step := range LastStep + 1 {
 		w := &Window{Name: "w", Zones: []string{"a"}, Phase: PhaseDraining, Step: step}
--- a/internal/mesh/maintenance/region.go
+++ b/internal/mesh/maintenance/region.go
@@ -6,65 +6,66 @@
 	"slices"
 )
 
-// RegionPlan says what the loss of some zones would mean as things stand.
+// RegionPlan describes the effects that the loss of some zones would have now.
 type RegionPlan struct {
 	Region   string        `json:"region,omitempty"`
 	Zones    []string      `json:"zones"`
-	Services []ServicePlan `json:"services"`       // the fullest first
-	Core     string        `json:"core,omitempty"` // why the core machines could not agree; empty: they could
+	Services []ServicePlan `json:"services"`       // the highest utilization first
+	Core     string        `json:"core,omitempty"` // why the quorum would be lost; empty if it would not
 }
 
-// ServicePlan is what the loss would mean for a service.
+// ServicePlan describes the effects on a service.
 type ServicePlan struct {
 	Share
-	Lost    float64        `json:"lost"`              // requests in work in the zones that are lost
-	To      []ZoneCapacity `json:"to"`                // where they would go
-	Refused float64        `json:"refused"`           // part of all that there would be no room for
-	First   []RankedRoute  `json:"first,omitempty"`   // routes in the order in which they are refused, where some are
-	Unready int            `json:"unready,omitempty"` // backends elsewhere that are lost or leave, and are not counted on
+	Lost    float64        `json:"lost"`              // requests in progress in the lost zones
+	To      []ZoneCapacity `json:"to"`                // zones that would take over the load
+	Refused float64        `json:"refused"`           // fraction of requests that exceed the capacity
+	First   []RankedRoute  `json:"first,omitempty"`   // routes in the order of refusal, if any
+	Unready int            `json:"unready,omitempty"` // remaining backends that are lost or draining
 }
 
-// ZoneRoom is what a zone that stays has for a service.
+// ZoneCapacity is the capacity for a service in a remaining zone.
 type ZoneCapacity struct {
 	Zone string  `json:"zone"`
-	Room int     `json:"room"` // that its backends work on at once
-	Load float64 `json:"load"` // requests in work, now
+	Room int     `json:"room"` // requests that its backends handle at once
+	Load float64 `json:"load"` // requests in progress now
 }
 
-// RouteOrder is a route and its rank; higher ones are refused first.
+// RankedRoute is a route and its rank. Routes with higher ranks are refused first.
 type RankedRoute struct {
 	Route string `json:"route"`
 	Rank  int    `json:"rank"`
 }
 
-// RouteOf is a route as the plan needs it.
+// Route is the part of a route's configuration that a plan needs.
 type Route struct {
 	Name     string
 	Rank     int
 	Services []string
 }
 
-// PlanRegion says what the loss of zones would mean. The design joins the lower load over speed, so
-// what is lost goes where there is room, and evens out; what there is no room for is refused by rank.
+// PlanRegion returns the effects of losing zones. Agents prefer lower load to lower latency, so the
+// lost load moves to zones with free capacity and evens out. Requests beyond the capacity are
+// refused by rank.
 func PlanRegion(zones []string, backends []Backend, routes []Route) *RegionPlan {
 	plan := &RegionPlan{Zones: zones, Services: []ServicePlan{}}
 	for _, share := range Forecast(&Window{Zones: zones}, backends) {
 		s := ServicePlan{Share: share}
-		s.place(zones, backends)
+		s.fillCapacities(zones, backends)
 		if s.Refused = max(0, 1-1/max(share.After, 1)); share.Room == 0 {
 			s.Refused = 1
 		}
 		if s.Refused > 0 {
-			s.First = refusedFirst(share.Service, routes)
+			s.First = refusalOrder(share.Service, routes)
 		}
 		plan.Services = append(plan.Services, s)
 	}
 	return plan
 }
 
-// place fills in what is lost, and where there is room.
-func (s *ServicePlan) place(zones []string, backends []Backend) {
-	rooms := map[string]*ZoneCapacity{}
+// fillCapacities sets the lost load, the capacities of the remaining zones, and Unready.
+func (s *ServicePlan) fillCapacities(zones []string, backends []Backend) {
+	capacities := map[string]*ZoneCapacity{}
 	for i := range backends {
 		b := &backends[i]
 		switch {
@@ -74,22 +75,22 @@
 		case !b.Ready:
 			s.Unready++
 		default:
-			room := rooms[b.Zone]
-			if room == nil {
-				room = &ZoneCapacity{Zone: b.Zone}
-				rooms[b.Zone] = room
+			capacity := capacities[b.Zone]
+			if capacity == nil {
+				capacity = &ZoneCapacity{Zone: b.Zone}
+				capacities[b.Zone] = capacity
 			}
-			room.Room, room.Load = room.Room+b.Capacity, room.Load+b.Load
+			capacity.Room, capacity.Load = capacity.Room+b.Capacity, capacity.Load+b.Load
 		}
 	}
 	s.To = []ZoneCapacity{}
-	for _, zone := range slices.Sorted(maps.Keys(rooms)) {
-		s.To = append(s.To, *rooms[zone])
+	for _, zone := range slices.Sorted(maps.Keys(capacities)) {
+		s.To = append(s.To, *capacities[zone])
 	}
 }
 
-// refusedFirst are the routes to a service, the least urgent first.
-func refusedFirst(service string, routes []Route) []RankedRoute {
+// refusalOrder returns the routes to a service, the least urgent first.
+func refusalOrder(service string, routes []Route) []RankedRoute {
 	var order []RankedRoute
 	for i := range routes {
 		if r := &routes[i]; slices.Contains(r.Services, service) {
--- a/internal/mesh/maintenance/table.go
+++ b/internal/mesh/maintenance/table.go
@@ -10,21 +10,21 @@
 	"example.org/micaline/internal/mesh/plaingob"
 )
 
-// Command is a change that is asked for: one of its fields is set. Now is the time of the mesh at
-// which it was asked for.
+// Command is a change of the Table. Exactly one field besides Now is set. Now is the agreed mesh
+// time of the request.
 type Command struct {
 	Now     time.Duration
 	Plan    *Window
-	Cancel  string // name of a window
-	Begin   string // likewise
-	End     string // likewise
+	Cancel  string // name of the window
+	Begin   string // name of the window
+	End     string // name of the window
 	Advance *Advance
 }
 
-// Advance brings a window on. It is refused if the window has changed since it was decided.
+// Advance moves a window to another state. It is refused if the window has changed in the meantime.
 type Advance struct {
 	Name    string
-	Changed uint64 // of the window that it was decided about
+	Changed uint64 // Window.Changed when this was decided
 	Phase   Phase
 	Step    int
 	Clear   bool
@@ -32,19 +32,20 @@
 	Ended   string
 }
 
-// Reply is what a command has come to.
+// Reply is the result of a Command.
 type Reply struct {
-	Refused string // why; empty: it is done
-	Field   string // that is wrong, or the window that is in the way
-	Invalid bool   // it is wrong by itself; else it contradicts what there is
+	Refused string // the reason for a refusal; empty if the command was applied
+	Field   string // the invalid field, or the window that conflicts
+	Invalid bool   // the request is invalid in itself, rather than in conflict with the current state
 }
 
-// Table is the state. It is not safe for concurrent use; its windows are never changed, but replaced.
+// Table is the replicated state. It is not safe for concurrent use. Windows are immutable: a change
+// replaces the window.
 type Table struct {
-	Windows []*Window `json:"windows"` // by the time of planning
+	Windows []*Window `json:"windows"` // in the order of planning
 }
 
-// Find returns the window of a name, nil if there is none.
+// Find returns the window with the given name, or nil.
 func (t *Table) Find(name string) *Window {
 	for _, w := range t.Windows {
 		if w.Name == name {
@@ -54,29 +55,29 @@
 	return nil
 }
 
-// Apply carries a command out, which stands at an index of the log.
+// Apply applies the command at the given log index.
 func (t *Table) Apply(index uint64, c *Command) Reply {
 	switch {
 	case c.Plan != nil:
 		return t.plan(index, c.Plan, c.Now)
 	case c.Cancel != "":
-		return t.change(index, c.Cancel, func(w *Window) string { return w.stop("cancelled") })
+		return t.update(index, c.Cancel, func(w *Window) string { return w.stop("cancelled") })
 	case c.End != "":
-		return t.change(index, c.End, func(w *Window) string { return w.stop("ended by hand") })
+		return t.update(index, c.End, func(w *Window) string { return w.stop("ended by hand") })
 	case c.Begin != "":
-		return t.change(index, c.Begin, (*Window).begin)
+		return t.update(index, c.Begin, (*Window).startEarly)
 	case c.Advance != nil:
 		a := c.Advance
-		if other := t.outOfUse(); other != nil && other.Name != a.Name && a.Step > 0 {
-			return Reply{Refused: fmt.Sprintf("step: the window %s has its machines out of use", other.Name), Field: a.Name}
+		if other := t.cordonedWindow(); other != nil && other.Name != a.Name && a.Step > 0 {
+			return Reply{Refused: fmt.Sprintf("step: window %s has its machines out of service", other.Name), Field: a.Name}
 		}
-		return t.change(index, a.Name, func(w *Window) string { return w.advance(a, c.Now) })
+		return t.update(index, a.Name, func(w *Window) string { return w.advance(a, c.Now) })
 	}
-	return Reply{Refused: "command: it asks for nothing", Invalid: true}
+	return Reply{Refused: "command: it has no content", Invalid: true}
 }
 
-// outOfUse is the window that has machines out of use, nil if none has.
-func (t *Table) outOfUse() *Window {
+// cordonedWindow returns the window that has machines out of service, or nil.
+func (t *Table) cordonedWindow() *Window {
 	i := slices.IndexFunc(t.Windows, func(w *Window) bool { return w.Step > 0 })
 	if i < 0 {
 		return nil
@@ -84,45 +85,46 @@
 	return t.Windows[i]
 }
 
-// Current is the window that is to be brought on: the one that has machines out of use, or else the
-// first that is not over; nil if there is none.
+// Current returns the window to work on: the one that has machines out of service, or else the one
+// with the earliest start that is not over. It returns nil if there is none.
 func (t *Table) Current() *Window {
-	first := t.outOfUse()
+	current := t.cordonedWindow()
 	for _, w := range t.Windows {
-		if first == nil && w.Phase != PhaseOver || first != nil && first.Step == 0 && w.Phase != PhaseOver && w.Start < first.Start {
-			first = w
+		if current == nil && w.Phase != PhaseOver || current != nil && current.Step == 0 && w.Phase != PhaseOver && w.Start < current.Start {
+			current = w
 		}
 	}
-	return first
+	return current
 }
 
-func (t *Table) plan(index uint64, asked *Window, now time.Duration) Reply {
-	if old := t.Find(asked.Name); old != nil {
-		if old.same(asked) {
-			return Reply{} // the call came twice
+func (t *Table) plan(index uint64, requested *Window, now time.Duration) Reply {
+	if old := t.Find(requested.Name); old != nil {
+		if old.sameRequest(requested) {
+			return Reply{} // the call was repeated
 		}
-		return Reply{Refused: fmt.Sprintf("name: a window %s was planned with other content", old.Name), Field: "name"}
+		return Reply{Refused: fmt.Sprintf("name: window %s was planned with other content", old.Name), Field: "name"}
 	}
-	if err := asked.Validate(now); err != nil {
+	if err := requested.Validate(now); err != nil {
 		invalid := err.(*meshconfig.Invalid)
 		return Reply{Refused: err.Error(), Field: invalid.Field, Invalid: true}
 	}
 	for _, other := range t.Windows {
-		if other.Phase != PhaseOver && asked.overlaps(other) {
-			return Reply{Refused: fmt.Sprintf("start: the window %s has its machines out of use at that time", other.Name), Field: "start"}
+		if other.Phase != PhaseOver && requested.overlaps(other) {
+			return Reply{Refused: fmt.Sprintf("start: window %s has its machines out of service at that time", other.Name), Field: "start"}
 		}
 	}
 	if !t.makeRoom() {
-		return Reply{Refused: fmt.Sprintf("name: there are %d windows already that are not over", MaxWindows), Field: "name"}
+		return Reply{Refused: fmt.Sprintf("name: there are already %d windows that are not over", MaxWindows), Field: "name"}
 	}
-	w := *asked
-	w.Zones, w.Nodes = slices.Clone(asked.Zones), slices.Clone(asked.Nodes)
+	w := *requested
+	w.Zones, w.Nodes = slices.Clone(requested.Zones), slices.Clone(requested.Nodes)
 	w.Phase, w.Step, w.Stepped, w.Clear, w.Waits, w.Ended, w.Begun, w.Changed = PhasePlanned, 0, 0, false, "", "", false, index
 	t.Windows = append(t.Windows, &w)
 	return Reply{}
 }
 
-// makeRoom drops the oldest window that is over if there are too many, and says whether there is room.
+// makeRoom drops the oldest window that is over if the table is full, and reports whether there is
+// room for another one.
 func (t *Table) makeRoom() bool {
 	if len(t.Windows) < MaxWindows {
 		return true
@@ -134,18 +136,18 @@
 	return i >= 0
 }
 
-// change replaces a window by one that is changed, unless the change is refused.
-func (t *Table) change(index uint64, name string, f func(w *Window) string) Reply {
+// update replaces a window by a modified copy, unless modify returns the reason for a refusal.
+func (t *Table) update(index uint64, name string, modify func(w *Window) string) Reply {
 	i := slices.IndexFunc(t.Windows, func(w *Window) bool { return w.Name == name })
 	if i < 0 {
 		return Reply{Refused: "name: there is no window " + name, Field: "name"}
 	}
 	next := *t.Windows[i]
-	if refused := f(&next); refused != "" {
+	if refused := modify(&next); refused != "" {
 		return Reply{Refused: refused, Field: name}
 	}
 	before := *t.Windows[i]
-	if before.equal(&next) {
+	if before.sameState(&next) {
 		return Reply{}
 	}
 	next.Changed = index
@@ -153,26 +155,26 @@
 	return Reply{}
 }
 
-// equal says whether nothing has changed of what a command may change.
-func (w *Window) equal(v *Window) bool {
-	return w.Phase == v.Phase && w.Step == v.Step && w.Clear == v.Clear && w.Waits == v.Waits && w.Ended == v.Ended && w.Begun == v.Begun
+// sameState reports whether none of the fields that commands change are different.
+func (w *Window) sameState(other *Window) bool {
+	return w.Phase == other.Phase && w.Step == other.Step && w.Clear == other.Clear && w.Waits == other.Waits && w.Ended == other.Ended && w.Begun == other.Begun
 }
 
-// stop ends a window before its time. One that is on its way back, or over, goes on with that.
-func (w *Window) stop(how string) string {
+// stop ends a window early. It has no effect on a window that is returning or over.
+func (w *Window) stop(reason string) string {
 	switch w.Phase {
 	case PhasePlanned:
-		w.Phase, w.Ended, w.Waits = PhaseOver, how, ""
+		w.Phase, w.Ended, w.Waits = PhaseOver, reason, ""
 	case PhaseDraining, PhaseClosed:
-		w.Phase, w.Ended, w.Waits, w.Clear = PhaseReturning, how, "", false
+		w.Phase, w.Ended, w.Waits, w.Clear = PhaseReturning, reason, "", false
 	}
 	return ""
 }
 
-// begin has a window's machines taken out of use before it is time.
-func (w *Window) begin() string {
+// startEarly has the machines drained before the planned time.
+func (w *Window) startEarly() string {
 	if w.Phase == PhaseReturning || w.Phase == PhaseOver {
-		return fmt.Sprintf("phase: the window is %s", w.Phase)
+		return fmt.Sprintf("phase: window is %s", w.Phase)
 	}
 	w.Begun = true
 	return ""
@@ -181,7 +183,7 @@
 func (w *Window) advance(a *Advance, now time.Duration) string {
 	switch {
 	case a.Changed != w.Changed:
-		return "changed: the window has changed since"
+		return "changed: the window has changed in the meantime"
 	case a.Step < 0 || a.Step > LastStep:
 		return fmt.Sprintf("step: there is no step %d", a.Step)
 	}
@@ -195,21 +197,22 @@
 	return ""
 }
 
-// Cordons are what the configuration is to hold.
+// Cordons returns the cordons that the configuration should have.
 func (t *Table) Cordons() []meshconfig.Cordon {
-	var list []meshconfig.Cordon
+	var cordons []meshconfig.Cordon
 	for _, w := range t.Windows {
-		if c, out := w.cordon(); out {
-			list = append(list, c)
+		if c, cordoned := w.cordon(); cordoned {
+			cordons = append(cordons, c)
 		}
 	}
-	return list
+	return cordons
 }
 
-// Clone returns a table that changes by itself.
+// Clone returns a copy that can change independently.
 func (t *Table) Clone() *Table { return &Table{Windows: slices.Clone(t.Windows)} }
 
-// Encode gives the table for a snapshot, nothing if it is empty. Equal tables give equal bytes.
+// Encode encodes the table for a snapshot. An empty table has an empty encoding, and equal tables
+// have equal encodings.
 func (t *Table) Encode() []byte {
 	if len(t.Windows) == 0 {
 		return nil
@@ -221,31 +224,31 @@
 	return text
 }
 
-// Decode reads what Encode gave.
+// Decode decodes the output of Encode.
 func Decode(text []byte) (*Table, error) {
 	t := &Table{}
 	if len(text) == 0 {
 		return t, nil
 	}
 	if err := json.Unmarshal(text, t); err != nil {
-		return nil, fmt.Errorf("the windows of a snapshot: %w", err)
+		return nil, fmt.Errorf("windows in the snapshot: %w", err)
 	}
 	for _, w := range t.Windows {
 		if w == nil || w.Step < 0 || w.Step > LastStep {
-			return nil, fmt.Errorf("the windows of a snapshot: one is of a step that there is not")
+			return nil, fmt.Errorf("windows in the snapshot: unknown step")
 		}
 	}
 	return t, nil
 }
 
-// EncodeCommand gives a command for the log.
+// EncodeCommand encodes a command as a log entry.
 func EncodeCommand(c *Command) []byte { return plaingob.Encode(c) }
 
-// DecodeCommand reads what EncodeCommand gave.
+// DecodeCommand decodes the output of EncodeCommand.
 func DecodeCommand(text []byte) (*Command, error) { return plaingob.Decode[Command](text) }
 
-// EncodeReply gives a reply for the proposer.
+// EncodeReply encodes a reply for the proposer.
 func EncodeReply(r *Reply) []byte { return plaingob.Encode(r) }
 
-// DecodeReply reads what EncodeReply gave.
+// DecodeReply decodes the output of EncodeReply.
 func DecodeReply(text []byte) (*Reply, error) { return plaingob.Decode[Reply](text) }
--- a/internal/mesh/meshtime/meshtime.go
+++ b/internal/mesh/meshtime/meshtime.go
@@ -1,11 +1,12 @@
-// Package meshtime is the time on which the processes of a mesh agree. A machine's time of day may
-// jump, and be right again later; what is counted by windows of time needs one time everywhere.
+// Package meshtime provides a time on which the processes of a mesh agree. The time of day of a
+// machine may jump and become correct again later, while counting in windows of time needs the same
+// time on all machines.
 //
-// A process reads its time of day once, when it starts, and goes on by its monotonic clock, so that
-// a jump in its life changes nothing. One that starts while its machine's time is wrong is put right
-// by the others: core machines take the median over the agents that they hear, each of which tells
-// its own time, and agents take the median over what core machines tell. A time is right as long as
-// it is in over half of the processes.
+// A process reads its time of day once, when it starts, and then follows its monotonic clock, so
+// later jumps have no effect. A process that starts while its machine's time is wrong is corrected
+// by the others: control-plane nodes use the median of the times that their connected agents send,
+// and agents use the median of the times that control-plane nodes send. The time is correct as long
+// as it is correct in more than half of the processes.
 package meshtime
 
 import (
@@ -14,25 +15,25 @@
 	"time"
 )
 
-// Clock is the time of one process. It may be used by any number of goroutines.
+// Clock is the clock of one process. It is safe for concurrent use.
 type Clock struct {
-	began  time.Time
-	offset atomic.Int64 // of what the others agree on from Own
+	startedAt time.Time
+	offset    atomic.Int64 // difference of the agreed time from Local, in ns
 }
 
-// New returns a clock that goes by the time of day as it is now.
-func New() *Clock { return &Clock{began: time.Now()} }
+// New returns a clock that starts at the current time of day.
+func New() *Clock { return &Clock{startedAt: time.Now()} }
 
-// Own is the time since the start of 1970 by this process alone.
+// Local returns the time since the Unix epoch by this process's clock alone.
 func (c *Clock) Local() time.Duration {
-	return time.Duration(c.began.UnixNano()) + time.Since(c.began)
+	return time.Duration(c.startedAt.UnixNano()) + time.Since(c.startedAt)
 }
 
-// Now is the time since the start of 1970 that the processes agree on, as far as this one has heard.
+// Now returns the agreed time since the Unix epoch, as far as this process knows it.
 func (c *Clock) Now() time.Duration { return c.Local() + time.Duration(c.offset.Load()) }
 
-// Correct takes in how far the times of other processes are from Own. Where there are none, what was
-// heard before holds.
+// Correct sets the agreed time from the differences between other processes' times and Local. If
+// there are none, the previous correction stays in effect.
 func (c *Clock) Correct(offsets []time.Duration) {
 	if len(offsets) == 0 {
 		return
@@ -41,11 +42,11 @@
 	c.offset.Store(int64(sorted[len(sorted)/2]))
 }
 
-// Window is the number of the window of a length that a time lies in; window k begins k times the
-// length after the start of 1970.
+// WindowAt returns the number of the window that contains a time. Window k of a given length starts
+// k times that length after the Unix epoch.
 func WindowAt(at, length time.Duration) int64 { return int64(at / length) }
 
-// End is when a window of a length ends.
+// WindowEnd returns the time since the Unix epoch at which a window ends.
 func WindowEnd(window int64, length time.Duration) time.Duration {
 	return time.Duration(window+1) * length
 }
--- a/internal/mesh/meshtime/meshtime_test.go
+++ b/internal/mesh/meshtime/meshtime_test.go
@@ -8,17 +8,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process that started while its time was wrong goes by the others, of which a minority is wrong too.
+// A process that starts with a wrong time is corrected by the others, even if a minority of those
+// is wrong as well.
 func TestCorrect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := New()
-		began := c.Now()
+		clock := New()
+		start := clock.Now()
 		time.Sleep(time.Minute)
-		require.Equal(t, began+time.Minute, c.Now())
-		c.Correct([]time.Duration{2 * time.Second, 2*time.Second + time.Millisecond, 0, -time.Hour, 2 * time.Second})
-		require.Equal(t, began+time.Minute+2*time.Second, c.Now())
-		c.Correct(nil)
-		require.Equal(t, c.Local()+2*time.Second, c.Now(), "what was heard holds")
+		require.Equal(t, start+time.Minute, clock.Now())
+		clock.Correct([]time.Duration{2 * time.Second, 2*time.Second + time.Millisecond, 0, -time.Hour, 2 * time.Second})
+		require.Equal(t, start+time.Minute+2*time.Second, clock.Now())
+		clock.Correct(nil)
+		require.Equal(t, clock.Local()+2*time.Second, clock.Now(), "the previous correction stays in effect")
 		require.Equal(t, int64(12), WindowAt(62*time.Second, 5*time.Second))
 		require.Equal(t, 65*time.Second, WindowEnd(12, 5*time.Second))
 	})
--- a/internal/mesh/plaingob/plaingob.go
+++ b/internal/mesh/plaingob/plaingob.go
@@ -1,5 +1,5 @@
-// Package plaingob encodes values of plain fields, such as the commands and replies of the agreed log,
-// with encoding/gob. It does no I/O.
+// Package plaingob encodes values that have only plain fields, such as the commands and replies of
+// the replicated log, with encoding/gob. It does no I/O.
 package plaingob
 
 import (
@@ -7,8 +7,8 @@
 	"encoding/gob"
 )
 
-// Encode gives a value's encoding. The value has plain fields alone, which always encode; one that
-// has others, such as functions, is a fault of the program, and a panic.
+// Encode encodes a value. The value must have only plain fields, which always encode. It panics on
+// other fields, such as functions, because that is a programming error.
 func Encode(value any) []byte {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(value); err != nil {
@@ -17,7 +17,7 @@
 	return b.Bytes()
 }
 
-// Decode reads what Encode gave of a T. The error is of encoding/gob.
+// Decode decodes the output of Encode. Errors are those of encoding/gob.
 func Decode[T any](text []byte) (*T, error) {
 	value := new(T)
 	return value, gob.NewDecoder(bytes.NewReader(text)).Decode(value)
--- a/internal/mesh/usage/collector.go
+++ b/internal/mesh/usage/collector.go
@@ -1,88 +1,88 @@
 package usage
 
-// mostProcesses bounds the Counters whose counts of one window are kept.
-const mostProcesses = 16384
+// maxProcesses limits the number of Counters whose counts of one window are kept.
+const maxProcesses = 16384
 
-// Collector adds up what Counters have told. It is not safe for concurrent use.
+// Collector sums up the counts that it receives from Counters. It is not safe for concurrent use.
 type Collector struct {
-	windows map[int64]map[uint64]map[string]uint64 // counts by window, process and tenant
-	closed  map[string]int64                       // by agent: windows up to this one get no more counts there
-	settled int64
+	windows          map[int64]map[uint64]map[string]uint64 // counts by window, process and tenant
+	lastClosed       map[string]int64                       // last closed window, by agent
+	finalizedThrough int64
 }
 
-// NewCollector returns a Collector that has heard nothing.
+// NewCollector returns an empty Collector.
 func NewCollector() *Collector {
-	return &Collector{windows: map[int64]map[uint64]map[string]uint64{}, closed: map[string]int64{}}
+	return &Collector{windows: map[int64]map[uint64]map[string]uint64{}, lastClosed: map[string]int64{}}
 }
 
-// Hear takes in what an agent's Counter tells. What is odd in it is passed over.
-func (c *Collector) Merge(agent string, u *Update) {
-	c.closed[agent] = u.Closed
-	for i := range u.Parts {
-		if p := &u.Parts[i]; p.Window > c.settled && p.Window <= u.Closed+2 && len(p.Names) == len(p.Counts) {
-			c.take(u.Process, p)
+// Merge merges an update from an agent's Counter. It ignores invalid parts of the update.
+func (c *Collector) Merge(agent string, update *Update) {
+	c.lastClosed[agent] = update.Closed
+	for i := range update.Parts {
+		if counts := &update.Parts[i]; counts.Window > c.finalizedThrough && counts.Window <= update.Closed+2 && len(counts.Names) == len(counts.Counts) {
+			c.mergeCounts(update.Process, counts)
 		}
 	}
 }
 
-func (c *Collector) take(process uint64, p *WindowCounts) {
-	processes := c.windows[p.Window]
+func (c *Collector) mergeCounts(process uint64, counts *WindowCounts) {
+	processes := c.windows[counts.Window]
 	if processes == nil {
 		processes = map[uint64]map[string]uint64{}
-		c.windows[p.Window] = processes
-		c.forget(p.Window - MaxPendingWindows)
+		c.windows[counts.Window] = processes
+		c.dropWindows(counts.Window - MaxPendingWindows)
 	}
 	tenants := processes[process]
 	if tenants == nil {
-		if len(processes) >= mostProcesses {
+		if len(processes) >= maxProcesses {
 			return
 		}
-		tenants = make(map[string]uint64, len(p.Names))
+		tenants = make(map[string]uint64, len(counts.Names))
 		processes[process] = tenants
 	}
-	for i, name := range p.Names {
+	for i, name := range counts.Names {
 		if _, known := tenants[name]; known || len(tenants) < MaxTenants {
-			tenants[name] = p.Counts[i]
+			tenants[name] = counts.Counts[i]
 		}
 	}
 }
 
-func (c *Collector) forget(through int64) {
-	for w := range c.windows {
-		if w <= through {
-			delete(c.windows, w)
+func (c *Collector) dropWindows(through int64) {
+	for window := range c.windows {
+		if window <= through {
+			delete(c.windows, window)
 		}
 	}
 }
 
-// Settle takes in that the windows up to one are fixed.
+// DiscardThrough drops the counts of all windows up to the given one, because they are final.
 func (c *Collector) DiscardThrough(through int64) {
-	if through > c.settled {
-		c.settled = through
-		c.forget(through)
+	if through > c.finalizedThrough {
+		c.finalizedThrough = through
+		c.dropWindows(through)
 	}
 }
 
-// Retain forgets agents that nobody waits for any more. Their counts stay.
+// RetainAgents forgets the agents that are no longer known. Their counts are kept.
 func (c *Collector) RetainAgents(known func(agent string) bool) {
-	for agent := range c.closed {
+	for agent := range c.lastClosed {
 		if !known(agent) {
-			delete(c.closed, agent)
+			delete(c.lastClosed, agent)
 		}
 	}
 }
 
-// Complete says whether all of these agents have closed a window.
+// Complete reports whether all given agents have closed a window.
 func (c *Collector) Complete(window int64, agents []string) bool {
 	for _, agent := range agents {
-		if closed, heard := c.closed[agent]; !heard || closed < window {
+		if closed, known := c.lastClosed[agent]; !known || closed < window {
 			return false
 		}
 	}
 	return true
 }
 
-// Total is what backends began in a window, by tenant, as far as it was heard.
+// Total returns the received counts of a window: the requests that backends started, by tenant.
 func (c *Collector) Total(window int64) map[string]uint64 {
 	total := map[string]uint64{}
 	for _, tenants := range c.windows[window] {
--- a/internal/mesh/usage/counter.go
+++ b/internal/mesh/usage/counter.go
@@ -1,15 +1,17 @@
-// Package usage counts, by tenant, the requests that backends began in each window of time, and
-// makes of it one report a window that never changes once it is fixed. It does no I/O.
+// Package usage counts, by tenant, the requests that backends start in each window of time, and
+// produces one report for each window, which never changes once it is final. It does no I/O.
 //
-//   - A Counter stands at each gate and counts what its backend begins. A count is taken back if the
-//     backend proves not to have run the request.
-//   - A Collector stands at each core machine and adds up what the Counters have told. Each tells all
-//     core machines, so a count outlives its gate and any one core machine.
-//   - A Ledger is agreed on by the core machines: the windows that are fixed, each with its counts,
-//     until the platform has taken the report.
+//   - A Counter runs in each gate and counts what the gate's backend starts. A count is undone if
+//     it turns out that the backend did not run the request.
+//   - A Collector runs in each control-plane node and sums up the updates from the Counters. Each
+//     Counter sends its updates to all control-plane nodes, so a count survives the loss of its
+//     gate and of any control-plane node.
+//   - A Ledger is replicated among the control-plane nodes. It has the windows that are final, each
+//     with its counts, until the platform has accepted the report.
 //
-// What a Counter tells is cumulative, and replaces what it told before; so words may be lost or come
-// twice. It goes on to tell of a window until that is fixed, or MostWindows have followed it.
+// Updates are cumulative: they replace earlier ones, so an update may be lost or arrive twice. A
+// Counter sends the counts of a window until the window is final, or until MaxPendingWindows more
+// windows have started.
 package usage
 
 import (
@@ -21,160 +23,162 @@
 )
 
 const (
-	// MostWindows are kept that are not fixed yet.
+	// MaxPendingWindows limits the number of windows that are kept and not final yet.
 	MaxPendingWindows = 24
-	// MostTenants are counted in a window at one gate.
+	// MaxTenants limits the number of tenants that a gate counts in one window.
 	MaxTenants = 4096
-	// closeAfter is how long after its end a window is closed: what was begun in it has been counted.
-	closeAfter = 50 * time.Millisecond
+	// closeDelay is the time from the end of a window until it is closed. By then all requests that
+	// were started in it have been counted.
+	closeDelay = 50 * time.Millisecond
 )
 
-// Part is what a Counter tells of one window: the counts of some tenants.
+// WindowCounts are a Counter's counts of some tenants in one window.
 type WindowCounts struct {
 	Window int64
 	Names  []string
-	Counts []uint64 // of the tenant at the same place
+	Counts []uint64 // parallel to Names
 }
 
-// Update is what a Counter tells.
+// Update is a message from a Counter.
 type Update struct {
-	Process uint64 // of the Counter: one that starts again is another
-	Closed  int64  // windows up to this one get no more counts
+	Process uint64 // identifies the Counter's process; a restart changes it
+	Closed  int64  // the last window that gets no more counts
 	Parts   []WindowCounts
 }
 
-// Mark names a count, so that it can be taken back. The zero value is none.
+// CountID identifies a count, so that it can be undone. The zero value identifies no count.
 type CountID struct {
 	window   int64
 	customer string
 }
 
-// Counter counts at one gate. It may be used by any number of goroutines; a nil Counter counts
+// Counter counts the requests of one gate. It is safe for concurrent use. A nil Counter counts
 // nothing.
 type Counter struct {
-	process uint64
-	length  time.Duration // of a window
-	clock   *meshtime.Clock
-
-	mu       sync.Mutex
-	revision uint64 // of the last change
-	windows  map[int64]map[string]*count
-	settled  int64 // windows up to this one are fixed
-	// Dropped counts what there was no room for.
+	process      uint64
+	windowLength time.Duration // of a window
+	clock        *meshtime.Clock
+
+	mu               sync.Mutex
+	revision         uint64 // increases with each change
+	windows          map[int64]map[string]*count
+	finalizedThrough int64 // the last window that is final
+	// dropped is the number of requests that were not counted.
 	dropped uint64
 }
 
 type count struct {
-	n        uint64
-	revision uint64 // when it last changed
+	value    uint64
+	revision uint64 // Counter.revision at the latest change
 }
 
-// NewCounter returns a Counter of a process, by a number that no other has.
-func NewCounter(process uint64, length time.Duration, clock *meshtime.Clock) *Counter {
-	return &Counter{process: process, length: length, clock: clock, windows: map[int64]map[string]*count{}}
+// NewCounter returns a Counter. The process number must be unique.
+func NewCounter(process uint64, windowLength time.Duration, clock *meshtime.Clock) *Counter {
+	return &Counter{process: process, windowLength: windowLength, clock: clock, windows: map[int64]map[string]*count{}}
 }
 
-// Begin counts a request that a backend begins now for a tenant.
+// Add counts a request of a tenant that the backend starts now.
 func (c *Counter) Add(customer string) CountID {
 	if c == nil || customer == "" {
 		return CountID{}
 	}
-	m := CountID{meshtime.WindowAt(c.clock.Now(), c.length), customer}
+	id := CountID{meshtime.WindowAt(c.clock.Now(), c.windowLength), customer}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.adjust(m, 1) {
+	if !c.adjust(id, 1) {
 		c.dropped++
 		return CountID{}
 	}
-	return m
+	return id
 }
 
-// Undo takes a count back.
-func (c *Counter) Undo(m CountID) {
-	if c == nil || m.customer == "" {
+// Undo undoes a count.
+func (c *Counter) Undo(id CountID) {
+	if c == nil || id.customer == "" {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if tenants := c.windows[m.window]; tenants[m.customer] != nil {
-		c.adjust(m, -1)
+	if tenants := c.windows[id.window]; tenants[id.customer] != nil {
+		c.adjust(id, -1)
 	}
 }
 
-// add changes a count, and says whether there was room for it.
-func (c *Counter) adjust(m CountID, by int) bool {
-	if m.window <= c.settled {
+// adjust changes a count and reports whether there was room for it.
+func (c *Counter) adjust(id CountID, delta int) bool {
+	if id.window <= c.finalizedThrough {
 		return false
 	}
-	tenants := c.windows[m.window]
+	tenants := c.windows[id.window]
 	if tenants == nil {
 		tenants = map[string]*count{}
-		c.windows[m.window] = tenants
-		c.forget(m.window - MaxPendingWindows)
+		c.windows[id.window] = tenants
+		c.dropWindows(id.window - MaxPendingWindows)
 	}
-	one := tenants[m.customer]
-	if one == nil {
+	entry := tenants[id.customer]
+	if entry == nil {
 		if len(tenants) >= MaxTenants {
 			return false
 		}
-		one = &count{}
-		tenants[m.customer] = one
+		entry = &count{}
+		tenants[id.customer] = entry
 	}
 	c.revision++
-	one.n += uint64(by)
-	one.revision = c.revision
+	entry.value += uint64(delta)
+	entry.revision = c.revision
 	return true
 }
 
-// forget drops the windows up to one.
-func (c *Counter) forget(through int64) {
-	for w := range c.windows {
-		if w <= through {
-			delete(c.windows, w)
+// dropWindows drops all windows up to the given one.
+func (c *Counter) dropWindows(through int64) {
+	for window := range c.windows {
+		if window <= through {
+			delete(c.windows, window)
 		}
 	}
 }
 
-// Settle takes in that the windows up to one are fixed: nobody needs their counts any more.
+// DiscardThrough drops the counts of all windows up to the given one, because they are final.
 func (c *Counter) DiscardThrough(through int64) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if through > c.settled {
-		c.settled = through
-		c.forget(through)
+	if through > c.finalizedThrough {
+		c.finalizedThrough = through
+		c.dropWindows(through)
 	}
 }
 
-// Closed is the last window that gets no more counts.
+// LastClosed returns the last window that gets no more counts.
 func (c *Counter) LastClosed() int64 {
-	return meshtime.WindowAt(c.clock.Now()-closeAfter, c.length) - 1
+	return meshtime.WindowAt(c.clock.Now()-closeDelay, c.windowLength) - 1
 }
 
-// Since returns what has changed since a revision, 0 for all that there is, and the present revision.
+// ChangesSince returns all changes after a revision (0 for all counts), and the current revision.
 func (c *Counter) ChangesSince(revision uint64) (Update, uint64) {
-	closed := c.LastClosed() // before the counts are read: what is counted later is in a later window
+	closed := c.LastClosed() // read first: requests counted after this are in later windows
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	u := Update{Process: c.process, Closed: closed}
+	update := Update{Process: c.process, Closed: closed}
 	for window, tenants := range c.windows {
-		part := WindowCounts{Window: window}
-		for name, one := range tenants {
-			if one.revision > revision {
-				part.Names, part.Counts = append(part.Names, name), append(part.Counts, one.n)
+		counts := WindowCounts{Window: window}
+		for name, entry := range tenants {
+			if entry.revision > revision {
+				counts.Names, counts.Counts = append(counts.Names, name), append(counts.Counts, entry.value)
 			}
 		}
-		if len(part.Names) > 0 {
-			u.Parts = append(u.Parts, part)
+		if len(counts.Names) > 0 {
+			update.Parts = append(update.Parts, counts)
 		}
 	}
-	slices.SortFunc(u.Parts, func(a, b WindowCounts) int { return int(a.Window - b.Window) })
-	return u, c.revision
+	slices.SortFunc(update.Parts, func(a, b WindowCounts) int { return int(a.Window - b.Window) })
+	return update, c.revision
 }
 
-// Dropped is how many requests were not counted, for want of room or as their window was fixed.
+// Dropped returns the number of requests that were not counted, for lack of room or because their
+// window was already final.
 func (c *Counter) Dropped() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/mesh/usage/ledger.go
+++ b/internal/mesh/usage/ledger.go
@@ -5,33 +5,34 @@
 	"slices"
 )
 
-// MostOpen reports may wait for the platform; beyond it the oldest is given up.
+// MaxOpenReports limits the number of reports that wait for the platform. Beyond that, the oldest
+// report is discarded.
 const MaxOpenReports = 256
 
-// Report is what is said of a window. It never changes.
+// Report has the counts of a window by tenant. It never changes.
 type Report struct {
 	Window int64             `json:"window"`
 	Counts map[string]uint64 `json:"counts"`
 }
 
-// Ledger is what has been fixed: a machine whose copies are the same wherever the same was applied in
-// the same order. The zero value is empty.
+// Ledger is the replicated state of the reports. It is deterministic: copies that apply the same
+// operations in the same order are equal. The zero value is empty.
 type Ledger struct {
-	Through int64     `json:"through"`          // the last window that is fixed; 0: none
-	Open    []*Report `json:"open,omitempty"`   // that the platform has not taken yet, by window
-	Taken   uint64    `json:"taken,omitempty"`  // how many it has
-	GaveUp  uint64    `json:"gave_up"`          // how many were given up, as too many waited
-	Missed  uint64    `json:"missed,omitempty"` // windows that were never fixed, as their counts were lost
+	Through int64     `json:"through"`          // last final window; 0 if there is none
+	Open    []*Report `json:"open,omitempty"`   // not accepted by the platform yet; ordered by window
+	Taken   uint64    `json:"taken,omitempty"`  // number of accepted reports
+	GaveUp  uint64    `json:"gave_up"`          // number of reports discarded, as too many were open
+	Missed  uint64    `json:"missed,omitempty"` // number of windows without a report: their counts were lost
 }
 
-// Fix makes a report final. It is refused if the window, or a later one, is fixed already: what the
-// report says never changes, whoever counts again.
+// Finalize makes a report final. It fails if the window or a later one is final already, so a
+// report never changes, even if another node has different counts.
 func (l *Ledger) Finalize(r *Report) error {
 	switch {
 	case r == nil || r.Window <= 0:
-		return fmt.Errorf("window: there is none")
+		return fmt.Errorf("window: it is missing")
 	case r.Window <= l.Through:
-		return fmt.Errorf("window: %d is fixed, up to %d", r.Window, l.Through)
+		return fmt.Errorf("window: %d is final, as are all up to %d", r.Window, l.Through)
 	}
 	if l.Through > 0 {
 		l.Missed += uint64(r.Window - l.Through - 1)
@@ -45,18 +46,18 @@
 	return nil
 }
 
-// Take takes in that the platform has a report.
+// MarkAccepted records that the platform has accepted the report of a window.
 func (l *Ledger) MarkAccepted(window int64) error {
 	i := slices.IndexFunc(l.Open, func(r *Report) bool { return r.Window == window })
 	if i < 0 {
-		return fmt.Errorf("window: no report of %d waits", window)
+		return fmt.Errorf("window: no report of %d is open", window)
 	}
 	l.Open = slices.Delete(slices.Clone(l.Open), i, i+1)
 	l.Taken++
 	return nil
 }
 
-// Clone returns a ledger that changes by itself; the reports are shared.
+// Clone returns a ledger that can change independently. The reports are shared.
 func (l *Ledger) Clone() *Ledger {
 	c := *l
 	c.Open = slices.Clone(l.Open)
