--- a/internal/mesh/controlplane/answers.go
+++ b/internal/mesh/controlplane/answers.go
@@ -10,18 +10,18 @@
 	"example.org/micaline/internal/mesh/meshconfig"
 )
 
-// refusal is why an order was not carried out, as the table replies and as the caller is told. Each
-// member replies the same to an order, as each decides by the same log.
+// refusal is the reason why an order was refused, both in the table's reply and in the HTTP
+// response. All members produce the same reply to an order, because they apply the same log.
 type refusal struct {
 	Status int    `json:"status"`
-	Field  string `json:"field,omitempty"` // of the call, or the item
+	Field  string `json:"field,omitempty"` // field of the request, or the item
 	Error  string `json:"error"`
-	Stale  bool   `json:"stale,omitempty"` // an opposite order came in between
+	Stale  bool   `json:"stale,omitempty"` // the opposite order was applied in the meantime
 }
 
-// refusalOf gives each reason its status. A caller ends at once on 400 and 409, and goes on after a
-// 5xx: that is for what isn't decided.
-func refusalOf(err error) *refusal {
+// newRefusal converts an error into a refusal and selects the HTTP status. Clients give up on 400
+// and 409, and retry after a 5xx, which means that the outcome is not decided.
+func newRefusal(err error) *refusal {
 	var (
 		invalid   *meshconfig.Invalid
 		conflict  *meshconfig.Conflict
@@ -53,55 +53,55 @@
 func decodeRefusal(reply []byte) *refusal {
 	r := new(refusal)
 	if err := json.Unmarshal(reply, r); err != nil {
-		problem := "the table's reply can't be read: " + err.Error()
-		return &refusal{Status: http.StatusInternalServerError, Error: problem}
+		message := "invalid reply from the table: " + err.Error()
+		return &refusal{Status: http.StatusInternalServerError, Error: message}
 	}
 	return r
 }
 
-func (r *refusal) answer(w http.ResponseWriter) {
+func (r *refusal) write(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(r.Status)
 	w.Write(r.encode())
 }
 
-// problem answers with an error that concerns no field.
-func problem(w http.ResponseWriter, status int, what string) {
-	(&refusal{Status: status, Error: what}).answer(w)
+// writeProblem writes an error that concerns no particular field.
+func writeProblem(w http.ResponseWriter, status int, message string) {
+	(&refusal{Status: status, Error: message}).write(w)
 }
 
-// acknowledge answers that the call holds.
+// acknowledge writes the response to a successful request.
 func acknowledge(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/json")
 	io.WriteString(w, "{}")
 }
 
-// agree has an order agreed on and answers the caller.
-func (c *Core) agree(w http.ResponseWriter, r *http.Request, o meshconfig.Order) {
-	ctx, cancel := context.WithTimeout(r.Context(), answerIn)
+// handleOrder proposes an order and writes the response.
+func (c *Core) handleOrder(w http.ResponseWriter, r *http.Request, order meshconfig.Order) {
+	ctx, cancel := context.WithTimeout(r.Context(), responseTimeout)
 	defer cancel()
 	for {
-		refused, err := c.propose(ctx, o)
+		refused, err := c.proposeOrder(ctx, order)
 		switch {
 		case err != nil:
-			problem(w, statusOf(err), err.Error())
+			writeProblem(w, statusFor(err), err.Error())
 		case refused == nil:
 			acknowledge(w)
 		case refused.Stale && ctx.Err() == nil:
-			continue // the caller still waits, so this order is the later one
+			continue // the client still waits, so this order is the later one
 		default:
-			refused.answer(w)
+			refused.write(w)
 		}
 		return
 	}
 }
 
-// propose has an order carried out once. It is refused if it contradicts what was confirmed, or if
-// the opposite one is carried out before it.
-func (c *Core) propose(ctx context.Context, o meshconfig.Order) (*refusal, error) {
-	o.Strict, o.Since = true, c.table.applied.Load()
-	result, err := c.node.Propose(ctx, encodeOrder(&o))
-	c.count.proposed(result, err)
+// proposeOrder proposes an order once. The order is refused if it contradicts a confirmed one, or
+// if the opposite order is applied before it.
+func (c *Core) proposeOrder(ctx context.Context, order meshconfig.Order) (*refusal, error) {
+	order.Strict, order.Since = true, c.table.applied.Load()
+	result, err := c.node.Propose(ctx, encodeOrder(&order))
+	c.counters.countProposal(result, err)
 	if err != nil || len(result.Reply) == 0 {
 		return nil, err
 	}
--- a/internal/mesh/controlplane/backup.go
+++ b/internal/mesh/controlplane/backup.go
@@ -8,35 +8,35 @@
 	"example.org/micaline/internal/mesh/meshconfig"
 )
 
-// backups is the state as of now, as a file.
-type backups struct{ c *Core }
+// backupHandler serves GET /api/backup: the current state as a file.
+type backupHandler struct{ core *Core }
 
-func (h *backups) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *backupHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet {
-		only(w, "GET")
+		methodNotAllowed(w, "GET")
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerIn)
+	ctx, cancel := context.WithTimeout(r.Context(), responseTimeout)
 	defer cancel()
-	b, err := h.c.node.Backup(ctx)
+	backup, err := h.core.node.Backup(ctx)
 	if err != nil {
-		problem(w, statusOf(err), err.Error())
+		writeProblem(w, statusFor(err), err.Error())
 		return
 	}
-	file, err := b.Encode()
+	file, err := backup.Encode()
 	if err != nil {
-		problem(w, http.StatusInternalServerError, err.Error())
+		writeProblem(w, http.StatusInternalServerError, err.Error())
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Write(file)
 }
 
-// Replay is the state that a backup holds: as the agreement's table, and its configuration.
-func Replay(b *consensus.Backup) (consensus.Table, *meshconfig.Config, error) {
-	t := newTable(func() {})
-	if err := b.Replay(t); err != nil {
+// Replay restores a backup and returns its state and its configuration.
+func Replay(backup *consensus.Backup) (consensus.Table, *meshconfig.Config, error) {
+	restored := newTable(func() {})
+	if err := backup.Replay(restored); err != nil {
 		return nil, nil, err
 	}
-	return t, t.now.Load().config, nil
+	return restored, restored.published.Load().config, nil
 }
--- a/internal/mesh/controlplane/caller.go
+++ b/internal/mesh/controlplane/caller.go
@@ -9,21 +9,22 @@
 	"example.org/micaline/internal/tcp"
 )
 
-// connectionKey is where a request's context holds its connection.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-func withConnection(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connectionKey{}, c)
+func withConnection(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
-// forPresent serves a call whose caller still waits, and drops any other.
+// dropAbandoned serves a request only if its client is still connected.
 //
-// Danger: while this process stood still its kernel took calls, and their callers went on to other
-// core machines. A zone that was emptied there and taken back since would be emptied again by the
-// call that waited here, as evacuations have no versions to tell which is old.
-func forPresent(next http.Handler) http.Handler {
+// While this process is paused, its kernel still accepts requests, and their clients move on to
+// other control-plane nodes. An evacuation that waited here could evacuate a zone again that was
+// evacuated and returned through another node in the meantime. Evacuations have no versions that
+// would show which one is older.
+func dropAbandoned(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c, ok := r.Context().Value(connectionKey{}).(syscall.Conn); ok && tcp.Ended(c) {
+		if conn, ok := r.Context().Value(connectionKey{}).(syscall.Conn); ok && tcp.Ended(conn) {
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
--- a/internal/mesh/controlplane/core.go
+++ b/internal/mesh/controlplane/core.go
@@ -1,11 +1,15 @@
-// Package controlplane is the control plane's process on a core machine.
+// Package controlplane implements the process of a control-plane node.
 //
-// It takes the operators' calls, has them agreed on (package consensus) before it answers, and feeds all agents with the
-// configuration that holds and with what the agents say of themselves (package registry). A core machine that is no member of the
-// agreement, or does not lead it, serves all the same: it passes on what must be agreed.
+// It serves the operators' API, replicates each change (package consensus) before it responds, and
+// sends agents the current configuration and the stations that other agents announce (package
+// registry). Nodes that are not members of the consensus group, or don't lead it, serve requests as
+// well: they forward proposals to the leader.
 //
-// What it promises: a call is answered 200 once a majority has it on disk; nothing that is not agreed reaches an agent; a read
-// holds all that was acknowledged before it.
+// Guarantees:
+//
+//   - A change is answered with 200 only after a majority has it on disk.
+//   - Agents receive only committed changes.
+//   - A read returns a state with all changes that were acknowledged before it.
 package controlplane
 
 import (
@@ -31,250 +35,256 @@
 )
 
 const (
-	queue     = 1024
-	mostFeeds = 2048
+	commandQueueSize = 1024
+	maxFeeds         = 2048
 
-	leaveWithin    = 3500 * time.Millisecond // longer than the agreement takes at most
-	shutdownWithin = time.Second
+	leaveTimeout    = 3500 * time.Millisecond // longer than a departure from the consensus group takes
+	shutdownTimeout = time.Second
 
-	heartbeat   = 500 * time.Millisecond
-	feedTimeout = 1700 * time.Millisecond // of silence, until a feed is given up: three heartbeats
-	settleFor   = 2 * time.Second         // after a stall: agents dial again within 1.5 s, and are greeted
+	heartbeatInterval = 500 * time.Millisecond
+	feedTimeout       = 1700 * time.Millisecond // closes a silent feed: a bit more than three heartbeats
+	settleDelay       = 2 * time.Second         // after a pause; agents reconnect within 1.5 s
 
 )
 
-// Core is the process. Its fields from registry on belong to the goroutine of own.
+// Core is the control-plane process. Its fields from registry on belong to the goroutine of
+// runLoop.
 type Core struct {
-	set   *bootstrap.Settings
-	log   log.Interface
-	node  *consensus.Node
-	table *table
-	peers *peers
-	count counters
+	settings *bootstrap.Settings
+	log      log.Interface
+	node     *consensus.Node
+	table    *table
+	peers    *peers
+	counters counters
 
-	telling atomic.Bool   // feeds are about to be told of a changed configuration
-	told    time.Duration // when they were, or will be; the node's goroutine's
+	notifyPending atomic.Bool   // a notification of a configuration change is scheduled
+	notifiedAt    time.Duration // latest or next notification; owned by the node's goroutine
 
-	duty    *dutyHolder // nil: these settings have no duties
-	windows *windowDriver
-	started atomic.Bool // node stands
+	dutyHolder   *dutyHolder // nil if no duties are configured
+	windowDriver *windowDriver
+	nodeStarted  atomic.Bool // node is set
 
-	stats    transport.StatsServer
-	commands chan func()
-	began    time.Time
-	registry *registry.Table
-	feeds    map[string]*feed // by the agent's control address
-	asking   map[*feed]uint64 // who waits for a proof, and under which number
-	proving  bool             // a read is under way
-	cores    []string
-	former   formerBackends
+	stats          transport.StatsServer
+	commands       chan func()
+	startedAt      time.Time
+	registry       *registry.Table
+	feeds          map[string]*feed // by the agent's IP
+	proofRequests  map[*feed]uint64 // by feed: number of its request for a proof that it is current
+	readInProgress bool             // a consensus read for proofs is in progress
+	members        []string
+	formerBackends formerBackends
 
 	clock       *meshtime.Clock
 	collector   *usage.Collector
-	firstWindow int64 // of usage, that this process saw under way while none was fixed; 0: none yet
+	firstWindow int64 // first window that this process saw before any was final; 0 if none
 
-	life      uint64             // of this process
-	revisions registry.Revisions // of registry
-	turned    time.Duration      // when the owner last had something to do
-	settled   time.Duration      // when all feeds count again after a stall
-	unheard   map[string]uint64  // agents whose feeds ended in it, and their lives
+	processID   uint64             // random, not 0
+	revisions   registry.Revisions // of registry
+	lastActive  time.Duration      // when the loop last handled something
+	settledAt   time.Duration      // end of the settle time after a pause; 0 if not settling
+	lostInStall map[string]uint64  // lives of agents that disconnected during the settle time
 }
 
-// New returns a core process that has not started.
-func New(set *bootstrap.Settings, l log.Interface) *Core {
-	c := &Core{set: set, log: l, commands: make(chan func(), queue), began: time.Now(),
-		registry: registry.New(), feeds: map[string]*feed{}, asking: map[*feed]uint64{}, life: rand.Uint64() | 1, unheard: map[string]uint64{},
+// New returns a process that is not started yet.
+func New(settings *bootstrap.Settings, logger log.Interface) *Core {
+	c := &Core{settings: settings, log: logger, commands: make(chan func(), commandQueueSize), startedAt: time.Now(),
+		registry: registry.New(), feeds: map[string]*feed{}, proofRequests: map[*feed]uint64{}, processID: rand.Uint64() | 1, lostInStall: map[string]uint64{},
 		clock: meshtime.New(), collector: usage.NewCollector()}
 	c.table = newTable(c.configChanged)
-	c.peers = newPeers(set)
-	c.windows = newWindowDriver(c)
-	if set.Platform.Has(duties.UsageReport) {
-		c.duty = newDutyHolder(c)
+	c.peers = newPeers(settings)
+	c.windowDriver = newWindowDriver(c)
+	if settings.Platform.Has(duties.UsageReport) {
+		c.dutyHolder = newDutyHolder(c)
 	}
 	return c
 }
 
-// configChanged has all agents told. What changes within a gap is told together: a process that has
-// started carries out all that was agreed on since its snapshot at once, and each order would be a
-// message to every agent. The node's goroutine calls it.
+// configChanged notifies all feeds of a changed configuration. Changes within batchInterval share
+// one notification: after a start, the process applies all orders since its snapshot at once, and
+// each of them would cause a message to every agent. It is called by the node's goroutine.
 func (c *Core) configChanged() {
-	if !c.telling.CompareAndSwap(false, true) {
+	if !c.notifyPending.CompareAndSwap(false, true) {
 		return
 	}
-	tell := func() {
-		c.telling.Store(false)
-		c.each(func(f *feed) { f.wake() })
+	notify := func() {
+		c.notifyPending.Store(false)
+		c.forEachFeed(func(f *feed) { f.wake() })
 	}
 	now := c.now()
-	c.told = max(now, c.told+gap)
-	if c.told == now {
-		c.enqueue(tell)
+	c.notifiedAt = max(now, c.notifiedAt+batchInterval)
+	if c.notifiedAt == now {
+		c.enqueue(notify)
 		return
 	}
-	time.AfterFunc(c.told-now, func() { c.enqueue(tell) })
+	time.AfterFunc(c.notifiedAt-now, func() { c.enqueue(notify) })
 }
 
-// enqueue queues a command without waiting; the queue's bound is far above what may be due at once, and who finds it full waits beside.
-func (c *Core) enqueue(f func()) {
+// enqueue queues a command for runLoop without blocking. The queue is much larger than the number
+// of commands that are expected at once. If it is full, a goroutine waits for room.
+func (c *Core) enqueue(command func()) {
 	select {
-	case c.commands <- f:
+	case c.commands <- command:
 	default:
-		go func() { c.commands <- f }()
+		go func() { c.commands <- command }()
 	}
 }
 
-func (c *Core) now() time.Duration { return time.Since(c.began) }
+func (c *Core) now() time.Duration { return time.Since(c.startedAt) }
 
-func (c *Core) do(f func()) { c.commands <- f }
+// submit queues a command for runLoop and blocks while the queue is full.
+func (c *Core) submit(command func()) { c.commands <- command }
 
-// Run serves until the context ends, hands leadership over and returns.
+// Run serves until the context is cancelled, then hands over leadership and returns.
 func (c *Core) Run(ctx context.Context) error {
-	inner, err := net.Listen("tcp4", sidecar.Inner(c.set, c.set.Control))
+	linkListener, err := net.Listen("tcp4", sidecar.Inner(c.settings, c.settings.Control))
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	defer inner.Close()
-	owner, stop := context.WithCancel(context.Background())
-	defer stop()
-	go c.own(owner)
+	defer linkListener.Close()
+	loopCtx, stopLoop := context.WithCancel(context.Background())
+	defer stopLoop()
+	go c.runLoop(loopCtx)
 	c.node, err = consensus.Start(consensus.Options{
-		Self: c.set.Control, Seeds: c.set.Seeds, FirstStart: c.set.FirstStart, Dir: c.set.DataFolder, Table: c.table,
-		Send: c.peers.send, Log: c.log, OnChange: c.onChange, Replace: c.set.Bounds.CatchUp / 2,
-		Voters: consensus.VotersToBear(c.set.Tolerate.Machines), Zone: c.set.Zone,
+		Self: c.settings.Control, Seeds: c.settings.Seeds, FirstStart: c.settings.FirstStart, Dir: c.settings.DataFolder, Table: c.table,
+		Send: c.peers.send, Log: c.log, OnChange: c.onChange, Replace: c.settings.Bounds.CatchUp / 2,
+		Voters: consensus.VotersToBear(c.settings.Tolerate.Machines), Zone: c.settings.Zone,
 	})
 	if err != nil {
 		return oops.In("agreement").Wrap(err)
 	}
-	c.started.Store(true)
-	if c.duty != nil {
-		go c.duty.run(owner)
+	c.nodeStarted.Store(true)
+	if c.dutyHolder != nil {
+		go c.dutyHolder.run(loopCtx)
 	}
-	go (&transport.Server{Handlers: c.uses()}).Serve(inner)
-	l, err := net.Listen("tcp4", c.set.Control)
+	go (&transport.Server{Handlers: c.connectionHandlers()}).Serve(linkListener)
+	listener, err := net.Listen("tcp4", c.settings.Control)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
 	server := &http.Server{Handler: c.handler(), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 75 * time.Second, ConnContext: withConnection}
-	go server.Serve(l)
-	c.log.WithField("zone", c.set.Zone).WithField("seeds", c.set.Seeds).Info("core started")
+	go server.Serve(listener)
+	c.log.WithField("zone", c.settings.Zone).WithField("seeds", c.settings.Seeds).Info("core started")
 	select {
 	case <-ctx.Done():
-		c.log.Info("core told to end")
-	case <-c.node.Done(): // its disk failed: Close tells
+		c.log.Info("core stopping")
+	case <-c.node.Done(): // a disk error, which Close returns
 	}
 	c.leave(server)
 	err = c.node.Close()
-	c.log.Info("core ended")
+	c.log.Info("core stopped")
 	return err
 }
 
-// leave gives away this machine's vote and leadership while it still serves, and then ends serving.
+// leave gives up this node's duties, vote and leadership while it still serves, and then shuts
+// down.
 func (c *Core) leave(server *http.Server) {
-	leaving, cancel := context.WithTimeout(context.Background(), leaveWithin)
+	leaveCtx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	if c.duty != nil {
-		c.duty.stop(leaving)
+	if c.dutyHolder != nil {
+		c.dutyHolder.stop(leaveCtx)
 	}
-	c.node.Leave(leaving)
-	ending, cancel := context.WithTimeout(context.Background(), shutdownWithin)
+	c.node.Leave(leaveCtx)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	server.Shutdown(ending)
+	server.Shutdown(shutdownCtx)
 }
 
-// onChange tells the agents who the members are.
-func (c *Core) onChange(s consensus.Status) {
-	members := slices.Clone(s.Members)
+// onChange notifies the agents of a change of the members.
+func (c *Core) onChange(status consensus.Status) {
+	members := slices.Clone(status.Members)
 	c.enqueue(func() {
-		if !slices.Equal(c.cores, members) {
-			c.cores = members
-			c.each(func(f *feed) { f.wake() })
+		if !slices.Equal(c.members, members) {
+			c.members = members
+			c.forEachFeed(func(f *feed) { f.wake() })
 		}
 	})
 }
 
-func (c *Core) each(f func(*feed)) {
-	for _, one := range c.feeds {
-		f(one)
+func (c *Core) forEachFeed(visit func(*feed)) {
+	for _, f := range c.feeds {
+		visit(f)
 	}
 }
 
-func (c *Core) own(ctx context.Context) {
-	tick, windows := time.NewTicker(time.Second), time.NewTicker(windowTick)
+// runLoop runs the commands and the periodic work that access the state, until the context ends.
+func (c *Core) runLoop(ctx context.Context) {
+	tick, windowTick := time.NewTicker(time.Second), time.NewTicker(windowTickInterval)
 	defer tick.Stop()
-	defer windows.Stop()
+	defer windowTick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-c.commands:
-			c.turn()
-			f()
+		case command := <-c.commands:
+			c.noteActivity()
+			command()
 		case <-tick.C:
-			c.turn()
+			c.noteActivity()
 			c.tick()
-		case <-windows.C:
-			c.turn()
-			c.windows.tick()
+		case <-windowTick.C:
+			c.noteActivity()
+			c.windowDriver.tick()
 		}
 	}
 }
 
-// turn notes that the owner goes on. Danger: a process that stood still finds all its feeds silent,
-// and its agents as lost as it was itself: all of them would be told of one another's loss, and of
-// their return.
-func (c *Core) turn() {
+// noteActivity detects pauses of this process. After a pause all feeds appear silent and all agents
+// lost, and without the settle time all agents would be sent the loss and return of all others.
+func (c *Core) noteActivity() {
 	now := c.now()
-	if now-c.turned > feedTimeout {
-		c.settled = now + settleFor
+	if now-c.lastActive > feedTimeout {
+		c.settledAt = now + settleDelay
 	}
-	c.turned = now
+	c.lastActive = now
 }
 
-// settling says whether the process has stood still a moment ago, so that who is heard is not known
-// yet. Meanwhile agents are told of no others.
-func (c *Core) settling() bool { return c.now() < c.settled }
+// settling reports whether the process was paused a short time ago, so that it does not know yet
+// which agents are alive. Agents are not sent other stations during this time.
+func (c *Core) settling() bool { return c.now() < c.settledAt }
 
 func (c *Core) tick() {
 	if c.registry.Expire(c.now()) {
 		c.revisions.RecordRemoval(func(agent string) bool { return c.registry.Station(agent) != nil })
 	}
 	c.correctClock()
-	if c.duty != nil {
-		c.tickUsage()
+	if c.dutyHolder != nil {
+		c.updateCollector()
 	}
-	if c.settling() || c.settled == 0 {
+	if c.settling() || c.settledAt == 0 {
 		return
 	}
-	c.settled = 0
-	for agent, life := range c.unheard {
-		c.lose(agent, life)
+	c.settledAt = 0
+	for agent, life := range c.lostInStall {
+		c.markLost(agent, life)
 	}
-	clear(c.unheard)
-	c.each(func(f *feed) { f.wake() })
+	clear(c.lostInStall)
+	c.forEachFeed(func(f *feed) { f.wake() })
 }
 
-// uses are what agents and other core machines connect for.
-func (c *Core) uses() map[string]func(transport.Hello, *transport.Conn) {
+// connectionHandlers returns the handlers for connections from agents and other control-plane
+// nodes.
+func (c *Core) connectionHandlers() map[string]func(transport.Hello, *transport.Conn) {
 	return map[string]func(transport.Hello, *transport.Conn){
-		transport.UsePeer:  func(_ transport.Hello, k *transport.Conn) { c.receivePeer(k) },
-		transport.UseFeed:  func(h transport.Hello, k *transport.Conn) { c.serveFeed(h.From, k) },
-		transport.UseStats: func(_ transport.Hello, k *transport.Conn) { c.stats.Serve(k, c.figures) },
+		transport.UsePeer:  func(_ transport.Hello, conn *transport.Conn) { c.receivePeer(conn) },
+		transport.UseFeed:  func(hello transport.Hello, conn *transport.Conn) { c.serveFeed(hello.From, conn) },
+		transport.UseStats: func(_ transport.Hello, conn *transport.Conn) { c.stats.Serve(conn, c.statsReport) },
 	}
 }
 
-// receivePeer hands on what another core machine says.
-func (c *Core) receivePeer(k *transport.Conn) {
+// receivePeer passes messages from another control-plane node to consensus.
+func (c *Core) receivePeer(conn *transport.Conn) {
 	for {
-		var m consensus.Message
-		if k.Receive(&m) != nil {
+		var message consensus.Message
+		if conn.Receive(&message) != nil {
 			return
 		}
-		c.node.Receive(m)
+		c.node.Receive(message)
 	}
 }
 
-// statusOf is the answer to a caller whose call was not agreed on: it goes on to another core machine with it.
-func statusOf(err error) int {
+// statusFor returns the HTTP status for a failed proposal. Clients then try another control-plane
+// node.
+func statusFor(err error) int {
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, consensus.ErrUnknown) {
 		return http.StatusGatewayTimeout
 	}
--- a/internal/mesh/controlplane/duty_holder.go
+++ b/internal/mesh/controlplane/duty_holder.go
@@ -11,62 +11,62 @@
 )
 
 const (
-	dutyTick      = 200 * time.Millisecond
-	dutyQueue     = 16
-	proposeWithin = time.Second
-	stopWithin    = time.Second
-	callWithin    = 300 * time.Millisecond // for a call that is under way when the process is to end
+	dutyTickInterval = 200 * time.Millisecond
+	dutyQueueSize    = 16
+	proposeTimeout   = time.Second
+	stopTimeout      = time.Second
+	lastCallTimeout  = 300 * time.Millisecond // for a call that is in progress at shutdown
 )
 
-// dutyHolder carries out what a core machine's duties.Holder decides. All but the atomic fields
-// belong to the goroutine of run.
+// dutyHolder carries out the actions of this node's duties.Holder. All fields except the atomic
+// ones belong to the goroutine of run.
 type dutyHolder struct {
-	core     *Core
-	platform *platform
-	holder   *duties.Holder
-	watch    lease.Watch
-	began    time.Time
-	events   chan func()
-	stopping chan chan struct{}
-
-	epoch                   atomic.Uint64 // under which the part is held here; 0: it is not
-	taken, unclear, refused atomic.Uint64 // calls of the platform
+	core      *Core
+	platform  *platformClient
+	holder    *duties.Holder
+	watch     lease.Watch
+	startedAt time.Time
+	events    chan func()
+	stopping  chan chan struct{}
+
+	heldEpoch                 atomic.Uint64 // epoch of the held part; 0 if it is not held
+	accepted, unknown, fenced atomic.Uint64 // outcomes of calls to the platform
 }
 
 func newDutyHolder(c *Core) *dutyHolder {
-	b := &c.set.Bounds
-	bounds := duties.Bounds{Lease: b.Lease, WindowLength: b.ReportWindow, DueAfter: b.UsageDelay}
+	limits := &c.settings.Bounds
+	bounds := duties.Bounds{Lease: limits.Lease, WindowLength: limits.ReportWindow, DueAfter: limits.UsageDelay}
 	return &dutyHolder{
-		core: c, platform: newPlatform(c.set.Platform.Address, c.set.NodeName), began: time.Now(),
-		events: make(chan func(), dutyQueue), stopping: make(chan chan struct{}, 1),
-		holder: duties.NewHolder(c.set.NodeName, fmt.Sprintf("%s/%d", c.set.NodeName, c.life), bounds),
+		core: c, platform: newPlatformClient(c.settings.Platform.Address, c.settings.NodeName), startedAt: time.Now(),
+		events: make(chan func(), dutyQueueSize), stopping: make(chan chan struct{}, 1),
+		holder: duties.NewHolder(c.settings.NodeName, fmt.Sprintf("%s/%d", c.settings.NodeName, c.processID), bounds),
 	}
 }
 
-func (h *dutyHolder) now() time.Duration { return time.Since(h.began) }
+func (h *dutyHolder) now() time.Duration { return time.Since(h.startedAt) }
 
-// run goes on until the context ends, or stop has given the part back.
+// run runs until the context ends or stop has released the part.
 func (h *dutyHolder) run(ctx context.Context) {
-	tick := time.NewTicker(dutyTick)
+	tick := time.NewTicker(dutyTickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-h.events:
-			f()
+		case event := <-h.events:
+			event()
 		case done := <-h.stopping:
-			h.giveBack(done)
+			h.release(done)
 			return
 		case <-tick.C:
-			h.step(ctx)
+			h.tick(ctx)
 		}
 	}
 }
 
-// stop gives the part back, and waits for that for a second at most: what is not given back runs out.
+// stop releases the part and waits for this for at most stopTimeout. Otherwise the lease expires.
 func (h *dutyHolder) stop(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, stopWithin)
+	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
 	done := make(chan struct{})
 	select {
@@ -80,30 +80,30 @@
 	}
 }
 
-// giveBack ends the holding. A call that is under way is waited for, unless the platform is slow: if
-// it comes behind one of the next holder it is refused, and the report is sent again.
-func (h *dutyHolder) giveBack(done chan struct{}) {
+// release gives up the part. It waits for a call in progress, unless the platform is slow: a call
+// that arrives after one of the next holder is refused, and the next holder sends the report again.
+func (h *dutyHolder) release(done chan struct{}) {
 	defer close(done)
-	late := time.After(callWithin)
-	for waits := true; waits && h.holder.CallInFlight(); {
+	timeout := time.After(lastCallTimeout)
+	for waiting := true; waiting && h.holder.CallInFlight(); {
 		select {
-		case f := <-h.events:
-			f()
-		case <-late:
-			waits = false
+		case event := <-h.events:
+			event()
+		case <-timeout:
+			waiting = false
 		}
 	}
-	var todo duties.Actions
-	h.holder.Release(h.now(), &todo)
-	h.epoch.Store(0)
-	for _, ask := range todo.Requests {
-		h.propose(ask.Command)
+	var actions duties.Actions
+	h.holder.Release(h.now(), &actions)
+	h.heldEpoch.Store(0)
+	for _, request := range actions.Requests {
+		h.propose(request.Command)
 	}
 }
 
-// propose has a command agreed on; nil: it was not, or may yet be.
+// propose proposes a command. It returns nil if the command failed or its outcome is unknown.
 func (h *dutyHolder) propose(command *duties.Command) *duties.Reply {
-	ctx, cancel := context.WithTimeout(context.Background(), proposeWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
 	reply, err := h.core.proposeDuty(ctx, command)
 	if err != nil {
@@ -112,64 +112,65 @@
 	return reply
 }
 
-func (h *dutyHolder) happened(ctx context.Context, f func()) {
+// post queues an event for run.
+func (h *dutyHolder) post(ctx context.Context, event func()) {
 	select {
-	case h.events <- f:
+	case h.events <- event:
 	case <-ctx.Done():
 	}
 }
 
-// step does what is due.
-func (h *dutyHolder) step(ctx context.Context) {
-	table := h.core.table.dutiesNow.Load()
-	h.endLeases(h.now(), table)
+// tick carries out the actions that are due.
+func (h *dutyHolder) tick(ctx context.Context) {
+	table := h.core.table.publishedDuties.Load()
+	h.expireLeases(h.now(), table)
 	view := &duties.View{}
 	if h.holder.NeedsView(h.now(), table) {
 		var ok bool
-		if view, ok = h.look(table.Usage.Through); !ok {
+		if view, ok = h.requestView(table.Usage.Through); !ok {
 			return
 		}
 	}
-	todo := h.holder.Tick(h.now(), table, view)
-	h.shows()
-	for _, ask := range todo.Requests {
+	actions := h.holder.Tick(h.now(), table, view)
+	h.updateHeldEpoch()
+	for _, request := range actions.Requests {
 		go func() {
-			reply := h.propose(ask.Command)
-			h.happened(ctx, func() { h.holder.HandleReply(h.now(), ask.Number, reply) })
+			reply := h.propose(request.Command)
+			h.post(ctx, func() { h.holder.HandleReply(h.now(), request.Number, reply) })
 		}()
 	}
-	if todo.Call != nil {
-		go h.call(ctx, todo.Call)
+	if actions.Call != nil {
+		go h.call(ctx, actions.Call)
 	}
 }
 
-// shows notes whether the part is held here.
-func (h *dutyHolder) shows() {
+// updateHeldEpoch records whether this node holds the part.
+func (h *dutyHolder) updateHeldEpoch() {
 	epoch := h.holder.HeldEpoch(h.now())
-	if before := h.epoch.Swap(epoch); before != epoch {
-		h.core.log.WithField("duty", duties.UsageReport).WithField("fence", epoch).WithField("before", before).Info("duty")
+	if previous := h.heldEpoch.Swap(epoch); previous != epoch {
+		h.core.log.WithField("duty", duties.UsageReport).WithField("fence", epoch).WithField("before", previous).Info("duty")
 	}
 }
 
-// call sends a report.
-func (h *dutyHolder) call(ctx context.Context, c *duties.Call) {
-	calling, cancel := context.WithTimeout(ctx, c.Deadline-h.now())
+// call sends a report to the platform.
+func (h *dutyHolder) call(ctx context.Context, call *duties.Call) {
+	callCtx, cancel := context.WithTimeout(ctx, call.Deadline-h.now())
 	defer cancel()
-	result, after := h.platform.report(calling, c.Fence, c.Report)
+	result, retryAfter := h.platform.sendReport(callCtx, call.Fence, call.Report)
 	switch result {
 	case duties.CallAccepted:
-		h.taken.Add(1)
+		h.accepted.Add(1)
 	case duties.CallFenced:
-		h.refused.Add(1)
-		h.core.log.WithField("fence", c.Fence).Warn("the platform has seen a higher fence")
+		h.fenced.Add(1)
+		h.core.log.WithField("fence", call.Fence).Warn("the platform has seen a higher fence")
 	case duties.CallUnknown:
-		h.unclear.Add(1)
+		h.unknown.Add(1)
 	}
-	h.happened(ctx, func() { h.holder.HandleResult(h.now(), result, after) })
+	h.post(ctx, func() { h.holder.HandleResult(h.now(), result, retryAfter) })
 }
 
-// endLeases has the leader of the agreement end the leases that nobody has renewed.
-func (h *dutyHolder) endLeases(now time.Duration, table *duties.Table) {
+// expireLeases ends the leases that were not renewed in time. Only the consensus leader does this.
+func (h *dutyHolder) expireLeases(now time.Duration, table *duties.Table) {
 	if h.core.node.Status().Role != "leader" {
 		h.watch = lease.Watch{}
 		return
@@ -179,20 +180,21 @@
 	}
 }
 
-// look asks the owner of the core's state for a view; it says false where that does not get to it.
-func (h *dutyHolder) look(through int64) (*duties.View, bool) {
-	answer := make(chan *duties.View, 1)
-	late := time.NewTimer(dutyTick)
-	defer late.Stop()
+// requestView asks the core's loop for a view. It returns false if the loop does not respond in
+// time.
+func (h *dutyHolder) requestView(through int64) (*duties.View, bool) {
+	result := make(chan *duties.View, 1)
+	timeout := time.NewTimer(dutyTickInterval)
+	defer timeout.Stop()
 	select {
-	case h.core.commands <- func() { answer <- h.core.viewUsage(through) }:
-	case <-late.C:
+	case h.core.commands <- func() { result <- h.core.usageView(through) }:
+	case <-timeout.C:
 		return nil, false
 	}
 	select {
-	case v := <-answer:
-		return v, true
-	case <-late.C:
+	case view := <-result:
+		return view, true
+	case <-timeout.C:
 		return nil, false
 	}
 }
--- a/internal/mesh/controlplane/duty_orders.go
+++ b/internal/mesh/controlplane/duty_orders.go
@@ -8,70 +8,70 @@
 	"example.org/micaline/internal/mesh/duties"
 )
 
-const mostDutyOrder = 4 << 10 // bytes of an operator's call about a duty
+const maxDutyOrderBytes = 4 << 10
 
-// dutyOrder is the body of a call by which operators move a duty. It names the fence that it is
-// about, so that a call which comes twice, or late, moves nothing that was granted since.
+// dutyOrder is the body of an operator's request that moves a duty. It has the fencing token of the
+// grant that it refers to, so a repeated or late request does not affect a newer grant.
 type dutyOrder struct {
 	Fence uint64 `json:"fence"`
-	To    string `json:"to"`  // of hand: the name of a core machine
-	Why   string `json:"why"` // of revoke
+	To    string `json:"to"`  // hand only: name of the new holder's node
+	Why   string `json:"why"` // revoke only
 }
 
-// dutyOrders are the calls POST /api/duties/{duty}/hand and .../revoke.
-type dutyOrders struct {
-	c    *Core
+// dutyOrderHandler serves POST /api/duties/{duty}/hand and .../revoke.
+type dutyOrderHandler struct {
+	core *Core
 	kind lease.Kind
 }
 
-func (h *dutyOrders) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *dutyOrderHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
-		only(w, "POST")
+		methodNotAllowed(w, "POST")
 		return
 	}
 	duty := r.PathValue("duty")
-	if h.c.duty == nil || duty != duties.UsageReport {
-		problem(w, http.StatusNotFound, "duty: "+duty+" is none of the settings' duties")
+	if h.core.dutyHolder == nil || duty != duties.UsageReport {
+		writeProblem(w, http.StatusNotFound, "duty: "+duty+" is none of the settings' duties")
 		return
 	}
 	var order dutyOrder
-	if !readJSON(w, r, mostDutyOrder, &order) {
+	if !readJSON(w, r, maxDutyOrderBytes, &order) {
 		return
 	}
-	if wrong := order.wrong(h.kind); wrong != "" {
-		problem(w, http.StatusBadRequest, wrong)
+	if invalid := order.validate(h.kind); invalid != "" {
+		writeProblem(w, http.StatusBadRequest, invalid)
 		return
 	}
-	h.c.agreeDuty(w, r, &lease.Op{Kind: h.kind, Duty: duty, Epoch: order.Fence, To: order.To, Why: order.Why})
+	h.core.handleDutyOp(w, r, &lease.Op{Kind: h.kind, Duty: duty, Epoch: order.Fence, To: order.To, Why: order.Why})
 }
 
-// wrong says what is wrong with the order, and names the field; empty: nothing.
-func (o *dutyOrder) wrong(kind lease.Kind) string {
+// validate returns a description of the first invalid field, or an empty string.
+func (o *dutyOrder) validate(kind lease.Kind) string {
 	switch {
 	case o.Fence == 0:
-		return "fence: the one that the order is about is missing"
+		return "fence: missing, give that of the grant to move"
 	case kind == lease.Hand && o.To == "":
-		return "to: the name of a core machine is missing"
+		return "to: missing, give the name of a core machine"
 	case kind == lease.Revoke && o.Why == "":
-		return "why: a reason is missing"
+		return "why: missing, give a reason"
 	}
 	return ""
 }
 
-// agreeDuty has an operator's order about a duty agreed on, and answers the caller.
-func (c *Core) agreeDuty(w http.ResponseWriter, r *http.Request, op *lease.Op) {
+// handleDutyOp proposes an operator's change of a duty and writes the response.
+func (c *Core) handleDutyOp(w http.ResponseWriter, r *http.Request, op *lease.Op) {
 	if err := op.Check(); err != nil {
-		problem(w, http.StatusBadRequest, err.Error())
+		writeProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), answerIn)
+	ctx, cancel := context.WithTimeout(r.Context(), responseTimeout)
 	defer cancel()
 	reply, err := c.proposeDuty(ctx, &duties.Command{Lease: op})
 	switch {
 	case err != nil:
-		problem(w, statusOf(err), err.Error())
+		writeProblem(w, statusFor(err), err.Error())
 	case reply.Lease.Refused != "":
-		problem(w, http.StatusConflict, reply.Lease.Refused)
+		writeProblem(w, http.StatusConflict, reply.Lease.Refused)
 	default:
 		acknowledge(w)
 	}
--- a/internal/mesh/controlplane/duty_stats.go
+++ b/internal/mesh/controlplane/duty_stats.go
@@ -11,20 +11,20 @@
 	"example.org/micaline/internal/mesh/usage"
 )
 
-// figures adds what there is to count of duties.
-func (h *dutyHolder) figures(f *meshmetrics.Set) {
-	ledger := h.core.table.dutiesNow.Load().Usage
-	f.Add("micaline_mesh_core_duty_fence", float64(h.epoch.Load()), duties.UsageReport)
-	for i, n := range []*atomic.Uint64{&h.taken, &h.refused, &h.unclear} {
-		f.Add("micaline_mesh_core_duty_calls_total", float64(n.Load()), duties.UsageReport, meshmetrics.DutyCalls[i])
+// addMetrics adds the metrics of the duties.
+func (h *dutyHolder) addMetrics(metrics *meshmetrics.Set) {
+	ledger := h.core.table.publishedDuties.Load().Usage
+	metrics.Add("micaline_mesh_core_duty_fence", float64(h.heldEpoch.Load()), duties.UsageReport)
+	for i, counter := range []*atomic.Uint64{&h.accepted, &h.fenced, &h.unknown} {
+		metrics.Add("micaline_mesh_core_duty_calls_total", float64(counter.Load()), duties.UsageReport, meshmetrics.DutyCalls[i])
 	}
-	f.Add("micaline_mesh_core_usage_waiting", float64(len(ledger.Open)))
-	f.Add("micaline_mesh_core_usage_behind_seconds", h.behind(ledger).Seconds())
-	f.Add("micaline_mesh_core_usage_lost_total", float64(ledger.GaveUp+ledger.Missed))
+	metrics.Add("micaline_mesh_core_usage_waiting", float64(len(ledger.Open)))
+	metrics.Add("micaline_mesh_core_usage_behind_seconds", h.reportLag(ledger).Seconds())
+	metrics.Add("micaline_mesh_core_usage_lost_total", float64(ledger.GaveUp+ledger.Missed))
 }
 
-// behind is how long ago the oldest window ended that the platform has no report of.
-func (h *dutyHolder) behind(ledger *usage.Ledger) time.Duration {
+// reportLag returns the time since the end of the oldest window without an accepted report.
+func (h *dutyHolder) reportLag(ledger *usage.Ledger) time.Duration {
 	oldest := ledger.Through + 1
 	switch {
 	case ledger.Through == 0:
@@ -32,20 +32,20 @@
 	case len(ledger.Open) > 0:
 		oldest = ledger.Open[0].Window
 	}
-	return max(0, h.core.clock.Now()-meshtime.WindowEnd(oldest, h.core.set.Bounds.ReportWindow))
+	return max(0, h.core.clock.Now()-meshtime.WindowEnd(oldest, h.core.settings.Bounds.ReportWindow))
 }
 
-// state tells how the duties stand.
+// state returns the current state of the duties.
 func (h *dutyHolder) state() []transport.DutyState {
-	table := h.core.table.dutiesNow.Load()
+	table := h.core.table.publishedDuties.Load()
 	ledger := table.Usage
-	s := transport.DutyState{Duty: duties.UsageReport, Through: ledger.Through, Waiting: len(ledger.Open), Behind: h.behind(ledger),
+	state := transport.DutyState{Duty: duties.UsageReport, Through: ledger.Through, Waiting: len(ledger.Open), Behind: h.reportLag(ledger),
 		Taken: ledger.Taken, Lost: ledger.GaveUp + ledger.Missed}
-	if d := table.Leases.Duties[duties.UsageReport]; d != nil {
-		s.Holder, s.Fence, s.Renewed, s.Term, s.Why = d.Holder, d.Epoch, d.Renewed, d.Term, d.Why
+	if duty := table.Leases.Duties[duties.UsageReport]; duty != nil {
+		state.Holder, state.Fence, state.Renewed, state.Term, state.Why = duty.Holder, duty.Epoch, duty.Renewed, duty.Term, duty.Why
 	}
-	for _, m := range table.Leases.History {
-		s.History = append(s.History, transport.DutyMove{Number: m.Number, Duty: m.Duty, Holder: m.Holder, Fence: m.Epoch, Why: m.Why})
+	for _, move := range table.Leases.History {
+		state.History = append(state.History, transport.DutyMove{Number: move.Number, Duty: move.Duty, Holder: move.Holder, Fence: move.Epoch, Why: move.Why})
 	}
-	return []transport.DutyState{s}
+	return []transport.DutyState{state}
 }
--- a/internal/mesh/controlplane/feed.go
+++ b/internal/mesh/controlplane/feed.go
@@ -11,57 +11,57 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// feed is the link from one agent.
+// feed is the connection with one agent. Fields without a comment on their owner belong to runLoop.
 type feed struct {
-	agent    string // ip
-	conn     *transport.Conn
-	woken    chan struct{}
-	dirty    map[string]bool // stations to be told of; the owner's
-	whole    bool            // nothing has been told yet
-	known    bool            // it has said what it has
-	have     uint64          // index of the configuration that it has, or has been told of
-	want     uint64          // not 0: the whole configuration, of this index or a later one
-	since    uint64          // with want, not 0: the agent has the configuration of this index
-	deflate  bool            // with want: it may come compressed
-	cores    []string        // told last
-	proven   uint64          // to be answered; the owner's
-	revision uint64          // of the stations, told last
-	min      uint64          // life that the agent's must be above
-	life     uint64
-	beats    []waiting
-	last     uint64
-	replies  map[uint64]chan int
+	agent             string // its IP
+	conn              *transport.Conn
+	wakeup            chan struct{}
+	pendingStations   map[string]bool // agents whose stations are still to be sent
+	sendAll           bool            // no stations were sent yet, so all have to be
+	announced         bool            // the agent has sent its station and configuration index
+	configIndex       uint64          // index of the configuration that the agent has or was notified of
+	wantedIndex       uint64          // if not 0: a configuration of this or a later index is requested
+	wantedSince       uint64          // with wantedIndex: the steps from this index are sufficient; 0 if not
+	acceptsDeflate    bool            // with wantedIndex: the response may be compressed
+	sentMembers       []string        // members sent last
+	proofNumber       uint64          // number of the proof request to answer next; 0 if none
+	sentRevision      uint64          // station revision sent last
+	minLife           uint64          // if not 0: the agent has to use a higher life
+	life              uint64
+	pendingHeartbeats []pendingHeartbeat
+	lastNumber        uint64
+	replies           map[uint64]chan int
 
-	offset atomic.Int64 // of the agent's own time from this process's, ns
-	timed  atomic.Bool  // it has told its time
+	clockOffset atomic.Int64 // difference of the agent's clock from this process's, in ns
+	hasClock    atomic.Bool  // the agent has sent its clock
 
-	work *transport.Workload // as told last; nil: not told; the owner's
+	workload *transport.Workload // sent last by the agent; nil if none
 }
 
-// waiting is a backend's call that is to be told to the agent beside it.
-type waiting struct {
-	number uint64
-	beat   transport.RelayedHeartbeat
+// pendingHeartbeat is a heartbeat of a backend that is to be relayed to the backend's agent.
+type pendingHeartbeat struct {
+	number    uint64
+	heartbeat transport.RelayedHeartbeat
 }
 
 func newFeed(agent string, conn *transport.Conn) *feed {
-	return &feed{agent: agent, conn: conn, woken: make(chan struct{}, 1), dirty: map[string]bool{},
-		whole: true, replies: map[uint64]chan int{}}
+	return &feed{agent: agent, conn: conn, wakeup: make(chan struct{}, 1), pendingStations: map[string]bool{},
+		sendAll: true, replies: map[uint64]chan int{}}
 }
 
 func (f *feed) wake() {
 	select {
-	case f.woken <- struct{}{}:
+	case f.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // serveFeed serves one agent until its connection ends.
 //
-// Danger: while this process stood still its kernel went on accepting, and each agent dialed again
-// and again. So the connections that wait are many, all but the last of an agent are dead, and one
-// that is dead must neither replace a live feed nor be sent the table. Who dialed is greeted with an
-// empty message, and has a feed once it has answered that.
+// While this process is paused, its kernel still accepts connections, and each agent dials again
+// and again. After the pause many connections wait, of which all but the last of each agent are
+// dead. A dead connection must neither replace a live feed nor be sent the stations. Therefore the
+// process first sends an empty message, and opens the feed only after the agent has answered it.
 func (c *Core) serveFeed(from string, conn *transport.Conn) {
 	ip, _, err := net.SplitHostPort(from)
 	if err != nil {
@@ -72,20 +72,20 @@
 		return
 	}
 	f := newFeed(ip, conn)
-	if !c.open(f, first.Resume) {
+	if !c.openFeed(f, first.Resume) {
 		return
 	}
 	ended := make(chan struct{})
-	go c.send(f, ended)
-	c.receive(f, first)
+	go c.sendUpdates(f, ended)
+	c.receiveUpdates(f, first)
 	close(ended)
-	c.do(func() { c.closed(f) })
+	c.submit(func() { c.feedEnded(f) })
 }
 
-// greet sends the first word of a feed, and returns the agent's, which answers it.
+// greet sends the first message of a feed and returns the agent's answer.
 func (c *Core) greet(conn *transport.Conn) (*transport.AgentUpdate, error) {
 	conn.SetWriteDeadline(time.Now().Add(feedTimeout))
-	if err := conn.Send(&transport.CoreUpdate{Core: c.life}, nil); err != nil {
+	if err := conn.Send(&transport.CoreUpdate{Core: c.processID}, nil); err != nil {
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Now().Add(feedTimeout))
@@ -93,149 +93,153 @@
 	return first, conn.Receive(first)
 }
 
-// open makes a feed the agent's feed, in place of the one before.
-func (c *Core) open(f *feed, heard transport.ResumePoint) bool {
+// openFeed makes a feed the current feed of its agent. It returns false if there are too many
+// feeds.
+func (c *Core) openFeed(f *feed, resume transport.ResumePoint) bool {
 	opened := make(chan bool, 1)
-	c.do(func() {
-		old := c.feeds[f.agent]
-		if old == nil && len(c.feeds) >= mostFeeds {
+	c.submit(func() {
+		previous := c.feeds[f.agent]
+		if previous == nil && len(c.feeds) >= maxFeeds {
 			opened <- false
 			return
 		}
-		if old != nil {
-			old.conn.Close()
+		if previous != nil {
+			previous.conn.Close()
 		}
 		c.feeds[f.agent] = f
-		delete(c.unheard, f.agent)
-		c.resume(f, heard)
+		delete(c.lostInStall, f.agent)
+		c.resumeFeed(f, resume)
 		opened <- true
 	})
 	return <-opened
 }
 
-// resume has an agent told what has changed since it last heard this process, if that is known.
-func (c *Core) resume(f *feed, heard transport.ResumePoint) {
-	if heard.Core != c.life {
+// resumeFeed limits the stations to send to those that changed since the agent's previous feed from
+// this process, if these are known.
+func (c *Core) resumeFeed(f *feed, resume transport.ResumePoint) {
+	if resume.Core != c.processID {
 		return
 	}
-	changed, ok := c.revisions.ChangedSince(heard.Revision)
+	changed, ok := c.revisions.ChangedSince(resume.Revision)
 	if !ok {
 		return
 	}
-	f.whole = false
+	f.sendAll = false
 	for _, agent := range changed {
-		f.dirty[agent] = true
+		f.pendingStations[agent] = true
 	}
 }
 
-// receive takes in what an agent says until its connection breaks or it is silent for too long.
-func (c *Core) receive(f *feed, up *transport.AgentUpdate) {
+// receiveUpdates handles the agent's messages until the connection fails or the agent is silent for
+// feedTimeout.
+func (c *Core) receiveUpdates(f *feed, received *transport.AgentUpdate) {
 	for {
-		if up.Clock != 0 {
-			f.offset.Store(int64(time.Duration(up.Clock) - c.clock.Local()))
-			f.timed.Store(true)
+		if received.Clock != 0 {
+			f.clockOffset.Store(int64(time.Duration(received.Clock) - c.clock.Local()))
+			f.hasClock.Store(true)
 		}
-		if said := up; said.Station != nil || said.Want != 0 || said.Fresh != 0 || said.Handed != 0 || said.Usage != nil || said.Work != nil {
-			c.do(func() { c.heard(f, said) })
+		if update := received; update.Station != nil || update.Want != 0 || update.Fresh != 0 || update.Handed != 0 || update.Usage != nil || update.Work != nil {
+			c.submit(func() { c.handleUpdate(f, update) })
 		}
 		f.conn.SetReadDeadline(time.Now().Add(feedTimeout))
-		if up = new(transport.AgentUpdate); f.conn.Receive(up) != nil {
+		if received = new(transport.AgentUpdate); f.conn.Receive(received) != nil {
 			return
 		}
 	}
 }
 
-// closed takes in that a feed has ended.
-func (c *Core) closed(f *feed) {
+// feedEnded handles the end of a feed.
+func (c *Core) feedEnded(f *feed) {
 	if c.feeds[f.agent] != f {
-		return // it has come back already
+		return // the agent has a new feed already
 	}
 	delete(c.feeds, f.agent)
-	delete(c.asking, f)
+	delete(c.proofRequests, f)
 	if c.settling() {
-		c.unheard[f.agent] = f.life
+		c.lostInStall[f.agent] = f.life
 		return
 	}
-	c.lose(f.agent, f.life)
+	c.markLost(f.agent, f.life)
 }
 
-// lose takes in that an agent is not heard any more.
-func (c *Core) lose(agent string, life uint64) {
+// markLost records that contact with an agent is lost.
+func (c *Core) markLost(agent string, life uint64) {
 	if c.registry.MarkLost("feeds", agent, life) {
 		c.revisions.RecordLost(agent)
-		c.count.lost.Add(1)
+		c.counters.lostAgents.Add(1)
 		c.log.WithField("agent", agent).Info("agent lost")
-		c.announce(agent)
+		c.announceStation(agent)
 	}
 }
 
-// heard takes in what an agent says.
-func (c *Core) heard(f *feed, up *transport.AgentUpdate) {
+// handleUpdate handles a message of an agent.
+func (c *Core) handleUpdate(f *feed, update *transport.AgentUpdate) {
 	if c.feeds[f.agent] != f {
 		return
 	}
-	if up.Want != 0 {
-		f.want, f.since, f.deflate = up.Want, up.Since, up.Deflate
+	if update.Want != 0 {
+		f.wantedIndex, f.wantedSince, f.acceptsDeflate = update.Want, update.Since, update.Deflate
 		f.wake()
 	}
-	if s := up.Station; s != nil {
-		s.Agent = f.agent
-		if !f.known {
-			f.known, f.have = true, up.Have
+	if station := update.Station; station != nil {
+		station.Agent = f.agent
+		if !f.announced {
+			f.announced, f.configIndex = true, update.Have
 			f.wake()
 		}
-		if known := c.registry.Station(f.agent); known != nil && f.life == 0 && known.Life > s.Life {
-			f.min = known.Life
+		if known := c.registry.Station(f.agent); known != nil && f.life == 0 && known.Life > station.Life {
+			f.minLife = known.Life
 			f.wake()
 		} else {
-			f.life = s.Life
-			c.hear(*s)
+			f.life = station.Life
+			c.updateStation(*station)
 		}
 	}
-	if up.Work != nil {
-		f.work = up.Work
+	if update.Work != nil {
+		f.workload = update.Work
 	}
-	if up.Usage != nil {
-		c.collector.Merge(f.agent, up.Usage)
+	if update.Usage != nil {
+		c.collector.Merge(f.agent, update.Usage)
 	}
-	if up.Fresh != 0 {
-		c.asking[f] = up.Fresh
-		c.prove()
+	if update.Fresh != 0 {
+		c.proofRequests[f] = update.Fresh
+		c.answerProofRequests()
 	}
-	if up.Handed != 0 {
-		if reply := f.replies[up.Handed]; reply != nil {
-			delete(f.replies, up.Handed)
-			reply <- up.Status
+	if update.Handed != 0 {
+		if reply := f.replies[update.Handed]; reply != nil {
+			delete(f.replies, update.Handed)
+			reply <- update.Status
 		}
 	}
 }
 
-// hear takes in an agent's word of itself.
-func (c *Core) hear(s transport.Station) {
-	before, known := c.registry.Status(c.now(), s.Agent)
+// updateStation merges a new version of an agent's station.
+func (c *Core) updateStation(station transport.Station) {
+	previous, known := c.registry.Status(c.now(), station.Agent)
 	if known {
-		c.former.note(&before.Station, &s)
+		c.formerBackends.recordChange(&previous.Station, &station)
 	}
-	if !c.registry.Merge(c.now(), "feeds", false, []transport.StationStatus{{Station: s}}) {
+	if !c.registry.Merge(c.now(), "feeds", false, []transport.StationStatus{{Station: station}}) {
 		return
 	}
-	if known && before.Lost {
-		c.revisions.RecordRecovered(s.Agent)
+	if known && previous.Lost {
+		c.revisions.RecordRecovered(station.Agent)
 	}
-	if !known || s.Newer(&before.Station) {
-		c.revisions.RecordUpdate(s.Agent)
+	if !known || station.Newer(&previous.Station) {
+		c.revisions.RecordUpdate(station.Agent)
 	}
-	c.announce(s.Agent)
+	c.announceStation(station.Agent)
 }
 
-// prove finds out what is current, and has those agents told that asked before. One read serves all who have asked when it begins:
-// after a start each agent asks, and as many reads would crowd out the agreement's own messages.
-func (c *Core) prove() {
-	if c.proving || len(c.asking) == 0 {
+// answerProofRequests confirms to agents that their data is current. A single consensus read serves
+// all requests that were made before it starts: after a start all agents ask for a proof, and one
+// read for each would displace the messages of consensus itself.
+func (c *Core) answerProofRequests() {
+	if c.readInProgress || len(c.proofRequests) == 0 {
 		return
 	}
-	asked := c.asking
-	c.proving, c.asking = true, map[*feed]uint64{}
+	requests := c.proofRequests
+	c.readInProgress, c.proofRequests = true, map[*feed]uint64{}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		err := c.node.Read(ctx)
@@ -243,65 +247,66 @@
 		if err != nil {
 			time.Sleep(100 * time.Millisecond)
 		}
-		c.do(func() {
-			c.proving = false
-			for f, number := range asked {
+		c.submit(func() {
+			c.readInProgress = false
+			for f, number := range requests {
 				switch {
 				case c.feeds[f.agent] != f:
 				case err == nil:
-					f.proven = number
+					f.proofNumber = number
 					f.wake()
-				case c.asking[f] == 0:
-					c.asking[f] = number
+				case c.proofRequests[f] == 0:
+					c.proofRequests[f] = number
 				}
 			}
-			c.prove()
+			c.answerProofRequests()
 		})
 	}()
 }
 
-// announce has all agents told of one.
-func (c *Core) announce(agent string) {
-	c.each(func(f *feed) {
-		f.dirty[agent] = true
+// announceStation schedules sending an agent's station to all agents.
+func (c *Core) announceStation(agent string) {
+	c.forEachFeed(func(f *feed) {
+		f.pendingStations[agent] = true
 		f.wake()
 	})
 }
 
-// pass hands a backend's call to the agent beside it, and returns the agent's answer.
-func (c *Core) pass(ctx context.Context, agent string, b transport.RelayedHeartbeat) int {
+// relayHeartbeat relays a backend's heartbeat to its agent and returns the HTTP status of the
+// answer.
+func (c *Core) relayHeartbeat(ctx context.Context, agent string, heartbeat transport.RelayedHeartbeat) int {
 	reply := make(chan int, 1)
-	c.do(func() {
+	c.submit(func() {
 		f := c.feeds[agent]
 		if f == nil || len(f.replies) >= 64 {
 			reply <- http.StatusServiceUnavailable
 			return
 		}
-		f.last++
-		f.replies[f.last] = reply
-		f.beats = append(f.beats, waiting{f.last, b})
+		f.lastNumber++
+		f.replies[f.lastNumber] = reply
+		f.pendingHeartbeats = append(f.pendingHeartbeats, pendingHeartbeat{f.lastNumber, heartbeat})
 		f.wake()
 	})
 	select {
 	case status := <-reply:
 		return status
 	case <-ctx.Done():
-		c.do(func() { c.forget(agent, reply) })
+		c.submit(func() { c.cancelRelay(agent, reply) })
 		return http.StatusServiceUnavailable
 	}
 }
 
-// forget drops a backend's call whose caller waits no longer. One that has not been sent is not sent
-// any more: it would come late.
-func (c *Core) forget(agent string, reply chan int) {
+// cancelRelay drops a heartbeat whose caller has given up. If it was not sent yet, it is not sent
+// any more, because it would arrive late.
+func (c *Core) cancelRelay(agent string, reply chan int) {
 	f := c.feeds[agent]
 	if f == nil {
 		return
 	}
-	for number, waits := range f.replies {
-		if waits == reply {
+	for number, pending := range f.replies {
+		if pending == reply {
 			delete(f.replies, number)
-			f.beats = slices.DeleteFunc(f.beats, func(w waiting) bool { return w.number == number })
+			f.pendingHeartbeats = slices.DeleteFunc(f.pendingHeartbeats, func(pending pendingHeartbeat) bool { return pending.number == number })
 		}
 	}
 }
--- a/internal/mesh/controlplane/feed_send.go
+++ b/internal/mesh/controlplane/feed_send.go
@@ -8,128 +8,128 @@
 )
 
 const (
-	gap          = 50 * time.Millisecond // after a message with news until the next
-	mostStations = 64                    // in a message: buffers for larger ones would stay with each connection
+	batchInterval         = 50 * time.Millisecond // minimum time between messages with stations
+	maxStationsPerMessage = 64                    // limits the buffers, which stay with each connection
 )
 
-// send sends an agent what it has not heard yet, and a heartbeat where there is nothing. What comes within a gap goes out together:
-// when a zone goes, each of its agents is news to all others.
-func (c *Core) send(f *feed, ended chan struct{}) {
-	beat := time.NewTimer(heartbeat)
-	defer beat.Stop()
+// sendUpdates sends an agent all news, and heartbeats if there is none. News within batchInterval
+// is combined: when a zone fails, each of its agents is news to all other agents.
+func (c *Core) sendUpdates(f *feed, ended chan struct{}) {
+	timer := time.NewTimer(heartbeatInterval)
+	defer timer.Stop()
 	for {
 		type message struct {
-			down transport.CoreUpdate
-			raw  []byte
+			update transport.CoreUpdate
+			raw    []byte
 		}
 		next := make(chan message, 1)
-		c.do(func() {
-			d, raw := c.next(f)
-			next <- message{d, raw}
+		c.submit(func() {
+			update, raw := c.nextUpdate(f)
+			next <- message{update, raw}
 		})
 		m := <-next
 		f.conn.SetWriteDeadline(time.Now().Add(feedTimeout))
-		if f.conn.Send(&m.down, nil) != nil || f.conn.SendChunked(m.raw, feedTimeout) != nil {
+		if f.conn.Send(&m.update, nil) != nil || f.conn.SendChunked(m.raw, feedTimeout) != nil {
 			f.conn.Close()
 			return
 		}
-		if n := len(m.down.Stations); n > 0 && n < mostStations && !m.down.Whole {
-			beat.Reset(gap)
+		if sent := len(m.update.Stations); sent > 0 && sent < maxStationsPerMessage && !m.update.Whole {
+			timer.Reset(batchInterval)
 			select {
 			case <-ended:
 				return
-			case <-beat.C:
+			case <-timer.C:
 			}
 		}
-		beat.Reset(heartbeat)
+		timer.Reset(heartbeatInterval)
 		select {
 		case <-ended:
 			return
-		case <-f.woken:
-		case <-beat.C:
+		case <-f.wakeup:
+		case <-timer.C:
 		}
 	}
 }
 
-// next is what an agent is told next. Danger: a proof covers the configuration whose index goes out with it, so it is taken with it;
-// and who is ready is asked for all services, so it waits until all stations are told.
-func (c *Core) next(f *feed) (d transport.CoreUpdate, raw []byte) {
-	s := c.table.now.Load()
-	if c.duty != nil {
-		d.Clock, d.Settled = int64(c.clock.Now()), c.table.dutiesNow.Load().Usage.Through
+// nextUpdate returns the next message to an agent. A proof covers the configuration whose index is
+// sent in the same message, so both are taken at the same time. A proof makes an agent ready to
+// serve requests to all services, so it is not sent before all stations have been sent.
+func (c *Core) nextUpdate(f *feed) (update transport.CoreUpdate, raw []byte) {
+	state := c.table.published.Load()
+	if c.dutyHolder != nil {
+		update.Clock, update.Settled = int64(c.clock.Now()), c.table.publishedDuties.Load().Usage.Through
 	}
-	if f.known {
-		d.Index = s.index
+	if f.announced {
+		update.Index = state.index
 		switch {
-		case f.want != 0 && s.index >= f.want:
-			raw, d.RawSteps = s.wanted(f.since, f.deflate)
-			d.Digest, d.Deflated = s.config.Digest(), f.deflate
-			d.Raw, f.want = int64(len(raw)), 0
-		case s.index > f.have:
-			if d.Steps = s.pushed(f.have); d.Steps != nil {
-				d.Digest = s.config.Digest()
+		case f.wantedIndex != 0 && state.index >= f.wantedIndex:
+			raw, update.RawSteps = state.requestedConfig(f.wantedSince, f.acceptsDeflate)
+			update.Digest, update.Deflated = state.config.Digest(), f.acceptsDeflate
+			update.Raw, f.wantedIndex = int64(len(raw)), 0
+		case state.index > f.configIndex:
+			if update.Steps = state.pushedSteps(f.configIndex); update.Steps != nil {
+				update.Digest = state.config.Digest()
 			}
 		}
-		f.have = s.index
+		f.configIndex = state.index
 	}
-	told := !c.settling() && c.nextStations(f, &d)
-	if !slices.Equal(f.cores, c.cores) {
-		d.Cores, f.cores = c.cores, c.cores
+	complete := !c.settling() && c.addStations(f, &update)
+	if !slices.Equal(f.sentMembers, c.members) {
+		update.Cores, f.sentMembers = c.members, c.members
 	}
-	if told {
-		if now := c.revisions.Current(); f.revision != now {
-			d.Revision, f.revision = now, now
+	if complete {
+		if revision := c.revisions.Current(); f.sentRevision != revision {
+			update.Revision, f.sentRevision = revision, revision
 		}
-		if f.known { // a proof without an index would prove any configuration
-			d.Fresh, f.proven = f.proven, 0
+		if f.announced { // without an index the proof would cover any configuration
+			update.Fresh, f.proofNumber = f.proofNumber, 0
 		}
 	}
-	d.MinLife, f.min = f.min, 0
-	if len(f.beats) > 0 {
-		w := f.beats[0]
-		f.beats = f.beats[1:]
-		d.Beat, d.Number = &w.beat, w.number
-		if len(f.beats) > 0 {
+	update.MinLife, f.minLife = f.minLife, 0
+	if len(f.pendingHeartbeats) > 0 {
+		pending := f.pendingHeartbeats[0]
+		f.pendingHeartbeats = f.pendingHeartbeats[1:]
+		update.Beat, update.Number = &pending.heartbeat, pending.number
+		if len(f.pendingHeartbeats) > 0 {
 			f.wake()
 		}
 	}
-	return d, raw
+	return update, raw
 }
 
-// wanted is what an agent is sent that has the configuration of an index and asks: the steps from
-// there, or the whole. One goroutine alone calls it.
-func (s *state) wanted(since uint64, deflate bool) (raw []byte, steps bool) {
+// requestedConfig returns the answer to an agent's request for the configuration: the steps from
+// the given index, or else the complete configuration. It must be called from one goroutine only.
+func (s *configState) requestedConfig(since uint64, deflate bool) (raw []byte, steps bool) {
 	if deflate {
-		if raw = s.compressedStepsSince(since); raw != nil {
+		if raw = s.compressedStepsFrom(since); raw != nil {
 			return raw, true
 		}
-		return s.compressedWhole(), false
+		return s.compressedConfig(), false
 	}
-	if raw = s.stepsSince(since); raw != nil {
+	if raw = s.encodedStepsFrom(since); raw != nil {
 		return raw, true
 	}
-	return s.encoded(), false
+	return s.encodedConfig(), false
 }
 
-// nextStations fills in stations that the agent has not been told of. It reports whether there are
-// no more.
-func (c *Core) nextStations(f *feed, d *transport.CoreUpdate) bool {
-	if f.whole {
-		d.Whole, f.whole = true, false
-		clear(f.dirty)
+// addStations adds stations that are still to be sent. It reports whether that was all of them.
+func (c *Core) addStations(f *feed, update *transport.CoreUpdate) bool {
+	if f.sendAll {
+		update.Whole, f.sendAll = true, false
+		clear(f.pendingStations)
 		for _, agent := range c.registry.Agents() {
-			f.dirty[agent] = true
+			f.pendingStations[agent] = true
 		}
 	}
-	for agent := range f.dirty {
-		if len(d.Stations) == mostStations {
+	for agent := range f.pendingStations {
+		if len(update.Stations) == maxStationsPerMessage {
 			f.wake()
 			return false
 		}
-		if h, ok := c.registry.Status(c.now(), agent); ok {
-			d.Stations = append(d.Stations, h)
+		if status, ok := c.registry.Status(c.now(), agent); ok {
+			update.Stations = append(update.Stations, status)
 		}
-		delete(f.dirty, agent)
+		delete(f.pendingStations, agent)
 	}
 	return true
 }
--- a/internal/mesh/controlplane/former_backends.go
+++ b/internal/mesh/controlplane/former_backends.go
@@ -2,25 +2,27 @@
 
 import "example.org/micaline/internal/mesh/transport"
 
-// mostFormerBackends bounds the ids that are kept: a call is sent again within seconds.
-const mostFormerBackends = 1024
+// maxFormerBackends limits the number of ids. Deregistrations are retried within seconds, so the
+// latest ids are sufficient.
+const maxFormerBackends = 1024
 
-// formerBackends are the agents beside backends that they tell of no more: who stands beside a
-// backend is the only one that knows whether it has left, cannot be reached, or comes back. So a call
-// of one that is not told of is handed there, and never acknowledged here. The zero value is empty.
+// formerBackends maps backends that are no longer announced to their last agents. Only its agent
+// knows whether a backend has left, is unreachable or returns, so a request about such a backend is
+// relayed to that agent and never acknowledged by the control plane alone. The zero value is empty.
 type formerBackends struct {
-	agents map[string]string // by id of the backend
-	ring   []string          // the ids, in the order in which they go
-	next   int
+	agents map[string]string // by backend id
+	ring   []string          // backend ids, in the order of insertion
+	// oldest is the position in ring to replace next.
+	oldest int
 }
 
-// note takes in that an agent says a new word of itself.
-func (f *formerBackends) note(before, now *transport.Station) {
-	if before == nil || before.Backend == nil || !now.Newer(before) {
+// recordChange records a new version of an agent's station.
+func (f *formerBackends) recordChange(previous, current *transport.Station) {
+	if previous == nil || previous.Backend == nil || !current.Newer(previous) {
 		return
 	}
-	if now.Backend == nil || now.Backend.ID != before.Backend.ID {
-		f.add(before.Backend.ID, before.Agent)
+	if current.Backend == nil || current.Backend.ID != previous.Backend.ID {
+		f.add(previous.Backend.ID, previous.Agent)
 	}
 }
 
@@ -33,14 +35,14 @@
 	if known {
 		return
 	}
-	if len(f.ring) < mostFormerBackends {
+	if len(f.ring) < maxFormerBackends {
 		f.ring = append(f.ring, id)
 		return
 	}
-	delete(f.agents, f.ring[f.next])
-	f.ring[f.next] = id
-	f.next = (f.next + 1) % mostFormerBackends
+	delete(f.agents, f.ring[f.oldest])
+	f.ring[f.oldest] = id
+	f.oldest = (f.oldest + 1) % maxFormerBackends
 }
 
-// agentOf returns the agent beside a backend that is told of no more; "" if none is known.
+// agentOf returns the last agent of a backend that is no longer announced, or "".
 func (f *formerBackends) agentOf(id string) string { return f.agents[id] }
--- a/internal/mesh/controlplane/handlers.go
+++ b/internal/mesh/controlplane/handlers.go
@@ -12,112 +12,112 @@
 )
 
 const (
-	answerIn  = 900 * time.Millisecond // callers move on after a second
-	mostPatch = 8 << 20                // bytes of a call
+	responseTimeout = 900 * time.Millisecond // clients try another node after a second
+	maxPatchBytes   = 8 << 20
 )
 
-// handler has one object for each resource.
+// handler returns the handler for all API resources.
 func (c *Core) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/api/config", &configs{c})
-	mux.Handle("/api/drain-zone/{zone}", forPresent(&evacuations{c}))
-	mux.Handle("/api/duties/{duty}/hand", forPresent(&dutyOrders{c, lease.Hand}))
-	mux.Handle("/api/duties/{duty}/revoke", forPresent(&dutyOrders{c, lease.Revoke}))
-	mux.Handle("/api/windows", forPresent(&windowList{c}))
-	mux.Handle("/api/windows/{name}/{what}", forPresent(&windowCalls{c}))
-	mux.Handle("/api/regions/{region}/plan", &regionPlans{c})
-	mux.Handle("/windows", &windowPage{c})
-	mux.Handle("/api/servers/{id}", &servers{c})
-	mux.Handle("/api/link", &links{c})
-	mux.Handle("/api/backup", &backups{c})
+	mux.Handle("/api/config", &configHandler{c})
+	mux.Handle("/api/drain-zone/{zone}", dropAbandoned(&evacuationHandler{c}))
+	mux.Handle("/api/duties/{duty}/hand", dropAbandoned(&dutyOrderHandler{c, lease.Hand}))
+	mux.Handle("/api/duties/{duty}/revoke", dropAbandoned(&dutyOrderHandler{c, lease.Revoke}))
+	mux.Handle("/api/windows", dropAbandoned(&windowListHandler{c}))
+	mux.Handle("/api/windows/{name}/{what}", dropAbandoned(&windowCommandHandler{c}))
+	mux.Handle("/api/regions/{region}/plan", &regionPlanHandler{c})
+	mux.Handle("/windows", &windowPageHandler{c})
+	mux.Handle("/api/servers/{id}", &serverHandler{c})
+	mux.Handle("/api/link", &linkHandler{c})
+	mux.Handle("/api/backup", &backupHandler{c})
 	return mux
 }
 
-func only(w http.ResponseWriter, methods string) {
+func methodNotAllowed(w http.ResponseWriter, methods string) {
 	w.Header().Set("Allow", methods)
-	problem(w, http.StatusMethodNotAllowed, "use "+methods)
+	writeProblem(w, http.StatusMethodNotAllowed, "use "+methods)
 }
 
-func body(w http.ResponseWriter, r *http.Request, most int64) ([]byte, bool) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, bool) {
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err != nil {
-		problem(w, http.StatusBadRequest, "body: can't be read whole: "+err.Error())
+		writeProblem(w, http.StatusBadRequest, "body: incomplete: "+err.Error())
 		return nil, false
 	}
-	return b, true
+	return text, true
 }
 
-// readJSON reads the body of a call into a document; it says false if that can't be, and has answered.
-func readJSON(w http.ResponseWriter, r *http.Request, most int64, into any) bool {
-	text, ok := body(w, r, most)
+// readJSON decodes the request body into target. On failure it writes a response and returns false.
+func readJSON(w http.ResponseWriter, r *http.Request, maxBytes int64, target any) bool {
+	text, ok := readBody(w, r, maxBytes)
 	if !ok {
 		return false
 	}
-	if err := json.Unmarshal(text, into); err != nil {
-		problem(w, http.StatusBadRequest, "body: "+err.Error())
+	if err := json.Unmarshal(text, target); err != nil {
+		writeProblem(w, http.StatusBadRequest, "body: "+err.Error())
 		return false
 	}
 	return true
 }
 
-// isCurrent waits until this machine holds all that was acknowledged before the call; it says false if
-// that can't be had, and has answered.
-func (c *Core) isCurrent(w http.ResponseWriter, r *http.Request) bool {
-	ctx, cancel := context.WithTimeout(r.Context(), answerIn)
+// waitUntilCurrent waits until this node has applied all changes that were acknowledged before the
+// request. On failure it writes a response and returns false.
+func (c *Core) waitUntilCurrent(w http.ResponseWriter, r *http.Request) bool {
+	ctx, cancel := context.WithTimeout(r.Context(), responseTimeout)
 	defer cancel()
 	if err := c.node.Read(ctx); err != nil {
-		problem(w, http.StatusServiceUnavailable, err.Error())
+		writeProblem(w, http.StatusServiceUnavailable, err.Error())
 		return false
 	}
 	return true
 }
 
-// configs is the configuration.
-type configs struct{ c *Core }
+// configHandler serves /api/config.
+type configHandler struct{ core *Core }
 
-func (h *configs) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *configHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
-		if !h.c.isCurrent(w, r) {
+		if !h.core.waitUntilCurrent(w, r) {
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		w.Write(h.c.table.now.Load().config.Items())
+		w.Write(h.core.table.published.Load().config.Items())
 	case http.MethodPatch:
-		b, ok := body(w, r, mostPatch)
+		text, ok := readBody(w, r, maxPatchBytes)
 		if !ok {
 			return
 		}
-		p, err := meshconfig.ParsePatch(b)
+		patch, err := meshconfig.ParsePatch(text)
 		if err == nil {
-			err = p.Contradiction()
+			err = patch.Contradiction()
 		}
-		if err != nil { // what is wrong by itself need not be agreed on
-			h.c.count.refused.Add(1)
-			refusalOf(err).answer(w)
+		if err != nil { // requests that are invalid in themselves need no consensus
+			h.core.counters.refused.Add(1)
+			newRefusal(err).write(w)
 			return
 		}
-		h.c.agree(w, r, meshconfig.Order{Op: meshconfig.OpPatch, Body: b})
+		h.core.handleOrder(w, r, meshconfig.Order{Op: meshconfig.OpPatch, Body: text})
 	default:
-		only(w, "GET, PATCH")
+		methodNotAllowed(w, "GET, PATCH")
 	}
 }
 
-// evacuations are the zones that are to get nothing.
-type evacuations struct{ c *Core }
+// evacuationHandler serves /api/drain-zone/{zone}, which evacuates a zone or returns it to service.
+type evacuationHandler struct{ core *Core }
 
-func (h *evacuations) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *evacuationHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	zone := r.PathValue("zone")
-	if _, known := h.c.set.Zones[zone]; !known {
-		problem(w, http.StatusNotFound, "zone: "+zone+" is none of the settings' zones")
+	if _, known := h.core.settings.Zones[zone]; !known {
+		writeProblem(w, http.StatusNotFound, "zone: "+zone+" is none of the settings' zones")
 		return
 	}
 	switch r.Method {
 	case http.MethodPost:
-		h.c.agree(w, r, meshconfig.Order{Op: meshconfig.OpEvacuate, Zone: zone})
+		h.core.handleOrder(w, r, meshconfig.Order{Op: meshconfig.OpEvacuate, Zone: zone})
 	case http.MethodDelete:
-		h.c.agree(w, r, meshconfig.Order{Op: meshconfig.OpReturn, Zone: zone})
+		h.core.handleOrder(w, r, meshconfig.Order{Op: meshconfig.OpReturn, Zone: zone})
 	default:
-		only(w, "POST, DELETE")
+		methodNotAllowed(w, "POST, DELETE")
 	}
 }
--- a/internal/mesh/controlplane/orders_history_test.go
+++ b/internal/mesh/controlplane/orders_history_test.go
@@ -19,119 +19,120 @@
 )
 
 var (
-	orderFirst = flag.Uint64("order-first", 0, "first seed of the operators' histories")
-	orderSeeds = flag.Uint64("order-seeds", 4, "how many seeds")
+	orderFirstSeed = flag.Uint64("order-first", 0, "first seed of the simulated histories")
+	orderSeedCount = flag.Uint64("order-seeds", 4, "number of seeds")
 )
 
-// simInput is a call of an operator, or one try of it.
+// simInput is an attempt at an operator's call.
 type simInput struct {
 	items []simItem
 	read  bool
-	zone  string // the method of an order for the zone; as a read: it is the zone that is read
+	zone  string // zone order: its HTTP method; zone read: the zone; otherwise ""
 }
 
-// simOutput is what an operator saw. Of a try without a clear answer it saw nothing: it may hold.
+// simOutput is the result that an operator saw. An attempt without a definite result, such as one
+// without a response, may or may not have been applied.
 type simOutput struct {
-	status int
-	items  map[string]simItem // of a read
-	zone   bool               // of a read: it is evacuated
+	status    int
+	items     map[string]simItem // result of a read of the items
+	evacuated bool               // result of a read of the zone
 }
 
-// simHistory is what all operators saw, try by try.
+// simHistory records the attempts of all operators.
 type simHistory struct {
-	mu    sync.Mutex
-	tries []porcupine.Operation
-	count map[int]int // by status
+	mu            sync.Mutex
+	attempts      []porcupine.Operation
+	countByStatus map[int]int
 }
 
-func (h *simHistory) add(in simInput, sent, ended time.Duration, status int, answer []byte) {
+func (h *simHistory) record(in simInput, sent, ended time.Duration, status int, response []byte) {
 	out := simOutput{status: status}
 	switch {
 	case !in.read || status != http.StatusOK:
 	case in.zone == "":
-		out.items = itemsOf(answer)
+		out.items = itemsOf(response)
 	default:
-		out.zone = string(answer) == "true"
+		out.evacuated = string(response) == "true"
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.count == nil {
-		h.count = map[int]int{}
+	if h.countByStatus == nil {
+		h.countByStatus = map[int]int{}
 	}
-	h.count[status]++
-	// A 503 says that the try did not hold and never will.
+	h.countByStatus[status]++
+	// A 503 states that the attempt was not applied and never will be.
 	if status == http.StatusServiceUnavailable || in.read && status != http.StatusOK {
 		return
 	}
-	// Two tries may end and begin at one moment of virtual time; the end comes first then.
-	op := porcupine.Operation{ClientId: len(h.tries), Input: in, Output: out, Call: int64(sent)*2 + 1, Return: int64(ended) * 2}
-	if op.Return < op.Call {
-		op.Return = op.Call
+	// Two attempts may end and begin at the same virtual time. Then the end counts as earlier.
+	operation := porcupine.Operation{ClientId: len(h.attempts), Input: in, Output: out, Call: int64(sent)*2 + 1, Return: int64(ended) * 2}
+	if operation.Return < operation.Call {
+		operation.Return = operation.Call
 	}
-	h.tries = append(h.tries, op)
+	h.attempts = append(h.attempts, operation)
 }
 
-func (o simOutput) clear() bool { return o.status != 0 && o.status < http.StatusInternalServerError }
+func (o simOutput) definite() bool { return o.status != 0 && o.status < http.StatusInternalServerError }
 
-// configModel is the configuration with the identity of all that was ever confirmed.
+// configModel is the configuration, with the content of every version that was ever confirmed.
 type configModel struct {
-	held   map[string]simItem // the newest of each name, drops included
-	claims map[simClaim]int   // the content of each version
+	newest   map[string]simItem  // newest version of each name, including removals
+	contents map[itemVersion]int // content of each version
 }
 
-type simClaim struct {
+type itemVersion struct {
 	name    string
 	version uint64
 }
 
 func (m configModel) contradicts(items []simItem) bool {
-	within := make(map[simClaim]int)
-	for _, i := range items {
-		claim := simClaim{i.Name, i.Version}
-		if content, known := m.claims[claim]; known && content != i.Content {
+	inCall := make(map[itemVersion]int)
+	for _, item := range items {
+		version := itemVersion{item.Name, item.Version}
+		if content, known := m.contents[version]; known && content != item.Content {
 			return true
 		}
-		if content, known := within[claim]; known && content != i.Content {
+		if content, known := inCall[version]; known && content != item.Content {
 			return true
 		}
-		within[claim] = i.Content
+		inCall[version] = item.Content
 	}
 	return false
 }
 
 func (m configModel) confirm(items []simItem) configModel {
-	next := configModel{maps.Clone(m.held), maps.Clone(m.claims)}
-	for _, i := range items {
-		next.claims[simClaim{i.Name, i.Version}] = i.Content
-		if i.Version > next.held[i.Name].Version {
-			next.held[i.Name] = i
+	next := configModel{maps.Clone(m.newest), maps.Clone(m.contents)}
+	for _, item := range items {
+		next.contents[itemVersion{item.Name, item.Version}] = item.Content
+		if item.Version > next.newest[item.Name].Version {
+			next.newest[item.Name] = item
 		}
 	}
 	return next
 }
 
-func (m configModel) standing() map[string]simItem {
+func (m configModel) present() map[string]simItem {
 	items := make(map[string]simItem)
-	for name, i := range m.held {
-		if i.Content != 0 {
-			items[name] = i
+	for name, item := range m.newest {
+		if item.Content != 0 {
+			items[name] = item
 		}
 	}
 	return items
 }
 
 var orderModel = porcupine.Model{
-	Init: func() any { return configModel{map[string]simItem{}, map[simClaim]int{}} },
+	Init: func() any { return configModel{map[string]simItem{}, map[itemVersion]int{}} },
 	Step: func(state, input, output any) (bool, any) {
 		m, in, out := state.(configModel), input.(simInput), output.(simOutput)
 		if in.read {
-			return maps.Equal(out.items, m.standing()), m
+			return maps.Equal(out.items, m.present()), m
 		}
 		contradicts := m.contradicts(in.items)
 		switch {
 		case out.status == http.StatusOK:
 			return !contradicts, m.confirm(in.items)
-		case out.clear(): // a refusal
+		case out.definite(): // refused
 			return contradicts, m
 		case contradicts:
 			return true, m
@@ -139,106 +140,108 @@
 		return true, m.confirm(in.items)
 	},
 	Equal: func(a, b any) bool {
-		one, two := a.(configModel), b.(configModel)
-		return maps.Equal(one.held, two.held) && maps.Equal(one.claims, two.claims)
+		first, second := a.(configModel), b.(configModel)
+		return maps.Equal(first.newest, second.newest) && maps.Equal(first.contents, second.contents)
 	},
 }
 
-// checkOrders judges what operators saw of the configuration.
+// checkOrders checks the attempts on configuration items for linearizability.
 func (h *simHistory) checkOrders() porcupine.CheckResult {
-	all := slices.DeleteFunc(slices.Clone(h.tries), func(op porcupine.Operation) bool { return op.Input.(simInput).zone != "" })
-	for i := range all {
-		if !all[i].Output.(simOutput).clear() {
-			all[i].Return = math.MaxInt64
+	attempts := slices.DeleteFunc(slices.Clone(h.attempts), func(op porcupine.Operation) bool { return op.Input.(simInput).zone != "" })
+	for i := range attempts {
+		if !attempts[i].Output.(simOutput).definite() {
+			attempts[i].Return = math.MaxInt64
 		}
 	}
-	return porcupine.CheckOperationsTimeout(orderModel, all, 20*time.Second)
+	return porcupine.CheckOperationsTimeout(orderModel, attempts, 20*time.Second)
 }
 
-// zoneModel is whether the zone is evacuated. An order without a clear answer took or did not.
+// zoneModel models whether the zone is evacuated. An order without a definite result may or may not
+// have been applied.
 var zoneModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(state, input, output any) []any {
 		in, out := input.(simInput), output.(simOutput)
 		after := in.zone == http.MethodPost
 		switch {
-		case in.read && out.zone != state.(bool):
+		case in.read && out.evacuated != state.(bool):
 			return nil
 		case in.read:
 			return []any{state}
 		case out.status == http.StatusOK:
 			return []any{after}
-		case out.clear(): // an order for a known zone is never refused
+		case out.definite(): // an order for a known zone is never refused
 			return nil
 		}
 		return []any{state, after}
 	},
 }
 
-// checkZone judges what operators saw of the zone. An order without a clear answer may take at any
-// time until an opposite one is acknowledged that was sent after its caller had gone on.
+// checkZone checks the attempts on the zone for linearizability. An order without a definite result
+// may be applied at any time until an opposite order is acknowledged that was sent after the caller
+// gave up the first.
 func (h *simHistory) checkZone() porcupine.CheckResult {
-	all := slices.DeleteFunc(slices.Clone(h.tries), func(op porcupine.Operation) bool { return op.Input.(simInput).zone == "" })
-	judged := slices.Clone(all)
-	for i, op := range all {
-		if op.Output.(simOutput).clear() {
+	attempts := slices.DeleteFunc(slices.Clone(h.attempts), func(op porcupine.Operation) bool { return op.Input.(simInput).zone == "" })
+	bounded := slices.Clone(attempts)
+	for i, op := range attempts {
+		if op.Output.(simOutput).definite() {
 			continue
 		}
-		judged[i].Return = math.MaxInt64
-		for _, other := range all {
+		bounded[i].Return = math.MaxInt64
+		for _, other := range attempts {
 			in := other.Input.(simInput)
 			opposite := !in.read && in.zone != op.Input.(simInput).zone && other.Output.(simOutput).status == http.StatusOK
 			if opposite && other.Call > op.Return {
-				judged[i].Return = min(judged[i].Return, other.Return)
+				bounded[i].Return = min(bounded[i].Return, other.Return)
 			}
 		}
 	}
-	return porcupine.CheckOperationsTimeout(zoneModel.ToModel(), judged, 20*time.Second)
+	return porcupine.CheckOperationsTimeout(zoneModel.ToModel(), bounded, 20*time.Second)
 }
 
-// count of each end, for the log.
+// String returns the number of attempts for each status, for the log.
 func (h *simHistory) String() string {
 	var parts []string
-	for _, status := range slices.Sorted(maps.Keys(h.count)) {
-		parts = append(parts, fmt.Sprint(h.count[status], " ended ", status))
+	for _, status := range slices.Sorted(maps.Keys(h.countByStatus)) {
+		parts = append(parts, fmt.Sprint(h.countByStatus[status], " ended ", status))
 	}
 	return strings.Join(parts, ", ")
 }
 
-// TestOrderHistories has operators send changes with few names, versions and contents, again and
-// again to other core machines where an answer is lost, while core machines are restarted and cut
-// off and their state is replaced by snapshots. What they saw must fit one order of all calls in
-// which each version has one content, and reads must show it.
+// Operators send changes with few names, versions and contents, and repeat them at other
+// control-plane nodes if a response is lost, while nodes restart, are cut off, and have their state
+// replaced by snapshots. The results must fit a single order of all calls in which each version has
+// one content, and reads must show it.
 func TestOrderHistories(t *testing.T) {
 	var mu sync.Mutex
 	counts := map[int]int{}
 	t.Run("seeds", func(t *testing.T) {
-		for seed := *orderFirst; seed < *orderFirst+*orderSeeds; seed++ {
+		for seed := *orderFirstSeed; seed < *orderFirstSeed+*orderSeedCount; seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				h := playOrders(t, seed, "")
+				h := simulateOrders(t, seed, "")
 				require.Equal(t, porcupine.Ok, h.checkOrders(), "%v", h)
 				require.Equal(t, porcupine.Ok, h.checkZone(), "%v", h)
 				mu.Lock()
 				defer mu.Unlock()
-				for status, n := range h.count {
+				for status, n := range h.countByStatus {
 					counts[status] += n
 				}
 			})
 		}
 	})
 	t.Log(counts)
-	require.Greater(t, min(counts[http.StatusOK], counts[http.StatusConflict], counts[0]), 4*int(*orderSeeds))
+	require.Greater(t, min(counts[http.StatusOK], counts[http.StatusConflict], counts[0]), 4*int(*orderSeedCount))
 }
 
-// Planted faults are found by what operators saw alone.
+// The linearizability check detects planted faults from the operators' results alone.
 func TestOrderHistoriesFindPlanted(t *testing.T) {
-	for _, planted := range []wrong{loseHistory, equalAccepted, overtakenRefused} {
+	for _, planted := range []fault{historyLost, equalVersionAccepted, supersededRefused} {
 		t.Run(string(planted), func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(0); ; seed++ {
-				require.Less(t, seed, uint64(30), "not found")
-				if playOrders(t, seed, planted).checkOrders() == porcupine.Illegal {
+				require.Less(t, seed, uint64(30), "fault not detected")
+				if simulateOrders(t, seed, planted).checkOrders() == porcupine.Illegal {
 					t.Log("seed", seed)
 					return
 				}
@@ -247,36 +250,36 @@
 	}
 }
 
-// An order for a zone is held up between core machines. Its caller goes on, and the zone is returned
-// through another one. What was held up then arrives, and must not evacuate the zone again.
+// An order for a zone is delayed between control-plane nodes. Its caller gives up, and the zone is
+// evacuated and returned through another node. The delayed order must not evacuate the zone again.
 func TestZoneOrderThatWasHeldUp(t *testing.T) {
-	for planted, evacuated := range map[wrong]bool{"": false, lateZoneOrder: true} {
+	for planted, evacuated := range map[fault]bool{"": false, lateZoneOrderApplied: true} {
 		t.Run(string(planted), func(t *testing.T) {
 			s := newSim(t, 1, planted)
-			s.late, s.lost = 0, 0
+			s.delayChance, s.lossChance = 0, 0
 			synctest.Test(t, func(t *testing.T) {
-				s.found(t)
-				defer s.end()
-				time.Sleep(simLate) // by now somebody leads
-				follower := slices.IndexFunc(s.cores, func(c *simCore) bool { return c.core.node.Status().Role == "follower" })
+				s.startAll(t)
+				defer s.stopAll()
+				time.Sleep(simMaxDelay) // until a leader is elected
+				follower := slices.IndexFunc(s.nodes, func(c *simNode) bool { return c.core.node.Status().Role == "follower" })
 				released := make(chan struct{})
-				s.holdUp(func(m consensus.Message) <-chan struct{} {
+				s.setHold(func(m consensus.Message) <-chan struct{} {
 					if m.Kind == consensus.Forward && m.From == simName(follower) {
 						return released
 					}
 					return nil
 				})
-				status, _ := s.call(s.rng, follower, http.MethodPost, "/api/drain-zone/"+simZone, nil)
+				status, _ := s.call(s.faultRNG, follower, http.MethodPost, "/api/drain-zone/"+simZone, nil)
 				require.NotEqual(t, http.StatusOK, status)
-				other := (follower + 1) % simCores
-				status, _ = s.call(s.rng, other, http.MethodPost, "/api/drain-zone/"+simZone, nil)
+				other := (follower + 1) % simNodes
+				status, _ = s.call(s.faultRNG, other, http.MethodPost, "/api/drain-zone/"+simZone, nil)
 				require.Equal(t, http.StatusOK, status)
-				status, _ = s.call(s.rng, other, http.MethodDelete, "/api/drain-zone/"+simZone, nil)
+				status, _ = s.call(s.faultRNG, other, http.MethodDelete, "/api/drain-zone/"+simZone, nil)
 				require.Equal(t, http.StatusOK, status)
 				close(released)
-				time.Sleep(simPatience)
-				_, answer := s.readZone(other)
-				require.Equal(t, fmt.Sprint(evacuated), string(answer))
+				time.Sleep(simCallTimeout)
+				_, body := s.readZone(other)
+				require.Equal(t, fmt.Sprint(evacuated), string(body))
 			})
 		})
 	}
--- a/internal/mesh/controlplane/orders_sim_test.go
+++ b/internal/mesh/controlplane/orders_sim_test.go
@@ -24,51 +24,51 @@
 )
 
 const (
-	simCores     = 3
-	simOperators = 4
-	simCalls     = 8                       // of each operator
-	simPatience  = time.Second             // of an operator with one core machine
-	simHop       = 2 * time.Millisecond    // of a message
-	simLate      = 2500 * time.Millisecond // of one that is late, at most
-	simZone      = "z"
+	simNodes            = 3
+	simOperators        = 4
+	simCallsPerOperator = 8
+	simCallTimeout      = time.Second             // how long an operator waits for one node
+	simDelay            = 2 * time.Millisecond    // usual delay of a message
+	simMaxDelay         = 2500 * time.Millisecond // additional delay of a late message, at most
+	simZone             = "z"
 )
 
-// wrong is a fault that is planted in a core machine's table.
-type wrong string
+// fault is a fault that is planted in a node's table.
+type fault string
 
 const (
-	loseHistory      wrong = "an order's identity is lost with a snapshot"
-	equalAccepted    wrong = "an equal version is accepted with other content"
-	overtakenRefused wrong = "a change sent again is refused once it was overtaken"
-	lateZoneOrder    wrong = "an order for a zone that was held up is carried out after the opposite one"
+	historyLost          fault = "an order's identity is lost with a snapshot"
+	equalVersionAccepted fault = "an equal version is accepted with other content"
+	supersededRefused    fault = "a change sent again is refused once it was overtaken"
+	lateZoneOrderApplied fault = "an order for a zone that was held up is carried out after the opposite one"
 )
 
-// simTable is a core machine's table, with what is planted. Now and then its state is replaced by
-// its own snapshot, as a member's is that was away.
+// simTable is a node's table with a planted fault. Now and then its state is replaced by its own
+// snapshot, as on a member that was away.
 type simTable struct {
 	*table
 	rng     *rand.Rand
-	planted wrong
+	planted fault
 }
 
 func (t *simTable) Apply(index uint64, command []byte) []byte {
-	var o meshconfig.Order
-	if err := gob.NewDecoder(bytes.NewReader(command)).Decode(&o); err != nil {
+	var order meshconfig.Order
+	if err := gob.NewDecoder(bytes.NewReader(command)).Decode(&order); err != nil {
 		panic(err)
 	}
 	switch t.planted {
-	case equalAccepted:
-		o.Strict = false
-	case lateZoneOrder:
-		o.Since = index
-	}
-	before := t.now.Load()
-	reply := t.table.Apply(index, encodeOrder(&o))
-	if t.planted == overtakenRefused && len(reply) == 0 && o.Op == meshconfig.OpPatch && before == t.now.Load() {
-		held := itemsOf(before.config.Items())
-		for _, i := range decodePatch(o.Body) {
-			if h, stands := held[i.Name]; stands && h.Version > i.Version {
-				return refusalOf(&meshconfig.Conflict{Item: i.Name}).encode()
+	case equalVersionAccepted:
+		order.Strict = false
+	case lateZoneOrderApplied:
+		order.Since = index
+	}
+	before := t.published.Load()
+	reply := t.table.Apply(index, encodeOrder(&order))
+	if t.planted == supersededRefused && len(reply) == 0 && order.Op == meshconfig.OpPatch && before == t.published.Load() {
+		present := itemsOf(before.config.Items())
+		for _, item := range decodePatch(order.Body) {
+			if newest, exists := present[item.Name]; exists && newest.Version > item.Version {
+				return newRefusal(&meshconfig.Conflict{Item: item.Name}).encode()
 			}
 		}
 	}
@@ -76,34 +76,34 @@
 		if err := t.Restore(index, t.Snapshot()); err != nil {
 			panic(err)
 		}
-		if t.planted == loseHistory {
+		if t.planted == historyLost {
 			t.history = meshconfig.NewHistory()
 		}
 	}
 	return reply
 }
 
-// sim is a few core machines in one process and in virtual time: real nodes on real files, their
-// network, and operators that call the handlers.
+// sim runs control-plane nodes in one process and in virtual time: real consensus nodes with real
+// files, a simulated network, and operators that call the HTTP handlers.
 type sim struct {
-	t       *testing.T
-	rng     *rand.Rand // of the goroutine that makes trouble
-	planted wrong
-	lost    float64 // chance of an answer to be lost
-	dirs    []string
-
-	mu    sync.Mutex
-	cores []*simCore
-	cut   map[[2]string]bool
-	late  float64                                           // chance of a message to be late
-	hold  func(m consensus.Message) (until <-chan struct{}) // nil: it is not held
-	dice  *rand.Rand
-
-	began   time.Time
-	history simHistory
+	t          *testing.T
+	faultRNG   *rand.Rand // for the goroutine that injects faults
+	planted    fault
+	lossChance float64 // probability that a response is lost
+	dirs       []string
+
+	mu          sync.Mutex
+	nodes       []*simNode
+	partitioned map[[2]string]bool
+	delayChance float64                                           // probability that a message is late
+	holdMessage func(m consensus.Message) (until <-chan struct{}) // returns nil if not held
+	networkRNG  *rand.Rand
+
+	startedAt time.Time
+	history   simHistory
 }
 
-type simCore struct {
+type simNode struct {
 	core    *Core
 	handler http.Handler
 	stop    context.CancelFunc
@@ -112,172 +112,172 @@
 func simName(n int) string { return fmt.Sprintf("10.0.0.%d:8000", n+1) }
 
 func (s *sim) start(n int, first bool) {
-	set := &bootstrap.Settings{Control: simName(n), FirstStart: first, DataFolder: s.dirs[n], Zones: map[string]string{simZone: "r"}}
-	for i := range simCores {
-		set.Seeds = append(set.Seeds, simName(i))
+	settings := &bootstrap.Settings{Control: simName(n), FirstStart: first, DataFolder: s.dirs[n], Zones: map[string]string{simZone: "r"}}
+	for i := range simNodes {
+		settings.Seeds = append(settings.Seeds, simName(i))
 	}
-	c := New(set, &log.Logger{Handler: discard.Default})
+	c := New(settings, &log.Logger{Handler: discard.Default})
 	ctx, stop := context.WithCancel(context.Background())
-	go c.own(ctx)
+	go c.runLoop(ctx)
 	s.mu.Lock()
-	rng := rand.New(rand.NewPCG(s.dice.Uint64(), 1))
+	rng := rand.New(rand.NewPCG(s.networkRNG.Uint64(), 1))
 	s.mu.Unlock()
-	node, err := consensus.Start(consensus.Options{Self: simName(n), Seeds: set.Seeds, FirstStart: first, Dir: s.dirs[n],
+	node, err := consensus.Start(consensus.Options{Self: simName(n), Seeds: settings.Seeds, FirstStart: first, Dir: s.dirs[n],
 		Table: &simTable{c.table, rng, s.planted}, Send: s.send, Log: c.log})
 	require.NoError(s.t, err)
 	c.node = node
 	s.mu.Lock()
-	s.cores[n] = &simCore{c, c.handler(), stop}
+	s.nodes[n] = &simNode{c, c.handler(), stop}
 	s.mu.Unlock()
 }
 
 func (s *sim) stop(n int) {
 	s.mu.Lock()
-	c := s.cores[n]
-	s.cores[n] = nil
+	node := s.nodes[n]
+	s.nodes[n] = nil
 	s.mu.Unlock()
-	if c != nil {
-		require.NoError(s.t, c.core.node.Close())
-		c.stop()
+	if node != nil {
+		require.NoError(s.t, node.core.node.Close())
+		node.stop()
 	}
 }
 
-func (s *sim) at(n int) *simCore {
+func (s *sim) node(n int) *simNode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cores[n]
+	return s.nodes[n]
 }
 
-// holdUp has messages wait until the channels that hold gives for them are closed.
-func (s *sim) holdUp(hold func(m consensus.Message) (until <-chan struct{})) {
+// setHold delays each message until the channel that hold returns for it is closed.
+func (s *sim) setHold(hold func(m consensus.Message) (until <-chan struct{})) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hold = hold
+	s.holdMessage = hold
 }
 
-// send hands a message over, late at times; a cut loses it.
+// send delivers a message, sometimes late. A partition loses it.
 func (s *sim) send(m consensus.Message) {
-	var b bytes.Buffer
-	if err := gob.NewEncoder(&b).Encode(m); err != nil {
+	var buffer bytes.Buffer
+	if err := gob.NewEncoder(&buffer).Encode(m); err != nil {
 		panic(err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wait := simHop
-	if s.dice.Float64() < s.late {
-		wait += time.Duration(s.dice.Int64N(int64(simLate)))
+	delay := simDelay
+	if s.networkRNG.Float64() < s.delayChance {
+		delay += time.Duration(s.networkRNG.Int64N(int64(simMaxDelay)))
 	}
-	if s.cut[[2]string{m.From, m.To}] {
+	if s.partitioned[[2]string{m.From, m.To}] {
 		return
 	}
 	var until <-chan struct{}
-	if s.hold != nil {
-		until = s.hold(m)
+	if s.holdMessage != nil {
+		until = s.holdMessage(m)
 	}
-	time.AfterFunc(wait, func() {
+	time.AfterFunc(delay, func() {
 		if until != nil {
 			<-until
 		}
 		var m consensus.Message
-		if err := gob.NewDecoder(&b).Decode(&m); err != nil {
+		if err := gob.NewDecoder(&buffer).Decode(&m); err != nil {
 			panic(err)
 		}
-		for n := range simCores {
-			if c := s.at(n); c != nil && simName(n) == m.To {
-				c.core.node.Receive(m)
+		for n := range simNodes {
+			if node := s.node(n); node != nil && simName(n) == m.To {
+				node.core.node.Receive(m)
 			}
 		}
 	})
 }
 
-// trouble restarts, cuts off and joins core machines until the context ends.
-func (s *sim) trouble(ctx context.Context) {
+// injectFaults restarts and partitions nodes until the context ends.
+func (s *sim) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
-		time.Sleep(time.Duration(200+s.rng.IntN(900)) * time.Millisecond)
-		n := s.rng.IntN(simCores)
-		switch s.rng.IntN(3) {
+		time.Sleep(time.Duration(200+s.faultRNG.IntN(900)) * time.Millisecond)
+		n := s.faultRNG.IntN(simNodes)
+		switch s.faultRNG.IntN(3) {
 		case 0:
 			s.stop(n)
-			time.Sleep(time.Duration(s.rng.IntN(600)) * time.Millisecond)
+			time.Sleep(time.Duration(s.faultRNG.IntN(600)) * time.Millisecond)
 			s.start(n, false)
 		case 1:
-			s.separate(n, true)
-			time.Sleep(time.Duration(500+s.rng.IntN(1500)) * time.Millisecond)
-			s.separate(n, false)
+			s.setPartition(n, true)
+			time.Sleep(time.Duration(500+s.faultRNG.IntN(1500)) * time.Millisecond)
+			s.setPartition(n, false)
 		}
 	}
 }
 
-func (s *sim) separate(n int, apart bool) {
+func (s *sim) setPartition(n int, partitioned bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range simCores {
-		s.cut[[2]string{simName(n), simName(i)}] = apart
-		s.cut[[2]string{simName(i), simName(n)}] = apart
+	for i := range simNodes {
+		s.partitioned[[2]string{simName(n), simName(i)}] = partitioned
+		s.partitioned[[2]string{simName(i), simName(n)}] = partitioned
 	}
 }
 
-// call brings one call to a core machine and returns its status, 0 if no answer came: because the
-// machine is down, because the caller's patience was over, or as the answer is lost.
-func (s *sim) call(rng *rand.Rand, n int, method, path string, body []byte) (status int, answer []byte) {
-	c := s.at(n)
-	if c == nil {
-		time.Sleep(simHop)
-		return http.StatusServiceUnavailable, nil // no connection comes up: it got nowhere
+// call sends one call to a node and returns the status, or 0 if there is no response: because the
+// call timed out or the response was lost.
+func (s *sim) call(rng *rand.Rand, n int, method, path string, body []byte) (status int, response []byte) {
+	node := s.node(n)
+	if node == nil {
+		time.Sleep(simDelay)
+		return http.StatusServiceUnavailable, nil // no connection, so the call had no effect
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), simPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), simCallTimeout)
 	defer cancel()
-	w := httptest.NewRecorder()
+	recorder := httptest.NewRecorder()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.handler.ServeHTTP(w, httptest.NewRequestWithContext(ctx, method, path, bytes.NewReader(body)))
+		node.handler.ServeHTTP(recorder, httptest.NewRequestWithContext(ctx, method, path, bytes.NewReader(body)))
 	}()
 	select {
 	case <-done:
 	case <-ctx.Done():
 		return 0, nil
 	}
-	if rng.Float64() < s.lost {
-		return 0, nil // the answer is lost
+	if rng.Float64() < s.lossChance {
+		return 0, nil // the response is lost
 	}
-	return w.Code, w.Body.Bytes()
+	return recorder.Code, recorder.Body.Bytes()
 }
 
-// operate is an operator: it sends each call again to other core machines until there is a clear
-// answer, and reads now and then. All share few names and versions.
-func (s *sim) operate(rng *rand.Rand) {
-	for range simCalls {
+// runOperator simulates an operator, which repeats each call at random nodes until it has a
+// definite result, and reads now and then. All operators use the same few names and versions.
+func (s *sim) runOperator(rng *rand.Rand) {
+	for range simCallsPerOperator {
 		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 		switch rng.IntN(6) {
 		case 0:
-			s.order(rng, simInput{zone: pickOf(rng, http.MethodPost, http.MethodDelete)})
+			s.sendOrder(rng, simInput{zone: pick(rng, http.MethodPost, http.MethodDelete)})
 		case 1:
-			s.order(rng, simInput{read: true, zone: pickOf(rng, "", simZone)})
+			s.sendOrder(rng, simInput{read: true, zone: pick(rng, "", simZone)})
 		default:
-			s.order(rng, simInput{items: drawItems(rng)})
+			s.sendOrder(rng, simInput{items: randomItems(rng)})
 		}
 	}
 }
 
-const simTries = 6
+const simMaxAttempts = 6
 
-// readZone tells whether the zone is evacuated, by what a core machine has when it is current.
-func (s *sim) readZone(n int) (status int, answer []byte) {
-	c := s.at(n)
-	if c == nil {
-		time.Sleep(simHop)
+// readZone returns whether the zone is evacuated, as read from an up-to-date node.
+func (s *sim) readZone(n int) (status int, response []byte) {
+	node := s.node(n)
+	if node == nil {
+		time.Sleep(simDelay)
 		return 0, nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), simPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), simCallTimeout)
 	defer cancel()
-	if c.core.node.Read(ctx) != nil {
+	if node.core.node.Read(ctx) != nil {
 		return 0, nil
 	}
-	return http.StatusOK, fmt.Append(nil, c.core.table.now.Load().config.Evacuated(simZone))
+	return http.StatusOK, fmt.Append(nil, node.core.table.published.Load().config.Evacuated(simZone))
 }
 
-func (s *sim) order(rng *rand.Rand, in simInput) {
+func (s *sim) sendOrder(rng *rand.Rand, in simInput) {
 	method, path, body := http.MethodPatch, "/api/config", in.body(rng)
 	switch {
 	case in.read:
@@ -285,16 +285,16 @@
 	case in.zone != "":
 		method, path = in.zone, "/api/drain-zone/"+simZone
 	}
-	for range simTries {
-		sent := time.Since(s.began)
+	for range simMaxAttempts {
+		sent := time.Since(s.startedAt)
 		var status int
-		var answer []byte
+		var response []byte
 		if in.read && in.zone != "" {
-			status, answer = s.readZone(rng.IntN(simCores))
+			status, response = s.readZone(rng.IntN(simNodes))
 		} else {
-			status, answer = s.call(rng, rng.IntN(simCores), method, path, body)
+			status, response = s.call(rng, rng.IntN(simNodes), method, path, body)
 		}
-		s.history.add(in, sent, time.Since(s.began), status, answer)
+		s.history.record(in, sent, time.Since(s.startedAt), status, response)
 		if status != 0 && status < http.StatusInternalServerError {
 			return
 		}
@@ -302,49 +302,49 @@
 	}
 }
 
-func pickOf[T any](rng *rand.Rand, of ...T) T { return of[rng.IntN(len(of))] }
+func pick[T any](rng *rand.Rand, choices ...T) T { return choices[rng.IntN(len(choices))] }
 
-// drawItems is what a call says: one item or two, of few names, versions and contents.
-func drawItems(rng *rand.Rand) (items []simItem) {
+// randomItems returns one or two items for a call, with few names, versions and contents.
+func randomItems(rng *rand.Rand) (items []simItem) {
 	for range 1 + rng.IntN(2) {
-		items = append(items, simItem{Name: pickOf(rng, "a", "b"), Version: uint64(1 + rng.IntN(5)), Content: rng.IntN(3)})
+		items = append(items, simItem{Name: pick(rng, "a", "b"), Version: uint64(1 + rng.IntN(5)), Content: rng.IntN(3)})
 	}
 	return items
 }
 
-// simItem is one item of a call: a service that is set with some figure, or dropped.
+// simItem is an item of a call: a service that is set to some content, or removed.
 type simItem struct {
 	Name    string
 	Version uint64
-	Content int // 0: it is dropped
+	Content int // 0 if the item is removed
 }
 
-// body writes the items, each time in one of several spellings.
+// body encodes the items, in one of several spellings.
 func (in simInput) body(rng *rand.Rand) []byte {
 	var add, remove []string
-	for _, i := range in.items {
-		version := fmt.Sprintf(pickOf(rng, "%08x", "%x"), i.Version)
-		if i.Content == 0 {
-			remove = append(remove, fmt.Sprintf(`{"name":%q,"version":%q}`, i.Name, version))
+	for _, item := range in.items {
+		version := fmt.Sprintf(pick(rng, "%08x", "%x"), item.Version)
+		if item.Content == 0 {
+			remove = append(remove, fmt.Sprintf(`{"name":%q,"version":%q}`, item.Name, version))
 			continue
 		}
-		head, figure := fmt.Sprintf(`"metadata":{"name":%q,"version":%q}`, i.Name, version), fmt.Sprintf(pickOf(rng, "%d", "%d.0", "%d0e-1"), i.Content)
-		add = append(add, pickOf(rng,
-			fmt.Sprintf(`{"item_kind":"services",%s,"body":{"max_conns":%s,"tls":false}}`, head, figure),
-			fmt.Sprintf(`{"body": {"tls":false, "max_conns":%s}, %s, "item_kind":"services"}`, figure, head)))
+		metadata, content := fmt.Sprintf(`"metadata":{"name":%q,"version":%q}`, item.Name, version), fmt.Sprintf(pick(rng, "%d", "%d.0", "%d0e-1"), item.Content)
+		add = append(add, pick(rng,
+			fmt.Sprintf(`{"item_kind":"services",%s,"body":{"max_conns":%s,"tls":false}}`, metadata, content),
+			fmt.Sprintf(`{"body": {"tls":false, "max_conns":%s}, %s, "item_kind":"services"}`, content, metadata)))
 	}
-	body, err := json.Marshal(map[string]any{"add": map[string]any{"items": raws(add)}, "remove": map[string]any{"services": raws(remove)}})
+	body, err := json.Marshal(map[string]any{"add": map[string]any{"items": rawMessages(add)}, "remove": map[string]any{"services": rawMessages(remove)}})
 	if err != nil {
 		panic(err)
 	}
 	return body
 }
 
-func raws(texts []string) (all []json.RawMessage) {
+func rawMessages(texts []string) (messages []json.RawMessage) {
 	for _, text := range texts {
-		all = append(all, json.RawMessage(text))
+		messages = append(messages, json.RawMessage(text))
 	}
-	return all
+	return messages
 }
 
 type itemDocument struct {
@@ -355,12 +355,12 @@
 }
 
 func (d itemDocument) item() simItem {
-	i := simItem{Name: d.Metadata.Name, Content: int(d.Body.MaxConns)}
-	fmt.Sscanf(d.Metadata.Version, "%x", &i.Version)
-	return i
+	item := simItem{Name: d.Metadata.Name, Content: int(d.Body.MaxConns)}
+	fmt.Sscanf(d.Metadata.Version, "%x", &item.Version)
+	return item
 }
 
-// itemsOf reads what GET /api/config answers.
+// itemsOf decodes the response to GET /api/config.
 func itemsOf(text []byte) map[string]simItem {
 	var list struct{ Items []itemDocument }
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -373,69 +373,69 @@
 	return items
 }
 
-// decodePatch reads the items that a call sets or drops.
+// decodePatch decodes the items that a call sets or removes.
 func decodePatch(body []byte) (items []simItem) {
-	var d struct {
+	var patch struct {
 		Add    struct{ Items []itemDocument }
 		Remove struct {
 			Services []struct{ Name, Version string }
 		}
 	}
-	if err := json.Unmarshal(body, &d); err != nil {
+	if err := json.Unmarshal(body, &patch); err != nil {
 		panic(err)
 	}
-	for _, i := range d.Add.Items {
-		items = append(items, i.item())
+	for _, item := range patch.Add.Items {
+		items = append(items, item.item())
 	}
-	for _, i := range d.Remove.Services {
-		dropped := itemDocument{Metadata: i}
+	for _, item := range patch.Remove.Services {
+		dropped := itemDocument{Metadata: item}
 		items = append(items, dropped.item())
 	}
 	return items
 }
 
-func newSim(t *testing.T, seed uint64, planted wrong) *sim {
-	s := &sim{t: t, planted: planted, cut: map[[2]string]bool{}, late: 0.03, lost: 0.35, cores: make([]*simCore, simCores),
-		rng: rand.New(rand.NewPCG(seed, 1)), dice: rand.New(rand.NewPCG(seed, 2))}
-	for n := range simCores {
+func newSim(t *testing.T, seed uint64, planted fault) *sim {
+	s := &sim{t: t, planted: planted, partitioned: map[[2]string]bool{}, delayChance: 0.03, lossChance: 0.35, nodes: make([]*simNode, simNodes),
+		faultRNG: rand.New(rand.NewPCG(seed, 1)), networkRNG: rand.New(rand.NewPCG(seed, 2))}
+	for n := range simNodes {
 		s.dirs = append(s.dirs, filepath.Join(t.TempDir(), fmt.Sprint(n)))
 	}
 	return s
 }
 
-// found starts all core machines for the first time.
-func (s *sim) found(t *testing.T) {
-	s.t, s.began = t, time.Now()
-	for n := range simCores {
+// startAll starts all nodes for the first time.
+func (s *sim) startAll(t *testing.T) {
+	s.t, s.startedAt = t, time.Now()
+	for n := range simNodes {
 		s.start(n, true)
 	}
 }
 
-// end stops all once nothing is on its way.
-func (s *sim) end() {
-	time.Sleep(simLate + simPatience)
-	for n := range simCores {
+// stopAll stops all nodes once no message is in flight.
+func (s *sim) stopAll() {
+	time.Sleep(simMaxDelay + simCallTimeout)
+	for n := range simNodes {
 		s.stop(n)
 	}
 	synctest.Wait()
 }
 
-// playOrders plays a seed and returns what the operators saw.
-func playOrders(t *testing.T, seed uint64, planted wrong) *simHistory {
+// simulateOrders runs a simulation and returns the operators' attempts.
+func simulateOrders(t *testing.T, seed uint64, planted fault) *simHistory {
 	s := newSim(t, seed, planted)
 	synctest.Test(t, func(t *testing.T) {
-		s.found(t)
-		defer s.end()
+		s.startAll(t)
+		defer s.stopAll()
 		ctx, cancel := context.WithCancel(context.Background())
-		troubled := make(chan struct{})
-		go func() { s.trouble(ctx); close(troubled) }()
+		faultsEnded := make(chan struct{})
+		go func() { s.injectFaults(ctx); close(faultsEnded) }()
 		var operators sync.WaitGroup
 		for n := range simOperators {
-			operators.Go(func() { s.operate(rand.New(rand.NewPCG(seed, uint64(10+n)))) })
+			operators.Go(func() { s.runOperator(rand.New(rand.NewPCG(seed, uint64(10+n)))) })
 		}
 		operators.Wait()
 		cancel()
-		<-troubled
+		<-faultsEnded
 	})
 	return &s.history
 }
--- a/internal/mesh/controlplane/peers.go
+++ b/internal/mesh/controlplane/peers.go
@@ -11,111 +11,113 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// peers carries messages to other core machines, each over a connection of its own that is opened when there is something to send.
-// Of more than mostPeers the one gives way that has been sent nothing for longest: machines are replaced at other addresses.
+// peers sends messages to other control-plane nodes, over one connection each, which is opened when
+// there is a message to send. If there are more than maxPeers, the least recently used connection
+// is closed, because replaced machines have new addresses.
 type peers struct {
-	set  *bootstrap.Settings
-	mu   sync.Mutex
-	to   map[string]*peer
-	sent uint64 // messages so far
+	settings  *bootstrap.Settings
+	mu        sync.Mutex
+	byAddress map[string]*peer
+	sentCount uint64 // number of messages so far; orders the peers by last use
 }
 
-// peer is another core machine.
+// peer is another control-plane node.
 type peer struct {
-	queue chan consensus.Message // closed once the peer gives way
-	used  uint64                 // number of the last message to it
+	queue    chan consensus.Message // closed when the peer is evicted
+	lastUsed uint64                 // value of sentCount at the latest message
 }
 
 const (
-	mostPeers = 64 // at once: above the core machines that there are
-	peerQueue = 64 // messages that wait for a peer
+	maxPeers      = 64 // more than the expected number of control-plane nodes
+	peerQueueSize = 64 // messages that wait for a peer
 )
 
-func newPeers(set *bootstrap.Settings) *peers {
-	return &peers{set: set, to: map[string]*peer{}}
+func newPeers(settings *bootstrap.Settings) *peers {
+	return &peers{settings: settings, byAddress: map[string]*peer{}}
 }
 
-// send queues a message; where the queue is full it is lost, which the agreement bears.
-func (p *peers) send(m consensus.Message) {
+// send queues a message. If the queue is full the message is lost, which consensus tolerates.
+func (p *peers) send(message consensus.Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to := p.to[m.To]
-	if to == nil {
-		p.makeRoom()
-		to = &peer{queue: make(chan consensus.Message, peerQueue)}
-		p.to[m.To] = to
-		go p.carry(m.To, to.queue)
+	target := p.byAddress[message.To]
+	if target == nil {
+		p.evictOldest()
+		target = &peer{queue: make(chan consensus.Message, peerQueueSize)}
+		p.byAddress[message.To] = target
+		go p.sendLoop(message.To, target.queue)
 	}
-	p.sent++
-	to.used = p.sent
+	p.sentCount++
+	target.lastUsed = p.sentCount
 	select {
-	case to.queue <- m:
+	case target.queue <- message:
 	default:
 	}
 }
 
-// makeRoom has the peer that was used least recently give way if there are as many as there may be.
-func (p *peers) makeRoom() {
-	if len(p.to) < mostPeers {
+// evictOldest evicts the least recently used peer if there are maxPeers.
+func (p *peers) evictOldest() {
+	if len(p.byAddress) < maxPeers {
 		return
 	}
 	oldest := ""
-	for address, to := range p.to {
-		if oldest == "" || to.used < p.to[oldest].used {
+	for address, candidate := range p.byAddress {
+		if oldest == "" || candidate.lastUsed < p.byAddress[oldest].lastUsed {
 			oldest = address
 		}
 	}
-	close(p.to[oldest].queue)
-	delete(p.to, oldest)
+	close(p.byAddress[oldest].queue)
+	delete(p.byAddress, oldest)
 }
 
-func (p *peers) carry(to string, q chan consensus.Message) {
-	var c *transport.Conn
-	var failed time.Time
-	for m := range q {
-		if c == nil {
-			if time.Since(failed) < 100*time.Millisecond {
+// sendLoop sends the queued messages to a peer until the queue is closed.
+func (p *peers) sendLoop(address string, queue chan consensus.Message) {
+	var conn *transport.Conn
+	var failedAt time.Time
+	for message := range queue {
+		if conn == nil {
+			if time.Since(failedAt) < 100*time.Millisecond {
 				continue
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			var err error
-			c, err = transport.Dial(ctx, transport.UsePeer, p.set.Control, sidecar.Inner(p.set, to))
+			conn, err = transport.Dial(ctx, transport.UsePeer, p.settings.Control, sidecar.Inner(p.settings, address))
 			cancel()
 			if err != nil {
-				c, failed = nil, time.Now()
-				for len(q) > 0 { // what has waited behind a dead address is old
-					<-q
+				conn, failedAt = nil, time.Now()
+				for len(queue) > 0 { // messages for an unreachable address are outdated
+					<-queue
 				}
 				continue
 			}
-			go func(c *transport.Conn) { // nothing comes on it but its end
-				var b [1]byte
-				c.Read(b[:])
-				c.Close()
-			}(c)
+			go func(conn *transport.Conn) { // receives nothing but the end of the connection
+				var buffer [1]byte
+				conn.Read(buffer[:])
+				conn.Close()
+			}(conn)
 		}
-		c.SetWriteDeadline(time.Now().Add(sendWithin(m)))
-		if err := c.Send(m, nil); err != nil {
-			c.Close()
-			c = nil
+		conn.SetWriteDeadline(time.Now().Add(sendTimeout(message)))
+		if err := conn.Send(message, nil); err != nil {
+			conn.Close()
+			conn = nil
 		}
 	}
-	if c != nil {
-		c.Close()
+	if conn != nil {
+		conn.Close()
 	}
 }
 
-const slowestLink = 64 << 10 // bytes a second: over a slower one large commands don't go
+const minLinkRate = 64 << 10 // bytes per second; large commands need at least this rate
 
-// sendWithin is how long a message may take to go out: one with a large command needs its time, or
-// it would be cut and sent again from its start for ever.
-func sendWithin(m consensus.Message) time.Duration {
-	size := len(m.Command)
-	for _, e := range m.Entries {
-		size += len(e.Command)
+// sendTimeout returns the time limit for sending a message. It grows with the size, because a large
+// message that is always cut off would be sent again from its start forever.
+func sendTimeout(message consensus.Message) time.Duration {
+	size := len(message.Command)
+	for _, entry := range message.Entries {
+		size += len(entry.Command)
 	}
-	if m.Snapshot != nil {
-		size += len(m.Snapshot.Data)
+	if message.Snapshot != nil {
+		size += len(message.Snapshot.Data)
 	}
-	return time.Second + time.Duration(size)*time.Second/slowestLink
+	return time.Second + time.Duration(size)*time.Second/minLinkRate
 }
--- a/internal/mesh/controlplane/peers_test.go
+++ b/internal/mesh/controlplane/peers_test.go
@@ -13,48 +13,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestManyPeers: a core machine reaches each of more others than it keeps connections to, and those
-// that it has not spoken to for longest give theirs up.
+// A node reaches more peers than it keeps connections to. The connections that were not used for
+// the longest time are closed.
 func TestManyPeers(t *testing.T) {
-	const others = mostPeers + 8
-	set := &bootstrap.Settings{Control: "127.0.0.1:8620"}
-	heard, ended := make(chan string, others), make(chan string, others)
+	const others = maxPeers + 8
+	settings := &bootstrap.Settings{Control: "127.0.0.1:8620"}
+	received, ended := make(chan string, others), make(chan string, others)
 	listen := func(i int) string {
 		l, err := net.Listen("tcp4", fmt.Sprintf("127.77.0.%d:0", i+1))
 		require.NoError(t, err)
 		t.Cleanup(func() { l.Close() })
-		uses := map[string]func(transport.Hello, *transport.Conn){transport.UsePeer: func(_ transport.Hello, c *transport.Conn) {
-			var m consensus.Message
-			for c.Receive(&m) == nil {
-				heard <- m.To
+		handlers := map[string]func(transport.Hello, *transport.Conn){transport.UsePeer: func(_ transport.Hello, conn *transport.Conn) {
+			var message consensus.Message
+			for conn.Receive(&message) == nil {
+				received <- message.To
 			}
-			ended <- m.To
+			ended <- message.To
 		}}
-		go (&transport.Server{Handlers: uses}).Serve(l)
+		go (&transport.Server{Handlers: handlers}).Serve(l)
 		return l.Addr().String()
 	}
-	p := newPeers(set)
+	p := newPeers(settings)
 	for i := range others {
-		at := listen(i)
-		host, port, err := net.SplitHostPort(at)
+		address := listen(i)
+		host, port, err := net.SplitHostPort(address)
 		require.NoError(t, err)
-		_, err = fmt.Sscan(port, &set.SparePorts[0]) // read by the peer's goroutine before it is set again
+		_, err = fmt.Sscan(port, &settings.SparePorts[0]) // the previous peer has read it by now
 		require.NoError(t, err)
 		to := net.JoinHostPort(host, "8620")
-		require.Equal(t, at, sidecar.Inner(set, to))
+		require.Equal(t, address, sidecar.Inner(settings, to))
 		p.send(consensus.Message{To: to})
 		select {
-		case got := <-heard:
+		case got := <-received:
 			require.Equal(t, to, got)
 		case <-time.After(10 * time.Second):
-			require.Fail(t, "never heard", to)
+			require.Fail(t, "message did not arrive", to)
 		}
 	}
-	var oldest, gaveWay []string // each connection's end is heard by a goroutine of its own, so in any order
-	for i := range others - mostPeers {
+	var oldest, closed []string // the ends of connections are seen by several goroutines, so in any order
+	for i := range others - maxPeers {
 		oldest = append(oldest, fmt.Sprintf("127.77.0.%d:8620", i+1))
-		gaveWay = append(gaveWay, <-ended)
+		closed = append(closed, <-ended)
 	}
-	require.ElementsMatch(t, oldest, gaveWay)
-	require.Empty(t, ended, "others gave way too")
+	require.ElementsMatch(t, oldest, closed)
+	require.Empty(t, ended, "other connections were closed, too")
 }
--- a/internal/mesh/controlplane/platform.go
+++ b/internal/mesh/controlplane/platform.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	platformTimeout = 2 * time.Second // of one call
-	mostReply       = 64 << 10        // bytes of the platform's answer that are read
+	platformTimeout = 2 * time.Second // for one call
+	maxReplyBytes   = 64 << 10        // limit for reading the platform's response
 )
 
-// platform is the operators' platform as the holder of a duty calls it.
-type platform struct {
+// platformClient calls the operators' platform for the holder of a duty.
+type platformClient struct {
 	address string // host:port
-	node    string // the holder's machine, as it names itself
+	node    string // name of this node
 	client  http.Client
 }
 
-func newPlatform(address, node string) *platform {
-	return &platform{address: address, node: node, client: http.Client{
+func newPlatformClient(address, node string) *platformClient {
+	return &platformClient{address: address, node: node, client: http.Client{
 		Transport:     &http.Transport{MaxConnsPerHost: 2, IdleConnTimeout: 30 * time.Second, DisableCompression: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// report sends the report of a window under a fence. After is when the platform wants to be called
-// again, 0 if it did not say.
-func (p *platform) report(ctx context.Context, fence uint64, r *usage.Report) (result duties.Result, after time.Duration) {
-	body, err := json.Marshal(r)
+// sendReport sends a report with a fencing token. RetryAfter is the pause that the platform asks
+// for, or 0.
+func (p *platformClient) sendReport(ctx context.Context, fence uint64, report *usage.Report) (result duties.Result, retryAfter time.Duration) {
+	body, err := json.Marshal(report)
 	if err != nil {
 		panic(err) // plain fields always encode
 	}
@@ -54,7 +54,7 @@
 		return duties.CallUnknown, 0
 	}
 	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, mostReply))
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxReplyBytes))
 	switch {
 	case resp.StatusCode/100 == 2:
 		return duties.CallAccepted, 0
--- a/internal/mesh/controlplane/platform_test.go
+++ b/internal/mesh/controlplane/platform_test.go
@@ -14,29 +14,29 @@
 	"example.org/micaline/internal/mesh/usage"
 )
 
-// What the platform answers is taken for no more than it says.
+// Each kind of response from the platform leads to the right result and pause.
 func TestPlatformAnswers(t *testing.T) {
 	type call struct {
-		body string
-		head http.Header
+		body   string
+		header http.Header
 	}
 	calls := make(chan call, 1)
-	status, after := 0, ""
+	status, retryAfter := 0, ""
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
 		calls <- call{string(text), r.Header}
 		if status == 0 {
 			panic(http.ErrAbortHandler)
 		}
-		if after != "" {
-			w.Header().Set("Retry-After", after)
+		if retryAfter != "" {
+			w.Header().Set("Retry-After", retryAfter)
 		}
 		w.Header().Set("Location", "/elsewhere")
 		w.WriteHeader(status)
 	}))
 	defer server.Close()
-	p := newPlatform(server.Listener.Addr().String(), "core-1")
-	r := &usage.Report{Window: 353445120, Counts: map[string]uint64{"acme": 412}}
+	p := newPlatformClient(server.Listener.Addr().String(), "core-1")
+	report := &usage.Report{Window: 353445120, Counts: map[string]uint64{"acme": 412}}
 	for _, c := range []struct {
 		status int
 		after  string
@@ -46,11 +46,11 @@
 		{200, "", duties.CallAccepted, 0}, {204, "9", duties.CallAccepted, 0}, {409, "9", duties.CallFenced, 0}, {429, "1.5", duties.CallUnknown, 1500 * time.Millisecond},
 		{503, "", duties.CallUnknown, 0}, {503, "-1", duties.CallUnknown, 0}, {503, "1e9", duties.CallUnknown, 0}, {307, "", duties.CallUnknown, 0}, {0, "", duties.CallUnknown, 0},
 	} {
-		status, after = c.status, c.after
-		result, wait := p.report(context.Background(), 12, r)
+		status, retryAfter = c.status, c.after
+		result, wait := p.sendReport(context.Background(), 12, report)
 		require.Equal(t, []any{c.result, c.wait}, []any{result, wait}, "%+v", c)
 		got := <-calls
 		require.JSONEq(t, `{"window":353445120,"counts":{"acme":412}}`, got.body)
-		require.Equal(t, []string{"core-1", "12"}, []string{got.head.Get("Duty-Holder"), got.head.Get("Fence-Number")})
+		require.Equal(t, []string{"core-1", "12"}, []string{got.header.Get("Duty-Holder"), got.header.Get("Fence-Number")})
 	}
 }
--- a/internal/mesh/controlplane/regions.go
+++ b/internal/mesh/controlplane/regions.go
@@ -8,34 +8,35 @@
 	"example.org/micaline/internal/mesh/maintenance"
 )
 
-// regionPlans is GET /api/regions/{region}/plan: what the loss of a region, or of a zone, would mean.
-type regionPlans struct{ c *Core }
+// regionPlanHandler serves GET /api/regions/{region}/plan: the effects of losing a region or a
+// zone.
+type regionPlanHandler struct{ core *Core }
 
-func (h *regionPlans) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *regionPlanHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet {
-		only(w, "GET")
+		methodNotAllowed(w, "GET")
 		return
 	}
 	region := r.PathValue("region")
-	zones := h.c.zonesOf(region)
+	zones := h.core.zonesInRegion(region)
 	if len(zones) == 0 {
-		problem(w, http.StatusNotFound, "region: "+region+" is none of the settings' regions or zones")
+		writeProblem(w, http.StatusNotFound, "region: "+region+" is none of the settings' regions or zones")
 		return
 	}
-	if status := h.c.node.Status(); status.Role != "leader" {
-		toLeader(w, r, status.Leader)
+	if status := h.core.node.Status(); status.Role != "leader" {
+		redirectToLeader(w, r, status.Leader)
 		return
 	}
-	plan := h.c.planRegion(zones)
+	plan := h.core.planRegion(zones)
 	plan.Region = region
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(plan)
 }
 
-// zonesOf are the zones of a region, or the one of that name.
-func (c *Core) zonesOf(name string) []string {
+// zonesInRegion returns the zones of the named region, or the zone with that name.
+func (c *Core) zonesInRegion(name string) []string {
 	var zones []string
-	for zone, region := range c.set.Zones {
+	for zone, region := range c.settings.Zones {
 		if region == name || zone == name {
 			zones = append(zones, zone)
 		}
@@ -44,38 +45,38 @@
 	return zones
 }
 
-// planRegion has the owner of the state make a plan.
+// planRegion makes the plan in the loop, which owns the state.
 func (c *Core) planRegion(zones []string) (plan *maintenance.RegionPlan) {
 	var routes []maintenance.Route
-	for _, route := range c.table.now.Load().config.Routes() {
-		one := maintenance.Route{Name: route.Name, Rank: route.Rank}
+	for _, route := range c.table.published.Load().config.Routes() {
+		planned := maintenance.Route{Name: route.Name, Rank: route.Rank}
 		for _, share := range route.Shares {
-			one.Services = append(one.Services, share.Service)
+			planned.Services = append(planned.Services, share.Service)
 		}
-		routes = append(routes, one)
+		routes = append(routes, planned)
 	}
 	done := make(chan struct{})
-	c.do(func() {
+	c.submit(func() {
 		defer close(done)
 		plan = maintenance.PlanRegion(zones, c.backends(), routes)
-		plan.Core = c.coreWithout(zones)
+		plan.Core = c.quorumLossWithoutZones(zones)
 	})
 	<-done
 	return plan
 }
 
-// toLeader sends a caller to the core machine that leads: it alone knows all others.
-func toLeader(w http.ResponseWriter, r *http.Request, leader string) {
+// redirectToLeader redirects to the leader, the only node that knows all control-plane nodes.
+func redirectToLeader(w http.ResponseWriter, r *http.Request, leader string) {
 	if leader == "" {
-		problem(w, http.StatusServiceUnavailable, "no core machine is known to lead")
+		writeProblem(w, http.StatusServiceUnavailable, "no leader is known")
 		return
 	}
 	http.Redirect(w, r, "http://"+leader+r.URL.RequestURI(), http.StatusTemporaryRedirect)
 }
 
-// coreWithout says why the core machines could not agree without those of some zones; empty: they
-// could.
-func (c *Core) coreWithout(zones []string) string {
+// quorumLossWithoutZones returns why the control plane would lose its quorum without some zones;
+// empty if it would not.
+func (c *Core) quorumLossWithoutZones(zones []string) string {
 	status := c.node.Status()
-	return quorumWithout(&maintenance.Window{Zones: zones}, &status, c.set.Control, c.set.Zone)
+	return quorumLossReason(&maintenance.Window{Zones: zones}, &status, c.settings.Control, c.settings.Zone)
 }
--- a/internal/mesh/controlplane/servers.go
+++ b/internal/mesh/controlplane/servers.go
@@ -9,72 +9,72 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-const mostBeat = 16 << 10 // bytes of a backend's call
+const maxHeartbeatBytes = 16 << 10 // limit for the body of a heartbeat
 
-// servers are the backends. The agent beside one is the owner of what is known of it, so a call that
-// comes here is handed there, and what that agent says is the answer.
-type servers struct{ c *Core }
+// serverHandler serves /api/servers/{id}, where backends register and deregister. A backend's agent
+// owns its state, so requests that arrive here are relayed to the agent, whose answer is returned.
+type serverHandler struct{ core *Core }
 
-func (h *servers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *serverHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodPut:
 		h.put(w, r)
 	case http.MethodDelete:
 		h.delete(w, r)
 	default:
-		only(w, "PUT, DELETE")
+		methodNotAllowed(w, "PUT, DELETE")
 	}
 }
 
-func (h *servers) put(w http.ResponseWriter, r *http.Request) {
-	text, ok := body(w, r, mostBeat)
+func (h *serverHandler) put(w http.ResponseWriter, r *http.Request) {
+	text, ok := readBody(w, r, maxHeartbeatBytes)
 	if !ok {
 		return
 	}
-	var said struct {
+	var heartbeat struct {
 		Address string `json:"address"`
 	}
 	host := ""
-	if err := json.Unmarshal(text, &said); err == nil {
-		host, _, _ = net.SplitHostPort(said.Address)
+	if err := json.Unmarshal(text, &heartbeat); err == nil {
+		host, _, _ = net.SplitHostPort(heartbeat.Address)
 	}
 	if host == "" {
-		problem(w, http.StatusBadRequest, "address: not host:port")
+		writeProblem(w, http.StatusBadRequest, "address: not host:port")
 		return
 	}
-	h.handOver(w, r, host, transport.RelayedHeartbeat{ID: r.PathValue("id"), Body: text})
+	h.relay(w, r, host, transport.RelayedHeartbeat{ID: r.PathValue("id"), Body: text})
 }
 
-func (h *servers) delete(w http.ResponseWriter, r *http.Request) {
+func (h *serverHandler) delete(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	agent := h.c.find(id)
-	if agent == "" { // Danger: it may be there, and we cut off from the agent beside it
-		problem(w, http.StatusServiceUnavailable, "no agent has told of this backend here")
+	agent := h.core.agentOfBackend(id)
+	if agent == "" { // the backend may still run while this node is cut off from its agent
+		writeProblem(w, http.StatusServiceUnavailable, "no agent has announced this backend here")
 		return
 	}
-	h.handOver(w, r, agent, transport.RelayedHeartbeat{ID: id, Leave: true})
+	h.relay(w, r, agent, transport.RelayedHeartbeat{ID: id, Leave: true})
 }
 
-// handOver has the agent beside a backend take in its call.
-func (h *servers) handOver(w http.ResponseWriter, r *http.Request, agent string, b transport.RelayedHeartbeat) {
-	ctx, cancel := context.WithTimeout(r.Context(), answerIn)
+// relay relays a heartbeat to the backend's agent and writes the response.
+func (h *serverHandler) relay(w http.ResponseWriter, r *http.Request, agent string, heartbeat transport.RelayedHeartbeat) {
+	ctx, cancel := context.WithTimeout(r.Context(), responseTimeout)
 	defer cancel()
-	if status := h.c.pass(ctx, agent, b); status != http.StatusOK {
-		problem(w, status, "the agent beside the backend did not take it")
+	if status := h.core.relayHeartbeat(ctx, agent, heartbeat); status != http.StatusOK {
+		writeProblem(w, status, "the backend's agent did not accept it")
 		return
 	}
 	acknowledge(w)
 }
 
-// find returns the agent beside a backend, also of one that it tells of no more; "" if none is known.
-func (c *Core) find(id string) (agent string) {
+// agentOfBackend returns the agent of a backend, even if it is no longer announced, or "".
+func (c *Core) agentOfBackend(id string) (agent string) {
 	done := make(chan struct{})
-	c.do(func() {
+	c.submit(func() {
 		defer close(done)
-		agent = c.former.agentOf(id)
-		for _, s := range c.registry.All(c.now()) {
-			if s.Station.Backend != nil && s.Station.Backend.ID == id {
-				agent = s.Station.Agent
+		agent = c.formerBackends.agentOf(id)
+		for _, status := range c.registry.All(c.now()) {
+			if status.Station.Backend != nil && status.Station.Backend.ID == id {
+				agent = status.Station.Agent
 			}
 		}
 	})
--- a/internal/mesh/controlplane/stats.go
+++ b/internal/mesh/controlplane/stats.go
@@ -13,103 +13,102 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// counters count what became of the operators' calls, and agents that were lost.
+// counters count the outcomes of the operators' changes, and lost agents.
 type counters struct {
-	agreed, refused, unknown, notTaken, lost atomic.Uint64
+	committed, refused, unknown, notAccepted, lostAgents atomic.Uint64
 }
 
-// proposed counts what became of a proposal.
-func (c *counters) proposed(result consensus.Result, err error) {
+// countProposal counts the outcome of a proposal.
+func (c *counters) countProposal(result consensus.Result, err error) {
 	switch {
 	case errors.Is(err, consensus.ErrNoLeader), errors.Is(err, consensus.ErrBusy), errors.Is(err, consensus.ErrClosed):
-		c.notTaken.Add(1)
+		c.notAccepted.Add(1)
 	case err != nil:
 		c.unknown.Add(1)
 	case len(result.Reply) > 0:
 		c.refused.Add(1)
 	default:
-		c.agreed.Add(1)
+		c.committed.Add(1)
 	}
 }
 
-// links tells where the process hears the mesh's own protocol, so that who asks for figures needs
-// the control address only.
-type links struct{ c *Core }
+// linkHandler serves GET /api/link: the address of the mesh's own protocol. Clients that request
+// stats thus need to know the control address only.
+type linkHandler struct{ core *Core }
 
-func (h *links) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *linkHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet {
-		only(w, "GET")
+		methodNotAllowed(w, "GET")
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(map[string]string{"address": sidecar.Inner(h.c.set, h.c.set.Control)})
+	json.NewEncoder(w).Encode(map[string]string{"address": sidecar.Inner(h.core.settings, h.core.settings.Control)})
 }
 
-// figures answers a question for the core machine's figures; nil if the owner does not get to it in
-// time.
-func (c *Core) figures(q transport.StatsQuery) *transport.StatsReport {
-	return transport.CollectStats(c.commands, 2*answerIn, func() *transport.StatsReport { return c.counted(q) })
+// statsReport returns this node's stats, or nil if the loop does not respond in time.
+func (c *Core) statsReport(query transport.StatsQuery) *transport.StatsReport {
+	return transport.CollectStats(c.commands, 2*responseTimeout, func() *transport.StatsReport { return c.buildStatsReport(query) })
 }
 
-// counted is the owner's.
-func (c *Core) counted(q transport.StatsQuery) *transport.StatsReport {
-	status, state := c.node.Status(), c.table.now.Load()
-	var f meshmetrics.Set
-	f.Process(c.began, c.set.MemoryMB)
-	f.OneOf("micaline_mesh_core_role", status.Role, meshmetrics.Roles)
-	f.Flag("micaline_mesh_core_leader_known", status.Leader != "")
-	f.Add("micaline_mesh_core_leader_changes_total", float64(status.LeaderChanges))
-	f.Add("micaline_mesh_core_term", float64(status.Term))
-	f.Add("micaline_mesh_core_commit_index", float64(status.Commit))
-	f.Add("micaline_mesh_core_applied_index", float64(status.Applied))
-	f.Add("micaline_mesh_core_members", float64(len(status.Members)))
-	f.Add("micaline_mesh_core_syncs_total", float64(status.Syncs))
-	f.Add("micaline_mesh_core_sync_longest_seconds", status.SyncMax.Seconds())
-	for i, n := range []*atomic.Uint64{&c.count.agreed, &c.count.refused, &c.count.unknown, &c.count.notTaken} {
-		f.Add("micaline_mesh_core_proposals_total", float64(n.Load()), meshmetrics.Proposals[i])
+// buildStatsReport builds the report. It runs in the loop.
+func (c *Core) buildStatsReport(query transport.StatsQuery) *transport.StatsReport {
+	status, state := c.node.Status(), c.table.published.Load()
+	var metrics meshmetrics.Set
+	metrics.Process(c.startedAt, c.settings.MemoryMB)
+	metrics.OneOf("micaline_mesh_core_role", status.Role, meshmetrics.Roles)
+	metrics.Flag("micaline_mesh_core_leader_known", status.Leader != "")
+	metrics.Add("micaline_mesh_core_leader_changes_total", float64(status.LeaderChanges))
+	metrics.Add("micaline_mesh_core_term", float64(status.Term))
+	metrics.Add("micaline_mesh_core_commit_index", float64(status.Commit))
+	metrics.Add("micaline_mesh_core_applied_index", float64(status.Applied))
+	metrics.Add("micaline_mesh_core_members", float64(len(status.Members)))
+	metrics.Add("micaline_mesh_core_syncs_total", float64(status.Syncs))
+	metrics.Add("micaline_mesh_core_sync_longest_seconds", status.SyncMax.Seconds())
+	for i, counter := range []*atomic.Uint64{&c.counters.committed, &c.counters.refused, &c.counters.unknown, &c.counters.notAccepted} {
+		metrics.Add("micaline_mesh_core_proposals_total", float64(counter.Load()), meshmetrics.Proposals[i])
 	}
-	f.Add("micaline_mesh_core_config_index", float64(state.index))
-	f.Add("micaline_mesh_core_feeds", float64(len(c.feeds)))
-	f.Add("micaline_mesh_core_agents_lost_total", float64(c.count.lost.Load()))
+	metrics.Add("micaline_mesh_core_config_index", float64(state.index))
+	metrics.Add("micaline_mesh_core_feeds", float64(len(c.feeds)))
+	metrics.Add("micaline_mesh_core_agents_lost_total", float64(c.counters.lostAgents.Load()))
 	stations := c.registry.All(c.now())
-	by, draining := map[string]int{}, 0
+	byState, draining := map[string]int{}, 0
 	for i := range stations {
-		h := &stations[i]
+		entry := &stations[i]
 		switch {
-		case h.Lost:
-			by["lost"]++
-		case h.Station.Open:
-			by["open"]++
+		case entry.Lost:
+			byState["lost"]++
+		case entry.Station.Open:
+			byState["open"]++
 		default:
-			by["shut"]++
+			byState["shut"]++
 		}
-		if h.Station.Backend != nil && h.Station.Backend.Draining && !h.Lost {
+		if entry.Station.Backend != nil && entry.Station.Backend.Draining && !entry.Lost {
 			draining++
 		}
 	}
-	for _, word := range meshmetrics.Stations {
-		f.Add("micaline_mesh_core_stations", float64(by[word]), word)
+	for _, label := range meshmetrics.Stations {
+		metrics.Add("micaline_mesh_core_stations", float64(byState[label]), label)
 	}
-	f.Add("micaline_mesh_core_backends_draining", float64(draining))
-	if c.duty != nil {
-		c.duty.figures(&f)
+	metrics.Add("micaline_mesh_core_backends_draining", float64(draining))
+	if c.dutyHolder != nil {
+		c.dutyHolder.addMetrics(&metrics)
 	}
-	c.windows.figures(&f)
+	c.windowDriver.addMetrics(&metrics)
 	evacuated := state.config.EvacuatedZones()
-	for zone := range c.set.Zones {
-		f.Flag("micaline_mesh_core_zone_evacuated", slices.Contains(evacuated, zone), zone)
+	for zone := range c.settings.Zones {
+		metrics.Flag("micaline_mesh_core_zone_evacuated", slices.Contains(evacuated, zone), zone)
 	}
-	answer := &transport.StatsReport{Samples: f.Samples}
-	if q.State {
-		answer.Core = &transport.CoreState{Node: c.set.NodeName, Zone: c.set.Zone, Self: c.set.Control, Role: status.Role,
+	report := &transport.StatsReport{Samples: metrics.Samples}
+	if query.State {
+		report.Core = &transport.CoreState{Node: c.settings.NodeName, Zone: c.settings.Zone, Self: c.settings.Control, Role: status.Role,
 			Leader: status.Leader, Term: status.Term, Commit: status.Commit, Applied: status.Applied, LeaderChanges: status.LeaderChanges,
 			Learners: status.Learners, Outgoing: status.Outgoing, Index: state.index, Evacuated: evacuated, Feeds: len(c.feeds), Stations: stations}
-		if c.duty != nil {
-			answer.Core.Duties = c.duty.state()
+		if c.dutyHolder != nil {
+			report.Core.Duties = c.dutyHolder.state()
 		}
-		for _, m := range status.Members {
-			answer.Core.Members = append(answer.Core.Members, transport.Member{Control: m, Link: sidecar.Inner(c.set, m)})
+		for _, member := range status.Members {
+			report.Core.Members = append(report.Core.Members, transport.Member{Control: member, Link: sidecar.Inner(c.settings, member)})
 		}
 	}
-	return answer
+	return report
 }
--- a/internal/mesh/controlplane/steps_test.go
+++ b/internal/mesh/controlplane/steps_test.go
@@ -11,145 +11,145 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Whoever follows the steps from any index that it may have, has what was agreed on, or has to ask for the whole.
+// An agent that follows the steps from any index gets the committed configuration, or has to
+// request the complete one.
 func TestStepsLeadToWhatWasAgreedOn(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	table := newTable(func() {})
-	had := []*state{table.now.Load()}
+	versions := []*configState{table.published.Load()}
 	followed := 0
 	for index := uint64(1); index < 600; index++ {
-		o := meshconfig.Order{Op: meshconfig.OpEvacuate, Zone: fmt.Sprint("zone", r.IntN(3))}
-		switch r.IntN(6) {
+		order := meshconfig.Order{Op: meshconfig.OpEvacuate, Zone: fmt.Sprint("zone", rng.IntN(3))}
+		switch rng.IntN(6) {
 		case 0:
-			o.Op = meshconfig.OpReturn
+			order.Op = meshconfig.OpReturn
 		case 1:
-			o = meshconfig.Order{Op: "none"}
+			order = meshconfig.Order{Op: "none"}
 		case 2, 3, 4:
-			filler := make([]byte, r.IntN(100))
-			if r.IntN(20) == 0 {
-				filler = make([]byte, r.IntN(pushedBytes*3/2))
+			filler := make([]byte, rng.IntN(100))
+			if rng.IntN(20) == 0 {
+				filler = make([]byte, rng.IntN(maxPushedBytes*3/2))
 			}
 			for i := range filler {
 				filler[i] = 'x'
 			}
-			o = meshconfig.Order{Op: meshconfig.OpPatch, Body: fmt.Appendf(nil, `{"add":{"items":[{"item_kind":"services","metadata":`+
-				`{"name":"s%d","version":"%08x"},"body":{"health_path":"/%s"}}]}}`, r.IntN(9), r.IntN(600), filler)}
+			order = meshconfig.Order{Op: meshconfig.OpPatch, Body: fmt.Appendf(nil, `{"add":{"items":[{"item_kind":"services","metadata":`+
+				`{"name":"s%d","version":"%08x"},"body":{"health_path":"/%s"}}]}}`, rng.IntN(9), rng.IntN(600), filler)}
 		}
-		table.Apply(index, encodeOrder(&o))
-		now := table.now.Load()
-		if now != had[len(had)-1] {
-			had = append(had, now)
+		table.Apply(index, encodeOrder(&order))
+		latest := table.published.Load()
+		if latest != versions[len(versions)-1] {
+			versions = append(versions, latest)
 		}
 		size := 0
-		for _, s := range now.steps {
-			size += len(s.Order.Body)
+		for _, step := range latest.steps {
+			size += len(step.Order.Body)
 		}
-		require.LessOrEqual(t, len(now.steps), mostSteps)
-		require.LessOrEqual(t, size, min(max(now.config.Size(), pushedBytes), mostStepBytes))
-		require.LessOrEqual(t, now.config.Size(), len(now.config.Encode()))
-		require.LessOrEqual(t, sizeOf(now.pushed(had[r.IntN(len(had))].index)), pushedBytes)
+		require.LessOrEqual(t, len(latest.steps), maxSteps)
+		require.LessOrEqual(t, size, min(max(latest.config.Size(), maxPushedBytes), maxStepBytes))
+		require.LessOrEqual(t, latest.config.Size(), len(latest.config.Encode()))
+		require.LessOrEqual(t, stepsSize(latest.pushedSteps(versions[rng.IntN(len(versions))].index)), maxPushedBytes)
 
-		old := had[r.IntN(len(had))]
-		if r.IntN(3) > 0 {
-			old = had[max(0, len(had)-1-r.IntN(10))]
+		base := versions[rng.IntN(len(versions))]
+		if rng.IntN(3) > 0 {
+			base = versions[max(0, len(versions)-1-rng.IntN(10))]
 		}
-		steps := now.since(old.index)
+		steps := latest.stepsFrom(base.index)
 		if len(steps) == 0 {
 			continue
 		}
 		followed++
-		config, at := old.config, old.index
-		for _, s := range steps {
-			require.Equal(t, at, s.Before)
+		config, current := base.config, base.index
+		for _, step := range steps {
+			require.Equal(t, current, step.Before)
 			var err error
-			config, err = config.Carry(&s.Order)
+			config, err = config.Carry(&step.Order)
 			require.NoError(t, err)
-			at = s.Index
+			current = step.Index
 		}
-		require.Equal(t, now.index, at)
-		require.Equal(t, now.config.Digest(), config.Digest())
-		require.Equal(t, now.config.Encode(), config.Encode())
+		require.Equal(t, latest.index, current)
+		require.Equal(t, latest.config.Digest(), config.Digest())
+		require.Equal(t, latest.config.Encode(), config.Encode())
 	}
 	require.Greater(t, followed, 200)
 }
 
-// TestLargeChangeIsSentAsSteps provokes CONFIG on a grown deployment: each agent has all but a large
-// change and the small ones after it, asks for what it lacks, and is not sent the whole. An agent
-// that does not trust what it has is.
+// After a large change in a large deployment, each agent requests the steps that it lacks and is
+// not sent the complete configuration, unless it does not trust its own (rule CONFIG).
 func TestLargeChangeIsSentAsSteps(t *testing.T) {
-	table := tableOf(t, 2000)
-	before := table.now.Load()
+	table := tableWithRoutes(t, 2000)
+	before := table.published.Load()
 	table.Apply(2, encodeOrder(routesOrder(2000, 1000, 1)))
 	table.Apply(3, encodeOrder(routeOrder(1, 3)))
-	now := table.now.Load()
-	require.Greater(t, sizeOf(now.steps), pushedBytes)
+	latest := table.published.Load()
+	require.Greater(t, stepsSize(latest.steps), maxPushedBytes)
 
 	c := &Core{table: table}
-	f := &feed{known: true, have: before.index, dirty: map[string]bool{}}
-	down, raw := c.next(f)
-	require.Empty(t, down.Steps, "a large step from each core machine")
+	f := &feed{announced: true, configIndex: before.index, pendingStations: map[string]bool{}}
+	update, raw := c.nextUpdate(f)
+	require.Empty(t, update.Steps, "large steps are not pushed by each node")
 	require.Empty(t, raw)
-	f.want, f.since = now.index, before.index
-	down, raw = c.next(f)
-	require.True(t, down.RawSteps)
-	require.Less(t, len(raw), len(now.encoded())/2)
+	f.wantedIndex, f.wantedSince = latest.index, before.index
+	update, raw = c.nextUpdate(f)
+	require.True(t, update.RawSteps)
+	require.Less(t, len(raw), len(latest.encodedConfig())/2)
 	steps, err := transport.DecodeSteps(raw)
 	require.NoError(t, err)
 	config := before.config
-	for _, s := range steps {
-		config, err = config.Carry(&s.Order)
+	for _, step := range steps {
+		config, err = config.Carry(&step.Order)
 		require.NoError(t, err)
 	}
-	require.Equal(t, down.Digest, config.Digest())
+	require.Equal(t, update.Digest, config.Digest())
 
-	f.want, f.since = now.index, 0
-	down, raw = c.next(f)
-	require.False(t, down.RawSteps)
-	require.Equal(t, now.encoded(), raw)
+	f.wantedIndex, f.wantedSince = latest.index, 0
+	update, raw = c.nextUpdate(f)
+	require.False(t, update.RawSteps)
+	require.Equal(t, latest.encodedConfig(), raw)
 
-	for _, since := range []uint64{before.index, 0} { // an agent that takes it compressed gets the same
-		f.want, f.since, f.deflate = now.index, since, false
-		_, plain := c.next(f)
-		f.want, f.deflate = now.index, true
-		down, raw = c.next(f)
-		require.Equal(t, since != 0, down.RawSteps)
-		require.True(t, down.Deflated)
-		require.EqualValues(t, len(raw), down.Raw)
+	for _, since := range []uint64{before.index, 0} { // the compressed response has the same content
+		f.wantedIndex, f.wantedSince, f.acceptsDeflate = latest.index, since, false
+		_, plain := c.nextUpdate(f)
+		f.wantedIndex, f.acceptsDeflate = latest.index, true
+		update, raw = c.nextUpdate(f)
+		require.Equal(t, since != 0, update.RawSteps)
+		require.True(t, update.Deflated)
+		require.EqualValues(t, len(raw), update.Raw)
 		require.Less(t, len(raw), len(plain)/5)
-		whole, err := transport.Decompress(raw, int64(len(plain)))
+		decompressed, err := transport.Decompress(raw, int64(len(plain)))
 		require.NoError(t, err)
-		require.True(t, bytes.Equal(plain, whole))
+		require.True(t, bytes.Equal(plain, decompressed))
 		_, err = transport.Decompress(raw, int64(len(plain))-1)
-		require.Error(t, err, "more than may be")
+		require.Error(t, err, "larger than the limit")
 		_, err = transport.Decompress(raw[:len(raw)-1], int64(len(plain)))
-		require.Error(t, err, "cut short")
+		require.Error(t, err, "truncated")
 	}
-	for index := uint64(4); index < 40; index++ { // each as large as a tenth of the whole
+	for index := uint64(4); index < 40; index++ { // each is as large as a tenth of the configuration
 		table.Apply(index, encodeOrder(routesOrder(0, 300, int(index))))
-		size := table.now.Load().config.Size()
-		require.LessOrEqual(t, sizeOf(table.now.Load().steps), size)
+		size := table.published.Load().config.Size()
+		require.LessOrEqual(t, stepsSize(table.published.Load().steps), size)
 	}
-	require.Empty(t, table.now.Load().since(before.index), "more than the whole is kept of steps")
+	require.Empty(t, table.published.Load().stepsFrom(before.index), "the steps that are kept exceed the configuration")
 }
 
-// TestBatchShowsItsEndOnly has a table carry out orders as after a start: nobody sees a state in
-// between, and the steps lead from the state before to the one after.
+// During a batch of orders, as after a start, no intermediate state is published. The steps lead
+// from the state before the batch to the one after it.
 func TestBatchShowsItsEndOnly(t *testing.T) {
 	changes := 0
 	table := newTable(func() { changes++ })
-	before := table.now.Load()
+	before := table.published.Load()
 	table.Batch(func() {
 		for index := uint64(1); index <= 100; index++ {
 			table.Apply(index, encodeOrder(&meshconfig.Order{Op: meshconfig.OpEvacuate, Zone: fmt.Sprint("zone", index)}))
-			require.Same(t, before, table.now.Load())
+			require.Same(t, before, table.published.Load())
 		}
 	}, false)
-	require.Same(t, before, table.now.Load(), "more follow at once")
+	require.Same(t, before, table.published.Load(), "another batch follows")
 	table.Batch(func() {}, true)
-	now := table.now.Load()
+	after := table.published.Load()
 	require.Equal(t, 1, changes)
-	require.EqualValues(t, 100, now.index)
-	require.Len(t, now.since(0), 100)
+	require.EqualValues(t, 100, after.index)
+	require.Len(t, after.stepsFrom(0), 100)
 	table.Batch(func() {}, true)
-	require.Equal(t, 1, changes, "nothing has changed")
+	require.Equal(t, 1, changes, "published without a change")
 }
--- a/internal/mesh/controlplane/table.go
+++ b/internal/mesh/controlplane/table.go
@@ -13,199 +13,203 @@
 	"github.com/samber/oops"
 )
 
-// encodeOrder gives an order as a command of the log.
-func encodeOrder(o *meshconfig.Order) []byte { return plaingob.Encode(o) }
+// encodeOrder encodes an order as a command of the log.
+func encodeOrder(order *meshconfig.Order) []byte { return plaingob.Encode(order) }
 
-// state is the configuration after an index of the log. It never changes.
-type state struct {
+// configState is the configuration at an index of the log. It is immutable.
+type configState struct {
 	index  uint64
 	config *meshconfig.Config
-	steps  []transport.ConfigStep // that led here, one after the other, the last few
+	steps  []transport.ConfigStep // the most recent steps, ending at index
 
-	once sync.Once
-	text []byte
+	encodeOnce sync.Once
+	encoding   []byte
 
-	asked encodedSteps // last; the owner's of the feeds
+	lastEncodedSteps encodedSteps // latest requested steps; used by runLoop only
 
 	compressOnce sync.Once
-	compressed   []byte // text
+	compressed   []byte // compressed encoding
 }
 
-// encodedSteps are the steps from an index: after a large change all agents ask for the same.
+// encodedSteps are encoded steps from an index. After a large change all agents request the same.
 type encodedSteps struct {
 	since      uint64
 	raw        []byte
-	compressed []byte // raw
+	compressed []byte // compressed raw
 }
 
-// What is kept of steps: an agent that was away for longer is sent the whole. Beyond pushedBytes
-// they are kept as long as they are smaller than the whole.
+// Limits of the steps that are kept. An agent that was away for longer gets the complete
+// configuration. Steps beyond maxPushedBytes are kept while they are smaller than the
+// configuration.
 const (
-	mostSteps     = 256
-	mostStepBytes = 4 << 20
-	// pushedBytes is what an agent is sent of steps unasked. Each core machine tells each agent, so
-	// larger ones would come as many times as there are core machines: the agent asks one of them.
-	pushedBytes = 64 << 10
+	maxSteps     = 256
+	maxStepBytes = 4 << 20
+	// maxPushedBytes is the size of steps up to which agents get them without a request. All
+	// control-plane nodes push to each agent, so larger steps would be sent once by each node.
+	// Instead, the agent requests them from one node.
+	maxPushedBytes = 64 << 10
 )
 
-// encoded is the whole configuration as it is sent to agents; made once however many there are, and
-// not at all where all agents take the steps.
-func (s *state) encoded() []byte {
-	s.once.Do(func() { s.text = s.config.Encode() })
-	return s.text
+// encodedConfig returns the complete configuration as sent to agents. It is encoded once for all
+// agents, and not at all if steps are sufficient for all of them.
+func (s *configState) encodedConfig() []byte {
+	s.encodeOnce.Do(func() { s.encoding = s.config.Encode() })
+	return s.encoding
 }
 
-// since returns the steps from an index that an agent has to this state; none if they are not kept.
-func (s *state) since(have uint64) []transport.ConfigStep {
+// stepsFrom returns the steps from an index to this state, or nil if they are not kept.
+func (s *configState) stepsFrom(from uint64) []transport.ConfigStep {
 	for i := range s.steps {
-		if s.steps[i].Before == have {
+		if s.steps[i].Before == from {
 			return s.steps[i:]
 		}
 	}
 	return nil
 }
 
-// pushed returns the steps that an agent is sent unasked; none if they are too large for that.
-func (s *state) pushed(have uint64) []transport.ConfigStep {
-	steps := s.since(have)
-	if sizeOf(steps) > pushedBytes {
+// pushedSteps returns the steps to send without a request, or nil if they are too large.
+func (s *configState) pushedSteps(from uint64) []transport.ConfigStep {
+	steps := s.stepsFrom(from)
+	if stepsSize(steps) > maxPushedBytes {
 		return nil
 	}
 	return steps
 }
 
-// stepsSince returns the encoded steps from an index to this state; none if they are not kept, or
-// the whole is no larger. One goroutine alone calls it.
-func (s *state) stepsSince(have uint64) []byte {
-	if have != 0 && s.asked.since == have {
-		return s.asked.raw
+// encodedStepsFrom returns the encoded steps from an index to this state. It returns nil if they
+// are not kept or not smaller than the configuration. It must be called from one goroutine only.
+func (s *configState) encodedStepsFrom(from uint64) []byte {
+	if from != 0 && s.lastEncodedSteps.since == from {
+		return s.lastEncodedSteps.raw
 	}
-	steps := s.since(have)
-	if len(steps) == 0 || sizeOf(steps) >= max(s.config.Size(), pushedBytes) {
+	steps := s.stepsFrom(from)
+	if len(steps) == 0 || stepsSize(steps) >= max(s.config.Size(), maxPushedBytes) {
 		return nil
 	}
 	raw := transport.EncodeSteps(steps)
-	s.asked = encodedSteps{have, raw, transport.Compress(raw)}
-	return s.asked.raw
+	s.lastEncodedSteps = encodedSteps{from, raw, transport.Compress(raw)}
+	return s.lastEncodedSteps.raw
 }
 
-// compressedStepsSince returns what stepsSince does, compressed. One goroutine alone calls it.
-func (s *state) compressedStepsSince(have uint64) []byte {
-	if s.stepsSince(have) == nil {
+// compressedStepsFrom is like encodedStepsFrom, but compressed. The same restriction applies.
+func (s *configState) compressedStepsFrom(from uint64) []byte {
+	if s.encodedStepsFrom(from) == nil {
 		return nil
 	}
-	return s.asked.compressed
+	return s.lastEncodedSteps.compressed
 }
 
-// compressedWhole returns what encoded does, compressed; made once.
-func (s *state) compressedWhole() []byte {
-	s.compressOnce.Do(func() { s.compressed = transport.Compress(s.encoded()) })
+// compressedConfig is like encodedConfig, but compressed. It is compressed once.
+func (s *configState) compressedConfig() []byte {
+	s.compressOnce.Do(func() { s.compressed = transport.Compress(s.encodedConfig()) })
 	return s.compressed
 }
 
-func sizeOf(steps []transport.ConfigStep) (size int) {
+func stepsSize(steps []transport.ConfigStep) (size int) {
 	for i := range steps {
 		size += len(steps[i].Order.Body)
 	}
 	return size
 }
 
-// after returns the state that a step leads to.
-func (s *state) after(index uint64, next *meshconfig.Config, o *meshconfig.Order) *state {
-	// The array is shared with the states before, which see no more of it than they have: each state
-	// is followed by one other.
-	steps := append(s.steps, transport.ConfigStep{Before: s.index, Index: index, Order: *o})
-	size, most := 0, min(max(next.Size(), pushedBytes), mostStepBytes)
+// successor returns the state after a step.
+func (s *configState) successor(index uint64, next *meshconfig.Config, order *meshconfig.Order) *configState {
+	// The array is shared with earlier states. This is safe because these are limited by their own
+	// lengths, and each state has one successor only.
+	steps := append(s.steps, transport.ConfigStep{Before: s.index, Index: index, Order: *order})
+	size, maxSize := 0, min(max(next.Size(), maxPushedBytes), maxStepBytes)
 	for i := len(steps) - 1; i >= 0; i-- {
-		if size += len(steps[i].Order.Body); size > most || len(steps)-i > mostSteps {
+		if size += len(steps[i].Order.Body); size > maxSize || len(steps)-i > maxSteps {
 			steps = slices.Clone(steps[i+1:])
 			break
 		}
 	}
-	return &state{index: index, config: next, steps: steps}
+	return &configState{index: index, config: next, steps: steps}
 }
 
-// table is the state that the agreement drives. The node's goroutine alone changes it.
+// table is the replicated state. Only the node's goroutine changes it, and the fields without an
+// atomic type belong to that goroutine.
 type table struct {
-	now     atomic.Pointer[state] // as others see it
-	newest  *state                // of the node's goroutine: ahead of now within a batch
-	batch   bool                  // one is under way; of the node's goroutine
-	applied atomic.Uint64         // index of the last order, whatever came of it
-	history *meshconfig.History   // of the node's goroutine
-	changed func()                // must not block
+	published atomic.Pointer[configState] // state that other goroutines see
+	newest    *configState                // ahead of published during a batch
+	inBatch   bool                        // a batch is in progress
+	applied   atomic.Uint64               // index of the latest order, even if it was refused
+	history   *meshconfig.History
+	onChange  func() // must not block
 
-	duties      *duties.Table // of the node's goroutine
-	dutiesMoved bool          // since they were shown
-	dutiesNow   atomic.Pointer[duties.Table]
+	duties          *duties.Table
+	dutiesChanged   bool // since duties were published
+	publishedDuties atomic.Pointer[duties.Table]
 
-	windows    *maintenance.Table // of the node's goroutine
-	windowsNow atomic.Pointer[maintenance.Table]
+	windows          *maintenance.Table
+	publishedWindows atomic.Pointer[maintenance.Table]
 }
 
-func newTable(changed func()) *table {
-	t := &table{changed: changed, history: meshconfig.NewHistory()}
-	t.newest = &state{config: meshconfig.New()}
-	t.now.Store(t.newest)
+func newTable(onChange func()) *table {
+	t := &table{onChange: onChange, history: meshconfig.NewHistory()}
+	t.newest = &configState{config: meshconfig.New()}
+	t.published.Store(t.newest)
 	t.duties = duties.NewTable()
-	t.showDuties()
+	t.publishDuties()
 	t.windows = &maintenance.Table{}
-	t.windowsNow.Store(t.windows.Clone())
+	t.publishedWindows.Store(t.windows.Clone())
 	return t
 }
 
-// Batch has a number of orders carried out, and shows what they and those before lead to, or leaves
-// that to a later batch. A process that starts carries out all orders since its snapshot: agents that
-// were sent states in between would each ask for several, and the process would be busy with that
-// instead of with the agreement.
-func (t *table) Batch(apply func(), show bool) {
-	t.batch = true
+// Batch applies a number of orders. If publish is set, it then publishes the resulting state;
+// otherwise a later batch does. After a start, a process applies all orders since its snapshot. If
+// agents were sent the states in between, each would request several of them, and the process would
+// be busy with that instead of consensus.
+func (t *table) Batch(apply func(), publish bool) {
+	t.inBatch = true
 	apply()
-	t.batch = false
-	if t.dutiesMoved {
-		t.showDuties()
+	t.inBatch = false
+	if t.dutiesChanged {
+		t.publishDuties()
 	}
-	if show {
-		t.show()
+	if publish {
+		t.publish()
 	}
 }
 
-// show has others see the newest state.
-func (t *table) show() {
-	if t.batch || t.now.Load() == t.newest {
+// publish makes the newest state visible to other goroutines.
+func (t *table) publish() {
+	if t.inBatch || t.published.Load() == t.newest {
 		return
 	}
-	t.now.Store(t.newest)
-	t.changed()
+	t.published.Store(t.newest)
+	t.onChange()
 }
 
-// Apply carries out an order. The reply is empty, or the encoded refusal: validity, and whether the
-// order contradicts an earlier one, are judged here, where the order of all calls is known.
+// Apply applies an order. The reply is empty, or an encoded refusal. Validity, and whether an order
+// contradicts an earlier one, are checked here, because only here the order of all changes is
+// known.
 func (t *table) Apply(index uint64, command []byte) []byte {
 	defer t.applied.Store(index)
-	o, err := plaingob.Decode[meshconfig.Order](command)
+	order, err := plaingob.Decode[meshconfig.Order](command)
 	if err != nil {
-		return refusalOf(err).encode()
+		return newRefusal(err).encode()
 	}
-	switch o.Op {
+	switch order.Op {
 	case opDuty:
-		return t.applyDuty(index, o.Body)
+		return t.applyDuty(index, order.Body)
 	case opWindow:
-		return t.applyWindow(index, o.Body)
+		return t.applyWindow(index, order.Body)
 	}
-	old := t.newest
-	next, err := t.history.Carry(index, old.config, o)
+	previous := t.newest
+	next, err := t.history.Carry(index, previous.config, order)
 	if err != nil {
-		return refusalOf(err).encode()
+		return newRefusal(err).encode()
 	}
-	if next != old.config {
-		t.newest = old.after(index, next, o)
-		t.show()
+	if next != previous.config {
+		t.newest = previous.successor(index, next, order)
+		t.publish()
 	}
 	return nil
 }
 
-// kept is a snapshot of the state. Programs before the history wrote and read the first two fields.
-type kept struct {
+// tableSnapshot is the encoded form of a snapshot. Early versions have the first two fields only.
+type tableSnapshot struct {
 	Index   uint64
 	Config  []byte
 	History []byte
@@ -213,39 +217,39 @@
 	Windows []byte
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (t *table) Snapshot() []byte {
-	s := t.newest
-	return plaingob.Encode(kept{s.index, s.encoded(), t.history.Encode(), t.duties.Encode(), t.windows.Encode()})
+	state := t.newest
+	return plaingob.Encode(tableSnapshot{state.index, state.encodedConfig(), t.history.Encode(), t.duties.Encode(), t.windows.Encode()})
 }
 
-// Restore takes a snapshot in.
+// Restore replaces the state by a snapshot.
 func (t *table) Restore(index uint64, snapshot []byte) error {
-	k, err := plaingob.Decode[kept](snapshot)
+	decoded, err := plaingob.Decode[tableSnapshot](snapshot)
 	if err != nil {
 		return oops.In("snapshot").Wrap(err)
 	}
-	config, err := meshconfig.Decode(k.Config)
+	config, err := meshconfig.Decode(decoded.Config)
 	if err != nil {
 		return oops.In("snapshot").Wrap(err)
 	}
-	history := meshconfig.HistoryOf(config) // of a program that kept none
-	if len(k.History) > 0 {
-		if history, err = meshconfig.DecodeHistory(k.History); err != nil {
+	history := meshconfig.HistoryOf(config) // for snapshots without a history
+	if len(decoded.History) > 0 {
+		if history, err = meshconfig.DecodeHistory(decoded.History); err != nil {
 			return oops.In("snapshot").Wrap(err)
 		}
 	}
-	if t.duties, err = duties.Decode(k.Duties); err != nil {
+	if t.duties, err = duties.Decode(decoded.Duties); err != nil {
 		return oops.In("snapshot").Wrap(err)
 	}
-	t.showDuties()
-	if t.windows, err = maintenance.Decode(k.Windows); err != nil {
+	t.publishDuties()
+	if t.windows, err = maintenance.Decode(decoded.Windows); err != nil {
 		return oops.In("snapshot").Wrap(err)
 	}
-	t.windowsNow.Store(t.windows.Clone())
+	t.publishedWindows.Store(t.windows.Clone())
 	t.history = history
 	t.applied.Store(index)
-	t.newest = &state{index: k.Index, config: config}
-	t.show()
+	t.newest = &configState{index: decoded.Index, config: config}
+	t.publish()
 	return nil
 }
--- a/internal/mesh/controlplane/table_bench_test.go
+++ b/internal/mesh/controlplane/table_bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tableOf is a table with a number of routes, and a service that they lead to.
-func tableOf(t testing.TB, routes int) *table {
+// tableWithRoutes returns a table with a number of routes and the service that they lead to.
+func tableWithRoutes(t testing.TB, routes int) *table {
 	var body bytes.Buffer
 	body.WriteString(`{"add":{"items":[{"item_kind":"services","metadata":{"name":"s","version":"00000001"},"body":{"health_path":"/h"}}`)
 	for i := range routes {
@@ -33,7 +33,7 @@
 	return &meshconfig.Order{Op: meshconfig.OpPatch, Body: fmt.Appendf(nil, `{"add":{"items":[%s]}}`, routeItem(i, version))}
 }
 
-// routesOrder sets a number of routes.
+// routesOrder returns an order that sets a number of routes.
 func routesOrder(first, number, version int) *meshconfig.Order {
 	items := make([]string, number)
 	for i := range items {
@@ -42,21 +42,21 @@
 	return &meshconfig.Order{Op: meshconfig.OpPatch, Body: fmt.Appendf(nil, `{"add":{"items":[%s]}}`, strings.Join(items, ","))}
 }
 
-// What a change of one route costs the core, which applies it and tells all agents a digest, and
-// each agent, which takes the step and compares the digest.
+// The cost of changing one route: for a control-plane node, which applies the change and sends a
+// digest, and for an agent, which applies the step and compares the digest.
 func BenchmarkChange(b *testing.B) {
 	for _, routes := range []int{300, 2000, 10000} {
 		b.Run(fmt.Sprint("core/", routes), func(b *testing.B) {
-			table := tableOf(b, routes)
+			table := tableWithRoutes(b, routes)
 			index := uint64(1)
 			for b.Loop() {
 				index++
 				table.Apply(index, encodeOrder(routeOrder(int(index)%routes, int(index))))
-				table.now.Load().config.Digest()
+				table.published.Load().config.Digest()
 			}
 		})
 		b.Run(fmt.Sprint("agent/", routes), func(b *testing.B) {
-			config := tableOf(b, routes).now.Load().config
+			config := tableWithRoutes(b, routes).published.Load().config
 			version := 1
 			for b.Loop() {
 				version++
@@ -67,7 +67,7 @@
 			}
 		})
 		b.Run(fmt.Sprint("restore/", routes), func(b *testing.B) {
-			snapshot := tableOf(b, routes).Snapshot()
+			snapshot := tableWithRoutes(b, routes).Snapshot()
 			b.ReportMetric(float64(len(snapshot)), "bytes")
 			for b.Loop() {
 				require.NoError(b, newTable(func() {}).Restore(1, snapshot))
--- a/internal/mesh/controlplane/usage.go
+++ b/internal/mesh/controlplane/usage.go
@@ -8,54 +8,55 @@
 	"example.org/micaline/internal/mesh/usage"
 )
 
-// correctClock goes by the time that agents tell. It is the owner's.
+// correctClock corrects the clock by those of the connected agents. It runs in the loop.
 func (c *Core) correctClock() {
 	var offsets []time.Duration
 	for _, f := range c.feeds {
-		if f.timed.Load() {
-			offsets = append(offsets, time.Duration(f.offset.Load()))
+		if f.hasClock.Load() {
+			offsets = append(offsets, time.Duration(f.clockOffset.Load()))
 		}
 	}
 	c.clock.Correct(append(offsets, 0))
 }
 
-// tickUsage is the owner's.
-func (c *Core) tickUsage() {
-	c.collector.DiscardThrough(c.table.dutiesNow.Load().Usage.Through)
+// updateCollector drops counts and agents that are no longer needed. It runs in the loop.
+func (c *Core) updateCollector() {
+	c.collector.DiscardThrough(c.table.publishedDuties.Load().Usage.Through)
 	c.collector.RetainAgents(func(agent string) bool { return c.registry.Station(agent) != nil })
 }
 
-// viewUsage is the owner's: how the window stands that is to be fixed after those that are.
-func (c *Core) viewUsage(through int64) *duties.View {
-	v := &duties.View{Time: c.clock.Now(), Cordoned: c.windows.standing.Load()}
-	var heard, lost []string
-	for _, h := range c.registry.All(c.now()) {
+// usageView returns the current information about the next window to make final. It runs in the
+// loop.
+func (c *Core) usageView(through int64) *duties.View {
+	view := &duties.View{Time: c.clock.Now(), Cordoned: c.windowDriver.cordoned.Load()}
+	var connected, lost []string
+	for _, status := range c.registry.All(c.now()) {
 		switch {
-		case !h.Lost:
-			heard = append(heard, h.Station.Agent)
-		case h.Station.Open: // it may be cut off, and serve on
-			lost = append(lost, h.Station.Agent)
+		case !status.Lost:
+			connected = append(connected, status.Station.Agent)
+		case status.Station.Open: // the agent may be cut off and still serve requests
+			lost = append(lost, status.Station.Agent)
 		}
 	}
-	v.Connected = len(heard) > len(lost) && !c.settling()
-	current := meshtime.WindowAt(v.Time, c.set.Bounds.ReportWindow)
+	view.Connected = len(connected) > len(lost) && !c.settling()
+	current := meshtime.WindowAt(view.Time, c.settings.Bounds.ReportWindow)
 	switch {
-	case through == 0 && !c.table.now.Load().config.HasCustomers():
-		return v
+	case through == 0 && !c.table.published.Load().config.HasCustomers():
+		return view
 	case through == 0:
-		v.Window = max(c.firstWindow, current-usage.MaxPendingWindows)
+		view.Window = max(c.firstWindow, current-usage.MaxPendingWindows)
 		if c.firstWindow == 0 {
 			c.firstWindow = current
-			v.Window = current
+			view.Window = current
 		}
 	default:
-		v.Window = max(through+1, current-usage.MaxPendingWindows)
+		view.Window = max(through+1, current-usage.MaxPendingWindows)
 	}
-	if v.Time < meshtime.WindowEnd(v.Window, c.set.Bounds.ReportWindow) {
-		return v
+	if view.Time < meshtime.WindowEnd(view.Window, c.settings.Bounds.ReportWindow) {
+		return view
 	}
-	v.Complete = c.collector.Complete(v.Window, heard)
-	v.LostIncomplete = !c.collector.Complete(v.Window, lost)
-	v.Counts = c.collector.Total(v.Window)
-	return v
+	view.Complete = c.collector.Complete(view.Window, connected)
+	view.LostIncomplete = !c.collector.Complete(view.Window, lost)
+	view.Counts = c.collector.Total(view.Window)
+	return view
 }
--- a/internal/mesh/controlplane/window_api.go
+++ b/internal/mesh/controlplane/window_api.go
@@ -9,86 +9,87 @@
 	"example.org/micaline/internal/mesh/maintenance"
 )
 
-const mostWindowCall = 32 << 10 // bytes of an operator's call about windows
+const maxWindowRequestBytes = 32 << 10
 
-// windowList is GET and POST /api/windows.
-type windowList struct{ c *Core }
+// windowListHandler serves GET and POST /api/windows.
+type windowListHandler struct{ core *Core }
 
-func (h *windowList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *windowListHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
-		if !h.c.isCurrent(w, r) {
+		if !h.core.waitUntilCurrent(w, r) {
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(h.c.windowStates())
+		json.NewEncoder(w).Encode(h.core.windowStates())
 	case http.MethodPost:
 		h.plan(w, r)
 	default:
-		only(w, "GET, POST")
+		methodNotAllowed(w, "GET, POST")
 	}
 }
 
-func (h *windowList) plan(w http.ResponseWriter, r *http.Request) {
+func (h *windowListHandler) plan(w http.ResponseWriter, r *http.Request) {
 	var plan maintenance.PlanDocument
-	if !readJSON(w, r, mostWindowCall, &plan) {
+	if !readJSON(w, r, maxWindowRequestBytes, &plan) {
 		return
 	}
 	window, err := plan.Window()
 	if err != nil {
-		problem(w, http.StatusBadRequest, err.Error())
+		writeProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if old := h.c.table.windowsNow.Load().Find(window.Name); old == nil { // else the call came twice, or contradicts the first
-		if why := h.c.judgePlan(window); why != "" {
-			problem(w, http.StatusConflict, why)
+	// If the window exists, the request is a repetition or a conflict, which the table decides.
+	if existing := h.core.table.publishedWindows.Load().Find(window.Name); existing == nil {
+		if reason := h.core.checkPlan(window); reason != "" {
+			writeProblem(w, http.StatusConflict, reason)
 			return
 		}
 	}
-	h.c.agreeWindow(w, r, &maintenance.Command{Plan: window})
+	h.core.handleWindowCommand(w, r, &maintenance.Command{Plan: window})
 }
 
-// judgePlan says why a window can't be as things stand here; empty: it can.
-func (c *Core) judgePlan(window *maintenance.Window) (why string) {
+// checkPlan returns why a window can't be planned now; empty if it can.
+func (c *Core) checkPlan(window *maintenance.Window) (reason string) {
 	done := make(chan struct{})
-	c.do(func() {
+	c.submit(func() {
 		defer close(done)
-		why = c.refusesPlan(window)
+		reason = c.planConflict(window)
 	})
 	<-done
-	return why
+	return reason
 }
 
-// refusesPlan is the owner's.
-func (c *Core) refusesPlan(window *maintenance.Window) string {
+// planConflict implements checkPlan in the loop.
+func (c *Core) planConflict(window *maintenance.Window) string {
 	for i, zone := range window.Zones {
-		if _, known := c.set.Zones[zone]; !known {
+		if _, known := c.settings.Zones[zone]; !known {
 			return fmt.Sprintf("zones[%d]: %s is none of the settings' zones", i, zone)
 		}
 	}
 	status := c.node.Status()
 	for i, node := range window.Nodes {
-		if c.registry.Station(node) == nil && !isCore(&status, node) {
-			return fmt.Sprintf("nodes[%d]: no machine %s is known", i, node)
+		if c.registry.Station(node) == nil && !isControlPlaneNode(&status, node) {
+			return fmt.Sprintf("nodes[%d]: unknown machine %s", i, node)
 		}
 	}
-	if status.Role == "leader" { // others don't know all core machines; it is judged again before machines are moved
-		if why := quorumWithout(window, &status, c.set.Control, c.set.Zone); why != "" {
-			return "zones: " + why
+	if status.Role == "leader" { // others don't know all nodes; checked again before draining
+		if reason := quorumLossReason(window, &status, c.settings.Control, c.settings.Zone); reason != "" {
+			return "zones: " + reason
 		}
 	}
 	if shares := maintenance.Forecast(window, c.backends()); len(shares) > 0 && !window.Forced && shares[0].After > maintenance.MaxUtilization {
-		return fmt.Sprintf("zones: what stays would not bear the load: %s; up to %.0f%% is borne", shares[0].String(), 100*maintenance.MaxUtilization)
+		return fmt.Sprintf("zones: the remaining backends would not bear the load: %s; the limit is %.0f%%", shares[0].String(), 100*maintenance.MaxUtilization)
 	}
 	return ""
 }
 
-// windowCalls are POST /api/windows/{name}/cancel, begin and end.
-type windowCalls struct{ c *Core }
+// windowCommandHandler serves POST /api/windows/{name}/cancel, begin and end.
+type windowCommandHandler struct{ core *Core }
 
-func (h *windowCalls) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *windowCommandHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
-		only(w, "POST")
+		methodNotAllowed(w, "POST")
 		return
 	}
 	name, command := r.PathValue("name"), &maintenance.Command{}
@@ -100,21 +101,21 @@
 	case "end":
 		command.End = name
 	default:
-		problem(w, http.StatusNotFound, "cancel, begin or end")
+		writeProblem(w, http.StatusNotFound, "use cancel, begin or end")
 		return
 	}
-	h.c.agreeWindow(w, r, command)
+	h.core.handleWindowCommand(w, r, command)
 }
 
-// agreeWindow has an operator's command agreed on, and answers the caller.
-func (c *Core) agreeWindow(w http.ResponseWriter, r *http.Request, command *maintenance.Command) {
-	ctx, cancel := context.WithTimeout(r.Context(), answerIn)
+// handleWindowCommand proposes an operator's command and writes the response.
+func (c *Core) handleWindowCommand(w http.ResponseWriter, r *http.Request, command *maintenance.Command) {
+	ctx, cancel := context.WithTimeout(r.Context(), responseTimeout)
 	defer cancel()
 	command.Now = c.clock.Now()
 	reply, err := c.proposeWindow(ctx, command)
 	switch {
 	case err != nil:
-		problem(w, statusOf(err), err.Error())
+		writeProblem(w, statusFor(err), err.Error())
 	case reply.Refused == "":
 		acknowledge(w)
 	default:
@@ -122,21 +123,21 @@
 		if reply.Invalid {
 			status = http.StatusBadRequest
 		}
-		(&refusal{Status: status, Field: reply.Field, Error: reply.Refused}).answer(w)
+		(&refusal{Status: status, Field: reply.Field, Error: reply.Refused}).write(w)
 	}
 }
 
-// windowStates are all windows, and what this machine sees of the one that is not over.
+// windowStates returns all windows, with this node's view of the current one.
 func (c *Core) windowStates() []maintenance.StateDocument {
-	table := c.table.windowsNow.Load()
-	list := []maintenance.StateDocument{}
-	next, view := table.Current(), c.windows.view.Load()
-	for _, w := range table.Windows {
-		s := w.Document()
-		if w == next && view != nil {
-			s.Left, s.Forecast = view.Left, view.Forecast
+	table := c.table.publishedWindows.Load()
+	documents := []maintenance.StateDocument{}
+	current, view := table.Current(), c.windowDriver.view.Load()
+	for _, window := range table.Windows {
+		document := window.Document()
+		if window == current && view != nil {
+			document.Left, document.Forecast = view.Remaining, view.Forecast
 		}
-		list = append(list, s)
+		documents = append(documents, document)
 	}
-	return list
+	return documents
 }
--- a/internal/mesh/controlplane/window_driver.go
+++ b/internal/mesh/controlplane/window_driver.go
@@ -13,168 +13,168 @@
 )
 
 const (
-	// zoneMemory is how long it is remembered how many agents a zone had.
-	zoneMemory = 10 * time.Minute
-	windowTick = 250 * time.Millisecond
-	// lookEarly is how often the forecast is made for a window long before it begins.
-	lookEarly = 5 * time.Second
-	// ledFor is how long a machine leads before it decides about windows: agents have told it by then
-	// what they have in hand.
-	ledFor = 3 * time.Second
+	// zonePeakMemory is how long the peak number of a zone's agents is remembered.
+	zonePeakMemory     = 10 * time.Minute
+	windowTickInterval = 250 * time.Millisecond
+	// earlyCheckInterval is the time between forecasts for a window that is not to be drained yet.
+	earlyCheckInterval = 5 * time.Second
+	// leaderSettleTime is the time from an election until the leader decides about windows. By
+	// then, agents have sent it their current workload.
+	leaderSettleTime = 3 * time.Second
 )
 
-// windowDriver brings windows of planned work on while this core machine leads, and gives away what
-// it holds itself where its own machine is taken out of use. All but the atomic fields belong to the
-// goroutine of Core.own.
+// windowDriver advances maintenance windows while this node leads. It also gives up the node's own
+// roles while its machine is cordoned. All fields except the atomic ones belong to the goroutine of
+// Core.runLoop.
 type windowDriver struct {
-	core      *Core
-	ledSince  time.Duration // 0: it does not lead
-	left      int
-	leftSince time.Duration
-	zones     map[string]*zoneAgents
-	counted   time.Duration // when zones were
-	looked    time.Duration // when the window was looked at last
-	standing  atomic.Bool   // its own machine is taken out of use
-	giving    atomic.Bool   // the node is asked to give away what it holds
-	asking    atomic.Bool   // a command is on its way
-	view      atomic.Pointer[windowView]
+	core           *Core
+	leaderSince    time.Duration // 0 if this node does not lead
+	remaining      int           // number of remaining items
+	remainingSince time.Duration // when remaining last changed
+	zones          map[string]*zoneAgents
+	zonesCountedAt time.Duration // time of the latest countZones
+	checkedAt      time.Duration // time of the latest check of the window
+	cordoned       atomic.Bool   // this node's machine is cordoned
+	leaving        atomic.Bool   // a call of node.Leave is in progress
+	proposing      atomic.Bool   // a proposal is in progress
+	view           atomic.Pointer[windowView]
 }
 
-// windowView is what a core machine can tell of the window that is not over, beside what is agreed.
+// windowView is this node's information about the current window, beyond the replicated state.
 type windowView struct {
-	Left     []string // on its machines
-	Forecast []maintenance.Share
+	Remaining []string // what is still active on the window's machines
+	Forecast  []maintenance.Share
 }
 
 func newWindowDriver(c *Core) *windowDriver {
 	return &windowDriver{core: c, zones: map[string]*zoneAgents{}}
 }
 
-// tick goes on by what is known.
+// tick advances the current window if a change is due.
 func (d *windowDriver) tick() {
-	if !d.core.started.Load() {
+	if !d.core.nodeStarted.Load() {
 		return
 	}
-	if now := d.core.now(); now-d.counted >= time.Second {
-		d.counted = now
+	if now := d.core.now(); now-d.zonesCountedAt >= time.Second {
+		d.zonesCountedAt = now
 		d.countZones()
 	}
-	table := d.core.table.windowsNow.Load()
-	d.standAside()
+	table := d.core.table.publishedWindows.Load()
+	d.leaveIfCordoned()
 	status := d.core.node.Status()
 	switch {
 	case status.Role != "leader":
-		d.ledSince = 0
-	case d.ledSince == 0:
-		d.ledSince = d.core.now()
+		d.leaderSince = 0
+	case d.leaderSince == 0:
+		d.leaderSince = d.core.now()
 	}
-	w := table.Current()
-	if w == nil {
+	window := table.Current()
+	if window == nil {
 		d.view.Store(nil)
 		return
 	}
-	if d.isEarly(w) && d.core.now()-d.looked < lookEarly {
+	if d.isEarly(window) && d.core.now()-d.checkedAt < earlyCheckInterval {
 		return
 	}
-	d.looked = d.core.now()
+	d.checkedAt = d.core.now()
 	backends := d.core.backends()
-	left := d.core.leftOn(w, &status)
-	d.view.Store(&windowView{left, maintenance.Forecast(w, backends)})
-	if d.left != len(left) {
-		d.left, d.leftSince = len(left), d.core.now()
+	remaining := d.core.remainingOn(window, &status)
+	d.view.Store(&windowView{remaining, maintenance.Forecast(window, backends)})
+	if d.remaining != len(remaining) {
+		d.remaining, d.remainingSince = len(remaining), d.core.now()
 	}
-	if d.ledSince == 0 {
+	if d.leaderSince == 0 {
 		return
 	}
-	v := &maintenance.View{Now: d.core.clock.Now(), Backends: backends, Remaining: len(left), UnchangedFor: d.core.now() - d.leftSince,
-		Unreliable: d.blind(w, &status)}
-	if a := maintenance.Decide(w, v); a != nil {
-		d.propose(&maintenance.Command{Now: v.Now, Advance: a})
+	view := &maintenance.View{Now: d.core.clock.Now(), Backends: backends, Remaining: len(remaining), UnchangedFor: d.core.now() - d.remainingSince,
+		Unreliable: d.unreliableReason(window, &status)}
+	if advance := maintenance.Decide(window, view); advance != nil {
+		d.propose(&maintenance.Command{Now: view.Now, Advance: advance})
 	}
 }
 
-// isEarly says whether nothing is to be done about a window yet.
+// isEarly reports whether it is too early to drain the window's machines.
 func (d *windowDriver) isEarly(w *maintenance.Window) bool {
 	return w.Phase == maintenance.PhasePlanned && !w.Begun && d.core.clock.Now() < w.Start-w.Lead
 }
 
-// propose has a command agreed on, one at a time.
+// propose proposes a command, unless another proposal is in progress.
 func (d *windowDriver) propose(command *maintenance.Command) {
-	if !d.asking.CompareAndSwap(false, true) {
+	if !d.proposing.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer d.asking.Store(false)
-		ctx, cancel := context.WithTimeout(context.Background(), proposeWithin)
+		defer d.proposing.Store(false)
+		ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 		defer cancel()
-		a := command.Advance
+		advance := command.Advance
 		if reply, err := d.core.proposeWindow(ctx, command); err == nil && reply.Refused == "" {
-			d.core.log.WithField("window", a.Name).WithField("phase", string(a.Phase)).WithField("step", a.Step).
-				WithField("clear", a.Clear).WithField("waits", a.Waits).Info("window of planned work")
+			d.core.log.WithField("window", advance.Name).WithField("phase", string(advance.Phase)).WithField("step", advance.Step).
+				WithField("clear", advance.Clear).WithField("waits", advance.Waits).Info("maintenance window")
 		}
 	}()
 }
 
-// blind says why what this machine sees is not to be relied on, or why the loss of the window's
-// machines must not be added to what is missing already.
-func (d *windowDriver) blind(w *maintenance.Window, status *consensus.Status) string {
+// unreliableReason returns why this node's view can't be relied on, or why the window's machines
+// must not be drained in addition to what is down already. It is empty if there is no reason.
+func (d *windowDriver) unreliableReason(w *maintenance.Window, status *consensus.Status) string {
 	c := d.core
 	switch {
-	case c.now()-d.ledSince < ledFor || c.settling():
-		return "the core machine that leads has just begun to"
+	case c.now()-d.leaderSince < leaderSettleTime || c.settling():
+		return "the leader was elected or stalled only moments ago"
 	case len(c.feeds) == 0:
-		return "the core machine that leads hears no agents"
+		return "the leader has no connected agents"
 	}
 	for _, zone := range slices.Sorted(maps.Keys(d.zones)) {
 		if !slices.Contains(w.Zones, zone) && d.zones[zone].isDown() {
 			return "zone " + zone + " is down"
 		}
 	}
-	return quorumWithout(w, status, c.set.Control, c.set.Zone)
+	return quorumLossReason(w, status, c.settings.Control, c.settings.Zone)
 }
 
-// zoneAgents is how many agents of a zone are heard, and the most that were within zoneMemory: agents
-// that are lost are forgotten long before a zone is back.
+// zoneAgents are the current number of connected agents of a zone, and the peak number within
+// zonePeakMemory. The registry forgets lost agents long before a failed zone returns.
 type zoneAgents struct {
-	heard, most int
-	at          time.Duration // when the most were heard
+	connected, peak int
+	peakAt          time.Duration // when connected last equaled peak
 }
 
-func (z *zoneAgents) isDown() bool { return 2*z.heard < z.most }
+func (z *zoneAgents) isDown() bool { return 2*z.connected < z.peak }
 
-// countZones takes in which agents are heard now.
+// countZones updates the numbers of connected agents.
 func (d *windowDriver) countZones() {
-	heard, now := map[string]int{}, d.core.now()
-	for _, h := range d.core.registry.All(now) {
-		if !h.Lost {
-			heard[h.Station.Zone]++
+	connected, now := map[string]int{}, d.core.now()
+	for _, status := range d.core.registry.All(now) {
+		if !status.Lost {
+			connected[status.Station.Zone]++
 		}
 	}
-	for zone := range d.core.set.Zones {
-		z := d.zones[zone]
-		if z == nil {
-			z = &zoneAgents{}
-			d.zones[zone] = z
+	for zone := range d.core.settings.Zones {
+		agents := d.zones[zone]
+		if agents == nil {
+			agents = &zoneAgents{}
+			d.zones[zone] = agents
 		}
-		if z.heard = heard[zone]; z.heard >= z.most || now-z.at > zoneMemory {
-			z.most, z.at = z.heard, now
+		if agents.connected = connected[zone]; agents.connected >= agents.peak || now-agents.peakAt > zonePeakMemory {
+			agents.peak, agents.peakAt = agents.connected, now
 		}
 	}
 }
 
-// standAside gives away leadership, vote and duties while this machine is taken out of use. What it
-// gives away counts for two seconds or so, so that it is given away again and again.
-func (d *windowDriver) standAside() {
+// leaveIfCordoned gives up leadership, vote and duties while this node's machine is cordoned.
+// Giving them up lasts only for about two seconds, so it is repeated.
+func (d *windowDriver) leaveIfCordoned() {
 	c := d.core
-	stage := c.table.now.Load().config.Stage(c.set.Zone, c.set.IP)
-	standing := stage >= meshconfig.StageCalls
-	d.standing.Store(standing)
-	if !standing || !d.giving.CompareAndSwap(false, true) {
+	stage := c.table.published.Load().config.Stage(c.settings.Zone, c.settings.IP)
+	cordoned := stage >= meshconfig.StageCalls
+	d.cordoned.Store(cordoned)
+	if !cordoned || !d.leaving.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer d.giving.Store(false)
-		ctx, cancel := context.WithTimeout(context.Background(), leaveWithin)
+		defer d.leaving.Store(false)
+		ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 		defer cancel()
 		c.node.Leave(ctx)
 	}()
