--- a/internal/mesh/controlplane/window_left.go
+++ b/internal/mesh/controlplane/window_left.go
@@ -12,120 +12,122 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// mostLeft is how many words there are of what is left on the machines of a window.
-const mostLeft = 20
+// maxRemainingItems limits the list of what is still active on a window's machines.
+const maxRemainingItems = 20
 
-// backends are all that are known, with what their gates told last. It is the owner's.
+// backends returns all known backends with their latest workload. It runs in the loop.
 func (c *Core) backends() []maintenance.Backend {
-	var list []maintenance.Backend
-	for _, h := range c.registry.All(c.now()) {
-		b := h.Station.Backend
-		if b == nil {
+	var backends []maintenance.Backend
+	for _, status := range c.registry.All(c.now()) {
+		backend := status.Station.Backend
+		if backend == nil {
 			continue
 		}
-		one := maintenance.Backend{Service: b.Service, Zone: b.Zone, Node: h.Station.Agent, Capacity: max(1, b.Capacity),
-			Ready: h.Station.Open && !h.Lost && !b.Draining}
-		if f := c.feeds[h.Station.Agent]; f != nil && f.work != nil {
-			one.Load = f.work.Mean
+		entry := maintenance.Backend{Service: backend.Service, Zone: backend.Zone, Node: status.Station.Agent, Capacity: max(1, backend.Capacity),
+			Ready: status.Station.Open && !status.Lost && !backend.Draining}
+		if f := c.feeds[status.Station.Agent]; f != nil && f.workload != nil {
+			entry.Load = f.workload.Mean
 		}
-		list = append(list, one)
+		backends = append(backends, entry)
 	}
-	return list
+	return backends
 }
 
-// leftOn tells what is left on the machines of a window. It is the owner's.
-func (c *Core) leftOn(w *maintenance.Window, status *consensus.Status) []string {
-	var left []string
-	for _, h := range c.registry.All(c.now()) {
-		agent := h.Station.Agent
-		if !w.Covers(h.Station.Zone, agent) {
+// remainingOn lists what is still active on the machines of a window. It runs in the loop.
+func (c *Core) remainingOn(w *maintenance.Window, status *consensus.Status) []string {
+	var remaining []string
+	for _, entry := range c.registry.All(c.now()) {
+		agent := entry.Station.Agent
+		if !w.Covers(entry.Station.Zone, agent) {
 			continue
 		}
-		what := "not heard"
-		if f := c.feeds[agent]; f != nil && !h.Lost {
-			what = workLeft(w.Phase, f.work)
+		reason := "not connected"
+		if f := c.feeds[agent]; f != nil && !entry.Lost {
+			reason = remainingWork(w.Phase, f.workload)
 		}
-		if what != "" {
-			left = append(left, agent+": "+what)
+		if reason != "" {
+			remaining = append(remaining, agent+": "+reason)
 		}
 	}
-	slices.Sort(left)
-	left = append(left, c.coreLeft(w, status)...)
-	if len(left) > mostLeft {
-		left = append(left[:mostLeft], fmt.Sprintf("and %d more", len(left)-mostLeft))
+	slices.Sort(remaining)
+	remaining = append(remaining, c.remainingRoles(w, status)...)
+	if len(remaining) > maxRemainingItems {
+		remaining = append(remaining[:maxRemainingItems], fmt.Sprintf("and %d more", len(remaining)-maxRemainingItems))
 	}
-	return left
+	return remaining
 }
 
-// workLeft tells what an agent of a window has in hand; empty: nothing. Danger: that it had nothing before
-// its gate was closed says nothing of now.
-func workLeft(phase maintenance.Phase, work *transport.Workload) string {
+// remainingWork describes the work of an agent in a window; empty if there is none. In phase
+// closed, a workload counts only if it was measured after the gate closed.
+func remainingWork(phase maintenance.Phase, workload *transport.Workload) string {
 	switch {
-	case work == nil:
-		return "has not told what it has in hand"
-	case work.Gate+work.Sender > 0:
-		return fmt.Sprintf("%d requests at its backend, %d of its clients", work.Gate, work.Sender)
-	case phase == maintenance.PhaseClosed && work.Stage < meshconfig.StageClosed:
-		return "has not told that its gate is closed"
+	case workload == nil:
+		return "has not sent its workload"
+	case workload.Gate+workload.Sender > 0:
+		return fmt.Sprintf("%d requests at its backend, %d from its clients", workload.Gate, workload.Sender)
+	case phase == maintenance.PhaseClosed && workload.Stage < meshconfig.StageClosed:
+		return "has not confirmed that its gate is closed"
 	}
 	return ""
 }
 
-func isCore(status *consensus.Status, ip string) bool {
-	at := func(address string) bool {
+func isControlPlaneNode(status *consensus.Status, ip string) bool {
+	hasIP := func(address string) bool {
 		host, _, _ := net.SplitHostPort(address)
 		return host == ip
 	}
-	return slices.ContainsFunc(status.Members, at) || slices.ContainsFunc(status.Learners, at)
+	return slices.ContainsFunc(status.Members, hasIP) || slices.ContainsFunc(status.Learners, hasIP)
 }
 
-// coreLeft tells what core machines of a window still hold that others could take.
-func (c *Core) coreLeft(w *maintenance.Window, status *consensus.Status) []string {
+// remainingRoles lists the roles that control-plane nodes in the window hold and others could take.
+func (c *Core) remainingRoles(w *maintenance.Window, status *consensus.Status) []string {
 	if status.Role != "leader" {
 		return nil
 	}
-	var left []string
-	if covers(w, status, status.Leader, c.set.Control, c.set.Zone) {
-		left = append(left, status.Leader+": leads")
+	var remaining []string
+	if coversMember(w, status, status.Leader, c.settings.Control, c.settings.Zone) {
+		remaining = append(remaining, status.Leader+": is the leader")
 	}
-	standby := slices.ContainsFunc(status.Learners, func(l string) bool { return !covers(w, status, l, c.set.Control, c.set.Zone) })
+	hasStandby := slices.ContainsFunc(status.Learners, func(learner string) bool {
+		return !coversMember(w, status, learner, c.settings.Control, c.settings.Zone)
+	})
 	for _, member := range status.Members {
-		if standby && member != status.Leader && covers(w, status, member, c.set.Control, c.set.Zone) {
-			left = append(left, member+": votes")
+		if hasStandby && member != status.Leader && coversMember(w, status, member, c.settings.Control, c.settings.Zone) {
+			remaining = append(remaining, member+": is a voter")
 		}
 	}
-	if c.duty != nil && c.duty.epoch.Load() != 0 && covers(w, status, c.set.Control, c.set.Control, c.set.Zone) {
-		left = append(left, c.set.Control+": holds "+duties.UsageReport)
+	if c.dutyHolder != nil && c.dutyHolder.heldEpoch.Load() != 0 && coversMember(w, status, c.settings.Control, c.settings.Control, c.settings.Zone) {
+		remaining = append(remaining, c.settings.Control+": holds the duty "+duties.UsageReport)
 	}
-	return left
+	return remaining
 }
 
-// quorumWithout says why the core machines could not agree without a window's; empty: they could. It
-// is for the machine that leads.
-func quorumWithout(w *maintenance.Window, status *consensus.Status, self, zone string) string {
-	stay, silent := 0, 0
+// quorumLossReason returns why the control plane would lose its quorum without the window's
+// machines; empty if it would not. It needs the status of the leader.
+func quorumLossReason(w *maintenance.Window, status *consensus.Status, self, zone string) string {
+	available, silent := 0, 0
 	for _, member := range status.Members {
 		switch {
-		case covers(w, status, member, self, zone):
+		case coversMember(w, status, member, self, zone):
 		case slices.Contains(status.Silent, member):
 			silent++
 		default:
-			stay++
+			available++
 		}
 	}
-	for _, learner := range status.Learners { // they can take votes
-		if !covers(w, status, learner, self, zone) {
-			stay++
+	for _, learner := range status.Learners { // they can become voters
+		if !coversMember(w, status, learner, self, zone) {
+			available++
 		}
 	}
-	if need := len(status.Members)/2 + 1; stay < need {
-		return fmt.Sprintf("of the core machines %d would stay that are heard, %d are not, and %d must agree", stay, silent, need)
+	if majority := len(status.Members)/2 + 1; available < majority {
+		return fmt.Sprintf("of the core machines, %d would stay and respond, %d don't respond, and a quorum needs %d", available, silent, majority)
 	}
 	return ""
 }
 
-// covers says whether a core machine is one of a window's.
-func covers(w *maintenance.Window, status *consensus.Status, member, self, zone string) bool {
+// coversMember reports whether a window includes the machine of a control-plane node.
+func coversMember(w *maintenance.Window, status *consensus.Status, member, self, zone string) bool {
 	if member != self {
 		zone = status.Zones[member]
 	}
--- a/internal/mesh/controlplane/window_stats.go
+++ b/internal/mesh/controlplane/window_stats.go
@@ -5,20 +5,20 @@
 	"example.org/micaline/internal/mesh/meshmetrics"
 )
 
-// figures adds what there is to count of the window of maintenance that is not over.
-func (d *windowDriver) figures(f *meshmetrics.Set) {
-	step, left, late, waits := 0, 0, 0.0, false
-	if w := d.core.table.windowsNow.Load().Current(); w != nil {
-		step, waits = w.Step, w.Waits != ""
-		if view := d.view.Load(); view != nil && w.Step > 0 {
-			left = len(view.Left)
+// addMetrics adds the metrics of the current maintenance window.
+func (d *windowDriver) addMetrics(metrics *meshmetrics.Set) {
+	step, remaining, late, blocked := 0, 0, 0.0, false
+	if window := d.core.table.publishedWindows.Load().Current(); window != nil {
+		step, blocked = window.Step, window.Waits != ""
+		if view := d.view.Load(); view != nil && window.Step > 0 {
+			remaining = len(view.Remaining)
 		}
-		if now := d.core.clock.Now(); now > w.Start && now < w.End && !w.Clear && w.Phase != maintenance.PhaseReturning {
-			late = (now - w.Start).Seconds()
+		if now := d.core.clock.Now(); now > window.Start && now < window.End && !window.Clear && window.Phase != maintenance.PhaseReturning {
+			late = (now - window.Start).Seconds()
 		}
 	}
-	f.Add("micaline_mesh_core_window_step", float64(step))
-	f.Flag("micaline_mesh_core_window_waits", waits)
-	f.Add("micaline_mesh_core_window_left", float64(left))
-	f.Add("micaline_mesh_core_window_late_seconds", late)
+	metrics.Add("micaline_mesh_core_window_step", float64(step))
+	metrics.Flag("micaline_mesh_core_window_waits", blocked)
+	metrics.Add("micaline_mesh_core_window_left", float64(remaining))
+	metrics.Add("micaline_mesh_core_window_late_seconds", late)
 }
--- a/internal/mesh/controlplane/window_table.go
+++ b/internal/mesh/controlplane/window_table.go
@@ -8,43 +8,43 @@
 	"example.org/micaline/internal/mesh/meshconfig"
 )
 
-// opWindow is an order of the core machines themselves: a command of package maintenance. Agents are
-// sent the cordons that it leads to, as an OpCordons.
+// opWindow marks an order that contains a maintenance.Command. Control-plane nodes propose these
+// orders themselves. Agents are sent only the resulting cordons, as an OpCordons.
 const opWindow = "window"
 
-// applyWindow carries a command about windows of planned work out, and returns the encoded reply.
+// applyWindow applies a maintenance.Command and returns the encoded reply.
 func (t *table) applyWindow(index uint64, body []byte) []byte {
 	command, err := maintenance.DecodeCommand(body)
 	if err != nil {
 		return maintenance.EncodeReply(&maintenance.Reply{Refused: err.Error(), Invalid: true})
 	}
 	reply := t.windows.Apply(index, command)
-	t.windowsNow.Store(t.windows.Clone())
-	t.cordon(index)
+	t.publishedWindows.Store(t.windows.Clone())
+	t.updateCordons(index)
 	return maintenance.EncodeReply(&reply)
 }
 
-// cordon has the configuration hold the cordons that the windows ask for.
-func (t *table) cordon(index uint64) {
+// updateCordons sets the configuration's cordons to those of the windows.
+func (t *table) updateCordons(index uint64) {
 	cordons := t.windows.Cordons()
-	old := t.newest
-	if slices.EqualFunc(cordons, old.config.Cordons(), equalCordons) {
+	previous := t.newest
+	if slices.EqualFunc(cordons, previous.config.Cordons(), equalCordons) {
 		return
 	}
 	order := meshconfig.Order{Op: meshconfig.OpCordons, Body: meshconfig.EncodeCordons(cordons)}
-	next, err := old.config.Carry(&order)
+	next, err := previous.config.Carry(&order)
 	if err != nil {
-		return // a window that was accepted makes no cordon that can't be carried out
+		return // cordons of an accepted window always apply
 	}
-	t.newest = old.after(index, next, &order)
-	t.show()
+	t.newest = previous.successor(index, next, &order)
+	t.publish()
 }
 
 func equalCordons(a, b meshconfig.Cordon) bool {
 	return slices.Equal(a.Zones, b.Zones) && a.Stage == b.Stage && a.Part == b.Part && slices.Equal(a.Nodes, b.Nodes)
 }
 
-// proposeWindow has a command agreed on.
+// proposeWindow proposes a maintenance.Command.
 func (c *Core) proposeWindow(ctx context.Context, command *maintenance.Command) (*maintenance.Reply, error) {
 	order := meshconfig.Order{Op: opWindow, Body: maintenance.EncodeCommand(command)}
 	result, err := c.node.Propose(ctx, encodeOrder(&order))
--- a/internal/mesh/duties/holder.go
+++ b/internal/mesh/duties/holder.go
@@ -105,9 +105,9 @@
 
 // NewHolder returns the Holder of a node's process. The process name must never have been used by
 // another process.
-func NewHolder(node, process string, b Bounds) *Holder {
-	term := min(max(time.Duration(termFraction*float64(b.Lease)), lease.MinTerm), lease.MaxTerm)
-	return &Holder{bounds: b, node: node, retryDelay: minRetryDelay, accepted: map[int64]bool{},
+func NewHolder(node, process string, bounds Bounds) *Holder {
+	term := min(max(time.Duration(termFraction*float64(bounds.Lease)), lease.MinTerm), lease.MaxTerm)
+	return &Holder{bounds: bounds, node: node, retryDelay: minRetryDelay, accepted: map[int64]bool{},
 		lease: lease.Holder{Duty: UsageReport, Name: process, Term: term, NoRest: true}}
 }
 
--- a/internal/mesh/maintenance/maintenance_test.go
+++ b/internal/mesh/maintenance/maintenance_test.go
@@ -65,23 +65,23 @@
 		if _, cordoned := window.cordon(); cordoned {
 			cordonedCount++
 		}
-		old := before.Find(window.Name)
-		if old == nil {
+		previous := before.Find(window.Name)
+		if previous == nil {
 			continue
 		}
-		if delta := window.Step - old.Step; delta < -1 || delta > 1 {
-			w.fail("%s went from step %d to %d", window.Name, old.Step, window.Step)
+		if delta := window.Step - previous.Step; delta < -1 || delta > 1 {
+			w.fail("%s went from step %d to %d", window.Name, previous.Step, window.Step)
 		}
-		if window.Step > old.Step && w.now < old.Start-old.Lead-w.maxClockSkew() && !old.Begun {
-			w.fail("%s started %v early", window.Name, old.Start-old.Lead-w.now)
+		if window.Step > previous.Step && w.now < previous.Start-previous.Lead-w.maxClockSkew() && !previous.Begun {
+			w.fail("%s started %v early", window.Name, previous.Start-previous.Lead-w.now)
 		}
-		if window.Step > old.Step && old.Phase == PhaseReturning {
+		if window.Step > previous.Step && previous.Phase == PhaseReturning {
 			w.fail("%s progressed while returning", window.Name)
 		}
 		if window.Clear && window.Step != LastStep {
 			w.fail("%s is clear at step %d", window.Name, window.Step)
 		}
-		if since, blocked := w.blockedSince[window.Name]; blocked && window.Step > old.Step && w.now-since > staleAfter+w.maxClockSkew() {
+		if since, blocked := w.blockedSince[window.Name]; blocked && window.Step > previous.Step && w.now-since > staleAfter+w.maxClockSkew() {
 			w.fail("%s progressed although the rest can't bear the load", window.Name)
 		}
 	}
@@ -125,10 +125,10 @@
 			w.delayed = append(w.delayed, c)
 		default:
 			w.apply(c)
-			again := *c
+			repeated := *c
 			copied := *a
-			again.Advance = &copied
-			w.apply(&again)
+			repeated.Advance = &copied
+			w.apply(&repeated)
 		}
 	}
 }
@@ -266,8 +266,8 @@
 			require.GreaterOrEqual(t, stage+1, steps[step].stage)
 			require.Equal(t, meshconfig.StageOpen, config.Stage("b", node))
 		}
-		again, err := meshconfig.Decode(config.Encode())
+		decoded, err := meshconfig.Decode(config.Encode())
 		require.NoError(t, err)
-		require.Equal(t, config.Digest(), again.Digest())
+		require.Equal(t, config.Digest(), decoded.Digest())
 	}
 }
--- a/internal/mesh/maintenance/table.go
+++ b/internal/mesh/maintenance/table.go
@@ -98,11 +98,11 @@
 }
 
 func (t *Table) plan(index uint64, requested *Window, now time.Duration) Reply {
-	if old := t.Find(requested.Name); old != nil {
-		if old.sameRequest(requested) {
+	if existing := t.Find(requested.Name); existing != nil {
+		if existing.sameRequest(requested) {
 			return Reply{} // the call was repeated
 		}
-		return Reply{Refused: fmt.Sprintf("name: window %s was planned with other content", old.Name), Field: "name"}
+		return Reply{Refused: fmt.Sprintf("name: window %s was planned with other content", existing.Name), Field: "name"}
 	}
 	if err := requested.Validate(now); err != nil {
 		invalid := err.(*meshconfig.Invalid)
