--- a/internal/mesh/controlplane/core.go
+++ b/internal/mesh/controlplane/core.go
@@ -38,7 +38,7 @@
 	commandQueueSize = 1024
 	maxFeeds         = 2048
 
-	leaveTimeout    = 3500 * time.Millisecond // longer than a departure from the consensus group takes
+	leaveTimeout    = 3500 * time.Millisecond // longer than leaving the consensus group takes
 	shutdownTimeout = time.Second
 
 	heartbeatInterval = 500 * time.Millisecond
@@ -76,13 +76,13 @@
 
 	clock       *meshtime.Clock
 	collector   *usage.Collector
-	firstWindow int64 // first window that this process saw before any was final; 0 if none
+	firstWindow int64 // usage window of the first check, while none was final; 0 before
 
 	processID   uint64             // random, not 0
 	revisions   registry.Revisions // of registry
 	lastActive  time.Duration      // when the loop last handled something
 	settledAt   time.Duration      // end of the settle time after a pause; 0 if not settling
-	lostInStall map[string]uint64  // lives of agents that disconnected during the settle time
+	lostInStall map[string]uint64  // agents that disconnected during it, and their lives
 }
 
 // New returns a process that is not started yet.
--- a/internal/mesh/controlplane/feed.go
+++ b/internal/mesh/controlplane/feed.go
@@ -11,7 +11,8 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// feed is the connection with one agent. Fields without a comment on their owner belong to runLoop.
+// feed is the connection with one agent. The fields from pendingStations to replies, and workload,
+// belong to the goroutine of Core.runLoop.
 type feed struct {
 	agent             string // its IP
 	conn              *transport.Conn
@@ -27,10 +28,10 @@
 	proofNumber       uint64          // number of the proof request to answer next; 0 if none
 	sentRevision      uint64          // station revision sent last
 	minLife           uint64          // if not 0: the agent has to use a higher life
-	life              uint64
+	life              uint64          // identifies the agent's process; 0 until it is known
 	pendingHeartbeats []pendingHeartbeat
-	lastNumber        uint64
-	replies           map[uint64]chan int
+	lastNumber        uint64              // number of the latest heartbeat
+	replies           map[uint64]chan int // by number: receives the HTTP status of the answer
 
 	clockOffset atomic.Int64 // difference of the agent's clock from this process's, in ns
 	hasClock    atomic.Bool  // the agent has sent its clock
@@ -82,7 +83,7 @@
 	c.submit(func() { c.feedEnded(f) })
 }
 
-// greet sends the first message of a feed and returns the agent's answer.
+// greet sends the first message on a new connection and returns the agent's answer.
 func (c *Core) greet(conn *transport.Conn) (*transport.AgentUpdate, error) {
 	conn.SetWriteDeadline(time.Now().Add(feedTimeout))
 	if err := conn.Send(&transport.CoreUpdate{Core: c.processID}, nil); err != nil {
--- a/internal/mesh/controlplane/orders_history_test.go
+++ b/internal/mesh/controlplane/orders_history_test.go
@@ -179,7 +179,7 @@
 
 // checkZone checks the attempts on the zone for linearizability. An order without a definite result
 // may be applied at any time until an opposite order is acknowledged that was sent after the caller
-// gave up the first.
+// gave up on the first.
 func (h *simHistory) checkZone() porcupine.CheckResult {
 	attempts := slices.DeleteFunc(slices.Clone(h.attempts), func(op porcupine.Operation) bool { return op.Input.(simInput).zone == "" })
 	bounded := slices.Clone(attempts)
--- a/internal/mesh/controlplane/window_api.go
+++ b/internal/mesh/controlplane/window_api.go
@@ -70,7 +70,7 @@
 	status := c.node.Status()
 	for i, node := range window.Nodes {
 		if c.registry.Station(node) == nil && !isControlPlaneNode(&status, node) {
-			return fmt.Sprintf("nodes[%d]: unknown machine %s", i, node)
+			return fmt.Sprintf("nodes[%d]: no machine %s is known", i, node)
 		}
 	}
 	if status.Role == "leader" { // others don't know all nodes; checked again before draining
--- a/internal/mesh/maintenance/maintenance.go
+++ b/internal/mesh/maintenance/maintenance.go
@@ -140,7 +140,7 @@
 	case w.Start <= now:
 		return invalid("start", "%v in the past", (now - w.Start).Round(time.Second))
 	case w.Start-w.Lead < now:
-		return invalid("start", "in %v, but lead needs %v before it", (w.Start - now).Round(time.Millisecond), w.Lead)
+		return invalid("start", "it is in %v, but lead needs %v before it", (w.Start - now).Round(time.Millisecond), w.Lead)
 	case w.End <= w.Start:
 		return invalid("end", "must be after start")
 	case w.End-w.Start > MaxDuration:
