--- a/internal/mesh/maintenance/maintenance.go
+++ b/internal/mesh/maintenance/maintenance.go
@@ -60,18 +60,18 @@
 	Name  string        `json:"name"`
 	Zones []string      `json:"zones,omitempty"` // complete zones; empty if Nodes is set
 	Nodes []string      `json:"nodes,omitempty"` // IPs of individual machines
-	Start time.Duration `json:"start"`           // planned begin of the work
+	Start time.Duration `json:"start"`           // planned start of the work
 	End   time.Duration `json:"end"`
 	Lead  time.Duration `json:"lead"` // time before Start in which machines are drained
 	By    string        `json:"by,omitempty"`
 	Why   string        `json:"why,omitempty"`
 
 	Phase   Phase         `json:"phase"`
-	Step    int           `json:"step"`             // index of the current step
+	Step    int           `json:"step"`             // index of the current step in steps
 	Stepped time.Duration `json:"stepped"`          // when the current step began
 	Clear   bool          `json:"clear"`            // its machines are idle, so work may begin
 	Waits   string        `json:"waits,omitempty"`  // why it does not progress; empty if it does
-	Ended   string        `json:"ended,omitempty"`  // why it is over or returning: expired, cancelled, ended early
+	Ended   string        `json:"ended,omitempty"`  // why it is over or returns to service
 	Changed uint64        `json:"changed"`          // log index of the last change
 	Begun   bool          `json:"begun,omitempty"`  // started by an operator, before its time
 	Forced  bool          `json:"forced,omitempty"` // planned although the forecast was too high
@@ -80,7 +80,7 @@
 // step is one of the states between fully in service and out of service.
 type step struct {
 	stage meshconfig.Stage
-	part  float64
+	part  float64 // fraction of the machines that have reached the stage
 }
 
 // steps are the states in the order in which a window goes through them. Long transfers are moved
--- a/internal/mesh/maintenance/table.go
+++ b/internal/mesh/maintenance/table.go
@@ -21,7 +21,8 @@
 	Advance *Advance
 }
 
-// Advance moves a window to another state. It is refused if the window has changed in the meantime.
+// Advance sets the fields from Phase on to new values. It is refused if the window has changed in
+// the meantime.
 type Advance struct {
 	Name    string
 	Changed uint64 // Window.Changed when this was decided
@@ -29,7 +30,7 @@
 	Step    int
 	Clear   bool
 	Waits   string
-	Ended   string
+	Ended   string // empty: unchanged
 }
 
 // Reply is the result of a Command.
--- a/internal/mesh/usage/counter.go
+++ b/internal/mesh/usage/counter.go
@@ -56,7 +56,7 @@
 // nothing.
 type Counter struct {
 	process      uint64
-	windowLength time.Duration // of a window
+	windowLength time.Duration
 	clock        *meshtime.Clock
 
 	mu               sync.Mutex
