--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -47,7 +47,7 @@
 // SetDraining begins or ends a drain by hand: clients are to go elsewhere, and the process stays.
 func (a *Agent) SetDraining(on bool) {
 	a.log.Info("operators", "draining", on)
-	a.changeStance(func(m *leave.Machine, now time.Duration) {
+	a.changeStance(func(m *leave.Controller, now time.Duration) {
 		if on {
 			m.Drain(now)
 		} else {
@@ -57,7 +57,7 @@
 }
 
 // changeStance takes in what is asked of the agent, and has the connections follow.
-func (a *Agent) changeStance(f func(m *leave.Machine, now time.Duration)) {
+func (a *Agent) changeStance(f func(m *leave.Controller, now time.Duration)) {
 	a.leaveMu.Lock()
 	defer a.leaveMu.Unlock()
 	f(&a.leave, a.loop.clock.now())
@@ -66,13 +66,13 @@
 
 // follow brings the stance into force, as often as it changes by itself. The mutex is held.
 func (a *Agent) follow() {
-	s := a.leave.At(a.loop.clock.now())
+	s := a.leave.ModeAt(a.loop.clock.now())
 	a.server.stance.Store(&s)
-	if s.EndIdle {
+	if s.CloseIdle {
 		a.clients.endIdle()
 	}
 	switch {
-	case !s.CloseBehind || a.following:
+	case !s.CloseAfterAnswer || a.following:
 	case a.sweep == nil:
 		a.following = true
 		a.sweep = time.AfterFunc(sweepIdle, func() {
--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -42,7 +42,7 @@
 // clientConn is one of them. Its fields are guarded by the admission's mutex.
 type clientConn struct {
 	net.Conn
-	watch   *hangup.Watch
+	watch   *hangup.Watcher
 	place   *list.Element // among the silent; nil while a request is open
 	closed  bool          // to make room, or by its server
 	leaving atomic.Bool   // it makes room, unless a request has come: its reader finds out
@@ -65,7 +65,7 @@
 		}
 	}
 	if n > 0 {
-		c.watch.ReadAhead()
+		c.watch.RecordReadAhead()
 	}
 	if c.inBody.Load() || n == 0 {
 		return n, err
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -62,7 +62,7 @@
 	wanted   atomic.Int64       // requests held at once, by operators; 0: they say nothing
 
 	leaveMu   sync.Mutex // guards what follows
-	leave     leave.Machine
+	leave     leave.Controller
 	sweep     *time.Timer
 	following bool // the sweep is to come
 }
@@ -97,11 +97,11 @@
 	a := &Agent{
 		cfg: cfg, log: log, loop: l, discovery: d, clients: &admission{Listener: listener, most: room},
 		server: &server{loop: l, usual: int64(room - room/8)}, moves: make(chan *Config),
-		followed: cfg.Discovery, peers: talk, leave: leave.Machine{Shared: cfg.Inherited},
+		followed: cfg.Discovery, peers: talk, leave: leave.Controller{SharedSocket: cfg.Inherited},
 	}
 	a.server.clients = a.clients
 	a.server.most.Store(a.server.usual)
-	a.server.stance.Store(&leave.Stance{Ready: true, Accept: true})
+	a.server.stance.Store(&leave.Mode{Ready: true, Accept: true})
 	a.half, a.room = half, room
 	if cfg.Beside != nil {
 		a.handover = handover.New(cfg.Beside, side{a}, log)
@@ -154,7 +154,7 @@
 		return fmt.Errorf("serving: %w", err)
 	case <-ctx.Done():
 	}
-	a.changeStance(func(m *leave.Machine, now time.Duration) { m.End(now) })
+	a.changeStance(func(m *leave.Controller, now time.Duration) { m.Shutdown(now) })
 	if cfg.Inherited { // who else accepts is there for new connections
 		a.clients.Close()
 		<-failed
@@ -163,7 +163,7 @@
 	select {
 	case err := <-failed:
 		return fmt.Errorf("serving: %w", err)
-	case <-time.After(leave.Accepting + sweepIdle):
+	case <-time.After(leave.AcceptGrace + sweepIdle):
 	}
 	a.clients.endIdle()
 	longest := leaveSlack
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -47,7 +47,7 @@
 // newBackends returns those of a pool of so many connections at most, with room for so many bytes of streams.
 func newBackends(net Network, s *settings.Settings, most int, room int64, log *slog.Logger) *backends {
 	b := &backends{
-		Pool: connpool.New(connpool.Options{Network: net, ConnectTimeout: s.ConnectTimeout, IdleClose: s.Module.IdleClose, Most: most}),
+		Pool: connpool.New(connpool.Options{Network: net, ConnectTimeout: s.ConnectTimeout, BackendIdleTimeout: s.Module.IdleClose, MaxConns: most}),
 		late: newLateness(s, net), log: log,
 	}
 	b.room.Store(room)
@@ -146,7 +146,7 @@
 // on takes in what happens to an attempt. Danger: what does not fit would have the attempt end as something that it is not,
 // so it is told; and the attempt stays as it is, which never calls unsent what may have run.
 func (b *backends) on(a *life.Attempt, i life.Input) {
-	if err := a.On(i); err != nil {
+	if err := a.Apply(i); err != nil {
 		b.log.Error("attempt", "error", err)
 	}
 }
@@ -157,20 +157,20 @@
 	switch {
 	case ctx.Err() != nil && !overdue, errors.Is(err, errClient):
 		b.on(a, life.Cancel)
-		b.on(a, life.Back)
+		b.on(a, life.IOReturned)
 	case errors.Is(err, errTooLate):
-		b.on(a, life.TooLate)
-	case connpool.IsShortage(err) && a.State() == life.Connecting:
-		b.on(a, life.NoRoom)
+		b.on(a, life.TooLateToSend)
+	case connpool.IsSocketShortage(err) && a.State() == life.Connecting:
+		b.on(a, life.NoSocket)
 	case overdue, errors.Is(err, errOverdue):
 		b.on(a, life.Deadline)
-		b.on(a, life.Back)
+		b.on(a, life.IOReturned)
 	case a.State() == life.Connecting && errors.Is(err, os.ErrDeadlineExceeded) && b.late.own() > 0:
-		b.on(a, life.NoRoom) // it may have come up in time while the agent was late
+		b.on(a, life.NoSocket) // it may have come up in time while the agent was late
 	case a.State() == life.Connecting:
-		b.on(a, life.NoConnection)
+		b.on(a, life.ConnectFailed)
 	default:
-		b.on(a, life.Broken)
+		b.on(a, life.ConnectionBroken)
 	}
 }
 
@@ -178,19 +178,19 @@
 func meaning(resp *http.Response) life.Input {
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return life.Good
+		return life.GoodAnswer
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get(rejectedHeader) == "1" {
-			return life.Full
+			return life.RejectedAnswer
 		}
 	}
-	return life.Bad
+	return life.ErrorAnswer
 }
 
 // roundTrip returns an answer, the rest of its body if that is too long to be read here, or an error. How far it has come before that the attempt tells, and wrote when its last
 // byte went out, if it did.
 func (b *backends) roundTrip(ctx context.Context, t *connpool.Target, m *message, sendBy time.Time, a *life.Attempt, wrote *time.Duration) (resp *http.Response, body []byte, rest *download, err error) {
-	b.on(a, life.Begin)
+	b.on(a, life.Start)
 	c, err := b.Get(ctx, t)
 	if err != nil {
 		return nil, nil, nil, err
@@ -199,7 +199,7 @@
 	reusable := false
 	stop := context.AfterFunc(ctx, func() {
 		if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-			c.Overdue()
+			c.Expire()
 		} else {
 			c.Close() // which also gives the attempt up
 		}
@@ -233,7 +233,7 @@
 		deadline, _ := ctx.Deadline()
 		left = time.Until(deadline)
 	}
-	b.on(a, life.Write)
+	b.on(a, life.WriteStarted)
 	if _, err := c.Write(m.encode(left)); err != nil {
 		return nil, nil, nil, err
 	}
@@ -244,18 +244,18 @@
 		}
 	}
 	if whole {
-		b.on(a, life.WroteLast)
+		b.on(a, life.RequestWritten)
 		if !m.probe {
 			b.written.Add(1)
 		}
 		*wrote = b.late.time.now()
 		if m.rest != nil {
-			overdue := time.AfterFunc(m.rest.arrived(), c.Overdue)
+			overdue := time.AfterFunc(m.rest.arrived(), c.Expire)
 			defer overdue.Stop()
 		}
 	}
 	if resp, body, rest, err = b.read(c, a); err != nil {
-		if m.rest != nil && errors.Is(err, os.ErrDeadlineExceeded) && c.IsOverdue() {
+		if m.rest != nil && errors.Is(err, os.ErrDeadlineExceeded) && c.IsExpired() {
 			err = errOverdue
 		}
 		return nil, nil, nil, err
@@ -268,8 +268,8 @@
 // passOn passes the rest of a request's body on, until the backend answers: one that does so before the last byte has no
 // use for what is left. It says whether that was all of it.
 func (b *backends) passOn(c *connpool.Conn, rest *upload) (whole bool, err error) {
-	c.Limit(maxHeader + keep)
-	c.Stall = 0
+	c.LimitRead(maxHeader + keep)
+	c.StallTimeout = 0
 	var early error
 	heard := make(chan struct{})
 	go func() {
@@ -299,17 +299,17 @@
 // read reads one answer: to its end if it is short, else its head and what of it has come. One whose end only the closing of
 // the connection shows is whole if that is no reset (RFC 9112, section 6.3).
 func (b *backends) read(c *connpool.Conn, a *life.Attempt) (*http.Response, []byte, *download, error) {
-	c.Limit(maxHeader + keep)
+	c.LimitRead(maxHeader + keep)
 	for {
-		c.Stall = 0 // however long it takes until something comes
+		c.StallTimeout = 0 // however long it takes until something comes
 		if _, err := c.Reader.Peek(1); err != nil {
 			return nil, nil, nil, err
 		}
 		if s := a.State(); s == life.Sent || s == life.Writing { // not behind an interim one
-			b.on(a, life.FirstByte)
+			b.on(a, life.FirstAnswerByte)
 		}
 		// Danger: an answer that says that it is longer than it is ends on no connection that stays open.
-		c.Stall = answerStall
+		c.StallTimeout = answerStall
 		resp, err := http.ReadResponse(c.Reader, nil)
 		if err != nil {
 			return nil, nil, nil, err
@@ -328,8 +328,8 @@
 			return nil, nil, nil, err
 		}
 		if whole {
-			c.Stall = 0
-			return resp, body, nil, c.Arm()
+			c.StallTimeout = 0
+			return resp, body, nil, c.ArmReadDeadline()
 		}
 		if !good {
 			return nil, nil, nil, fmt.Errorf("an answer of over %d bytes", len(body))
@@ -337,8 +337,8 @@
 		if !b.reserve(streamRoom) {
 			return nil, nil, nil, errors.New("no room for an answer")
 		}
-		c.Limit(math.MaxInt64)
-		c.Stall = streamStall
+		c.LimitRead(math.MaxInt64)
+		c.StallTimeout = streamStall
 		return resp, body, &download{
 			backends: b, conn: c, body: resp.Body, size: resp.ContentLength, got: int64(len(body)), reusable: !resp.Close,
 		}, nil
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -165,7 +165,7 @@
 	b := newBackend(t, serves)
 	cfg := config(t, "127.0.0.1:1", testSettings)
 	p := newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler))
-	to := p.Target(b.Addr, 0)
+	to := p.NewTarget(b.Addr, 0)
 	m := newMessage("POST", "/keyed/1", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
@@ -182,7 +182,7 @@
 func TestConnectionThatNeverComesUp(t *testing.T) {
 	cfg := config(t, "127.0.0.1:1", testSettings)
 	p := newBackends(TCP{}, &cfg.Settings, 1, 1<<20, slog.New(slog.DiscardHandler))
-	to := p.Target("127.0.0.1:1", 0)
+	to := p.NewTarget("127.0.0.1:1", 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	over, cancel := context.WithDeadline(context.Background(), time.Now())
 	defer cancel()
@@ -196,7 +196,7 @@
 	}
 	ctx, end := context.WithTimeout(context.Background(), wait)
 	defer end()
-	if r := p.exchange(ctx, p.Target(newBackend(t, serves).Addr, 0), &m, time.Time{}, nil); r.outcome != policy.OK {
+	if r := p.exchange(ctx, p.NewTarget(newBackend(t, serves).Addr, 0), &m, time.Time{}, nil); r.outcome != policy.OK {
 		t.Errorf("by the only socket: outcome %d", r.outcome)
 	}
 }
--- a/internal/agent/backends_test.go
+++ b/internal/agent/backends_test.go
@@ -93,7 +93,7 @@
 	x, y := newBackend(t, serves), newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
 	cfg := config(t, "127.0.0.1:1", testSettings)
 	p := newBackends(TCP{}, &cfg.Settings, 1, 1<<20, slog.New(slog.DiscardHandler))
-	toX, toY := p.Target(x.Addr, 0), p.Target(y.Addr, 0)
+	toX, toY := p.NewTarget(x.Addr, 0), p.NewTarget(y.Addr, 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -136,7 +136,7 @@
 		Requests: l.counts.requests, InAim: l.counts.inAim, Served: l.counts.served, Refused: l.counts.refused, Failed: l.counts.failed, Left: l.counts.left,
 	}
 	own, part := l.late.figures()
-	s.Own = control.Own{Late: round(own.Mean.Seconds()), Part: round(part), Worst: round(own.Worst.Seconds()), Times: own.Spells}
+	s.Own = control.Own{Late: round(own.MeanDelay.Seconds()), Part: round(part), Worst: round(own.MaxDelay.Seconds()), Times: own.LateTicks}
 	if b, ok := l.current.Decider.(viewer); ok {
 		s.Pressure = b.Pressure()
 		for _, v := range b.View(now) {
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -27,14 +27,14 @@
 	if own, zones := a.cfg.Settings.Module.Zone, a.cfg.Settings.Zones; own >= 0 && own < len(zones) && zones[own] == name {
 		return 0
 	}
-	a.loop.locked(func() { weight = a.loop.sites.Fits(name) })
+	a.loop.locked(func() { weight = a.loop.sites.PacerWeight(name) })
 	return weight
 }
 
 // Say is what this agent says as a site's pacer.
 func (a *Agent) Say(duty string) (word []byte) {
 	a.loop.locked(func() {
-		if w, ok := a.loop.sites.Word(strings.TrimPrefix(duty, pacing)); ok {
+		if w, ok := a.loop.sites.PacerStatus(strings.TrimPrefix(duty, pacing)); ok {
 			word, _ = json.Marshal(w) // numbers only
 		}
 	})
@@ -43,12 +43,12 @@
 
 // Heard takes in what a site's pacer says.
 func (a *Agent) Heard(duty string, epoch uint64, word []byte) {
-	var w *site.Word
+	var w *site.PacerStatus
 	if word != nil {
-		w = &site.Word{}
-		if err := json.Unmarshal(word, w); err != nil || w.Check() != nil {
+		w = &site.PacerStatus{}
+		if err := json.Unmarshal(word, w); err != nil || w.Validate() != nil {
 			w = nil // as if nothing were said: each goes on alone
 		}
 	}
-	a.loop.locked(func() { a.loop.sites.Follow(a.loop.clock.now(), strings.TrimPrefix(duty, pacing), epoch, w) })
+	a.loop.locked(func() { a.loop.sites.FollowPacer(a.loop.clock.now(), strings.TrimPrefix(duty, pacing), epoch, w) })
 }
--- a/internal/agent/holds.go
+++ b/internal/agent/holds.go
@@ -79,7 +79,7 @@
 		// Once it is out nothing is begun that only waits for its connection; once it is back its connections lead to the
 		// process before.
 		l.backends.Retire(t)
-		l.targets[id] = l.backends.Target(t.Addr, t.Start)
+		l.targets[id] = l.backends.NewTarget(t.Addr, t.ProcessStart)
 	}
 	l.handleAll(ctx, policy.Event{Kind: policy.EventList, ListMode: policy.ListDelta, Servers: []policy.ServerEntry{l.held(l.listed[id])}})
 }
--- a/internal/agent/judge.go
+++ b/internal/agent/judge.go
@@ -17,13 +17,13 @@
 	if l.levels == nil {
 		return answer{}, false
 	}
-	no := l.levels.Judge(l.clock.now(), r.class, r.tenant, r.message.size())
+	no := l.levels.Admit(l.clock.now(), r.class, r.tenant, r.message.size())
 	if no == nil {
 		return answer{}, false
 	}
 	l.counts.byLevel++
-	r.refusedBy = "level " + no.Level + ": " + no.Why
-	return answer{status: statusRefused, retryAfter: no.After, contentType: "text/plain", body: []byte("refused by " + r.refusedBy + "\n")}, true
+	r.refusedBy = "level " + no.Level + ": " + no.Reason
+	return answer{status: statusRefused, retryAfter: no.RetryAfter, contentType: "text/plain", body: []byte("refused by " + r.refusedBy + "\n")}, true
 }
 
 // allower is a Decider that can be told what it may do.
@@ -34,16 +34,16 @@
 // lookAtLevel shows the levels what has been measured since the last look.
 func (l *loop) lookAtLevel() {
 	now := l.clock.now()
-	f := level.Figures{Pressure: -1, ListAge: now - l.heard}
+	f := level.Sample{Pressure: -1, ListAge: now - l.heard}
 	c, before := &l.counts, &l.looked
-	f.Ended = int(c.served + c.refused + c.failed - c.byLevel - (before.served + before.refused + before.failed - before.byLevel))
+	f.Completed = int(c.served + c.refused + c.failed - c.byLevel - (before.served + before.refused + before.failed - before.byLevel))
 	f.InAim = int(c.inAim - before.inAim)
 	f.Refused = int(c.refused - c.byLevel - (before.refused - before.byLevel))
 	f.Shed = int(c.byLevel - before.byLevel)
 	l.looked = *c
-	_, f.Late = l.late.figures()
+	_, f.AgentLateness = l.late.figures()
 	if l.sites != nil {
-		f.Sites = l.sites.Withdrawn()
+		f.WithdrawnSites = l.sites.WithdrawnShare()
 	}
 	if v, ok := l.current.Decider.(viewer); ok {
 		f.Pressure = v.Pressure()
@@ -52,11 +52,11 @@
 				continue
 			}
 			if f.Backends++; len(s.Ejected) > 0 {
-				f.Out++
+				f.Ejected++
 			}
 		}
 	}
-	l.levelChanged(l.levels.Step(now, f))
+	l.levelChanged(l.levels.Update(now, f))
 }
 
 // levelChanged carries out a change of level, if there is one.
@@ -64,7 +64,7 @@
 	if c == nil {
 		return
 	}
-	l.log.Warn("level of service", "from", c.From, "to", c.To, "why", c.Why)
+	l.log.Warn("level of service", "from", c.From, "to", c.To, "why", c.Reason)
 	l.allow()
 }
 
@@ -78,7 +78,7 @@
 	if !may.Retries {
 		attempts = 1
 	}
-	m.Allow(attempts, may.SecondCopies && l.decisions.SecondCopies, may.Probes && l.decisions.Probes)
+	m.Allow(attempts, may.Hedges && l.decisions.SecondCopies, may.Probes && l.decisions.Probes)
 }
 
 // Level returns the level of service; nil where there are none.
@@ -117,20 +117,20 @@
 
 // shownLevel is the level for people to read.
 func (l *loop) shownLevel() *control.Level {
-	now, v := l.clock.now(), l.levels.View()
+	now, v := l.clock.now(), l.levels.Status()
 	s := &control.Level{
-		Level: v.Level, Levels: v.Levels, For: round((now - v.Since).Seconds()), Dwell: v.Dwell.Seconds(), Figures: v.Known,
+		Level: v.Level, Levels: v.Levels, For: round((now - v.Since).Seconds()), Dwell: v.MinDwell.Seconds(), Figures: v.Readings,
 		Refusals: []control.LevelRefusal{}, History: []control.LevelChange{},
 	}
-	if v.Held > now {
-		s.Held = round((v.Held - now).Seconds())
+	if v.HeldUntil > now {
+		s.Held = round((v.HeldUntil - now).Seconds())
 	}
 	for _, r := range v.Refusals {
-		s.Refusals = append(s.Refusals, control.LevelRefusal{Level: r.Level, Why: r.Why, Count: r.Count})
+		s.Refusals = append(s.Refusals, control.LevelRefusal{Level: r.Level, Why: r.Reason, Count: r.Count})
 	}
 	for i := len(v.History) - 1; i >= 0; i-- { // the newest first
 		c := &v.History[i]
-		s.History = append(s.History, control.LevelChange{At: time.Unix(0, int64(c.At)).UTC(), From: c.From, To: c.To, Why: c.Why})
+		s.History = append(s.History, control.LevelChange{At: time.Unix(0, int64(c.At)).UTC(), From: c.From, To: c.To, Why: c.Reason})
 	}
 	return s
 }
--- a/internal/agent/lateness.go
+++ b/internal/agent/lateness.go
@@ -22,7 +22,7 @@
 	tell    func(by time.Duration) // of a beat that is late by more than half of that
 
 	mu    sync.Mutex
-	clock lag.Clock
+	clock lag.Detector
 	open  int           // requests that are not done
 	next  time.Duration // when the next beat is due
 	timer *time.Timer
@@ -45,7 +45,7 @@
 func (l *lateness) begin() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open++; l.clock.On() {
+	if l.open++; l.clock.Running() {
 		return
 	}
 	now := l.time.now()
@@ -77,7 +77,7 @@
 	l.mu.Lock()
 	now := l.time.now()
 	by := max(0, now-l.next)
-	l.next = l.clock.Beat(now)
+	l.next = l.clock.Tick(now)
 	if l.open == 0 {
 		l.clock.Stop()
 	} else {
@@ -93,16 +93,16 @@
 func (l *lateness) own() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.clock.Own(l.time.now())
+	return l.clock.OwnDelay(l.time.now())
 }
 
 // figures are what is known of the lateness, and the part of the soonest aim that is used up by it.
-func (l *lateness) figures() (f lag.Figures, part float64) {
+func (l *lateness) figures() (f lag.Stats, part float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f = l.clock.Figures()
-	if l.clock.On() { // else there is nothing to be late with
-		part = f.Mean.Seconds() / l.matters.Seconds()
+	f = l.clock.Stats()
+	if l.clock.Running() { // else there is nothing to be late with
+		part = f.MeanDelay.Seconds() / l.matters.Seconds()
 	}
 	return f, part
 }
--- a/internal/agent/level_test.go
+++ b/internal/agent/level_test.go
@@ -19,7 +19,7 @@
 		{Name: "lean", Shed: []string{"safe"}, NoRetries: true, Enter: level.Thresholds{InAim: &most}, Exit: level.Thresholds{InAim: &least}},
 		{Name: "essential", Shed: []string{"safe", "keyed", "celled"}, NoRetries: true, MostBody: 100},
 	}}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	return c
@@ -110,7 +110,7 @@
 func TestLevelsThatDoNotFit(t *testing.T) {
 	cfg := config(t, "127.0.0.1:1", testSettings)
 	cfg.Levels = level.Config{Level: []level.Level{{Name: "lean", Shed: []string{"unsafe"}}}}
-	if err := cfg.Levels.Check(); err != nil {
+	if err := cfg.Levels.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, nil), nil); err == nil || !strings.Contains(err.Error(), "levels.level[0].shed") {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -56,7 +56,7 @@
 	message       message
 	answered      chan answer // holds one, so that the loop never waits for a handler
 	attempt       func()      // for the handler to carry out, if set
-	client        *hangup.Watch
+	client        *hangup.Watcher
 
 	id policy.RequestID // the loop's
 }
@@ -133,11 +133,11 @@
 	holds    handover.Register                      // what operators have said of backends
 	said     func()                                 // operators have said something
 	counts   counts
-	levels   *level.Machine // nil: there are none
-	every    time.Duration  // between looks at their figures
-	heard    time.Duration  // of the clock, when discovery last told anything
-	looked   counts         // as the levels last saw them
-	sites    *sites         // nil: they are not watched
+	levels   *level.Controller // nil: there are none
+	every    time.Duration     // between looks at their figures
+	heard    time.Duration     // of the clock, when discovery last told anything
+	looked   counts            // as the levels last saw them
+	sites    *sites            // nil: they are not watched
 	timers   timers
 	events   []decision // to be handed over
 	actions  []policy.Action
@@ -171,7 +171,7 @@
 		}
 	}
 	l.wake.Stop()
-	if c := &cfg.Levels; c.On() {
+	if c := &cfg.Levels; c.Enabled() {
 		over := level.Service{}
 		for i, name := range cfg.Settings.Classes {
 			over.Classes = append(over.Classes, level.Class{Name: name, Effect: cfg.Settings.Module.Classes[i].Effect})
@@ -179,7 +179,7 @@
 		for _, t := range cfg.Settings.Module.Tenants {
 			over.Portions = append(over.Portions, t.Portion)
 		}
-		if err := c.Fits(&over); err != nil {
+		if err := c.ValidateFor(&over); err != nil {
 			return nil, fmt.Errorf("levels.%w", err)
 		}
 		l.heard, l.every = l.clock.now(), c.Every.D()
@@ -245,7 +245,7 @@
 		case <-l.wake.C:
 		case <-sweep.C:
 			due = func() {
-				l.backends.Sweep()
+				l.backends.CloseExpired()
 				l.callIDs.age()
 				l.endHolds(ctx)
 			}
@@ -304,7 +304,7 @@
 		ev.Request, ev.Class, ev.Tenant, ev.Retry = in.call.id, in.call.class, in.call.tenant, in.call.retry
 		ev.Left, ev.Coming = in.call.deadline-l.clock.now(), in.call.message.rest != nil
 		if l.sites != nil {
-			l.sites.meter.Asked(r.class, r.tenant, r.retry)
+			l.sites.meter.RecordRequest(r.class, r.tenant, r.retry)
 		}
 		if a, refused := l.judge(r); refused {
 			l.end(r, a)
@@ -352,7 +352,7 @@
 	case policy.EventProbed:
 		ev.Late = max(0, l.clock.now()-in.seen)
 		if l.sites != nil {
-			l.sites.Probed(l.clock.now(), ev.Server, ev.Outcome == policy.OK)
+			l.sites.ReportProbe(l.clock.now(), ev.Server, ev.Outcome == policy.OK)
 		}
 		l.handleAll(ctx, ev)
 	default:
@@ -444,13 +444,13 @@
 			continue // forgotten once the module has heard of it
 		}
 		old := l.targets[e.ID]
-		if old != nil && old.Addr == m.HostPort && old.Start == e.Start {
+		if old != nil && old.Addr == m.HostPort && old.ProcessStart == e.Start {
 			continue
 		}
 		if old != nil {
 			l.backends.Retire(old)
 		}
-		l.targets[e.ID] = l.backends.Target(m.HostPort, e.Start)
+		l.targets[e.ID] = l.backends.NewTarget(m.HostPort, e.Start)
 	}
 	return entries
 }
--- a/internal/agent/loop_actions.go
+++ b/internal/agent/loop_actions.go
@@ -112,7 +112,7 @@
 	}
 	call := r.call
 	carryOut := func() {
-		if rest == nil && call.client.HungUp() { // danger: after the process stood still its close waits unread
+		if rest == nil && call.client.ClientClosed() { // danger: after the process stood still its close waits unread
 			l.send(input{event: policy.Event{Kind: policy.EventHangup}, call: call})
 			l.send(input{sent: sent, by: by, event: policy.Event{
 				Kind: policy.EventOutcome, Request: id, Attempt: n, Server: server, Outcome: policy.Moot, Load: settings.NoLoad(),
--- a/internal/agent/replace.go
+++ b/internal/agent/replace.go
@@ -53,7 +53,7 @@
 	}
 	a.server.most.Store(most)
 	a.clients.resize(a.room / int(of))
-	a.loop.backends.Resize(a.half / int(of))
+	a.loop.backends.SetMaxConns(a.half / int(of))
 	if limit := debug.SetMemoryLimit(-1); beside && !was {
 		debug.SetMemoryLimit(limit / 2)
 	} else if !beside && was {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -54,7 +54,7 @@
 	held   atomic.Int64
 	coming atomic.Int64 // of these, those whose last byte is not here
 	closed atomic.Bool  // operators let nothing in
-	stance atomic.Pointer[leave.Stance]
+	stance atomic.Pointer[leave.Mode]
 }
 
 // badRequest is what a client did wrong, and the status that tells it so.
@@ -81,7 +81,7 @@
 	}
 	if r.URL.Path == readyPath {
 		stance := s.stance.Load()
-		if stance.CloseBehind {
+		if stance.CloseAfterAnswer {
 			w.Header().Set("Connection", "close")
 		}
 		if !s.loop.ready.Load() || !stance.Ready {
@@ -126,7 +126,7 @@
 	left := make(chan struct{}) // closed if the client leaves behind the first bytes of its next request
 	if rest == nil {
 		c.client = connOf(r).watch
-		defer c.client.Serving(func() { s.loop.send(hangup); close(left) })()
+		defer c.client.NotifyOnClose(func() { s.loop.send(hangup); close(left) })()
 	}
 	s.loop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: c, by: c})
 	if c.attempt != nil {
@@ -200,7 +200,7 @@
 func (s *server) head(w http.ResponseWriter, a *answer, size int64) {
 	h := w.Header()
 	// What else a client sends that has sent nonsense is not to be trusted either.
-	if s.stance.Load().CloseBehind || a.status/100 == 4 {
+	if s.stance.Load().CloseAfterAnswer || a.status/100 == 4 {
 		h.Set("Connection", "close")
 	}
 	if a.retryAfter > 0 {
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -20,8 +20,8 @@
 
 // sites is what the loop keeps for the sites' machine.
 type sites struct {
-	*site.Machine
-	meter   *site.Meter
+	*site.Monitor
+	meter   *site.DemandMeter
 	looked  time.Duration // at them, last
 	blind   time.Duration // until then silence is the agent's own: it was late
 	planned time.Duration
@@ -43,19 +43,19 @@
 	m := &cfg.Settings.Module
 	var classes []site.ClassDemand
 	for i, c := range m.Classes {
-		classes = append(classes, site.ClassDemand{Name: cfg.Settings.Classes[i], Effect: c.Effect, Worth: c.Worth, Work: c.Aim.Seconds() / 3})
+		classes = append(classes, site.ClassDemand{Name: cfg.Settings.Classes[i], Effect: c.Effect, Worth: c.Worth, SecondsPerRequest: c.Aim.Seconds() / 3})
 	}
 	var accounts []site.Account
 	for i, t := range m.Tenants {
-		accounts = append(accounts, site.Account{Name: cfg.Settings.Tenants[i], Portion: t.Portion})
+		accounts = append(accounts, site.Account{Name: cfg.Settings.Tenants[i], GuaranteedShare: t.Portion})
 	}
-	return &sites{meter: site.NewMeter(classes, accounts), planned: now, warned: map[string]bool{}, Machine: site.New(site.Settings{Names: cfg.Settings.Zones, Probes: m.Probes}, cfg.Seed, now), looked: now}
+	return &sites{meter: site.NewDemandMeter(classes, accounts), planned: now, warned: map[string]bool{}, Monitor: site.New(site.Settings{Names: cfg.Settings.Zones, Probes: m.Probes}, cfg.Seed, now), looked: now}
 }
 
 // entry is what the modules are told of a backend: one that is withdrawn with its site drains, and one that is let in again
 // counts as just started.
 func (s *sites) entry(e policy.ServerEntry) policy.ServerEntry {
-	use, since := s.Use(e.ID)
+	use, since := s.Admitted(e.ID)
 	switch {
 	case e.State != policy.Ready:
 	case !use:
@@ -84,7 +84,7 @@
 			add(&entries[i])
 		}
 	}
-	l.sites.List(l.clock.now(), list)
+	l.sites.SetServers(l.clock.now(), list)
 }
 
 // heardOf tells the sites' machine what became of an attempt.
@@ -104,16 +104,16 @@
 	switch ev.Outcome {
 	case policy.OK, policy.Error:
 		if ev.Outcome == policy.OK {
-			l.sites.meter.Served(r.class, now-sent)
+			l.sites.meter.RecordServed(r.class, now-sent)
 		}
-		l.sites.Heard(now, ev.Server, site.Answered, sent)
+		l.sites.ReportOutcome(now, ev.Server, site.Answered, sent)
 	case policy.Full:
-		l.sites.Heard(now, ev.Server, site.Rejected, sent)
+		l.sites.ReportOutcome(now, ev.Server, site.Rejected, sent)
 	case policy.Reset, policy.ConnectFailed:
-		l.sites.Heard(now, ev.Server, site.Failed, sent)
+		l.sites.ReportOutcome(now, ev.Server, site.Failed, sent)
 	case policy.Timeout:
 		if now >= l.sites.blind {
-			l.sites.Heard(now, ev.Server, site.Failed, sent)
+			l.sites.ReportOutcome(now, ev.Server, site.Failed, sent)
 		}
 	}
 }
@@ -125,11 +125,11 @@
 		s.blind = now + l.decisions.Classes[0].Aim // danger: answers lie unread that came long ago
 	}
 	s.looked = now
-	var uses []site.Use
+	var uses []site.Load
 	silent := map[policy.ServerID]bool{}
 	if v, ok := l.current.Decider.(viewer); ok {
 		for _, b := range v.View(now) {
-			uses = append(uses, site.Use{ID: b.ID, Held: b.Held, Room: b.Room})
+			uses = append(uses, site.Load{ID: b.ID, InFlight: b.Held, Capacity: b.Room})
 			silent[b.ID] = b.Silent > 0
 		}
 	}
@@ -137,15 +137,15 @@
 		for _, r := range l.requests {
 			for i := range r.tries {
 				if t := &r.tries[i]; silent[t.server] && now-t.sent >= l.decisions.Classes[r.class].Aim/4 {
-					s.Heard(now, t.server, site.Failed, t.sent)
+					s.ReportOutcome(now, t.server, site.Failed, t.sent)
 				}
 			}
 		}
 	}
-	r := s.Step(now, uses)
+	r := s.Evaluate(now, uses)
 	l.warn(now)
-	for _, c := range r.News {
-		l.log.Warn("site", "name", c.Site, "from", c.From.String(), "to", c.To.String(), "why", c.Why)
+	for _, c := range r.Transitions {
+		l.log.Warn("site", "name", c.Site, "from", c.From.String(), "to", c.To.String(), "why", c.Reason)
 	}
 	if len(r.Changed) > 0 {
 		ev := policy.Event{Kind: policy.EventList, ListMode: policy.ListDelta}
@@ -171,12 +171,12 @@
 		return
 	}
 	s.planned = now
-	for _, p := range s.Plan(now, s.meter.Demand()) {
-		switch over := p.After > site.Full && p.Share > 0; {
+	for _, p := range s.LossImpacts(now, s.meter.Demand()) {
+		switch over := p.Utilization > site.MaxUtilization && p.LoadShare > 0; {
 		case over && !s.warned[p.Site]:
 			s.warned[p.Site] = true
-			l.log.Warn("the loss of a site could not be carried", "name", p.Site, "carries", round(p.Share), "refused", round(p.Refuse))
-		case s.warned[p.Site] && p.After < site.Full-0.1:
+			l.log.Warn("the loss of a site could not be carried", "name", p.Site, "carries", round(p.LoadShare), "refused", round(p.ShedShare))
+		case s.warned[p.Site] && p.Utilization < site.MaxUtilization-0.1:
 			delete(s.warned, p.Site)
 			l.log.Info("the loss of a site could be carried again", "name", p.Site)
 		}
@@ -204,7 +204,7 @@
 		}
 		now := l.clock.now()
 		if d == 0 {
-			wrong = l.sites.Return(now, name)
+			wrong = l.sites.EndEvacuation(now, name)
 		} else {
 			wrong = l.sites.Evacuate(now, name, d, force, why)
 		}
@@ -248,7 +248,7 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(back)) {
 			if !not[name] {
-				err = errors.Join(err, s.Return(now, name))
+				err = errors.Join(err, s.EndEvacuation(now, name))
 			}
 		}
 		l.lookAtSites()
@@ -259,44 +259,44 @@
 // shownSites are the sites for people to read.
 func (l *loop) shownSites() *control.Sites {
 	now := l.clock.now()
-	views, history := l.sites.View()
+	views, history := l.sites.Snapshot()
 	s := &control.Sites{Sites: []control.Site{}, Plans: []control.SitePlan{}, History: []control.SiteChange{}}
 	for _, v := range views {
 		c := control.Site{
-			Name: v.Name, State: v.State.String(), For: round((now - v.Since).Seconds()), Servers: v.Servers, Used: v.Used, Times: v.Times,
-			Load: round(v.Held), Room: round(v.Room),
+			Name: v.Name, State: v.State.String(), For: round((now - v.Since).Seconds()), Servers: v.Servers, Used: v.Admitted, Times: v.RecentLosses,
+			Load: round(v.InFlight), Room: round(v.Capacity),
 		}
-		if v.Retry > 0 {
-			c.Retry = round(max(0, v.Retry-now).Seconds())
+		if v.RetryAt > 0 {
+			c.Retry = round(max(0, v.RetryAt-now).Seconds())
 		}
-		if v.Until > 0 {
-			c.Out = round(max(0, v.Until-now).Seconds())
+		if v.EvacuatedUntil > 0 {
+			c.Out = round(max(0, v.EvacuatedUntil-now).Seconds())
 		}
 		if w := v.Pacer; w != nil {
 			c.Pacer = w.State.String()
-			if w.State == site.Returning {
+			if w.State == site.Recovering {
 				c.Pacer = fmt.Sprintf("%s, %.0f%% let in", w.State, 100*w.Part)
 			}
 		}
 		s.Sites = append(s.Sites, c)
 	}
-	for _, p := range l.sites.Plan(now, l.sites.meter.Demand()) {
-		c := control.SitePlan{Lose: p.Site, Share: round(p.Share), Refused: round(p.Refuse), Moves: []control.SiteMove{}, First: []control.SiteRefusal{}}
-		if !math.IsInf(p.After, 0) {
-			after := round(p.After)
+	for _, p := range l.sites.LossImpacts(now, l.sites.meter.Demand()) {
+		c := control.SitePlan{Lose: p.Site, Share: round(p.LoadShare), Refused: round(p.ShedShare), Moves: []control.SiteMove{}, First: []control.SiteRefusal{}}
+		if !math.IsInf(p.Utilization, 0) {
+			after := round(p.Utilization)
 			c.After = &after
 		}
-		for _, m := range p.Moves {
-			c.Moves = append(c.Moves, control.SiteMove{To: m.Site, Share: round(m.Share), After: round(m.After)})
+		for _, m := range p.Shifts {
+			c.Moves = append(c.Moves, control.SiteMove{To: m.Site, Share: round(m.Share), After: round(m.Utilization)})
 		}
-		for _, r := range p.First {
-			c.First = append(c.First, control.SiteRefusal{What: r.What, Share: round(r.Share), Part: round(r.Part)})
+		for _, r := range p.Shed {
+			c.First = append(c.First, control.SiteRefusal{What: r.Name, Share: round(r.Share), Part: round(r.ShedFraction)})
 		}
 		s.Plans = append(s.Plans, c)
 	}
 	for i := len(history) - 1; i >= 0; i-- { // the newest first
 		c := &history[i]
-		s.History = append(s.History, control.SiteChange{At: time.Unix(0, int64(c.At)).UTC(), Site: c.Site, From: c.From.String(), To: c.To.String(), Why: c.Why})
+		s.History = append(s.History, control.SiteChange{At: time.Unix(0, int64(c.At)).UTC(), Site: c.Site, From: c.From.String(), To: c.To.String(), Why: c.Reason})
 	}
 	return s
 }
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -224,9 +224,9 @@
 // end gives back what the answer holds. Its backend hears so that it may stop, if it has not ended.
 func (d *download) end(whole bool) {
 	c := d.conn
-	c.Stall = 0
+	c.StallTimeout = 0
 	// Danger: what stands behind an answer, a copy of it or noise, would be taken for the next one's.
-	if whole && d.reusable && c.Reader.Buffered() == 0 && c.Arm() == nil {
+	if whole && d.reusable && c.Reader.Buffered() == 0 && c.ArmReadDeadline() == nil {
 		d.backends.Put(c)
 	} else {
 		d.backends.Discard(c)
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -262,7 +262,7 @@
 	}
 	io.ReadFull(resp.Body, make([]byte, keep))
 	a.agent.SetDraining(true)
-	for begun := time.Now(); !a.agent.server.stance.Load().EndIdle; time.Sleep(time.Millisecond) { // which idle ones do not survive
+	for begun := time.Now(); !a.agent.server.stance.Load().CloseIdle; time.Sleep(time.Millisecond) { // which idle ones do not survive
 		if time.Since(begun) > wait {
 			t.Fatal("idle connections stay")
 		}
--- a/internal/connpool/conn.go
+++ b/internal/connpool/conn.go
@@ -14,8 +14,8 @@
 // Reader, as far as Limit allows.
 type Conn struct {
 	net.Conn
-	Reader *bufio.Reader
-	Stall  time.Duration // how long the next byte is waited for; 0: as long as it takes
+	Reader       *bufio.Reader
+	StallTimeout time.Duration // how long the next byte is waited for; 0: as long as it takes
 
 	to     *Target
 	timing bool             // a read deadline is set
@@ -28,29 +28,29 @@
 
 // Fresh says that no request has gone over the connection before: what is read from it can be an
 // answer to nobody else's.
-func (c *Conn) Fresh() bool { return c.since.IsZero() }
+func (c *Conn) IsNew() bool { return c.since.IsZero() }
 
 // Limit bounds how many bytes the Reader goes on to read.
-func (c *Conn) Limit(n int64) { c.limit.N = n }
+func (c *Conn) LimitRead(n int64) { c.limit.N = n }
 
 // Read reads. Danger: its deadline may pass while the caller gets no processor, and what the
 // backend had said in time would be taken for silence.
 func (c *Conn) Read(b []byte) (int, error) {
-	if err := c.Arm(); err != nil {
+	if err := c.ArmReadDeadline(); err != nil {
 		return 0, err
 	}
 	return tcp.ReadWaiting(c.Conn, b)
 }
 
 // Arm gives the next byte as long as is due to it, by Stall. Each Read does so first.
-func (c *Conn) Arm() error {
+func (c *Conn) ArmReadDeadline() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.over, c.halted:
-	case c.Stall > 0:
+	case c.StallTimeout > 0:
 		c.timing = true
-		return c.SetReadDeadline(time.Now().Add(c.Stall))
+		return c.SetReadDeadline(time.Now().Add(c.StallTimeout))
 	case c.timing:
 		c.timing = false
 		return c.SetReadDeadline(time.Time{})
@@ -59,7 +59,7 @@
 }
 
 // Overdue ends all waiting on the connection. What has come by then is still read.
-func (c *Conn) Overdue() {
+func (c *Conn) Expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.over = true
@@ -67,7 +67,7 @@
 }
 
 // IsOverdue says whether Overdue was called.
-func (c *Conn) IsOverdue() bool {
+func (c *Conn) IsExpired() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.over
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -35,16 +35,16 @@
 
 // IsShortage says whether an error of Get is the own want of sockets, by which nothing is known of
 // the backend.
-func IsShortage(err error) bool {
+func IsSocketShortage(err error) bool {
 	return errors.Is(err, ErrSocketLimit) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
 // Options is all that a Pool is told at its start.
 type Options struct {
-	Network        Network
-	ConnectTimeout time.Duration
-	IdleClose      time.Duration // a backend closes what is idle for so long; 0: never
-	Most           int           // connections, idle and in use
+	Network            Network
+	ConnectTimeout     time.Duration
+	BackendIdleTimeout time.Duration // a backend closes what is idle for so long; 0: never
+	MaxConns           int           // connections, idle and in use
 }
 
 // Pool keeps the connections to all backends. It is safe for concurrent use, and has no goroutine
@@ -65,30 +65,30 @@
 // those of the old would be taken for the new one's, and closed with the old would be the new
 // one's.
 type Target struct {
-	Addr    string
-	Start   time.Duration // of the process
-	idle    []*Conn       // the most recently used last
-	retired bool          // no connection is put back
+	Addr         string
+	ProcessStart time.Duration // of the process
+	idle         []*Conn       // the most recently used last
+	retired      bool          // no connection is put back
 }
 
 // New returns a pool without connections.
 func New(o Options) *Pool {
 	return &Pool{
-		net: o.Network, connectTimeout: o.ConnectTimeout, idleClose: o.IdleClose, most: o.Most, targets: map[*Target]struct{}{},
+		net: o.Network, connectTimeout: o.ConnectTimeout, idleClose: o.BackendIdleTimeout, most: o.MaxConns, targets: map[*Target]struct{}{},
 	}
 }
 
 // Resize changes how many connections there may be; idle ones that are over it go when one is
 // wanted.
-func (p *Pool) Resize(most int) {
+func (p *Pool) SetMaxConns(most int) {
 	p.mu.Lock()
 	p.most = most
 	p.mu.Unlock()
 }
 
 // Target returns a new target, to be retired when its process has gone.
-func (p *Pool) Target(addr string, start time.Duration) *Target {
-	t := &Target{Addr: addr, Start: start}
+func (p *Pool) NewTarget(addr string, start time.Duration) *Target {
+	t := &Target{Addr: addr, ProcessStart: start}
 	p.mu.Lock()
 	p.targets[t] = struct{}{}
 	p.mu.Unlock()
@@ -239,7 +239,7 @@
 
 // Sweep closes what has been idle for too long to be used again. The caller says when: a pool of
 // nothing has no work.
-func (p *Pool) Sweep() {
+func (p *Pool) CloseExpired() {
 	var dropped []*Conn
 	p.mu.Lock()
 	for t := range p.targets {
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -65,11 +65,11 @@
 // close, the one in use when it is back, and the new one's stay when the old one is forgotten.
 func TestNewTargetAtAnOldAddress(t *testing.T) {
 	n := &plant{}
-	p := New(Options{Network: n, Most: 4, ConnectTimeout: time.Second})
-	old := p.Target("x", 1)
+	p := New(Options{Network: n, MaxConns: 4, ConnectTimeout: time.Second})
+	old := p.NewTarget("x", 1)
 	idle, inUse := get(t, p, old), get(t, p, old)
 	p.Put(idle)
-	next := p.Target("x", 2)
+	next := p.NewTarget("x", 2)
 	own := get(t, p, next)
 	if own == idle {
 		t.Fatal("a connection to the old process")
@@ -91,13 +91,13 @@
 func TestIdleConnectionsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &plant{}
-		p := New(Options{Network: n, Most: 4, ConnectTimeout: time.Second, IdleClose: 30 * time.Second})
-		to := p.Target("x", 0)
+		p := New(Options{Network: n, MaxConns: 4, ConnectTimeout: time.Second, BackendIdleTimeout: 30 * time.Second})
+		to := p.NewTarget("x", 0)
 		for i, end := range []func(c *Conn){
 			func(*Conn) { time.Sleep(30*time.Second - idleMargin/2) }, // no sweep has come
 			func(c *Conn) {
 				time.Sleep(30*time.Second - idleMargin/2)
-				if p.Sweep(); !far(c).closed || p.open != 0 {
+				if p.CloseExpired(); !far(c).closed || p.open != 0 {
 					t.Error("not swept")
 				}
 			},
@@ -109,7 +109,7 @@
 			func(c *Conn) { far(c).noisy = true },
 			func(c *Conn) {
 				time.Sleep(30*time.Second - 2*idleMargin)
-				if p.Sweep(); get(t, p, to) != c {
+				if p.CloseExpired(); get(t, p, to) != c {
 					t.Error("not used again, though there is time")
 				}
 				p.Put(c)
@@ -130,8 +130,8 @@
 
 // The connection that was used last is the least likely to be closed by the backend.
 func TestNewestConnectionFirst(t *testing.T) {
-	p := New(Options{Network: &plant{}, Most: 4, ConnectTimeout: time.Second})
-	x := p.Target("x", 0)
+	p := New(Options{Network: &plant{}, MaxConns: 4, ConnectTimeout: time.Second})
+	x := p.NewTarget("x", 0)
 	older, newer := get(t, p, x), get(t, p, x)
 	p.Put(older)
 	p.Put(newer)
@@ -143,18 +143,18 @@
 // What never came up holds no socket.
 func TestDialThatFails(t *testing.T) {
 	n := &plant{fails: errors.New("nobody there")}
-	p := New(Options{Network: n, Most: 1, ConnectTimeout: time.Second})
-	to := p.Target("x", 0)
+	p := New(Options{Network: n, MaxConns: 1, ConnectTimeout: time.Second})
+	to := p.NewTarget("x", 0)
 	over, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, ctx := range []context.Context{t.Context(), over} {
-		if _, err := p.Get(ctx, to); !errors.Is(err, n.fails) || IsShortage(err) || p.open != 0 {
+		if _, err := p.Get(ctx, to); !errors.Is(err, n.fails) || IsSocketShortage(err) || p.open != 0 {
 			t.Errorf("%v, %d counted as open", err, p.open)
 		}
 	}
 	n.fails = nil
 	get(t, p, to)
-	if _, err := p.Get(t.Context(), to); !IsShortage(err) {
+	if _, err := p.Get(t.Context(), to); !IsSocketShortage(err) {
 		t.Errorf("a second socket where there is one: %v", err)
 	}
 }
@@ -168,23 +168,23 @@
 			rng := rand.New(rand.NewPCG(seed, 0))
 			n := &plant{}
 			most := 1 + rng.IntN(8)
-			p := New(Options{Network: n, Most: most, ConnectTimeout: time.Second, IdleClose: 10 * time.Second})
+			p := New(Options{Network: n, MaxConns: most, ConnectTimeout: time.Second, BackendIdleTimeout: 10 * time.Second})
 			targets, held := []*Target(nil), []*Conn(nil)
 			short := 0
 			for range 3000 {
 				time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
 				switch k := rng.IntN(20); {
 				case k == 0 || len(targets) == 0:
-					targets = append(targets, p.Target(string(rune('a'+rng.IntN(3))), time.Duration(rng.IntN(100))))
+					targets = append(targets, p.NewTarget(string(rune('a'+rng.IntN(3))), time.Duration(rng.IntN(100))))
 				case k == 1:
 					i := rng.IntN(len(targets))
 					p.Retire(targets[i])
 					targets = slices.Delete(targets, i, i+1)
 				case k == 2:
-					p.Sweep()
+					p.CloseExpired()
 				case k == 3 && rng.IntN(10) == 0:
 					most = 1 + rng.IntN(8)
-					p.Resize(most)
+					p.SetMaxConns(most)
 				case k < 11:
 					to := targets[rng.IntN(len(targets))]
 					before := n.open
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -94,9 +94,9 @@
 func (f *fake) TakeOut(ctx context.Context, name string, d time.Duration, force bool, _ string) (*Sites, error) {
 	switch {
 	case name != "a":
-		return nil, site.ErrNoSite
+		return nil, site.ErrUnknownSite
 	case d > 0 && !force:
-		return nil, site.ErrLast
+		return nil, site.ErrInsufficientCapacity
 	}
 	return f.Sites(ctx)
 }
--- a/internal/control/site.go
+++ b/internal/control/site.go
@@ -100,9 +100,9 @@
 	return s.once(r, fmt.Sprintf("site %q %v %v", name, b.For, b.Force), func() (any, error) {
 		v, err := s.service.instance.TakeOut(r.Context(), name, time.Duration(b.For*float64(time.Second)), b.Force, b.Why)
 		switch {
-		case errors.Is(err, site.ErrLast):
+		case errors.Is(err, site.ErrInsufficientCapacity):
 			return nil, wrong(409, "site", "%v; force it to have it all the same", err)
-		case errors.Is(err, site.ErrNoSite):
+		case errors.Is(err, site.ErrUnknownSite):
 			return nil, wrong(404, "site", "%v", err)
 		case err == nil && v == nil:
 			return nil, noSites
--- a/internal/fleet/level_test.go
+++ b/internal/fleet/level_test.go
@@ -162,7 +162,7 @@
 	if err := tomlfile.Decode([]byte(waveLevels), &levels); err != nil {
 		t.Fatal(err)
 	}
-	if err := levels.Check(); err != nil {
+	if err := levels.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	t.Parallel()
--- a/internal/fleet/site_test.go
+++ b/internal/fleet/site_test.go
@@ -131,7 +131,7 @@
 		aims[c.Name] = c.Aim.D()
 	}
 	var levels level.Config
-	if err := errors.Join(tomlfile.Decode([]byte(aSiteLess), &levels), levels.Check()); err != nil {
+	if err := errors.Join(tomlfile.Decode([]byte(aSiteLess), &levels), levels.Validate()); err != nil {
 		b.Fatal(err)
 	}
 	front := func(ctx context.Context, cfg *agent.Config, reloads <-chan *agent.Config, l net.Listener, n agent.Network, log *slog.Logger) error {
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -23,7 +23,7 @@
 )
 
 // Watch is of one connection of a client. A nil Watch, of what is no socket, sees nothing.
-type Watch struct {
+type Watcher struct {
 	conn net.Conn
 	raw  syscall.RawConn
 
@@ -33,7 +33,7 @@
 }
 
 // New returns a watch of a connection; nil if it is no socket.
-func New(c net.Conn) *Watch {
+func New(c net.Conn) *Watcher {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
 		return nil
@@ -42,15 +42,15 @@
 	if err != nil {
 		return nil
 	}
-	return &Watch{conn: c, raw: raw}
+	return &Watcher{conn: c, raw: raw}
 }
 
 // HungUp says whether the client has closed the connection, also where that waits unread.
-func (w *Watch) HungUp() bool { return w != nil && tcp.RawHungUp(w.raw) }
+func (w *Watcher) ClientClosed() bool { return w != nil && tcp.RawHungUp(w.raw) }
 
 // Serving has the client's leave told, once at most, from when its request is whole until the
 // function that is returned is called. Until then nothing may be read but ahead.
-func (w *Watch) Serving(left func()) (stop func()) {
+func (w *Watcher) NotifyOnClose(left func()) (stop func()) {
 	if w == nil {
 		return func() {}
 	}
@@ -61,7 +61,7 @@
 }
 
 // ReadAhead takes in that something was read from the connection.
-func (w *Watch) ReadAhead() {
+func (w *Watcher) RecordReadAhead() {
 	if w == nil {
 		return
 	}
@@ -81,7 +81,7 @@
 }
 
 // served ends the wait, so that the connection can be read again.
-func (w *Watch) served() {
+func (w *Watcher) served() {
 	w.mu.Lock()
 	watching := w.watching
 	w.left, w.watching = nil, nil
--- a/internal/lag/lag.go
+++ b/internal/lag/lag.go
@@ -19,7 +19,7 @@
 
 // Clock follows beats. Its error, while the processor keeps up: it may call a beat and its tolerance, a twentieth of the span that
 // matters and a little, of its own lateness the others', and it calls all of the others' that came while it was late its own.
-type Clock struct {
+type Detector struct {
 	every time.Duration
 	due   time.Duration // the next beat
 	on    bool
@@ -33,24 +33,24 @@
 }
 
 // New returns a Clock for delays that matter on a scale of so long.
-func New(matters time.Duration) Clock {
-	return Clock{every: min(max(matters/part, leastBeat), mostBeat)}
+func New(matters time.Duration) Detector {
+	return Detector{every: min(max(matters/part, leastBeat), mostBeat)}
 }
 
 // Start asks for beats, and returns when the first is due. There are none while nothing is to be told apart.
-func (c *Clock) Start(now time.Duration) (due time.Duration) {
+func (c *Detector) Start(now time.Duration) (due time.Duration) {
 	c.on, c.behind, c.due = true, false, now+c.every
 	return c.due
 }
 
 // Stop ends the beats.
-func (c *Clock) Stop() { c.on, c.behind = false, false }
+func (c *Detector) Stop() { c.on, c.behind = false, false }
 
 // On says whether there are beats.
-func (c *Clock) On() bool { return c.on }
+func (c *Detector) Running() bool { return c.on }
 
 // Beat takes in the beat that was due, and returns when the next one is.
-func (c *Clock) Beat(now time.Duration) (due time.Duration) {
+func (c *Detector) Tick(now time.Duration) (due time.Duration) {
 	late := max(0, now-c.due)
 	c.mean += smooth * (late.Seconds() - c.mean)
 	if c.behind = late > c.every/tolerance; c.behind {
@@ -66,7 +66,7 @@
 //
 // What became ready while a beat was late waits its turn behind it, for up to as long again, unless a beat in time says that
 // all of it has run.
-func (c *Clock) Own(now time.Duration) time.Duration {
+func (c *Detector) OwnDelay(now time.Duration) time.Duration {
 	if !c.on {
 		return 0
 	}
@@ -87,13 +87,13 @@
 }
 
 // Figures are what has been seen of the lateness.
-type Figures struct {
-	Mean   time.Duration // of the beats of late
-	Worst  time.Duration // since the start
-	Spells int64         // beats that came too late
+type Stats struct {
+	MeanDelay time.Duration // of the beats of late
+	MaxDelay  time.Duration // since the start
+	LateTicks int64         // beats that came too late
 }
 
 // Figures returns them.
-func (c *Clock) Figures() Figures {
-	return Figures{time.Duration(c.mean * float64(time.Second)), c.worst, c.spells}
+func (c *Detector) Stats() Stats {
+	return Stats{time.Duration(c.mean * float64(time.Second)), c.worst, c.spells}
 }
--- a/internal/lag/lag_test.go
+++ b/internal/lag/lag_test.go
@@ -22,7 +22,7 @@
 
 // play has one processor work jobs off in the order in which they become ready, between spells without it, and calls seen
 // for each with when it ran.
-func play(c *Clock, jobs []job, away [][2]time.Duration, seen func(j job, at time.Duration)) {
+func play(c *Detector, jobs []job, away [][2]time.Duration, seen func(j job, at time.Duration)) {
 	now := time.Duration(0)
 	next := job{ready: c.Start(0), beat: true}
 	for len(jobs) > 0 {
@@ -39,7 +39,7 @@
 			}
 		}
 		if j.beat {
-			next.ready = c.Beat(now)
+			next.ready = c.Tick(now)
 			continue
 		}
 		seen(j, now)
@@ -67,7 +67,7 @@
 		slices.SortFunc(away, func(a, b [2]time.Duration) int { return int(a[0] - b[0]) })
 		c := New(matters)
 		play(&c, jobs, away, func(j job, at time.Duration) {
-			waited, own := at-j.ready, c.Own(at)
+			waited, own := at-j.ready, c.OwnDelay(at)
 			if most := own + c.every/tolerance + c.every; waited > most {
 				t.Fatalf("at %v: waited %v, of which %v is called own", at, waited, own)
 			}
@@ -86,7 +86,7 @@
 	stall := [2]time.Duration{2 * time.Second, 3500 * ms}
 	late := 0
 	play(&c, jobs, [][2]time.Duration{stall}, func(j job, at time.Duration) {
-		own := c.Own(at)
+		own := c.OwnDelay(at)
 		switch {
 		case at < stall[0] || at > stall[1]+c.every+2*ms+150*ms: // 214 jobs of 0.1 ms had waited
 			if own != 0 {
@@ -99,7 +99,7 @@
 			}
 		}
 	})
-	if f := c.Figures(); late < 100 || f.Spells == 0 || f.Worst < 1400*ms {
+	if f := c.Stats(); late < 100 || f.LateTicks == 0 || f.MaxDelay < 1400*ms {
 		t.Errorf("%d jobs waited; %+v", late, f)
 	}
 }
@@ -107,16 +107,16 @@
 // Without beats there is nothing to tell, and a new start forgets the last spell.
 func TestStopForgets(t *testing.T) {
 	c := New(matters)
-	if c.Start(0); c.Own(time.Minute) == 0 {
+	if c.Start(0); c.OwnDelay(time.Minute) == 0 {
 		t.Fatal("a beat that is a minute late is not told")
 	}
-	c.Beat(time.Minute)
+	c.Tick(time.Minute)
 	c.Stop()
-	if own := c.Own(2 * time.Minute); own != 0 {
+	if own := c.OwnDelay(2 * time.Minute); own != 0 {
 		t.Errorf("%v without beats", own)
 	}
 	c.Start(time.Hour)
-	if own := c.Own(time.Hour + ms); own != 0 {
+	if own := c.OwnDelay(time.Hour + ms); own != 0 {
 		t.Errorf("%v right after a start", own)
 	}
 }
--- a/internal/level/config.go
+++ b/internal/level/config.go
@@ -13,7 +13,7 @@
 )
 
 // MostHold is how long operators may hold a level at most.
-const MostHold = 24 * time.Hour
+const MaxHold = 24 * time.Hour
 
 // Duration is a time in Go's notation, such as "250ms".
 type Duration = tomlfile.Duration
@@ -67,13 +67,13 @@
 }
 
 // On says whether there are levels.
-func (c *Config) On() bool { return len(c.Level) > 0 }
+func (c *Config) Enabled() bool { return len(c.Level) > 0 }
 
 var name = regexp.MustCompile(`^[a-z][a-z0-9-]{0,31}$`)
 
 // Check says what is wrong, and fills in what is not given. Its error is an *api.FieldError.
-func (c *Config) Check() error {
-	if !c.On() {
+func (c *Config) Validate() error {
+	if !c.Enabled() {
 		if c.Every != 0 || c.Dwell != 0 || c.Fresh != 0 {
 			return &api.FieldError{Field: "level", What: "missing"}
 		}
@@ -95,8 +95,8 @@
 	if c.Dwell < c.Every {
 		return &api.FieldError{Field: "dwell", What: fmt.Sprintf("%v is shorter than every, %v", c.Dwell.D(), c.Every.D())}
 	}
-	if len(c.Level) > MostLevels {
-		return &api.FieldError{Field: "level", What: fmt.Sprintf("there are %d, and %d are allowed", len(c.Level), MostLevels)}
+	if len(c.Level) > MaxLevels {
+		return &api.FieldError{Field: "level", What: fmt.Sprintf("there are %d, and %d are allowed", len(c.Level), MaxLevels)}
 	}
 	names := map[string]bool{Normal: true}
 	for i := range c.Level {
@@ -224,7 +224,7 @@
 
 // Fits says which class is not there, or goes before its time: what may be repeated anywhere goes first, then what is keyed,
 // and what must never run twice last, as its clients can't come again as freely. Its error is an *api.FieldError.
-func (c *Config) Fits(s *Service) error {
+func (c *Config) ValidateFor(s *Service) error {
 	for i := range c.Level {
 		l := &c.Level[i]
 		field := fmt.Sprintf("level[%d].shed", i)
--- a/internal/level/figures.go
+++ b/internal/level/figures.go
@@ -15,11 +15,11 @@
 
 // known takes shares over the last looks. Danger: what the level itself turns away must not count, or a level would keep
 // itself up by its own refusals.
-func (m *Machine) known() (k known) {
+func (m *Controller) known() (k known) {
 	var ended, inAim, refused, shed int
 	for i := range m.looks {
 		f := &m.looks[i]
-		ended, inAim, refused, shed = ended+f.Ended, inAim+f.InAim, refused+f.Refused, shed+f.Shed
+		ended, inAim, refused, shed = ended+f.Completed, inAim+f.InAim, refused+f.Refused, shed+f.Shed
 	}
 	k.blind = len(m.looks) == window && ended == 0 && shed > 0
 	if len(m.looks) == 0 {
@@ -27,7 +27,7 @@
 	}
 	k.asked = float64(ended+shed) / float64(len(m.looks))
 	last := &m.looks[len(m.looks)-1]
-	k.late, k.sites = &last.Late, &last.Sites
+	k.late, k.sites = &last.AgentLateness, &last.WithdrawnSites
 	if ended >= fewest {
 		k.inAim, k.refused = part(inAim, ended), part(refused, ended)
 	} else if len(m.looks) == window && shed == 0 { // a quiet instance is well
@@ -46,7 +46,7 @@
 	}
 	// What the list said before it grew old is no share of what there is.
 	if fresh := m.config.Fresh.D(); last.Backends > 0 && last.ListAge >= 0 && last.ListAge <= fresh {
-		k.out = part(last.Out, last.Backends)
+		k.out = part(last.Ejected, last.Backends)
 	}
 	return k
 }
--- a/internal/level/level.go
+++ b/internal/level/level.go
@@ -29,9 +29,9 @@
 
 const (
 	// MostLevels is how many levels there may be above normal service.
-	MostLevels = 8
+	MaxLevels = 8
 	// MostHistory is how many changes are remembered.
-	MostHistory = 64
+	MaxHistory = 64
 
 	window   = 5  // looks that shares are taken over: one alone is noise
 	fewest   = 10 // requests that a share is taken of; of fewer it is unknown
@@ -40,34 +40,34 @@
 )
 
 // Figures are what is measured, since the last look or at this one.
-type Figures struct {
-	Ended    int           // requests that the decision module has ended,
-	InAim    int           // of these, answered within their aim
-	Refused  int           // or refused
-	Shed     int           // turned away by the level
-	Pressure float64       // of the decision module; negative if unknown
-	ListAge  time.Duration // since discovery last told anything; negative if unknown
-	Backends int           // listed as ready; 0 if unknown
-	Out      int           // of these, ejected for some class
-	Late     float64       // part of the soonest aim by which the agent itself is late
-	Sites    float64       // share of the sites that are withdrawn
+type Sample struct {
+	Completed      int           // requests that the decision module has ended,
+	InAim          int           // of these, answered within their aim
+	Refused        int           // or refused
+	Shed           int           // turned away by the level
+	Pressure       float64       // of the decision module; negative if unknown
+	ListAge        time.Duration // since discovery last told anything; negative if unknown
+	Backends       int           // listed as ready; 0 if unknown
+	Ejected        int           // of these, ejected for some class
+	AgentLateness  float64       // part of the soonest aim by which the agent itself is late
+	WithdrawnSites float64       // share of the sites that are withdrawn
 }
 
 // Change is a change of level, or of who keeps it.
 type Change struct {
 	At       time.Duration
 	From, To string
-	Why      string
+	Reason   string
 }
 
 // Refusal is why a request is turned away.
 type Refusal struct {
-	Level, Why string
-	After      time.Duration // when to come again: the soonest that the level may be left, spread by up to a quarter
+	Level, Reason string
+	RetryAfter    time.Duration // when to come again: the soonest that the level may be left, spread by up to a quarter
 }
 
 // Machine is the level of one instance. It is not safe for concurrent use.
-type Machine struct {
+type Controller struct {
 	levels   []rung // of which the first is normal service
 	config   Config
 	portions []float64 // of accounts
@@ -78,13 +78,13 @@
 	since    time.Duration   // when the level was entered
 	left     time.Duration   // when it was last left for the one below,
 	again    int             // and how often it was entered soon after, in a row
-	looks    []Figures       // the last ones, the newest last
+	looks    []Sample        // the last ones, the newest last
 	reached  []time.Duration // by level: since when a figure is where it is entered; negative if none is
 	fits     []float64       // by level: requests a look that were answered in time when it was entered
 	held     bool
 	until    time.Duration // of the hold
 	history  []Change
-	refusals []Refused // as many as there are levels and reasons
+	refusals []RefusalCount // as many as there are levels and reasons
 }
 
 // rung is a level with its classes by position.
@@ -95,8 +95,8 @@
 
 // New returns a Machine in normal service, for classes and accounts by their positions. The configuration has been checked
 // against them.
-func New(c *Config, s *Service, seed uint64, now time.Duration) *Machine {
-	m := &Machine{
+func New(c *Config, s *Service, seed uint64, now time.Duration) *Controller {
+	m := &Controller{
 		config: *c, portions: s.Portions, rng: rand.New(rand.NewPCG(seed, 1)), mix: limit.NewMix(len(s.Portions)), since: now,
 		levels: []rung{{Level: Level{Name: Normal}, shed: make([]bool, len(s.Classes))}}, reached: make([]time.Duration, len(c.Level)+1),
 		fits: make([]float64, len(c.Level)+1),
@@ -117,17 +117,17 @@
 }
 
 // Allowed is what the level leaves the decision module.
-func (m *Machine) Allowed() Allowed {
+func (m *Controller) Allowed() Allowed {
 	l := &m.levels[m.at]
-	return Allowed{SecondCopies: !l.NoSecondCopies, Retries: !l.NoRetries, Probes: !l.NoProbes}
+	return Allowed{Hedges: !l.NoSecondCopies, Retries: !l.NoRetries, Probes: !l.NoProbes}
 }
 
 // Allowed is what the decision module may do.
-type Allowed struct{ SecondCopies, Retries, Probes bool }
+type Allowed struct{ Hedges, Retries, Probes bool }
 
 // Judge says whether a request may go on to the decision module; nil lets it. All requests are judged, as accounts' parts are
 // taken of them.
-func (m *Machine) Judge(now time.Duration, class, account, body int) *Refusal {
+func (m *Controller) Admit(now time.Duration, class, account, body int) *Refusal {
 	over := m.over(account)
 	l := &m.levels[m.at]
 	why := ""
@@ -142,27 +142,27 @@
 		return nil
 	}
 	m.count(l.Name, why)
-	return &Refusal{Level: l.Name, Why: why, After: m.after(now)}
+	return &Refusal{Level: l.Name, Reason: why, RetryAfter: m.after(now)}
 }
 
 // Refused counts what a level has turned away for one reason.
-type Refused struct {
-	Level, Why string
-	Count      int64
+type RefusalCount struct {
+	Level, Reason string
+	Count         int64
 }
 
-func (m *Machine) count(level, why string) {
+func (m *Controller) count(level, why string) {
 	for i := range m.refusals {
-		if r := &m.refusals[i]; r.Level == level && r.Why == why {
+		if r := &m.refusals[i]; r.Level == level && r.Reason == why {
 			r.Count++
 			return
 		}
 	}
-	m.refusals = append(m.refusals, Refused{level, why, 1})
+	m.refusals = append(m.refusals, RefusalCount{level, why, 1})
 }
 
 // over counts a request and returns its account's part of the recent ones over its share.
-func (m *Machine) over(account int) float64 {
+func (m *Controller) over(account int) float64 {
 	if account < 0 || account >= len(m.portions) || !(m.portions[account] > 0) {
 		return 1
 	}
@@ -171,7 +171,7 @@
 }
 
 // after is when a request that is turned away may come again. Danger: all that are turned away together come back together.
-func (m *Machine) after(now time.Duration) time.Duration {
+func (m *Controller) after(now time.Duration) time.Duration {
 	until := m.since + m.dwell()
 	if m.held {
 		until = m.until
@@ -181,12 +181,12 @@
 }
 
 // dwell is how long the present level is kept at least.
-func (m *Machine) dwell() time.Duration {
+func (m *Controller) dwell() time.Duration {
 	return m.config.Dwell.D() << min(m.again, relapses)
 }
 
 // Step takes in the figures of a look, and returns the change that it made, if any.
-func (m *Machine) Step(now time.Duration, f Figures) *Change {
+func (m *Controller) Update(now time.Duration, f Sample) *Change {
 	if m.looks = append(m.looks, f); len(m.looks) > window {
 		m.looks = m.looks[1:]
 	}
@@ -237,8 +237,8 @@
 }
 
 // move goes to a level. What was measured before says nothing of it.
-func (m *Machine) move(now time.Duration, to int, why string) *Change {
-	c := Change{At: now, From: m.levels[m.at].Name, To: m.levels[to].Name, Why: why}
+func (m *Controller) move(now time.Duration, to int, why string) *Change {
+	c := Change{At: now, From: m.levels[m.at].Name, To: m.levels[to].Name, Reason: why}
 	switch {
 	case to > m.at:
 		// Soon after it was left means that the cause had not gone, and that it looked so only for the level.
@@ -262,16 +262,16 @@
 			m.reached[i] = -1
 		}
 	}
-	if m.history = append(m.history, c); len(m.history) > MostHistory {
+	if m.history = append(m.history, c); len(m.history) > MaxHistory {
 		m.history = m.history[1:]
 	}
 	return &c
 }
 
 // Hold keeps a level by hand, for so long, whatever the figures say. Its error names what can't be.
-func (m *Machine) Hold(now time.Duration, name string, d time.Duration, why string) (*Change, error) {
-	if d <= 0 || d > MostHold {
-		return nil, fmt.Errorf("a hold lasts up to %v, not %v", MostHold, d)
+func (m *Controller) Hold(now time.Duration, name string, d time.Duration, why string) (*Change, error) {
+	if d <= 0 || d > MaxHold {
+		return nil, fmt.Errorf("a hold lasts up to %v, not %v", MaxHold, d)
 	}
 	for i := range m.levels {
 		if m.levels[i].Name == name {
@@ -283,7 +283,7 @@
 }
 
 // Release ends a hold. The level stays until the figures move it.
-func (m *Machine) Release(now time.Duration) *Change {
+func (m *Controller) Release(now time.Duration) *Change {
 	if !m.held {
 		return nil
 	}
@@ -292,28 +292,28 @@
 }
 
 // View is what there is to see of a Machine.
-type View struct {
-	Level    string
-	Levels   []string // from normal service on
-	Since    time.Duration
-	Dwell    time.Duration // least time in the level, with what relapses add
-	Held     time.Duration // until when by hand; 0 if it is not
-	Known    []string      // the figures as they are judged, those that are unknown among them
-	Refusals []Refused
-	History  []Change // the newest last
+type Status struct {
+	Level     string
+	Levels    []string // from normal service on
+	Since     time.Duration
+	MinDwell  time.Duration // least time in the level, with what relapses add
+	HeldUntil time.Duration // until when by hand; 0 if it is not
+	Readings  []string      // the figures as they are judged, those that are unknown among them
+	Refusals  []RefusalCount
+	History   []Change // the newest last
 }
 
 // View returns a copy.
-func (m *Machine) View() View {
-	v := View{Level: m.levels[m.at].Name, Since: m.since, Dwell: m.dwell()}
+func (m *Controller) Status() Status {
+	v := Status{Level: m.levels[m.at].Name, Since: m.since, MinDwell: m.dwell()}
 	if m.held {
-		v.Held = m.until
+		v.HeldUntil = m.until
 	}
 	for i := range m.levels {
 		v.Levels = append(v.Levels, m.levels[i].Name)
 	}
 	k := m.known()
-	v.Known = k.words()
+	v.Readings = k.words()
 	v.Refusals = append(v.Refusals, m.refusals...)
 	v.History = append(v.History, m.history...)
 	return v
--- a/internal/level/level_test.go
+++ b/internal/level/level_test.go
@@ -54,16 +54,16 @@
 	if err := tomlfile.Decode([]byte(text), &c); err != nil {
 		return nil, err
 	}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return nil, err
 	}
-	return &c, c.Fits(&service)
+	return &c, c.ValidateFor(&service)
 }
 
 // bench steps a machine once a second.
 type bench struct {
 	*testing.T
-	*Machine
+	*Controller
 	now time.Duration
 }
 
@@ -77,24 +77,24 @@
 }
 
 // well are the figures of an instance that serves 100 requests a second.
-func well() Figures {
-	return Figures{Ended: 100, InAim: 99, ListAge: time.Second, Backends: 10}
+func well() Sample {
+	return Sample{Completed: 100, InAim: 99, ListAge: time.Second, Backends: 10}
 }
 
-func pressed(pressure float64) Figures {
+func pressed(pressure float64) Sample {
 	f := well()
 	f.Pressure = pressure
 	return f
 }
 
 // unknown are those of an instance of which nothing is measured.
-var unknown = Figures{Pressure: -1, ListAge: -1}
+var unknown = Sample{Pressure: -1, ListAge: -1}
 
 // steps shows it the same figures for so many seconds, and counts changes of level.
-func (b *bench) steps(n int, f Figures) (changes int) {
+func (b *bench) steps(n int, f Sample) (changes int) {
 	for range n {
 		b.now += time.Second
-		if c := b.Step(b.now, f); c != nil && c.From != c.To {
+		if c := b.Update(b.now, f); c != nil && c.From != c.To {
 			changes++
 		}
 	}
@@ -103,8 +103,8 @@
 
 func (b *bench) at(want string) {
 	b.Helper()
-	if got := b.View(); got.Level != want {
-		b.Fatalf("%v: in level %s, want %s; %v, %+v", b.now, got.Level, want, got.Known, got.History)
+	if got := b.Status(); got.Level != want {
+		b.Fatalf("%v: in level %s, want %s; %v, %+v", b.now, got.Level, want, got.Readings, got.History)
 	}
 }
 
@@ -128,7 +128,7 @@
 	b.at("lean")
 	b.steps(10, well())
 	b.at(Normal)
-	if n := len(b.View().History); n != 4 {
+	if n := len(b.Status().History); n != 4 {
 		t.Errorf("%d changes are remembered, want 4", n)
 	}
 }
@@ -140,7 +140,7 @@
 	f.InAim, f.Refused = 5, 95
 	b.steps(1, f)
 	b.at("essential")
-	if why := b.View().History[0].Why; !strings.HasPrefix(why, "emergency: refused 0.95") {
+	if why := b.Status().History[0].Reason; !strings.HasPrefix(why, "emergency: refused 0.95") {
 		t.Errorf("why: %s", why)
 	}
 }
@@ -149,10 +149,10 @@
 func TestListDropsOut(t *testing.T) {
 	b := start(t)
 	f := well()
-	f.Out = 6
+	f.Ejected = 6
 	b.steps(3, f)
 	b.at("lean")
-	f.Out = 0
+	f.Ejected = 0
 	for age := 25 * time.Second; age < 3*time.Minute; age += time.Second {
 		f.ListAge = age
 		b.steps(1, f)
@@ -170,7 +170,7 @@
 			t.Fatal(err)
 		}
 		if b.steps(300, unknown) != 0 {
-			t.Errorf("from %s to %s", level, b.View().Level)
+			t.Errorf("from %s to %s", level, b.Status().Level)
 		}
 	}
 }
@@ -179,7 +179,7 @@
 func TestOwnRefusals(t *testing.T) {
 	b := start(t)
 	b.Hold(b.now, "closed", time.Second, "test")
-	f := Figures{Shed: 1000, Pressure: 1.9, ListAge: time.Second, Backends: 10} // the pressure is from before
+	f := Sample{Shed: 1000, Pressure: 1.9, ListAge: time.Second, Backends: 10} // the pressure is from before
 	b.steps(15, f)
 	b.at("essential")
 	f = well()
@@ -196,9 +196,9 @@
 	const minutes = 20
 	for range minutes * 60 {
 		f := pressed(0.6)
-		if b.View().Level != Normal {
+		if b.Status().Level != Normal {
 			f = pressed(0)
-			f.Ended, f.InAim, f.Shed = 80, 80, 80
+			f.Completed, f.InAim, f.Shed = 80, 80, 80
 			inLean++
 		}
 		changes += b.steps(1, f)
@@ -222,16 +222,16 @@
 		swing := rapid.Float64Range(0, 1).Draw(t, "swing")
 		m := New(c, &service, rng.Uint64(), 0)
 		var at []time.Duration
-		before := m.View()
+		before := m.Status()
 		for now := time.Second; now < 10*time.Minute; now += time.Second {
 			f := pressed(max(-1, 0.4+swing*rng.NormFloat64()))
-			f.InAim, f.Refused, f.Out = 60+rng.IntN(40), rng.IntN(100), rng.IntN(10)
+			f.InAim, f.Refused, f.Ejected = 60+rng.IntN(40), rng.IntN(100), rng.IntN(10)
 			f.ListAge = time.Duration(rng.IntN(60)) * time.Second
 			if rng.IntN(10) == 0 {
 				f = unknown
 			}
-			change := m.Step(now, f)
-			v := m.View()
+			change := m.Update(now, f)
+			v := m.Status()
 			if change == nil && v.Level != before.Level {
 				t.Fatalf("from %s to %s without a change", before.Level, v.Level)
 			}
@@ -286,31 +286,31 @@
 func TestJudge(t *testing.T) {
 	b := start(t)
 	const status, unsafe = 0, 1
-	if r := b.Judge(b.now, status, 0, 5000); r != nil {
+	if r := b.Admit(b.now, status, 0, 5000); r != nil {
 		t.Errorf("normal service turns away: %+v", r)
 	}
 	b.Hold(b.now, "essential", 8*time.Second, "test")
 	for range 1000 { // both accounts ask for as much, and the second has a quarter
-		b.Judge(b.now, unsafe, 0, 10)
-		b.Judge(b.now, unsafe, 1, 10)
+		b.Admit(b.now, unsafe, 0, 10)
+		b.Admit(b.now, unsafe, 1, 10)
 	}
 	for _, c := range []struct {
 		class, account, body int
 		why                  string
 	}{{status, 0, 10, "class"}, {unsafe, 0, 10, ""}, {unsafe, 1, 10, "account over its share"}, {unsafe, 0, 1001, "body size"}, {unsafe, -1, 10, ""}, {9, 9, 10, ""}} {
-		r := b.Judge(b.now, c.class, c.account, c.body)
-		if (r == nil) != (c.why == "") || r != nil && (r.Why != c.why || r.Level != "essential") {
+		r := b.Admit(b.now, c.class, c.account, c.body)
+		if (r == nil) != (c.why == "") || r != nil && (r.Reason != c.why || r.Level != "essential") {
 			t.Errorf("%+v: %+v", c, r)
 		}
-		if r != nil && (r.After < 8*time.Second || r.After > 10*time.Second) {
-			t.Errorf("%+v: come again after %v, and the level is held for 8s", c, r.After)
+		if r != nil && (r.RetryAfter < 8*time.Second || r.RetryAfter > 10*time.Second) {
+			t.Errorf("%+v: come again after %v, and the level is held for 8s", c, r.RetryAfter)
 		}
 	}
-	if a := b.Allowed(); a.SecondCopies || a.Retries || !a.Probes {
+	if a := b.Allowed(); a.Hedges || a.Retries || !a.Probes {
 		t.Errorf("essential allows %+v", a)
 	}
-	if !slices.Contains(b.View().Refusals, Refused{"essential", "class", 1}) {
-		t.Errorf("counted refusals: %+v, want one by class", b.View().Refusals)
+	if !slices.Contains(b.Status().Refusals, RefusalCount{"essential", "class", 1}) {
+		t.Errorf("counted refusals: %+v, want one by class", b.Status().Refusals)
 	}
 }
 
@@ -324,10 +324,10 @@
 	m.Hold(0, "half", time.Minute, "test")
 	turned := 0
 	for range 1000 {
-		if m.Judge(0, 0, 0, 0) != nil {
+		if m.Admit(0, 0, 0, 0) != nil {
 			turned++
 		}
-		if r := m.Judge(0, 1, 0, 0); r != nil {
+		if r := m.Admit(0, 1, 0, 0); r != nil {
 			t.Fatalf("delivery-close: %+v", r)
 		}
 	}
--- a/internal/life/attempt.go
+++ b/internal/life/attempt.go
@@ -15,25 +15,25 @@
 
 // The states of an attempt.
 const (
-	Queued        State = iota // decided, and nothing done for it
-	Connecting                 // a connection is looked for, or being made
-	Lent                       // it has one, on which nothing of it was written
-	Writing                    // bytes go out; the last has not
-	Sent                       // the last byte is out
-	Answering                  // the first byte of an answer has come
-	Early                      // the same before its last byte is out
-	GivenUp                    // it was cancelled before its last byte, and its I/O has not come back
-	GivenUpSent                // the same after its last byte
-	Overdue                    // its time is over before its last byte, and its I/O has not come back
-	OverdueSent                // the same after its last byte
-	Served                     // from here on it has ended: a whole good answer
-	Failed                     // a whole answer of another kind
-	Rejected                   // a whole answer that says that it did not run, for want of room
-	NeverSent                  // the connection failed before the last byte was out
-	NotTried                   // the agent itself did not send it
-	Cut                        // the connection failed, or the answer was no answer, after the last byte
-	LateForAnswer              // its time was over after the last byte
-	Cancelled                  // it was given up
+	Queued               State = iota // decided, and nothing done for it
+	Connecting                        // a connection is looked for, or being made
+	Acquired                          // it has one, on which nothing of it was written
+	Writing                           // bytes go out; the last has not
+	Sent                              // the last byte is out
+	ReceivingAnswer                   // the first byte of an answer has come
+	ReceivingEarlyAnswer              // the same before its last byte is out
+	Cancelling                        // it was cancelled before its last byte, and its I/O has not come back
+	CancellingSent                    // the same after its last byte
+	TimingOut                         // its time is over before its last byte, and its I/O has not come back
+	TimingOutSent                     // the same after its last byte
+	Served                            // from here on it has ended: a whole good answer
+	Failed                            // a whole answer of another kind
+	Rejected                          // a whole answer that says that it did not run, for want of room
+	NeverSent                         // the connection failed before the last byte was out
+	NotTried                          // the agent itself did not send it
+	ConnectionLost                    // the connection failed, or the answer was no answer, after the last byte
+	TimedOut                          // its time was over after the last byte
+	Cancelled                         // it was given up
 	numStates
 )
 
@@ -51,7 +51,7 @@
 // is incomplete (RFC 9112, section 6.3) and can't.
 func (s State) MayHaveRun() bool {
 	switch s {
-	case Sent, Answering, Early, GivenUpSent, OverdueSent, Served, Failed, Cut, LateForAnswer, Cancelled:
+	case Sent, ReceivingAnswer, ReceivingEarlyAnswer, CancellingSent, TimingOutSent, Served, Failed, ConnectionLost, TimedOut, Cancelled:
 		return true // Cancelled covers both: who gives up does not wait to know
 	}
 	return false
@@ -69,7 +69,7 @@
 	}
 	return [...]policy.Outcome{
 		Served: policy.OK, Failed: policy.Error, Rejected: policy.Full, NeverSent: policy.ConnectFailed, NotTried: policy.Moot,
-		Cut: policy.Reset, LateForAnswer: policy.Timeout, Cancelled: policy.Cancelled,
+		ConnectionLost: policy.Reset, TimedOut: policy.Timeout, Cancelled: policy.Cancelled,
 	}[s]
 }
 
@@ -78,21 +78,21 @@
 
 // The inputs.
 const (
-	Begin        Input = iota // its I/O starts
-	Connected                 // it has a connection
-	NoConnection              // it got none
-	NoRoom                    // the agent has no socket for it
-	TooLate                   // its backend is out, or backends no longer remember what it would repeat
-	Write                     // its first byte goes out
-	WroteLast                 // its last byte is out
-	Broken                    // the connection has failed, or what came is no answer
-	FirstByte                 // of an answer
-	Good                      // the answer is whole, and good
-	Bad                       // the answer is whole, and says something else
-	Full                      // the answer is whole, and says that there was no room
-	Cancel                    // it is given up
-	Deadline                  // its time is over
-	Back                      // its I/O has come back after it was given up, or its time was over
+	Start            Input = iota // its I/O starts
+	Connected                     // it has a connection
+	ConnectFailed                 // it got none
+	NoSocket                      // the agent has no socket for it
+	TooLateToSend                 // its backend is out, or backends no longer remember what it would repeat
+	WriteStarted                  // its first byte goes out
+	RequestWritten                // its last byte is out
+	ConnectionBroken              // the connection has failed, or what came is no answer
+	FirstAnswerByte               // of an answer
+	GoodAnswer                    // the answer is whole, and good
+	ErrorAnswer                   // the answer is whole, and says something else
+	RejectedAnswer                // the answer is whole, and says that there was no room
+	Cancel                        // it is given up
+	Deadline                      // its time is over
+	IOReturned                    // its I/O has come back after it was given up, or its time was over
 	numInputs
 )
 
@@ -114,17 +114,17 @@
 		}
 	}
 	for from, to := range map[State]map[Input]State{
-		Queued:      {Begin: Connecting, Cancel: Cancelled, Deadline: NotTried},
-		Connecting:  {Connected: Lent, NoConnection: NeverSent, NoRoom: NotTried, Cancel: GivenUp, Deadline: Overdue},
-		Lent:        {Write: Writing, TooLate: NotTried, Broken: NeverSent, Cancel: GivenUp, Deadline: Overdue},
-		Writing:     {WroteLast: Sent, FirstByte: Early, Broken: NeverSent, Cancel: GivenUp, Deadline: Overdue},
-		Early:       {Good: Served, Bad: Failed, Full: Rejected, Broken: Cut, Cancel: GivenUpSent, Deadline: OverdueSent},
-		Sent:        {FirstByte: Answering, Broken: Cut, Cancel: GivenUpSent, Deadline: OverdueSent},
-		Answering:   {Good: Served, Bad: Failed, Full: Rejected, Broken: Cut, Cancel: GivenUpSent, Deadline: OverdueSent},
-		GivenUp:     {Back: Cancelled, Deadline: GivenUp},
-		GivenUpSent: {Back: Cancelled, Deadline: GivenUpSent},
-		Overdue:     {Back: NeverSent, Cancel: GivenUp},
-		OverdueSent: {Back: LateForAnswer, Cancel: GivenUpSent},
+		Queued:               {Start: Connecting, Cancel: Cancelled, Deadline: NotTried},
+		Connecting:           {Connected: Acquired, ConnectFailed: NeverSent, NoSocket: NotTried, Cancel: Cancelling, Deadline: TimingOut},
+		Acquired:             {WriteStarted: Writing, TooLateToSend: NotTried, ConnectionBroken: NeverSent, Cancel: Cancelling, Deadline: TimingOut},
+		Writing:              {RequestWritten: Sent, FirstAnswerByte: ReceivingEarlyAnswer, ConnectionBroken: NeverSent, Cancel: Cancelling, Deadline: TimingOut},
+		ReceivingEarlyAnswer: {GoodAnswer: Served, ErrorAnswer: Failed, RejectedAnswer: Rejected, ConnectionBroken: ConnectionLost, Cancel: CancellingSent, Deadline: TimingOutSent},
+		Sent:                 {FirstAnswerByte: ReceivingAnswer, ConnectionBroken: ConnectionLost, Cancel: CancellingSent, Deadline: TimingOutSent},
+		ReceivingAnswer:      {GoodAnswer: Served, ErrorAnswer: Failed, RejectedAnswer: Rejected, ConnectionBroken: ConnectionLost, Cancel: CancellingSent, Deadline: TimingOutSent},
+		Cancelling:           {IOReturned: Cancelled, Deadline: Cancelling},
+		CancellingSent:       {IOReturned: Cancelled, Deadline: CancellingSent},
+		TimingOut:            {IOReturned: NeverSent, Cancel: Cancelling},
+		TimingOutSent:        {IOReturned: TimedOut, Cancel: CancellingSent},
 	} {
 		for i, s := range to {
 			t[from][i] = s
@@ -134,12 +134,12 @@
 }()
 
 // MisfitError is an input that does not fit a state.
-type MisfitError struct {
+type TransitionError struct {
 	State State
 	Input Input
 }
 
-func (e *MisfitError) Error() string {
+func (e *TransitionError) Error() string {
 	return fmt.Sprintf("life: an attempt that is %s gets %q, which does not fit", e.State, e.Input)
 }
 
@@ -150,17 +150,17 @@
 func (a *Attempt) State() State { return a.state }
 
 // On takes in what happens. Its error is a *MisfitError, and then the attempt stays as it is.
-func (a *Attempt) On(i Input) error {
+func (a *Attempt) Apply(i Input) error {
 	next := attempt[a.state][i]
 	if next == none {
-		return &MisfitError{a.state, i}
+		return &TransitionError{a.state, i}
 	}
 	a.state = next
 	return nil
 }
 
 // Table is the machine of attempts for people, in Markdown.
-func Table() string {
+func MarkdownTable() string {
 	var b strings.Builder
 	b.WriteString("| state | may have run | outcome | what may happen, and what it leads to |\n| --- | --- | --- | --- |\n")
 	for s := range numStates {
--- a/internal/life/attempt_test.go
+++ b/internal/life/attempt_test.go
@@ -28,12 +28,12 @@
 		f(way, p.s)
 		for i := range numInputs {
 			a := Attempt{p.s}
-			if a.On(i) != nil {
+			if a.Apply(i) != nil {
 				continue
 			}
 			transitions++
-			next := place{a.state, p.wrote || i == WroteLast, p.stopped}
-			if next.stopped == Begin && (i == Cancel || i == Deadline) {
+			next := place{a.state, p.wrote || i == RequestWritten, p.stopped}
+			if next.stopped == Start && (i == Cancel || i == Deadline) {
 				next.stopped = i
 			}
 			visit(next, append(append([]Input{}, way...), i))
@@ -58,7 +58,7 @@
 	reached := map[State]bool{}
 	transitions := walk(func(way []Input, s State) {
 		reached[s] = true
-		want := has(way, WroteLast) || has(way, FirstByte) // who answers before the last byte need not have waited for it
+		want := has(way, RequestWritten) || has(way, FirstAnswerByte) // who answers before the last byte need not have waited for it
 		switch s {
 		case Cancelled:
 			want = true
@@ -70,11 +70,11 @@
 		}
 		if s.Ended() {
 			for i := range numInputs {
-				if a := (Attempt{s}); a.On(i) == nil {
+				if a := (Attempt{s}); a.Apply(i) == nil {
 					t.Errorf("%v: %s, and then %s", way, s, i)
 				}
 			}
-			if o := s.Outcome(); (o == policy.OK) != has(way, Good) || (o == policy.Moot) != (s == NotTried) {
+			if o := s.Outcome(); (o == policy.OK) != has(way, GoodAnswer) || (o == policy.Moot) != (s == NotTried) {
 				t.Errorf("%v: outcome %v", way, o)
 			}
 			return
@@ -84,8 +84,8 @@
 		}
 		// Without anything new but the time and its I/O, it ends.
 		a := Attempt{s}
-		a.On(Deadline) // which fits or leaves it as it is
-		a.On(Back)
+		a.Apply(Deadline) // which fits or leaves it as it is
+		a.Apply(IOReturned)
 		if !a.state.Ended() {
 			t.Errorf("%v: %s does not end", way, s)
 		}
@@ -109,7 +109,7 @@
 // What does not fit is an error that names both, and changes nothing.
 func TestMisfit(t *testing.T) {
 	a := Attempt{Sent}
-	err := a.On(Connected)
+	err := a.Apply(Connected)
 	if err == nil || a.State() != Sent || !strings.Contains(err.Error(), "sent") || !strings.Contains(err.Error(), "connected") {
 		t.Errorf("%s, error %v", a.State(), err)
 	}
@@ -128,7 +128,7 @@
 	if !ok || !ok2 {
 		t.Fatal("the page has no place for the table")
 	}
-	want := before + begin + Table() + end + after
+	want := before + begin + MarkdownTable() + end + after
 	if *rewrite {
 		if err := os.WriteFile(path, []byte(want), 0o644); err != nil {
 			t.Fatal(err)
@@ -143,8 +143,8 @@
 func BenchmarkAttempt(b *testing.B) {
 	for b.Loop() {
 		var a Attempt
-		for _, i := range [...]Input{Begin, Connected, Write, WroteLast, FirstByte, Good} {
-			if err := a.On(i); err != nil {
+		for _, i := range [...]Input{Start, Connected, WriteStarted, RequestWritten, FirstAnswerByte, GoodAnswer} {
+			if err := a.Apply(i); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/mesh/inbound/exchange.go
+++ b/internal/mesh/inbound/exchange.go
@@ -234,7 +234,7 @@
 		if h.target != nil {
 			h.pool.Retire(h.target)
 		}
-		h.target, h.targetID = h.pool.Target(address, h.now()), id
+		h.target, h.targetID = h.pool.NewTarget(address, h.now()), id
 	}
 	return h.target
 }
@@ -257,7 +257,7 @@
 	switch {
 	case connectionRefused(err):
 		failure.Reason = transport.UnknownBackend
-	case connpool.IsShortage(err):
+	case connpool.IsSocketShortage(err):
 		failure.Reason = transport.LocalShortage
 	}
 	return nil, failure
@@ -266,7 +266,7 @@
 // roundTripCancellable sends a request to the backend and closes the connection once the caller is
 // gone, which tells the backend to stop. A response that was complete by then still counts.
 func (h *Host) roundTripCancellable(caller *Caller, conn *connpool.Conn, req *transport.Request, body []byte) (*response, *transport.Failure) {
-	stop := caller.afterGone(conn.Overdue)
+	stop := caller.afterGone(conn.Expire)
 	resp, reusable, failure := h.roundTrip(conn, req, body)
 	gone := stop()
 	if failure != nil && gone {
@@ -299,7 +299,7 @@
 	if _, err := conn.Write(appendRequest(make([]byte, 0, 512+len(body)), req, body)); err != nil {
 		return nil, false, &transport.Failure{Verdict: transport.MayHaveRun, Reason: transport.Broken, Cause: err}
 	}
-	r := responseReader{buffered: conn.Reader, limitRead: conn.Limit, maxBytes: h.maxResponseBytes, req: req, freshConn: conn.Fresh()}
+	r := responseReader{buffered: conn.Reader, limitRead: conn.LimitRead, maxBytes: h.maxResponseBytes, req: req, freshConn: conn.IsNew()}
 	if resp, failure = r.read(); failure != nil {
 		return nil, false, failure
 	}
--- a/internal/mesh/inbound/host.go
+++ b/internal/mesh/inbound/host.go
@@ -59,7 +59,7 @@
 		onBackendChange: func(BackendChange) {}}
 	h.gate = NewGate(0, rules)
 	h.uploadSemaphore = make(chan struct{}, uploadSlots(rules.LinkBitsPerSecond))
-	h.pool = connpool.New(connpool.Options{Network: connpool.TCP{}, ConnectTimeout: connectTimeout, IdleClose: idleTimeout, Most: maxBackendConns})
+	h.pool = connpool.New(connpool.Options{Network: connpool.TCP{}, ConnectTimeout: connectTimeout, BackendIdleTimeout: idleTimeout, MaxConns: maxBackendConns})
 	h.accepting.Store(true)
 	return h
 }
@@ -153,7 +153,7 @@
 // the keep-alive probing of senders.
 func (h *Host) Tick() {
 	h.WithGate(func(now time.Duration, g *Gate) bool { return g.Tick(now) })
-	h.pool.Sweep()
+	h.pool.CloseExpired()
 	now := time.Now()
 	h.sessions.Range(func(s, _ any) bool {
 		s.(*session).updateProbing(now)
--- a/internal/mesh/outbound/client.go
+++ b/internal/mesh/outbound/client.go
@@ -36,7 +36,7 @@
 type clientKey struct{}
 
 // clientOf is the connection that a request came over; nil: it is none that can be looked into.
-func clientOf(r *http.Request) *hangup.Watch {
+func clientOf(r *http.Request) *hangup.Watcher {
 	if c, ok := r.Context().Value(clientKey{}).(*clientConn); ok {
 		return c.watch
 	}
@@ -57,14 +57,14 @@
 // clientConn is a client's connection.
 type clientConn struct {
 	net.Conn
-	watch *hangup.Watch
+	watch *hangup.Watcher
 }
 
 // Read reads, and has the watch know.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.watch.ReadAhead()
+		c.watch.RecordReadAhead()
 	}
 	return n, err
 }
--- a/internal/mesh/outbound/ending.go
+++ b/internal/mesh/outbound/ending.go
@@ -85,7 +85,7 @@
 // clientGone looks whether the client has left. Danger: after the process stood still timers and
 // slots fall due before its close has been read, and what they begin would begin for nobody.
 func (j *job) clientGone() bool {
-	if !j.hasLeft() && j.client.HungUp() {
+	if !j.hasLeft() && j.client.ClientClosed() {
 		j.end(errClientLeft)
 	}
 	return j.hasLeft()
--- a/internal/mesh/outbound/job.go
+++ b/internal/mesh/outbound/job.go
@@ -21,10 +21,10 @@
 	doneBy   time.Time // the process ends: backends are given no more time than until then; zero: it does not
 	chooser  *chooser
 	call     *call
-	client   *hangup.Watch // nil: there is none that can be looked into
-	over     chan struct{} // closed once no attempt is needed any more
-	inner    bool          // called by a run of a backend
-	repeated bool          // by a run that was a repeat itself
+	client   *hangup.Watcher // nil: there is none that can be looked into
+	over     chan struct{}   // closed once no attempt is needed any more
+	inner    bool            // called by a run of a backend
+	repeated bool            // by a run that was a repeat itself
 
 	mu        sync.Mutex
 	attempts  int                 // started
--- a/internal/mesh/outbound/serve.go
+++ b/internal/mesh/outbound/serve.go
@@ -75,7 +75,7 @@
 	leave := func() { j.end(errClientLeft) }
 	stop := context.AfterFunc(client, leave)
 	defer stop()
-	served := j.client.Serving(leave)
+	served := j.client.NotifyOnClose(leave)
 	defer served()
 	return s.run(j, left)
 }
--- a/internal/operators/operators.go
+++ b/internal/operators/operators.go
@@ -97,7 +97,7 @@
 	if err := s.checkDuties(); err != nil {
 		return nil, tomlfile.At(text, "", err)
 	}
-	if err := s.Levels.Check(); err != nil {
+	if err := s.Levels.Validate(); err != nil {
 		return nil, tomlfile.At(text, "levels", err)
 	}
 	return &s, nil
--- a/internal/site/evacuate.go
+++ b/internal/site/evacuate.go
@@ -9,18 +9,18 @@
 
 // Evacuate takes a site out for so long: a server at a time, nothing that is under way is cut. Unless it is forced it is
 // refused where the others could not carry the load.
-func (m *Machine) Evacuate(now time.Duration, name string, d time.Duration, force bool, why string) error {
+func (m *Monitor) Evacuate(now time.Duration, name string, d time.Duration, force bool, why string) error {
 	m.now = max(now, m.now)
 	i := slices.Index(m.set.Names, name)
 	if i < 0 {
-		return fmt.Errorf("%w: %.80q", ErrNoSite, name)
+		return fmt.Errorf("%w: %.80q", ErrUnknownSite, name)
 	}
-	if s := &m.sites[i]; s.state == Out {
+	if s := &m.sites[i]; s.state == Evacuated {
 		s.until = m.now + d
 		return nil
 	}
-	if p := m.plan(i); !force && p.After > Full {
-		return fmt.Errorf("%w: they would be used to %.0f%% of their room", ErrLast, 100*min(p.After, 99))
+	if p := m.plan(i); !force && p.Utilization > MaxUtilization {
+		return fmt.Errorf("%w: they would be used to %.0f%% of their room", ErrInsufficientCapacity, 100*min(p.Utilization, 99))
 	}
 	s := &m.sites[i]
 	m.remember(i)
@@ -28,19 +28,19 @@
 	if s.let = 0; s.state == Lost {
 		s.let = len(s.servers)
 	}
-	m.turnTo(i, Out, why)
+	m.turnTo(i, Evacuated, why)
 	return nil
 }
 
 // Return ends what Evacuate began. A site that is lost is asked at once.
-func (m *Machine) Return(now time.Duration, name string) error {
+func (m *Monitor) EndEvacuation(now time.Duration, name string) error {
 	m.now = max(now, m.now)
 	i := slices.Index(m.set.Names, name)
 	if i < 0 {
-		return fmt.Errorf("%w: %.80q", ErrNoSite, name)
+		return fmt.Errorf("%w: %.80q", ErrUnknownSite, name)
 	}
 	switch s := &m.sites[i]; s.state {
-	case Out:
+	case Evacuated:
 		s.until = m.now
 	case Lost:
 		s.retry = 0 // whoever paces it
@@ -49,7 +49,7 @@
 }
 
 // leave goes on with taking a site out, or ends it.
-func (m *Machine) leave(i int) {
+func (m *Monitor) leave(i int) {
 	s := &m.sites[i]
 	if m.now < s.until {
 		part := min(1, float64(m.now-s.stage)/float64(leaveOver))
@@ -58,9 +58,9 @@
 		return
 	}
 	if len(s.servers) == 0 || s.let == 0 {
-		m.turnTo(i, Well, "its time out is over")
+		m.turnTo(i, Healthy, "its time out is over")
 		return
 	}
 	s.let, s.stage = max(1, len(s.servers)-s.let), m.now
-	m.turnTo(i, Returning, "its time out is over")
+	m.turnTo(i, Recovering, "its time out is over")
 }
--- a/internal/site/explore_test.go
+++ b/internal/site/explore_test.go
@@ -19,7 +19,7 @@
 
 // world is three sites of three servers, what is true of them, and a machine that has to find out.
 type world struct {
-	m      *Machine
+	m      *Monitor
 	now    time.Duration
 	up     [sitesOf * serversOf]bool
 	failed [sitesOf * serversOf]time.Duration // since when, without an answer; 0: it does not
@@ -45,7 +45,7 @@
 		w.up[i] = true
 		list = append(list, Server{ID: policy.ServerID(i), Site: i / serversOf, Ready: true})
 	}
-	w.m.List(w.now, list)
+	w.m.SetServers(w.now, list)
 	return w
 }
 
@@ -77,15 +77,15 @@
 				return errors.New("Standing: the last site was taken out by hand without force")
 			}
 			w.by[0] = w.now + 2*time.Second
-		} else if !errors.Is(err, ErrLast) {
+		} else if !errors.Is(err, ErrInsufficientCapacity) {
 			return err
 		}
 	case "return a":
-		if w.m.sites[0].state == Out {
+		if w.m.sites[0].state == Evacuated {
 			w.by[0] = w.now
 		}
 		w.said = true
-		return w.m.Return(w.now, "a")
+		return w.m.EndEvacuation(w.now, "a")
 	}
 	return nil
 }
@@ -103,20 +103,20 @@
 // step lets time go by. Where there is traffic each server in use gets an attempt.
 func (w *world) step(d time.Duration, traffic bool) error {
 	w.now += d
-	var uses []Use
+	var uses []Load
 	for i := range w.up {
 		id := policy.ServerID(i)
-		if use, _ := w.m.Use(id); !use {
+		if use, _ := w.m.Admitted(id); !use {
 			continue
 		}
-		uses = append(uses, Use{id, 1, 4})
+		uses = append(uses, Load{id, 1, 4})
 		switch {
 		case !traffic:
 		case w.up[i]:
-			w.m.Heard(w.now, id, Answered, w.now-time.Millisecond)
+			w.m.ReportOutcome(w.now, id, Answered, w.now-time.Millisecond)
 			w.good[i], w.failed[i] = w.now, 0
 		default:
-			w.m.Heard(w.now, id, Failed, w.now-time.Millisecond)
+			w.m.ReportOutcome(w.now, id, Failed, w.now-time.Millisecond)
 			if w.failed[i] == 0 {
 				w.failed[i] = w.now
 			}
@@ -131,12 +131,12 @@
 		asked[i] = w.m.sites[i].askedAt
 	}
 	w.plant()
-	r := w.m.Step(w.now, uses)
+	r := w.m.Evaluate(w.now, uses)
 	for _, id := range r.Probes {
 		if w.up[id] {
 			w.probed[int(id)/serversOf] = true
 		}
-		w.m.Probed(w.now, id, w.up[id])
+		w.m.ReportProbe(w.now, id, w.up[id])
 	}
 	w.plantAfter()
 	for i := range before {
@@ -176,7 +176,7 @@
 			}
 		}
 	}
-	open := func(s State) bool { return s != Lost && s != Out && s != Returning }
+	open := func(s State) bool { return s != Lost && s != Evacuated && s != Recovering }
 	switch {
 	case s.state == Lost && open(before) && failing < 2:
 		return fmt.Errorf("Alone: %d servers fail, and the site is lost", failing)
@@ -184,13 +184,13 @@
 		return fmt.Errorf("Fair: %d servers fail, %d answered since, and the site is lost", failing, answering)
 	case s.state == Lost && open(before) && !elsewhere:
 		return errors.New("Blind: no other site has answered since the first failure")
-	case s.state == Lost && in > 0, open(s.state) && in < serversOf, s.state == Returning && in == 0:
+	case s.state == Lost && in > 0, open(s.state) && in < serversOf, s.state == Recovering && in == 0:
 		return fmt.Errorf("Whole: %d servers of a site that is %v are used", in, s.state)
-	case s.state == Out && w.now >= w.by[i]+beat && w.by[i] > 0, s.state != Out && before == Out && w.now < w.by[i]:
+	case s.state == Evacuated && w.now >= w.by[i]+beat && w.by[i] > 0, s.state != Evacuated && before == Evacuated && w.now < w.by[i]:
 		return fmt.Errorf("Hand: %v, taken out until %v", s.state, w.by[i]-w.now)
 	case !w.standing(-1) && w.by[0] == 0:
 		return errors.New("Standing: every site is withdrawn")
-	case open(s.state) && failing == serversOf && elsewhere && w.now-first >= 2*beat && open(before) && s.state != CutOff:
+	case open(s.state) && failing == serversOf && elsewhere && w.now-first >= 2*beat && open(before) && s.state != AgentIsolated:
 		return errors.New("Found: all of a site's servers fail, others answer, and nothing is found")
 	}
 	others := w.m.anyStands()
@@ -199,31 +199,31 @@
 			w.times[i] = 1
 		}
 		w.lost[i], w.probed[i] = w.now, false
-		wait := min(MostWait, FirstWait<<min(w.times[i]-1, 10))
+		wait := min(MaxRetryWait, MinRetryWait<<min(w.times[i]-1, 10))
 		if others && s.retry-w.now < wait/2 {
 			return fmt.Errorf("Wait: lost for the %d. time and asked after %v", w.times[i], s.retry-w.now)
 		}
 	}
 	if s.state == Lost && s.askedAt > asked && w.said && i == 0 {
 		w.said = false
-	} else if s.state == Lost && s.askedAt > asked && s.askedAt-max(asked, w.lost[i]) < FirstWait/2 {
+	} else if s.state == Lost && s.askedAt > asked && s.askedAt-max(asked, w.lost[i]) < MinRetryWait/2 {
 		return fmt.Errorf("Wait: asked %v after the last time", s.askedAt-max(asked, w.lost[i]))
 	}
-	if s.state != Lost && before == Lost && w.probes && !w.probed[i] && s.state != Out && !w.paced {
+	if s.state != Lost && before == Lost && w.probes && !w.probed[i] && s.state != Evacuated && !w.paced {
 		return errors.New("Asked: no probe was answered, and it returns")
 	}
-	if s.state == Returning && in > w.let[i] && before != Out {
+	if s.state == Recovering && in > w.let[i] && before != Evacuated {
 		if w.let[i] > 0 && (in > 2*w.let[i] || w.now-w.letAt[i] < step) || w.let[i] == 0 && in > 1 {
 			return fmt.Errorf("Steps: from %d servers to %d after %v", w.let[i], in, w.now-w.letAt[i])
 		}
 	}
-	if s.state == Returning && before == Returning && in >= w.let[i] && w.let[i] > 0 && failing == in && w.now-w.letAt[i] >= beat && first > w.letAt[i] {
+	if s.state == Recovering && before == Recovering && in >= w.let[i] && w.let[i] > 0 && failing == in && w.now-w.letAt[i] >= beat && first > w.letAt[i] {
 		return errors.New("Hurt: all that are let in fail, and the step is not taken back")
 	}
 	if in != w.let[i] {
 		w.let[i], w.letAt[i] = in, w.now
 	}
-	if s.state != Returning {
+	if s.state != Recovering {
 		w.let[i] = 0
 	}
 	return nil
@@ -234,16 +234,16 @@
 	for i := range w.up {
 		w.up[i] = true
 	}
-	end := w.now + MostWait*5/4 + 10*time.Second
+	end := w.now + MaxRetryWait*5/4 + 10*time.Second
 	for w.now < end {
 		if err := w.step(2*beat, true); err != nil {
 			return err
 		}
-		if !slices.ContainsFunc(w.m.sites, func(s site) bool { return s.state != Well }) {
+		if !slices.ContainsFunc(w.m.sites, func(s site) bool { return s.state != Healthy }) {
 			return nil
 		}
 	}
-	return fmt.Errorf("Back: %v, %v and %v after %v with all servers up", w.m.sites[0].state, w.m.sites[1].state, w.m.sites[2].state, MostWait*5/4+10*time.Second)
+	return fmt.Errorf("Back: %v, %v and %v after %v with all servers up", w.m.sites[0].state, w.m.sites[1].state, w.m.sites[2].state, MaxRetryWait*5/4+10*time.Second)
 }
 
 // plant changes the machine's mind before a step as a bug in it would, plantAfter behind it.
@@ -256,13 +256,13 @@
 				for _, p := range s.servers {
 					p.bad, p.lastBad = o.bad, o.bad
 				}
-			case w.bug == "hears no answers" && s.state != Returning && slices.ContainsFunc(s.servers, func(p *server) bool { return p.bad > 0 }) && o.bad == 0:
+			case w.bug == "hears no answers" && s.state != Recovering && slices.ContainsFunc(s.servers, func(p *server) bool { return p.bad > 0 }) && o.bad == 0:
 				o.bad, o.lastBad = w.now, w.now
 			case w.bug == "takes others' old answers for new ones" && o.bad == 0 && o.good > 0:
 				o.good = w.now + 1
 			case w.bug == "hears no failures" && s.open():
 				o.bad = 0
-			case w.bug == "hears no failures of a return" && s.state == Returning:
+			case w.bug == "hears no failures of a return" && s.state == Recovering:
 				o.bad = 0
 			}
 		}
@@ -273,14 +273,14 @@
 			s.since, s.retry = w.now, w.now+time.Hour
 		case w.bug == "forgets that it was lost before" && s.open():
 			s.times = 0
-		case w.bug == "ends what was done by hand early" && s.state == Out:
+		case w.bug == "ends what was done by hand early" && s.state == Evacuated:
 			s.until = w.now
-		case w.bug == "does not end what was done by hand" && s.state == Out:
+		case w.bug == "does not end what was done by hand" && s.state == Evacuated:
 			s.until = w.now + time.Hour
-		case w.bug == "skips a step" && s.state == Returning && s.let == 1:
+		case w.bug == "skips a step" && s.state == Recovering && s.let == 1:
 			s.let = serversOf
 			w.m.admit(i)
-		case w.bug == "passes steps at once" && s.state == Returning:
+		case w.bug == "passes steps at once" && s.state == Recovering:
 			s.stage = min(s.stage, w.now-step)
 		}
 	}
@@ -294,7 +294,7 @@
 			s.servers[0].in = true
 		case w.bug == "takes time for a probe" && s.state == Lost && w.now-s.since >= 2*time.Second:
 			w.m.goBack(i, s.servers[0], "planted")
-		case w.bug == "loses every site" && s.state == CutOff:
+		case w.bug == "loses every site" && s.state == AgentIsolated:
 			w.m.lose(i, "planted")
 		}
 	}
--- a/internal/site/meter.go
+++ b/internal/site/meter.go
@@ -11,12 +11,12 @@
 
 // Account is one that asks.
 type Account struct {
-	Name    string
-	Portion float64
+	Name            string
+	GuaranteedShare float64
 }
 
 // Meter measures a Demand. It is not safe for concurrent use.
-type Meter struct {
+type DemandMeter struct {
 	classes  []ClassDemand
 	accounts []Account
 	mix      limit.Mix
@@ -26,8 +26,8 @@
 }
 
 // NewMeter returns a meter; the Work of the classes is what is believed of it at first.
-func NewMeter(classes []ClassDemand, accounts []Account) *Meter {
-	m := &Meter{
+func NewDemandMeter(classes []ClassDemand, accounts []Account) *DemandMeter {
+	m := &DemandMeter{
 		classes: classes, accounts: accounts, mix: limit.NewMix(len(accounts)), count: make([]float64, len(classes)),
 		beyond: make([]float64, len(accounts)),
 	}
@@ -38,38 +38,38 @@
 }
 
 // Asked takes in a request.
-func (m *Meter) Asked(class, account int, retry bool) {
+func (m *DemandMeter) RecordRequest(class, account int, retry bool) {
 	for i := range m.count {
 		m.count[i] += meterGain * (one(i == class) - m.count[i])
 	}
 	m.retries += meterGain * (one(retry) - m.retries)
-	if account < 0 || account >= len(m.accounts) || !(m.accounts[account].Portion > 0) {
+	if account < 0 || account >= len(m.accounts) || !(m.accounts[account].GuaranteedShare > 0) {
 		return
 	}
-	p := m.accounts[account].Portion
+	p := m.accounts[account].GuaranteedShare
 	share := p * m.mix.Over(account, p)
 	m.beyond[account] += meterGain * (max(0, share-p) - m.beyond[account])
 }
 
 // Served takes in how long a request of a class was in work.
-func (m *Meter) Served(class int, took time.Duration) {
-	m.classes[class].Work += meterGain * (took.Seconds() - m.classes[class].Work)
+func (m *DemandMeter) RecordServed(class int, took time.Duration) {
+	m.classes[class].SecondsPerRequest += meterGain * (took.Seconds() - m.classes[class].SecondsPerRequest)
 }
 
 // Demand is what has been asked of late.
-func (m *Meter) Demand() *Demand {
-	d := &Demand{Classes: append([]ClassDemand(nil), m.classes...), Retries: m.retries}
+func (m *DemandMeter) Demand() *Demand {
+	d := &Demand{Classes: append([]ClassDemand(nil), m.classes...), RetryShare: m.retries}
 	sum := 0.0
 	for i := range d.Classes {
-		d.Classes[i].Share = m.count[i] * d.Classes[i].Work
-		sum += d.Classes[i].Share
+		d.Classes[i].WorkShare = m.count[i] * d.Classes[i].SecondsPerRequest
+		sum += d.Classes[i].WorkShare
 	}
 	for i := range d.Classes {
-		d.Classes[i].Share /= max(sum, 1e-9)
+		d.Classes[i].WorkShare /= max(sum, 1e-9)
 	}
 	for i, b := range m.beyond {
 		if b > 0.01 { // less is chance
-			d.Over = append(d.Over, AccountDemand{m.accounts[i].Name, b})
+			d.AccountsOverShare = append(d.AccountsOverShare, AccountDemand{m.accounts[i].Name, b})
 		}
 	}
 	return d
--- a/internal/site/pace.go
+++ b/internal/site/pace.go
@@ -12,28 +12,28 @@
 const newsEvery = 5 * time.Second
 
 // Word is what the pacer of a site says of it.
-type Word struct {
+type PacerStatus struct {
 	Loss  uint64  `json:"loss"` // counts the losses that it has found, and the epochs of pacers above: none comes again
 	State State   `json:"state"`
 	Part  float64 `json:"part"` // of its servers that are let in
 }
 
 // Check says what is wrong with a word that somebody else has said.
-func (w *Word) Check() error {
-	if w.State > Returning || !(w.Part >= 0 && w.Part <= 1) {
-		return fmt.Errorf("state %d, part %v: a state is at most %d and a part from 0 to 1", w.State, w.Part, Returning)
+func (w *PacerStatus) Validate() error {
+	if w.State > Recovering || !(w.Part >= 0 && w.Part <= 1) {
+		return fmt.Errorf("state %d, part %v: a state is at most %d and a part from 0 to 1", w.State, w.Part, Recovering)
 	}
 	return nil
 }
 
 // Word is what this agent would say of a site as its pacer. There is nothing to say of one that it has never lost.
-func (m *Machine) Word(name string) (w Word, ok bool) {
+func (m *Monitor) PacerStatus(name string) (w PacerStatus, ok bool) {
 	i := slices.Index(m.set.Names, name)
 	if i < 0 || m.sites[i].losses == 0 {
-		return Word{}, false
+		return PacerStatus{}, false
 	}
 	s := &m.sites[i]
-	w = Word{Loss: s.losses, State: s.state, Part: 1}
+	w = PacerStatus{Loss: s.losses, State: s.state, Part: 1}
 	if n := len(s.servers); !s.open() && n > 0 {
 		in := 0
 		for _, o := range s.servers {
@@ -47,7 +47,7 @@
 }
 
 // Follow takes in what a site's pacer says, and the epoch under which it does; nil where nobody says anything.
-func (m *Machine) Follow(now time.Duration, name string, epoch uint64, w *Word) {
+func (m *Monitor) FollowPacer(now time.Duration, name string, epoch uint64, w *PacerStatus) {
 	m.now = max(now, m.now)
 	i := slices.Index(m.set.Names, name)
 	if i < 0 {
@@ -68,9 +68,9 @@
 
 // Fits is how well this agent could pace a site, by what it has in work: who sends much proves much. One that has not found the site
 // lost has nothing to say of it, and one that reaches nothing can't tell.
-func (m *Machine) Fits(name string) float64 {
+func (m *Monitor) PacerWeight(name string) float64 {
 	i := slices.Index(m.set.Names, name)
-	if i < 0 || m.sites[i].state != Lost && m.sites[i].state != Returning || !m.anyStands() {
+	if i < 0 || m.sites[i].state != Lost && m.sites[i].state != Recovering || !m.anyStands() {
 		return 0
 	}
 	held := 0.0
@@ -82,7 +82,7 @@
 }
 
 // pacer is the word that is followed. That a site is lost holds as long as somebody says so.
-func (m *Machine) pacer(s *site) *Word {
+func (m *Monitor) pacer(s *site) *PacerStatus {
 	if w := s.word; w != nil && (w.State == Lost || m.now-s.wordAt < newsEvery) {
 		return w
 	}
@@ -90,13 +90,13 @@
 }
 
 // proven says that the site's pacer has proven the next step of a return for all.
-func (m *Machine) proven(s *site) bool {
+func (m *Monitor) proven(s *site) bool {
 	w := m.pacer(s)
 	return w != nil && w.State != Lost && s.let < m.most(s)
 }
 
 // most is how many of a returning site's servers may be let in.
-func (m *Machine) most(s *site) int {
+func (m *Monitor) most(s *site) int {
 	w := m.pacer(s)
 	switch {
 	case w == nil, w.State == Lost && m.now-s.wordAt >= newsEvery: // it may be the pacer that is cut off
--- a/internal/site/pace_bench_test.go
+++ b/internal/site/pace_bench_test.go
@@ -25,7 +25,7 @@
 					all = append(all, w)
 				}
 				began := all[0].now
-				var late []Word
+				var late []PacerStatus
 				for at := time.Duration(0); ; at += beat {
 					up := at < 5*time.Second || at >= 5*time.Second+away
 					for i, w := range all {
@@ -33,7 +33,7 @@
 							w.up[k] = up
 						}
 						if paced && i > 0 && len(late) > 1 {
-							w.m.Follow(w.now, "a", 1, &late[len(late)-2])
+							w.m.FollowPacer(w.now, "a", 1, &late[len(late)-2])
 						}
 						asked := w.m.sites[0].askedAt
 						if err := w.step(beat, true); err != nil {
@@ -43,13 +43,13 @@
 							probes += probesAtOnce
 						}
 					}
-					if word, ok := all[0].m.Word("a"); ok {
+					if word, ok := all[0].m.PacerStatus("a"); ok {
 						late = append(late, word)
 					}
 					if at == 7*time.Second+away {
 						for _, w := range all {
 							for k := range serversOf {
-								if use, _ := w.m.Use(policy.ServerID(k)); use {
+								if use, _ := w.m.Admitted(policy.ServerID(k)); use {
 									used += 1.0 / (agents * serversOf)
 								}
 							}
@@ -57,7 +57,7 @@
 					}
 					well := up && at > 5*time.Second
 					for _, w := range all {
-						well = well && w.m.sites[0].state == Well
+						well = well && w.m.sites[0].state == Healthy
 					}
 					if well {
 						whole += all[0].now - began - 5*time.Second - away
--- a/internal/site/pace_test.go
+++ b/internal/site/pace_test.go
@@ -17,9 +17,9 @@
 	up, way, own bool // site a, and the ways of the other and of the pacer to it
 	words        bool // the pacer is heard
 	epoch        uint64
-	losses       map[Word]bool // of which the pacer was heard to ask
-	returns      int           // by its word
-	held         bool          // the other hears that the site is lost
+	losses       map[PacerStatus]bool // of which the pacer was heard to ask
+	returns      int                  // by its word
+	held         bool                 // the other hears that the site is lost
 	bug          string
 }
 
@@ -59,20 +59,20 @@
 	}
 	m := c.other.m
 	a := &m.sites[0]
-	w, ok := c.pacer.m.Word("a")
+	w, ok := c.pacer.m.PacerStatus("a")
 	switch {
 	case !c.words || !ok:
-		m.Follow(c.other.now, "a", 0, nil)
+		m.FollowPacer(c.other.now, "a", 0, nil)
 		c.held, ok = false, false
 	default:
-		m.Follow(c.other.now, "a", c.epoch, &w)
+		m.FollowPacer(c.other.now, "a", c.epoch, &w)
 		if w.State == Lost {
-			c.losses[Word{Loss: c.epoch<<32 + w.Loss}] = true
+			c.losses[PacerStatus{Loss: c.epoch<<32 + w.Loss}] = true
 		}
 		c.held = w.State == Lost
 	}
 	switch {
-	case c.bug == "hears no pacer" && a.word != nil && a.word.State == Returning:
+	case c.bug == "hears no pacer" && a.word != nil && a.word.State == Recovering:
 		a.word = nil
 	case c.bug == "follows every return" && a.state == Lost && a.word != nil && a.word.State != Lost:
 		a.heard = a.word.Loss
@@ -89,13 +89,13 @@
 		return err
 	}
 	switch {
-	case a.state == Returning && before == Returning && ok && w.State == Returning && a.let > int(w.Part*serversOf+0.999):
+	case a.state == Recovering && before == Recovering && ok && w.State == Recovering && a.let > int(w.Part*serversOf+0.999):
 		return fmt.Errorf("Paced: %d servers are let in, and the pacer has %.0f%% in", a.let, 100*w.Part)
-	case a.state == Returning && before == Lost && ok && w.State == Lost && !c.other.probed[0]:
+	case a.state == Recovering && before == Lost && ok && w.State == Lost && !c.other.probed[0]:
 		return errors.New("Asked: no probe was answered, its pacer has nothing let in, and it returns")
-	case a.state == Lost && a.askedAt > asked && c.held && elsewhere && !said && a.askedAt-max(asked, a.since) < MostWait:
+	case a.state == Lost && a.askedAt > asked && c.held && elsewhere && !said && a.askedAt-max(asked, a.since) < MaxRetryWait:
 		return fmt.Errorf("Spared: asked %v after the last time, and the pacer asks for all", a.askedAt-max(asked, a.since))
-	case a.state == Returning && before == Lost && !c.other.probed[0]:
+	case a.state == Recovering && before == Lost && !c.other.probed[0]:
 		if c.returns++; c.returns > len(c.losses) {
 			return fmt.Errorf("Once: %d returns by the word of pacers that have lost it %d times", c.returns, len(c.losses))
 		}
@@ -107,7 +107,7 @@
 func pace(seed uint64, bug string) error {
 	c := &couple{
 		pacer: well(time.Hour), other: well(time.Hour), rng: rand.New(rand.NewPCG(seed, 3)),
-		up: true, way: true, own: true, words: true, losses: map[Word]bool{}, bug: bug,
+		up: true, way: true, own: true, words: true, losses: map[PacerStatus]bool{}, bug: bug,
 	}
 	c.other.paced = true
 	for range 60 {
@@ -122,15 +122,15 @@
 	c.way, c.up = true, true
 	away := c.rng.IntN(3) == 0
 	c.own = !away
-	for end := c.other.now + 3*MostWait; c.other.now < end; {
+	for end := c.other.now + 3*MaxRetryWait; c.other.now < end; {
 		if err := c.step(); err != nil {
 			return err
 		}
-		if a := &c.other.m.sites[0]; a.state == Well && !away {
+		if a := &c.other.m.sites[0]; a.state == Healthy && !away {
 			return nil
 		}
 	}
-	if a := &c.other.m.sites[0]; a.state != Well {
+	if a := &c.other.m.sites[0]; a.state != Healthy {
 		return fmt.Errorf("Back: %v in the end, %d let in, the pacer away %v and heard %v", a.state, a.let, away, c.words)
 	}
 	return nil
--- a/internal/site/plan.go
+++ b/internal/site/plan.go
@@ -10,103 +10,103 @@
 )
 
 // Full is the part of their room up to which servers answer in time: beyond, what waits grows without end.
-const Full = 0.9
+const MaxUtilization = 0.9
 
 // Demand is what has been asked of late, for a Plan and a Door.
 type Demand struct {
-	Classes []ClassDemand
-	Over    []AccountDemand // accounts that ask for more than their share
-	Retries float64         // share of the work that clients' marked retries ask for
+	Classes           []ClassDemand
+	AccountsOverShare []AccountDemand // accounts that ask for more than their share
+	RetryShare        float64         // share of the work that clients' marked retries ask for
 }
 
 // ClassDemand is what is asked of one class.
 type ClassDemand struct {
-	Name   string
-	Effect policy.Effect
-	Worth  float64
-	Work   float64 // of one request, in seconds of a server's
-	Share  float64 // of the work of all
+	Name              string
+	Effect            policy.Effect
+	Worth             float64
+	SecondsPerRequest float64 // of one request, in seconds of a server's
+	WorkShare         float64 // of the work of all
 }
 
 // AccountDemand is what an account asks for beyond its portion.
 type AccountDemand struct {
-	Name   string
-	Beyond float64 // share of the work of all
+	Name        string
+	ExcessShare float64 // share of the work of all
 }
 
 // Plan says what the loss of a site would mean.
-type Plan struct {
-	Site   string
-	State  State
-	Share  float64 // of the work, that it carries
-	After  float64 // part of their room that the others would be used to; infinite where there is none
-	Moves  []Move  // where its work would go
-	Refuse float64 // share of the work that would be refused
-	First  []Refused
+type LossImpact struct {
+	Site        string
+	State       State
+	LoadShare   float64     // of the work, that it carries
+	Utilization float64     // part of their room that the others would be used to; infinite where there is none
+	Shifts      []LoadShift // where its work would go
+	ShedShare   float64     // share of the work that would be refused
+	Shed        []ShedItem
 }
 
 // Move is a part of the work that would go to a site.
-type Move struct {
-	Site  string
-	Share float64 // of the work of all
-	After float64 // part of its room that it would be used to
+type LoadShift struct {
+	Site        string
+	Share       float64 // of the work of all
+	Utilization float64 // part of its room that it would be used to
 }
 
 // Refused is a part of the work that would be refused, in the order in which it would be.
-type Refused struct {
-	What  string
-	Share float64 // of the work of all that it asks for
-	Part  float64 // of this that would be refused
+type ShedItem struct {
+	Name         string
+	Share        float64 // of the work of all that it asks for
+	ShedFraction float64 // of this that would be refused
 }
 
 // plan is a Plan without what is refused. Where a site is no longer used, what it carried before counts.
-func (m *Machine) plan(lost int) Plan {
-	p := Plan{Site: m.set.Names[lost], State: m.sites[lost].state, After: math.Inf(1)}
+func (m *Monitor) plan(lost int) LossImpact {
+	p := LossImpact{Site: m.set.Names[lost], State: m.sites[lost].state, Utilization: math.Inf(1)}
 	held, room, own := 0.0, 0.0, 0.0
 	for i := range m.sites {
 		u, r := m.sustains(i)
 		if held += u; i == lost {
 			own = u
-		} else if s := &m.sites[i]; s.state != CutOff {
+		} else if s := &m.sites[i]; s.state != AgentIsolated {
 			room += r
 		}
 	}
-	if s := &m.sites[lost]; !s.open() && s.state != Returning {
+	if s := &m.sites[lost]; !s.open() && s.state != Recovering {
 		// What it carried has gone to the others, or been refused.
 		own, held = s.lastUse, max(held, s.lastUse/max(s.share, 1e-9))
 	}
 	if held > 0 {
-		p.Share = own / held
+		p.LoadShare = own / held
 	}
 	if room <= 0 {
-		if p.Refuse = 1; held == 0 {
-			p.Refuse = 0
+		if p.ShedShare = 1; held == 0 {
+			p.ShedShare = 0
 		}
 		return p
 	}
-	p.After = held / room
-	p.Refuse = max(0, 1-Full/max(p.After, 1e-9))
+	p.Utilization = held / room
+	p.ShedShare = max(0, 1-MaxUtilization/max(p.Utilization, 1e-9))
 	// It goes where there is room: the decision module joins the shorter wait, which evens out the parts of their room that
 	// servers are used to.
-	carried := held * (1 - p.Refuse)
+	carried := held * (1 - p.ShedShare)
 	for i := range m.sites {
 		u, r := m.sustains(i)
-		if i == lost || r == 0 || m.sites[i].state == CutOff || held == 0 {
+		if i == lost || r == 0 || m.sites[i].state == AgentIsolated || held == 0 {
 			continue
 		}
-		p.Moves = append(p.Moves, Move{m.set.Names[i], max(0, carried*r/room-u) / held, carried / room})
+		p.Shifts = append(p.Shifts, LoadShift{m.set.Names[i], max(0, carried*r/room-u) / held, carried / room})
 	}
 	return p
 }
 
 // Plan says what the loss of each site would mean, or means.
-func (m *Machine) Plan(now time.Duration, d *Demand) []Plan {
+func (m *Monitor) LossImpacts(now time.Duration, d *Demand) []LossImpact {
 	m.now = max(now, m.now)
-	var plans []Plan
+	var plans []LossImpact
 	for i := range m.sites {
 		p := m.plan(i)
-		p.First = d.Order()
-		d.cut(p.First, p.Refuse)
+		p.Shed = d.ShedOrder()
+		d.cut(p.Shed, p.ShedShare)
 		plans = append(plans, p)
 	}
 	return plans
@@ -115,13 +115,13 @@
 // Order is what is refused where there is not room for all, the first first: second tries of clients, which ask for what has
 // been refused once; what accounts ask for beyond their portions; then classes, the least worth for a second's work first, those with
 // effects that must not happen twice last of all.
-func (d *Demand) Order() []Refused {
-	order := []Refused{{What: "retries", Share: d.Retries}}
-	for _, a := range d.Over {
-		order = append(order, Refused{What: "account " + a.Name + " beyond its share", Share: a.Beyond})
+func (d *Demand) ShedOrder() []ShedItem {
+	order := []ShedItem{{Name: "retries", Share: d.RetryShare}}
+	for _, a := range d.AccountsOverShare {
+		order = append(order, ShedItem{Name: "account " + a.Name + " beyond its share", Share: a.ExcessShare})
 	}
 	for _, c := range d.byClass() {
-		order = append(order, Refused{What: "class " + d.Classes[c].Name, Share: d.Classes[c].Share})
+		order = append(order, ShedItem{Name: "class " + d.Classes[c].Name, Share: d.Classes[c].WorkShare})
 	}
 	return order
 }
@@ -140,55 +140,55 @@
 			}
 			return 0
 		}
-		return cmp.Or(cmp.Compare(last(a), last(b)), cmp.Compare(a.Worth/max(a.Work, 1e-6), b.Worth/max(b.Work, 1e-6)))
+		return cmp.Or(cmp.Compare(last(a), last(b)), cmp.Compare(a.Worth/max(a.SecondsPerRequest, 1e-6), b.Worth/max(b.SecondsPerRequest, 1e-6)))
 	})
 	return at
 }
 
 // cut fills in which part of each is refused so that the sum is a share of all.
-func (d *Demand) cut(order []Refused, share float64) {
+func (d *Demand) cut(order []ShedItem, share float64) {
 	for i := range order {
 		r := &order[i]
 		if r.Share <= 0 {
 			continue
 		}
 		// What was refused before as a retry, or for its account, is no longer asked for by its class.
-		r.Part = min(1, max(0, share/r.Share))
-		share -= r.Part * r.Share
+		r.ShedFraction = min(1, max(0, share/r.Share))
+		share -= r.ShedFraction * r.Share
 	}
 }
 
 // View is a site for people to read.
-type View struct {
-	Name       string
-	State      State
-	Since      time.Duration
-	Servers    int           // ready
-	Used       int           // of these, let in
-	Held, Room float64       // in work at these, and what they serve at once
-	Retry      time.Duration // when a lost site is asked again; 0: it is not lost
-	Until      time.Duration // taken out by hand until then; 0: it is not
-	Times      int           // that it was lost of late
-	Pacer      *Word         // what its pacer says, if it is followed
+type Status struct {
+	Name               string
+	State              State
+	Since              time.Duration
+	Servers            int           // ready
+	Admitted           int           // of these, let in
+	InFlight, Capacity float64       // in work at these, and what they serve at once
+	RetryAt            time.Duration // when a lost site is asked again; 0: it is not lost
+	EvacuatedUntil     time.Duration // taken out by hand until then; 0: it is not
+	RecentLosses       int           // that it was lost of late
+	Pacer              *PacerStatus  // what its pacer says, if it is followed
 }
 
 // View returns the sites and the latest changes, the newest last.
-func (m *Machine) View() ([]View, []Change) {
-	var views []View
+func (m *Monitor) Snapshot() ([]Status, []Transition) {
+	var views []Status
 	for i := range m.sites {
 		s := &m.sites[i]
-		v := View{Name: m.set.Names[i], State: s.state, Since: s.since, Servers: len(s.servers), Times: s.times, Pacer: m.pacer(s)}
+		v := Status{Name: m.set.Names[i], State: s.state, Since: s.since, Servers: len(s.servers), RecentLosses: s.times, Pacer: m.pacer(s)}
 		for _, o := range s.servers {
 			if o.in {
-				v.Used++
+				v.Admitted++
 			}
 		}
-		v.Held, v.Room = m.carries(i)
+		v.InFlight, v.Capacity = m.carries(i)
 		switch s.state {
 		case Lost:
-			v.Retry = s.retry
-		case Out:
-			v.Until = s.until
+			v.RetryAt = s.retry
+		case Evacuated:
+			v.EvacuatedUntil = s.until
 		}
 		views = append(views, v)
 	}
@@ -196,7 +196,7 @@
 }
 
 // Withdrawn is the share of the sites of which no server, or not every one, is used.
-func (m *Machine) Withdrawn() float64 {
+func (m *Monitor) WithdrawnShare() float64 {
 	n := 0
 	for i := range m.sites {
 		if !m.sites[i].open() {
--- a/internal/site/plan_test.go
+++ b/internal/site/plan_test.go
@@ -19,27 +19,27 @@
 		for i := range servers {
 			list = append(list, Server{ID: policy.ServerID(i + 1), Site: i, Ready: true})
 		}
-		m.List(0, list)
+		m.SetServers(0, list)
 		least = 1e9
 		for look := range 300 {
-			uses := make([]Use, servers)
+			uses := make([]Load, servers)
 			for i := range uses {
-				uses[i] = Use{ID: policy.ServerID(i + 1), Room: room}
+				uses[i] = Load{ID: policy.ServerID(i + 1), Capacity: room}
 				if look/10%2 == 0 {
-					uses[i].Held = 2 * held
+					uses[i].InFlight = 2 * held
 				}
 			}
 			now := time.Duration(look) * 100 * time.Millisecond
-			m.Step(now, uses)
+			m.Evaluate(now, uses)
 			if look >= 30 {
-				after := m.plan(0).After
+				after := m.plan(0).Utilization
 				least, most = min(least, after), max(most, after)
 			}
 		}
 		return least, most
 	}
 	_, most := bursts(1.6)
-	require.Less(t, most, Full, "what would use the others to 60%")
+	require.Less(t, most, MaxUtilization, "what would use the others to 60%")
 	least, _ := bursts(3.2)
-	require.Greater(t, least, Full, "what would use them to 120%")
+	require.Greater(t, least, MaxUtilization, "what would use them to 120%")
 }
--- a/internal/site/return.go
+++ b/internal/site/return.go
@@ -6,15 +6,15 @@
 )
 
 // ask has a lost site asked whether it is back.
-func (m *Machine) ask(i int) {
+func (m *Monitor) ask(i int) {
 	s := &m.sites[i]
 	due := s.retry
 	if !m.anyStands() { // whatever became of it before, there is nothing else
-		s.retry = min(s.retry, max(s.since, s.askedAt)+FirstWait)
+		s.retry = min(s.retry, max(s.since, s.askedAt)+MinRetryWait)
 		due = s.retry
 	} else if w := m.pacer(s); w != nil && w.State == Lost {
 		if s.heard = w.Loss; s.retry > 0 { // else operators have it asked
-			due = max(due, max(s.since, s.askedAt)+MostWait) // somebody asks for all, but it may be the one that is cut off
+			due = max(due, max(s.since, s.askedAt)+MaxRetryWait) // somebody asks for all, but it may be the one that is cut off
 		}
 	} else if w != nil && w.Loss == s.heard && s.heard > 0 && len(s.servers) > 0 {
 		// Danger: of a return that was before this loss, or that is none to this agent, nothing can be learnt.
@@ -40,14 +40,14 @@
 }
 
 // anyStands says that a site is used that is not cut off.
-func (m *Machine) anyStands() bool {
+func (m *Monitor) anyStands() bool {
 	return slices.ContainsFunc(m.sites, func(s site) bool {
-		return len(s.servers) > 0 && (s.state == Well || s.state == Doubtful || s.state == Crowded || s.state == Returning)
+		return len(s.servers) > 0 && (s.state == Healthy || s.state == Suspect || s.state == Overloaded || s.state == Recovering)
 	})
 }
 
 // goBack begins a return, with the server that has shown it.
-func (m *Machine) goBack(i int, first *server, why string) {
+func (m *Monitor) goBack(i int, first *server, why string) {
 	s := &m.sites[i]
 	at := slices.Index(s.servers, first)
 	s.servers = append(append([]*server{first}, s.servers[:at]...), s.servers[at+1:]...)
@@ -55,11 +55,11 @@
 		o.order = uint64(n) << 32
 	}
 	s.let, s.stage = 1, m.now
-	m.turnTo(i, Returning, why)
+	m.turnTo(i, Recovering, why)
 }
 
 // proceed passes the step of a return that has proven itself, or takes it back.
-func (m *Machine) proceed(i int) {
+func (m *Monitor) proceed(i int) {
 	s := &m.sites[i]
 	good, bad := 0, 0
 	for n, o := range s.servers {
@@ -73,7 +73,7 @@
 	}
 	switch {
 	case len(s.servers) == 0:
-		m.turnTo(i, Well, "it has no servers")
+		m.turnTo(i, Healthy, "it has no servers")
 	case bad > good && s.let == 1:
 		m.lose(i, "the first server that was let in failed")
 	case bad > good:
@@ -86,7 +86,7 @@
 	case s.let >= m.most(s) && s.let < len(s.servers): // as far as the pacer is
 	case good == 0 && !m.proven(s):
 	case s.let >= len(s.servers):
-		m.turnTo(i, Well, "all of its servers are let in")
+		m.turnTo(i, Healthy, "all of its servers are let in")
 	default:
 		s.let, s.stage = min(2*s.let, m.most(s)), m.now
 		m.admit(i)
@@ -94,14 +94,14 @@
 }
 
 // admit brings into force which servers of a site are used.
-func (m *Machine) admit(i int) {
+func (m *Monitor) admit(i int) {
 	s := &m.sites[i]
 	for n, o := range s.servers {
 		in := s.open()
 		switch s.state {
-		case Returning:
+		case Recovering:
 			in = n < s.let
-		case Out:
+		case Evacuated:
 			in = n >= s.let
 		}
 		if in == o.in {
@@ -109,7 +109,7 @@
 		}
 		if o.in = in; in {
 			// What it failed before says nothing any more. It counts as started: its connections are not there, and its warmth may not be.
-			o.since, o.bad, o.use = m.now, 0, Use{}
+			o.since, o.bad, o.use = m.now, 0, Load{}
 		}
 		m.changed = append(m.changed, o.ID)
 	}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -49,8 +49,8 @@
 	usualBad, usualOf = 1, 20
 
 	// FirstWait is until a lost site is asked again; MostWait, to which that doubles.
-	FirstWait = time.Second
-	MostWait  = 32 * time.Second
+	MinRetryWait = time.Second
+	MaxRetryWait = 32 * time.Second
 	// step is how long a step of a return takes at least: a server that jams shows it within an aim or two.
 	step = 500 * time.Millisecond
 	// stale is how long a failure is remembered that nothing has confirmed.
@@ -62,7 +62,7 @@
 	// leaveOver is how long it takes to take a site out by hand.
 	leaveOver = 4 * time.Second
 	// MostHistory is how many changes are remembered.
-	MostHistory = 64
+	MaxHistory = 64
 	// probesAtOnce ask a lost site's servers whether it is back: one may be the one that stays away.
 	probesAtOnce = 2
 )
@@ -72,29 +72,29 @@
 
 // The states.
 const (
-	Well      State = iota
-	Doubtful        // several of its servers fail; too few to call it lost
-	Lost            // none of its servers is used
-	CutOff          // its servers fail, and so do all others: it is this agent that is cut off
-	Crowded         // it turns most of what it is sent away
-	Out             // taken out by hand
-	Returning       // some of its servers are used
+	Healthy       State = iota
+	Suspect             // several of its servers fail; too few to call it lost
+	Lost                // none of its servers is used
+	AgentIsolated       // its servers fail, and so do all others: it is this agent that is cut off
+	Overloaded          // it turns most of what it is sent away
+	Evacuated           // taken out by hand
+	Recovering          // some of its servers are used
 )
 
 var stateNames = [...]string{
-	Well: "well", Doubtful: "doubtful", Lost: "lost", CutOff: "cut off", Crowded: "crowded", Out: "taken out", Returning: "returning",
+	Healthy: "well", Suspect: "doubtful", Lost: "lost", AgentIsolated: "cut off", Overloaded: "crowded", Evacuated: "taken out", Recovering: "returning",
 }
 
 func (s State) String() string { return stateNames[s] }
 
 // Sign is what became of an attempt or a probe.
-type Sign uint8
+type Outcome uint8
 
 // The signs.
 const (
-	Answered Sign = iota // by its process, be it with an error
-	Rejected             // an answer too, of one that has no room
-	Failed               // a refused connect, a broken connection, silence
+	Answered Outcome = iota // by its process, be it with an error
+	Rejected                // an answer too, of one that has no room
+	Failed                  // a refused connect, a broken connection, silence
 )
 
 // Config is the part of the operators' file about sites.
@@ -117,9 +117,9 @@
 }
 
 // Use is what a server has in work, and what it serves at once.
-type Use struct {
-	ID         policy.ServerID
-	Held, Room float64
+type Load struct {
+	ID                 policy.ServerID
+	InFlight, Capacity float64
 }
 
 // server is what the machine knows of one.
@@ -132,7 +132,7 @@
 	rejected bool // its last answer
 	in       bool // used
 	since    time.Duration
-	use      Use
+	use      Load
 	looks    int     // that have gone into the mean
 	mean     float64 // of what is in work, over some meanLooks
 }
@@ -148,7 +148,7 @@
 	askedAt time.Duration // when it last was
 	asked   bool          // a probe is out
 	losses  uint64        // that were found
-	word    *Word         // of the site's pacer, if it is followed
+	word    *PacerStatus  // of the site's pacer, if it is followed
 	wordAt  time.Duration // when it last said something new
 	heard   uint64        // the loss of which a pacer has said that it asks
 	times   int           // that it was lost, less what time has healed
@@ -159,15 +159,15 @@
 }
 
 // Change is a change of a site's state.
-type Change struct {
+type Transition struct {
 	At       time.Duration
 	Site     string
 	From, To State
-	Why      string
+	Reason   string
 }
 
 // Machine is what one agent makes of its sites. It is not safe for concurrent use.
-type Machine struct {
+type Monitor struct {
 	set     Settings
 	rng     *rand.Rand
 	now     time.Duration
@@ -175,14 +175,14 @@
 	servers map[policy.ServerID]*server
 	changed []policy.ServerID // let in or withdrawn since the last Step
 	probes  []policy.ServerID
-	history []Change
-	news    []Change // since the last Step
+	history []Transition
+	news    []Transition // since the last Step
 	turn    uint64
 }
 
 // New returns a machine that knows no server.
-func New(s Settings, seed uint64, now time.Duration) *Machine {
-	m := &Machine{set: s, rng: rand.New(rand.NewPCG(seed, 6)), now: now, sites: make([]site, len(s.Names)), servers: map[policy.ServerID]*server{}}
+func New(s Settings, seed uint64, now time.Duration) *Monitor {
+	m := &Monitor{set: s, rng: rand.New(rand.NewPCG(seed, 6)), now: now, sites: make([]site, len(s.Names)), servers: map[policy.ServerID]*server{}}
 	for i := range m.sites {
 		m.sites[i].since = now
 	}
@@ -190,14 +190,14 @@
 }
 
 // Result is what a Step comes to.
-type Result struct {
-	Changed []policy.ServerID // servers of which Use says something else now
-	Probes  []policy.ServerID // to be probed, and Heard of
-	News    []Change
+type Evaluation struct {
+	Changed     []policy.ServerID // servers of which Use says something else now
+	Probes      []policy.ServerID // to be probed, and Heard of
+	Transitions []Transition
 }
 
 // Use says whether a server may be used, and since when it counts as started, 0 for as the list says.
-func (m *Machine) Use(id policy.ServerID) (use bool, since time.Duration) {
+func (m *Monitor) Admitted(id policy.ServerID) (use bool, since time.Duration) {
 	s := m.servers[id]
 	if s == nil {
 		return true, 0
@@ -206,7 +206,7 @@
 }
 
 // List takes in the whole list of servers.
-func (m *Machine) List(now time.Duration, list []Server) {
+func (m *Monitor) SetServers(now time.Duration, list []Server) {
 	m.now = max(now, m.now)
 	for i := range m.sites {
 		m.sites[i].servers = m.sites[i].servers[:0]
@@ -223,7 +223,7 @@
 			s = &server{order: m.rng.Uint64(), in: at.open()}
 			m.servers[e.ID] = s
 			if at.state == Lost && at.times <= 1 {
-				at.retry = min(at.retry, m.now+FirstWait/2)
+				at.retry = min(at.retry, m.now+MinRetryWait/2)
 			}
 			m.changed = append(m.changed, e.ID)
 		}
@@ -242,11 +242,11 @@
 }
 
 // open says that all of a site's servers are used.
-func (s *site) open() bool { return s.state != Lost && s.state != Out && s.state != Returning }
+func (s *site) open() bool { return s.state != Lost && s.state != Evacuated && s.state != Recovering }
 
 // Heard takes in what became of an attempt that was sent at a time. A failure tells nothing of a server that has answered
 // something since: what failed was the request, or its connection.
-func (m *Machine) Heard(now time.Duration, id policy.ServerID, sign Sign, sent time.Duration) {
+func (m *Monitor) ReportOutcome(now time.Duration, id policy.ServerID, sign Outcome, sent time.Duration) {
 	m.now = max(now, m.now)
 	s := m.servers[id]
 	if s == nil {
@@ -265,7 +265,7 @@
 }
 
 // Probed takes in what became of a probe.
-func (m *Machine) Probed(now time.Duration, id policy.ServerID, ok bool) {
+func (m *Monitor) ReportProbe(now time.Duration, id policy.ServerID, ok bool) {
 	m.now = max(now, m.now)
 	s := m.servers[id]
 	if s == nil {
@@ -278,7 +278,7 @@
 }
 
 // Step looks at all sites. What is in work is told of all servers that are used.
-func (m *Machine) Step(now time.Duration, uses []Use) Result {
+func (m *Monitor) Evaluate(now time.Duration, uses []Load) Evaluation {
 	m.now = max(now, m.now)
 	for i := range uses {
 		if s := m.servers[uses[i].ID]; s != nil {
@@ -289,13 +289,13 @@
 	for i := range m.sites {
 		m.look(i)
 	}
-	r := Result{Changed: m.changed, Probes: m.probes, News: m.news}
+	r := Evaluation{Changed: m.changed, Probes: m.probes, Transitions: m.news}
 	m.changed, m.probes, m.news = nil, nil, nil
 	return r
 }
 
 // forget drops failures that nothing has confirmed for long.
-func (m *Machine) forget() {
+func (m *Monitor) forget() {
 	for _, s := range m.servers {
 		if s.bad > 0 && m.now-s.lastBad >= stale {
 			s.bad = 0
@@ -311,7 +311,7 @@
 
 // signs weighs the failures of a site against the answers since the first of them. A failure of long ago is no part of what
 // happens now, so as many of the latest are taken as speak most for a loss.
-func (m *Machine) signs(i int, each, against float64) (best figures, weight float64) {
+func (m *Monitor) signs(i int, each, against float64) (best figures, weight float64) {
 	var since, good []time.Duration
 	of, rejected := 0, 0
 	for _, s := range m.sites[i].servers {
@@ -342,7 +342,7 @@
 }
 
 // alone is how often a server fails by itself, as the other sites show it that are not lost.
-func (m *Machine) alone(but int) float64 {
+func (m *Monitor) alone(but int) float64 {
 	bad, of := float64(usualBad), float64(usualOf)
 	for i := range m.sites {
 		if i == but || !m.sites[i].open() {
@@ -361,7 +361,7 @@
 }
 
 // gone weighs whether a site's servers have failed together or one by one, and says whether they would hardly ever one by one.
-func (m *Machine) gone(i int) (f figures, gone bool) {
+func (m *Monitor) gone(i int) (f figures, gone bool) {
 	p := m.alone(i)
 	f, weight := m.signs(i, math.Log((1-deaf)/p), math.Log((1-p)/deaf))
 	// Where all have failed there is nothing to be lost by saying so.
@@ -369,9 +369,9 @@
 }
 
 // stands says that a site other than one has answered since a time, and is not gone itself.
-func (m *Machine) stands(but int, since time.Duration) bool {
+func (m *Monitor) stands(but int, since time.Duration) bool {
 	for i := range m.sites {
-		if i == but || m.sites[i].state == Lost || m.sites[i].state == Out {
+		if i == but || m.sites[i].state == Lost || m.sites[i].state == Evacuated {
 			continue
 		}
 		for _, s := range m.sites[i].servers {
@@ -386,14 +386,14 @@
 }
 
 // look decides on one site.
-func (m *Machine) look(i int) {
+func (m *Monitor) look(i int) {
 	s := &m.sites[i]
 	switch s.state {
 	case Lost:
 		m.ask(i)
-	case Returning:
+	case Recovering:
 		m.proceed(i)
-	case Out:
+	case Evacuated:
 		m.leave(i)
 	default:
 		if s.times > 0 && m.now-max(s.healed, s.since) >= trustAfter {
@@ -404,25 +404,25 @@
 		case gone && m.stands(i, f.from):
 			m.lose(i, fmt.Sprintf("%d of %d servers failed within %v, %d answered", f.bad, f.of, (m.now-f.from).Round(time.Millisecond), f.good))
 		case gone:
-			m.turnTo(i, CutOff, "its servers fail, and no other site answers")
+			m.turnTo(i, AgentIsolated, "its servers fail, and no other site answers")
 		case f.bad >= 2 && f.bad > f.good:
-			m.turnTo(i, Doubtful, fmt.Sprintf("%d of %d servers failed, %d answered", f.bad, f.of, f.good))
+			m.turnTo(i, Suspect, fmt.Sprintf("%d of %d servers failed, %d answered", f.bad, f.of, f.good))
 		case f.rejected > 0 && 2*f.rejected > f.bad+f.good:
-			m.turnTo(i, Crowded, fmt.Sprintf("%d of %d servers turned away what came last", f.rejected, f.of))
+			m.turnTo(i, Overloaded, fmt.Sprintf("%d of %d servers turned away what came last", f.rejected, f.of))
 		default:
-			m.turnTo(i, Well, "its servers answer")
+			m.turnTo(i, Healthy, "its servers answer")
 		}
 	}
 }
 
 // turnTo changes a site's state.
-func (m *Machine) turnTo(i int, to State, why string) {
+func (m *Monitor) turnTo(i int, to State, why string) {
 	s := &m.sites[i]
 	if s.state == to {
 		return
 	}
-	c := Change{m.now, m.set.Names[i], s.state, to, why}
-	if m.history = append(m.history, c); len(m.history) > MostHistory {
+	c := Transition{m.now, m.set.Names[i], s.state, to, why}
+	if m.history = append(m.history, c); len(m.history) > MaxHistory {
 		m.history = m.history[1:]
 	}
 	m.news = append(m.news, c)
@@ -431,7 +431,7 @@
 }
 
 // lose withdraws a site.
-func (m *Machine) lose(i int, why string) {
+func (m *Monitor) lose(i int, why string) {
 	s := &m.sites[i]
 	m.remember(i)
 	s.times, s.healed, s.let, s.asked, s.heard = s.times+1, m.now, 0, false, 0
@@ -442,10 +442,12 @@
 }
 
 // wait is how long a site is left alone that was lost so often.
-func (m *Machine) wait(s *site) time.Duration { return min(MostWait, FirstWait<<min(s.times-1, 10)) }
+func (m *Monitor) wait(s *site) time.Duration {
+	return min(MaxRetryWait, MinRetryWait<<min(s.times-1, 10))
+}
 
 // remember notes what a site carried before it is withdrawn.
-func (m *Machine) remember(i int) {
+func (m *Monitor) remember(i int) {
 	sum := 0.0
 	for j := range m.sites {
 		u, _ := m.sustains(j)
@@ -457,10 +459,10 @@
 }
 
 // carries is what a site's servers that are used have in work, and what they serve at once.
-func (m *Machine) carries(i int) (held, room float64) {
+func (m *Monitor) carries(i int) (held, room float64) {
 	for _, s := range m.sites[i].servers {
 		if s.in {
-			held, room = held+s.use.Held, room+s.use.Room
+			held, room = held+s.use.InFlight, room+s.use.Capacity
 		}
 	}
 	return held, room
@@ -468,10 +470,10 @@
 
 // sustains is what a site's servers that are used have in work over a longer time, and what they serve
 // at once. Plans go by it: with few requests a second, what is in work at a moment says little.
-func (m *Machine) sustains(i int) (held, room float64) {
+func (m *Monitor) sustains(i int) (held, room float64) {
 	for _, s := range m.sites[i].servers {
 		if s.in {
-			held, room = held+s.mean, room+s.use.Room
+			held, room = held+s.mean, room+s.use.Capacity
 		}
 	}
 	return held, room
@@ -479,16 +481,16 @@
 
 // takeUse takes in what is in work at a server: a moving mean over some ten looks, and one over
 // meanLooks, which at first is the plain mean of those that there are.
-func (s *server) takeUse(u *Use) {
-	s.use.Held += 0.1 * (u.Held - s.use.Held)
-	s.use.Room = u.Room
+func (s *server) takeUse(u *Load) {
+	s.use.InFlight += 0.1 * (u.InFlight - s.use.InFlight)
+	s.use.Capacity = u.Capacity
 	s.looks = min(s.looks+1, meanLooks)
-	s.mean += (u.Held - s.mean) / float64(s.looks)
+	s.mean += (u.InFlight - s.mean) / float64(s.looks)
 }
 
 var (
 	// ErrNoSite is a name that no site has.
-	ErrNoSite = errors.New("there is no such site")
+	ErrUnknownSite = errors.New("there is no such site")
 	// ErrLast is a site that can't be taken out as the others could not carry what it carries.
-	ErrLast = errors.New("the other sites could not carry the load")
+	ErrInsufficientCapacity = errors.New("the other sites could not carry the load")
 )
