--- a/internal/mesh/outbound/departure.go
+++ b/internal/mesh/outbound/departure.go
@@ -15,32 +15,32 @@
 )
 
 // Departure is the schedule of a process that was told to end.
-type Departure struct {
-	TakeUntil time.Time // requests are taken as before, and by the gate those of others
-	DoneBy    time.Time // of what comes later: it is handed over if it can be done by then, and its backend is given no more time
-	GiveUp    time.Time // all that is in hand gets its answer
-	End       time.Time // the process has nothing in hand any more
-	Gone      time.Time // it has ended
+type ShutdownSchedule struct {
+	AcceptUntil time.Time // requests are taken as before, and by the gate those of others
+	DoneBy      time.Time // of what comes later: it is handed over if it can be done by then, and its backend is given no more time
+	GiveUp      time.Time // all that is in hand gets its answer
+	DrainedBy   time.Time // the process has nothing in hand any more
+	ExitBy      time.Time // it has ended
 }
 
 // NewDeparture returns the schedule of a process that was told to end and is killed after a grace.
-func NewDeparture(told time.Time, grace time.Duration) Departure {
+func NewShutdownSchedule(told time.Time, grace time.Duration) ShutdownSchedule {
 	reserve := min(mostReserve, time.Duration(float64(grace)/reservePart))
 	giveUp := told.Add(grace - reserve)
-	return Departure{
-		TakeUntil: told.Add(min(takeFor, grace/2)),
-		DoneBy:    giveUp.Add(-answerBack),
-		GiveUp:    giveUp,
-		End:       giveUp.Add(reserve / 4),
-		Gone:      giveUp.Add(reserve * 2 / 3),
+	return ShutdownSchedule{
+		AcceptUntil: told.Add(min(takeFor, grace/2)),
+		DoneBy:      giveUp.Add(-answerBack),
+		GiveUp:      giveUp,
+		DrainedBy:   giveUp.Add(reserve / 4),
+		ExitBy:      giveUp.Add(reserve * 2 / 3),
 	}
 }
 
 // bounds says until when the backend of a request that is about to be handed over may work, zero for
 // as long as the request has, and whether it may be handed over at all. Aim is how long it usually
 // takes at most.
-func (d *Departure) bounds(now time.Time, aim time.Duration) (doneBy time.Time, ok bool) {
-	if d == nil || now.Before(d.TakeUntil) {
+func (d *ShutdownSchedule) bounds(now time.Time, aim time.Duration) (doneBy time.Time, ok bool) {
+	if d == nil || now.Before(d.AcceptUntil) {
 		return time.Time{}, true
 	}
 	return d.DoneBy, d.DoneBy.Sub(now) >= aim
--- a/internal/mesh/outbound/departure_test.go
+++ b/internal/mesh/outbound/departure_test.go
@@ -15,13 +15,13 @@
 	told := time.Unix(0, 0)
 	for _, grace := range []time.Duration{time.Second, 4 * time.Second, 6 * time.Second, 30 * time.Second} {
 		t.Run(grace.String(), func(t *testing.T) {
-			d := NewDeparture(told, grace)
-			order := []time.Time{told, d.TakeUntil, d.DoneBy, d.GiveUp, d.End, d.Gone, told.Add(grace)}
+			d := NewShutdownSchedule(told, grace)
+			order := []time.Time{told, d.AcceptUntil, d.DoneBy, d.GiveUp, d.DrainedBy, d.ExitBy, told.Add(grace)}
 			for i := range order[1:] {
 				require.True(t, order[i].Before(order[i+1]), "step %d", i)
 			}
 			require.GreaterOrEqual(t, d.GiveUp.Sub(told), grace*5/6)
-			require.LessOrEqual(t, d.TakeUntil.Sub(told), 3*time.Second)
+			require.LessOrEqual(t, d.AcceptUntil.Sub(told), 3*time.Second)
 		})
 	}
 }
@@ -50,7 +50,7 @@
 					return &transport.Reply{Verdict: transport.Ran, Status: 200}, nil, nil
 				}
 				now := time.Now()
-				s.Leave(Departure{TakeUntil: now.Add(c.taken), DoneBy: now.Add(c.doneBy), GiveUp: now.Add(time.Hour)})
+				s.BeginShutdown(ShutdownSchedule{AcceptUntil: now.Add(c.taken), DoneBy: now.Add(c.doneBy), GiveUp: now.Add(time.Hour)})
 				w := httptest.NewRecorder()
 				s.ServeHTTP(w, request("GET", "/"+kind+"/", "t", nil))
 				require.Equal(t, c.runs, given > 0)
--- a/internal/mesh/outbound/exchange_test.go
+++ b/internal/mesh/outbound/exchange_test.go
@@ -87,7 +87,7 @@
 		"broken":   nil,
 	}
 	s := sender(t, gate(t, func(a *transport.Request, _ []byte) (*transport.Reply, []byte) { return replies[a.Try], nil }))
-	at := transport.Endpoint{Address: s.View().Stations[0].Station.Gate, Life: 1}
+	at := transport.Endpoint{Address: s.View().Agents[0].Station.Gate, Life: 1}
 	next := &job{over: make(chan struct{}), deadline: time.Now().Add(time.Minute)}
 	for try := range replies {
 		for _, state := range []string{"waiting", "done", "cut", "left"} {
--- a/internal/mesh/outbound/figures.go
+++ b/internal/mesh/outbound/figures.go
@@ -19,13 +19,13 @@
 }
 
 // Figures adds what the sender counts.
-func (s *Sender) Figures(f *meshmetrics.Set) {
+func (s *Sender) CollectMetrics(f *meshmetrics.Set) {
 	c := &s.Count
 	f.Add("micaline_mesh_requests_taken_total", float64(c.Taken.Load()))
 	for i, n := range []uint64{c.Served.Load(), c.BackendFailed.Load(), c.Refused.Load(), c.Failed.Load(), c.NoRoute.Load(), c.Bad.Load(), c.Left.Load(), c.Unknown.Load()} {
 		f.Add("micaline_mesh_requests_ended_total", float64(n), meshmetrics.Results[i])
 	}
-	f.Add("micaline_mesh_requests_held", float64(s.Held()))
+	f.Add("micaline_mesh_requests_held", float64(s.InFlight()))
 	f.Add("micaline_mesh_attempts_total", float64(c.Attempts.Load()))
 	f.Add("micaline_mesh_attempts_repeated_total", float64(c.Repeats.Load()))
 	f.Add("micaline_mesh_attempts_local_total", float64(c.Local.Load()))
--- a/internal/mesh/outbound/leave_test.go
+++ b/internal/mesh/outbound/leave_test.go
@@ -189,7 +189,7 @@
 				if place == "here" {
 					s.host = host
 					v := *s.View()
-					v.Stations[0].Station.Agent = s.set.IP
+					v.Agents[0].Station.Agent = s.set.IP
 					s.SetView(&v)
 				}
 				address := serveClients(t, s)
@@ -197,7 +197,7 @@
 				b.awaitArrival("t1")
 				leave(c)
 				b.awaitDrop("t1")
-				require.Eventually(t, func() bool { return idle(host)() && s.Held() == 0 }, soon, time.Millisecond, "slots are given back")
+				require.Eventually(t, func() bool { return idle(host)() && s.InFlight() == 0 }, soon, time.Millisecond, "slots are given back")
 
 				c = ask(t, address, "safe t2")
 				b.awaitArrival("t2")
@@ -215,7 +215,7 @@
 				b.answer("t4")
 				require.Eventually(t, func() bool { return host.Answered.Load() == 1 }, soon, time.Millisecond, "it runs to its end")
 				require.Empty(t, b.dropped)
-				require.Eventually(t, func() bool { return idle(host)() && s.Held() == 0 }, soon, time.Millisecond)
+				require.Eventually(t, func() bool { return idle(host)() && s.InFlight() == 0 }, soon, time.Millisecond)
 			})
 		}
 	}
@@ -316,7 +316,7 @@
 	ask(t, address, "safe last")
 	b.awaitArrival("last")
 	b.answer("last")
-	require.Eventually(t, func() bool { return idle(host)() && s.Held() == 0 }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return idle(host)() && s.InFlight() == 0 }, soon, time.Millisecond)
 }
 
 // TestNothingIsSentAnew: a copy that falls due after its client has left is not sent.
@@ -330,7 +330,7 @@
 	b.awaitArrival("t1")
 	c.Close()
 	b.awaitDrop("t1")
-	require.Eventually(t, func() bool { return s.Held() == 0 }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return s.InFlight() == 0 }, soon, time.Millisecond)
 	ask(t, address, "safe t2") // whose copy comes: by then that of the first would have come
 	b.awaitArrival("t2")
 	b.awaitArrival("t2")
@@ -361,7 +361,7 @@
 	c := ask(t, address, "safe t1")
 	b.awaitArrival("t1")
 	now := time.Now()
-	s.Leave(Departure{TakeUntil: now, DoneBy: now, GiveUp: now})
+	s.BeginShutdown(ShutdownSchedule{AcceptUntil: now, DoneBy: now, GiveUp: now})
 	b.awaitDrop("t1")
 	text, err := io.ReadAll(io.LimitReader(c, 12))
 	require.NoError(t, err)
@@ -447,7 +447,7 @@
 		})
 	}
 	clients.Wait()
-	require.Eventually(t, func() bool { return idle(hosts...)() && s.Held() == 0 }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return idle(hosts...)() && s.InFlight() == 0 }, soon, time.Millisecond)
 	open, made := s.links.Counts()
 	require.Less(t, made, uint64(200), "links are made anew for each that leaves")
 	require.LessOrEqual(t, open, 2*s.links.MaxIdlePerGate)
--- a/internal/mesh/outbound/note.go
+++ b/internal/mesh/outbound/note.go
@@ -81,7 +81,7 @@
 	}
 	way.Try, way.Took = r.Header.Get(inbound.TryIDHeader), time.Since(w.began)
 	if w.view != nil {
-		way.Index = w.view.Index
+		way.Index = w.view.ConfigIndex
 	}
 	if w.route != nil {
 		way.Route, way.Version, way.Unsafe = w.route.Name, w.route.Version, w.route.Kind != meshconfig.Safe
--- a/internal/mesh/outbound/order_test.go
+++ b/internal/mesh/outbound/order_test.go
@@ -149,7 +149,7 @@
 			list[i] = h
 		}
 		for _, p := range m.spots {
-			p.agent.SetView(&View{Config: config, Index: 1, Stations: list})
+			p.agent.SetView(&View{Config: config, ConfigIndex: 1, Agents: list})
 		}
 	}
 	view(false)
--- a/internal/mesh/outbound/path_bench_test.go
+++ b/internal/mesh/outbound/path_bench_test.go
@@ -146,7 +146,7 @@
 	require.NoError(b, err)
 	config, _, err := meshconfig.New().Apply(patch)
 	require.NoError(b, err)
-	view := &outbound.View{Config: config, Index: 1}
+	view := &outbound.View{Config: config, ConfigIndex: 1}
 	rules := inbound.Rules{HeartbeatInterval: time.Hour}
 	for i := range gates {
 		host := inbound.NewHost(rules, 1<<20, transport.NewByteBudget(1<<30), func() {})
@@ -159,7 +159,7 @@
 		})
 		life := transport.Backend{ID: fmt.Sprint("i-", i), Service: "s", Address: listen(b, backend), Zone: "z", Capacity: width, Calls: 1}
 		host.WithGate(func(now time.Duration, g *inbound.Gate) bool { g.SetLife(1); return g.ProbeSucceeded(now, 0, life) })
-		view.Stations = append(view.Stations, transport.StationStatus{Station: transport.Station{Agent: fmt.Sprint("10.0.0.", i), Gate: at, Zone: "z",
+		view.Agents = append(view.Agents, transport.StationStatus{Station: transport.Station{Agent: fmt.Sprint("10.0.0.", i), Gate: at, Zone: "z",
 			Life: 1, Seq: 1, Open: true, Backend: &life}})
 	}
 	set := &bootstrap.Settings{IP: "10.0.1.1", Zone: "z", Zones: map[string]string{"z": "r"}, Service: "caller"}
--- a/internal/mesh/outbound/sender.go
+++ b/internal/mesh/outbound/sender.go
@@ -29,9 +29,9 @@
 
 // View is what a sender knows of the mesh.
 type View struct {
-	Config   *meshconfig.Config
-	Index    uint64 // of the configuration
-	Stations []transport.StationStatus
+	Config      *meshconfig.Config
+	ConfigIndex uint64 // of the configuration
+	Agents      []transport.StationStatus
 }
 
 const (
@@ -60,7 +60,7 @@
 	over    bool
 	serves  map[string]*chooser
 	agents  int
-	leaving atomic.Pointer[Departure] // nil: it was not told to end
+	leaving atomic.Pointer[ShutdownSchedule] // nil: it was not told to end
 	held    atomic.Int64
 	away    atomic.Bool // clients are to go elsewhere: see TurnClientsAway
 	ages    ages
@@ -96,11 +96,11 @@
 
 // TurnClientsAway has it tell clients to go elsewhere, or no longer. What they send is served all the
 // same.
-func (s *Sender) TurnClientsAway(yes bool) { s.away.Store(yes) }
+func (s *Sender) SetDraining(yes bool) { s.away.Store(yes) }
 
 // Leave has it tell clients to go elsewhere, and serve what comes all the same as far as the schedule
 // lets it.
-func (s *Sender) Leave(d Departure) {
+func (s *Sender) BeginShutdown(d ShutdownSchedule) {
 	s.leaving.Store(&d)
 	time.AfterFunc(time.Until(d.GiveUp), func() {
 		s.mu.Lock()
@@ -131,14 +131,14 @@
 }
 
 // Held is how many requests it has in hand.
-func (s *Sender) Held() int { return int(s.held.Load()) }
+func (s *Sender) InFlight() int { return int(s.held.Load()) }
 
 // SetView exchanges what the sender knows. Only its owner calls it.
 func (s *Sender) SetView(v *View) {
 	byService := map[string][]*target{}
 	agents, width := 0, map[string]int{}
-	for i := range v.Stations {
-		h := &v.Stations[i]
+	for i := range v.Agents {
+		h := &v.Agents[i]
 		agents++
 		b := h.Station.Backend
 		if b == nil || b.Draining || !h.Station.Open || h.Lost || v.Config.Evacuated(b.Zone) ||
--- a/internal/mesh/outbound/serve_test.go
+++ b/internal/mesh/outbound/serve_test.go
@@ -70,9 +70,9 @@
 	set.Bounds.RetryWindow, set.Bounds.RetryRatio, set.Bounds.ExtraTries = 10*time.Second, 0.2, 50
 	links := &transport.Pool{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxIdlePerGate: 8}
 	s := New(set, inbound.NewHost(inbound.Rules{}, 1<<20, transport.NewByteBudget(1<<30), func() {}), links, transport.NewByteBudget(1<<30), &log.Logger{Handler: discard.New(), Level: log.FatalLevel})
-	view := &View{Config: config, Index: 1}
+	view := &View{Config: config, ConfigIndex: 1}
 	for i, g := range gates {
-		view.Stations = append(view.Stations, transport.StationStatus{Station: transport.Station{Agent: fmt.Sprint("10.0.1.", i), Gate: g, Zone: "z",
+		view.Agents = append(view.Agents, transport.StationStatus{Station: transport.Station{Agent: fmt.Sprint("10.0.1.", i), Gate: g, Zone: "z",
 			Life: 1, Seq: 1, Open: true, Backend: &transport.Backend{ID: fmt.Sprint("b", i), Service: "s", Zone: "z", Capacity: 4}}})
 	}
 	s.SetView(view)
@@ -287,15 +287,15 @@
 		s := sender(t, silent.Addr().String())
 		if local {
 			view := *s.View()
-			view.Stations[0].Station.Agent = s.set.IP
+			view.Agents[0].Station.Agent = s.set.IP
 			s.host.WithGate(func(now time.Duration, g *inbound.Gate) bool {
-				g.SetLife(view.Stations[0].Station.Life)
+				g.SetLife(view.Agents[0].Station.Life)
 				return g.ProbeSucceeded(now, 0, transport.Backend{ID: "b0", Service: "s", Address: silent.Addr().String(), Capacity: 4, Calls: 1})
 			})
 			s.SetView(&view)
 		}
 		end := time.Now().Add(30 * time.Millisecond)
-		s.Leave(Departure{TakeUntil: end, DoneBy: end, GiveUp: end})
+		s.BeginShutdown(ShutdownSchedule{AcceptUntil: end, DoneBy: end, GiveUp: end})
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, request("POST", "/unsafe/", "t", nil))
 		require.Equal(t, 504, w.Code, "local: %v", local)
--- a/internal/mesh/sidecar/agent.go
+++ b/internal/mesh/sidecar/agent.go
@@ -322,7 +322,7 @@
 	if !a.fresh && a.index == 0 {
 		return
 	}
-	a.sender.SetView(&outbound.View{Config: a.config, Index: a.index, Stations: a.table.All(a.now())})
+	a.sender.SetView(&outbound.View{Config: a.config, ConfigIndex: a.index, Agents: a.table.All(a.now())})
 	if a.fresh && !a.ready.Swap(true) {
 		a.probeIfUnproven()
 		a.log.WithField("index", a.index).Info("ready")
--- a/internal/mesh/sidecar/leave.go
+++ b/internal/mesh/sidecar/leave.go
@@ -49,18 +49,18 @@
 	a.log.Info("agent told to end")
 	a.went.Store(true)
 	a.news()
-	schedule := outbound.NewDeparture(began, a.set.Bounds.Grace)
-	a.sender.Leave(schedule)
-	closing := time.AfterFunc(time.Until(schedule.TakeUntil), a.host.StopAccepting)
+	schedule := outbound.NewShutdownSchedule(began, a.set.Bounds.Grace)
+	a.sender.BeginShutdown(schedule)
+	closing := time.AfterFunc(time.Until(schedule.AcceptUntil), a.host.StopAccepting)
 	defer closing.Stop()
-	for now := began; now.Before(schedule.End) && !a.mayEnd(now, began); now = time.Now() {
+	for now := began; now.Before(schedule.DrainedBy) && !a.mayEnd(now, began); now = time.Now() {
 		time.Sleep(50 * time.Millisecond)
 	}
 	a.host.StopAccepting()
-	ctx, cancel := context.WithDeadline(context.Background(), schedule.Gone)
+	ctx, cancel := context.WithDeadline(context.Background(), schedule.ExitBy)
 	defer cancel()
 	out.Shutdown(ctx)
-	for time.Now().Before(schedule.End) && a.host.Outstanding() > 0 {
+	for time.Now().Before(schedule.DrainedBy) && a.host.Outstanding() > 0 {
 		time.Sleep(20 * time.Millisecond)
 	}
 	a.log.WithField("after", time.Since(began).Round(time.Millisecond).String()).Info("agent ended")
@@ -69,5 +69,5 @@
 // mayEnd says whether a process that was told to end at a time has nothing to wait for any more.
 func (a *Agent) mayEnd(now, told time.Time) bool {
 	known := now.Sub(told) >= leaveNotice || a.refused.away(now)
-	return known && a.sender.Held() == 0 && a.host.Outstanding() == 0
+	return known && a.sender.InFlight() == 0 && a.host.Outstanding() == 0
 }
--- a/internal/mesh/sidecar/stats.go
+++ b/internal/mesh/sidecar/stats.go
@@ -24,7 +24,7 @@
 func (a *Agent) count(q transport.StatsQuery) *transport.StatsReport {
 	var f meshmetrics.Set
 	f.Process(a.began, a.set.MemoryMB)
-	a.sender.Figures(&f)
+	a.sender.CollectMetrics(&f)
 	a.host.AddMetrics(&f)
 	up := 0
 	for _, feed := range a.feeds {
--- a/internal/mesh/sidecar/work.go
+++ b/internal/mesh/sidecar/work.go
@@ -31,7 +31,7 @@
 
 func (t *workTeller) next(a *Agent, now time.Time) *transport.Workload {
 	work := transport.Workload{Stage: a.stage()} // first: what is counted after it is of a machine at that stage
-	work.Mean, work.Gate, work.Sender = math.Float64frombits(a.meanWork.Load()), a.host.Load().InFlight, a.sender.Held()
+	work.Mean, work.Gate, work.Sender = math.Float64frombits(a.meanWork.Load()), a.host.Load().InFlight, a.sender.InFlight()
 	switch {
 	case t.told == nil:
 	case work.Stage != t.told.Stage || work.Stage >= meshconfig.StageClients:
@@ -54,5 +54,5 @@
 	if before := meshconfig.Stage(a.cordoned.Swap(uint32(stage))); before != stage {
 		a.log.WithField("stage", stage.String()).WithField("before", before.String()).Info("taken out of use for planned work")
 	}
-	a.sender.TurnClientsAway(stage >= meshconfig.StageClients)
+	a.sender.SetDraining(stage >= meshconfig.StageClients)
 }
