--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -62,7 +62,7 @@
 // A panic in the module becomes text for the wire's fault action.
 func TestPanicBecomesAFault(t *testing.T) {
 	var h host
-	rec := wire.Record{Kind: wire.Deliver, Event: policy.Event{Kind: policy.EventHangup}}
+	rec := wire.Record{Kind: wire.Deliver, Event: policy.Event{Kind: policy.EventClientGone}}
 	if fault := h.deliver(nil, time.Second, &rec); !strings.HasPrefix(fault, "panic: ") {
 		t.Errorf("fault %q", fault)
 	}
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -136,7 +136,7 @@
 	})
 	cfg := config(t, "127.0.0.1:1", strings.Replace(testSettings, `"off"`, `"on_probe"`, 1))
 	r := newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)).probe(context.Background(), &connpool.Target{Addr: b.Addr}, &cfg.Settings)
-	if r.outcome != policy.OK || r.load.InFlight != 7 || r.load.Recent != 12*time.Millisecond || r.load.Queue != -1 {
+	if r.outcome != policy.OK || r.load.InFlight != 7 || r.load.ServiceTime != 12*time.Millisecond || r.load.Queue != -1 {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -169,7 +169,7 @@
 	m := newMessage("POST", "/keyed/1", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	if r := p.exchange(ctx, to, &m, time.Now(), nil); r.outcome != policy.Moot || len(b.Got) > 0 {
+	if r := p.exchange(ctx, to, &m, time.Now(), nil); r.outcome != policy.NotSent || len(b.Got) > 0 {
 		t.Errorf("outcome %d, %d sent", r.outcome, len(b.Got))
 	}
 	if r := p.exchange(ctx, to, &m, time.Now().Add(wait), nil); r.outcome != policy.OK {
--- a/internal/agent/backends_test.go
+++ b/internal/agent/backends_test.go
@@ -105,7 +105,7 @@
 	go func() { silent <- p.exchange(held, toY, &m, time.Time{}, nil) }()
 	receive(t, "close of the idle connection", x.Ended)
 	receive(t, "request", y.Got)
-	if r := p.exchange(ctx, toX, &m, time.Time{}, nil); r.outcome != policy.Moot {
+	if r := p.exchange(ctx, toX, &m, time.Time{}, nil); r.outcome != policy.NotSent {
 		t.Errorf("with the only socket in use: outcome %d", r.outcome)
 	}
 	giveUp()
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -119,7 +119,7 @@
 
 var phaseNames = [...]string{policy.Gone: "Gone", policy.Ready: "Ready", policy.Draining: "Terminating"}
 
-var effectNames = [...]string{policy.Pure: "pure", policy.Token: "token", policy.SideEffect: "side_effect"}
+var effectNames = [...]string{policy.Pure: "pure", policy.Keyed: "token", policy.SideEffect: "side_effect"}
 
 // Look returns the present state.
 func (a *Agent) Look(ctx context.Context) (*control.State, error) {
@@ -186,8 +186,8 @@
 func (a *Agent) backend(v *policy.ServerView, now time.Duration) control.Backend {
 	l := a.loop
 	b := control.Backend{
-		Name: l.servers.names[v.ID], Phase: phaseNames[l.listed[v.ID].State], Speed: round(v.Speed), Warmth: round(v.Warmth),
-		InFlight: v.InFlight, Silent: v.Silent, Load: round(v.Held), Full: round(v.Full.Seconds()),
+		Name: l.servers.names[v.ID], Phase: phaseNames[l.listed[v.ID].State], Speed: round(v.Speed), Warmth: round(v.WarmFraction),
+		InFlight: v.InFlight, Silent: v.Overdue, Load: round(v.Outstanding), Full: round(v.AvoidedFor.Seconds()),
 	}
 	if t := l.targets[v.ID]; t != nil {
 		b.Addr = t.Addr
@@ -200,7 +200,7 @@
 		b.ReportAge = &age
 	}
 	for _, e := range v.Ejected {
-		b.Ejected = append(b.Ejected, control.Ejection{Class: l.set.Classes[e.Class], For: round(e.For.Seconds()), Times: e.Times})
+		b.Ejected = append(b.Ejected, control.Ejection{Class: l.set.Classes[e.Class], For: round(e.Remaining.Seconds()), Times: e.Consecutive})
 	}
 	return b
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -268,7 +268,7 @@
 	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].due <= now; {
 		t := heap.Pop(&l.timers).(timer)
 		if slices.Contains(l.modules, t.module) {
-			l.handle(l.ctx, t.module, policy.Event{Kind: policy.EventTimer, Token: t.token, Late: l.late.own()})
+			l.handle(l.ctx, t.module, policy.Event{Kind: policy.EventTimer, Token: t.token, AgentDelay: l.late.own()})
 		}
 	}
 }
@@ -302,7 +302,7 @@
 		r.module.open++
 		l.counts.requests++
 		ev.Request, ev.Class, ev.Tenant, ev.Retry = in.call.id, in.call.class, in.call.tenant, in.call.retry
-		ev.Left, ev.Coming = in.call.deadline-l.clock.now(), in.call.message.rest != nil
+		ev.TimeLeft, ev.BodyPending = in.call.deadline-l.clock.now(), in.call.message.rest != nil
 		if l.sites != nil {
 			l.sites.meter.RecordRequest(r.class, r.tenant, r.retry)
 		}
@@ -312,16 +312,16 @@
 			return
 		}
 		l.handle(ctx, r.module, ev)
-	case policy.EventArrived:
+	case policy.EventBodyReceived:
 		r := l.requests[in.call.id]
 		if r == nil || r.ended {
 			return
 		}
 		r.begun = l.clock.now()
 		r.deadline = r.begun + r.message.rest.budget
-		ev.Request, ev.Left = r.id, r.message.rest.budget
+		ev.Request, ev.TimeLeft = r.id, r.message.rest.budget
 		l.handle(ctx, r.module, ev)
-	case policy.EventHangup:
+	case policy.EventClientGone:
 		r := l.requests[in.call.id]
 		if r == nil || r.ended { // it crossed the answer, if there was one
 			select {
@@ -338,7 +338,7 @@
 		l.forget(r)
 	case policy.EventOutcome:
 		r := l.requests[ev.Request]
-		ev.Late = max(0, l.clock.now()-in.sent-in.took)
+		ev.AgentDelay = max(0, l.clock.now()-in.sent-in.took)
 		r.attempts[ev.Attempt]()
 		r.out--
 		r.last = ev.Outcome
@@ -346,11 +346,11 @@
 		if ev.Outcome == policy.OK && !l.end(r, in.answer) {
 			in.answer.drop()
 		}
-		ev.Closed = r.ended
+		ev.Final = r.ended
 		l.handle(ctx, r.module, ev)
 		l.forget(r)
-	case policy.EventProbed:
-		ev.Late = max(0, l.clock.now()-in.seen)
+	case policy.EventProbeResult:
+		ev.AgentDelay = max(0, l.clock.now()-in.seen)
 		if l.sites != nil {
 			l.sites.ReportProbe(l.clock.now(), ev.Server, ev.Outcome == policy.OK)
 		}
--- a/internal/agent/loop_actions.go
+++ b/internal/agent/loop_actions.go
@@ -62,9 +62,9 @@
 		heap.Push(&l.timers, timer{due: l.clock.now() + a.Wait, token: a.Token, module: by})
 	case policy.ActProbe:
 		l.probe(ctx, by, a.Server)
-	case policy.ActFollow:
+	case policy.ActSubscribe:
 		l.follow()
-	case policy.ActTell:
+	case policy.ActBroadcast:
 		if by == l.current { // danger: two modules' counts under one name would take turns
 			l.tell(a.Data)
 		}
@@ -88,13 +88,13 @@
 		r.attempts = append(r.attempts, func() {})
 		l.events = append(l.events, decision{r.module, policy.Event{
 			Kind: policy.EventOutcome, Request: r.id, Attempt: n, Server: a.Server,
-			Outcome: policy.Moot, Closed: r.ended, Load: settings.NoLoad(),
+			Outcome: policy.NotSent, Final: r.ended, Load: settings.NoLoad(),
 		}})
 		return
 	}
 	var sendBy time.Time
-	if a.Within > 0 {
-		sendBy = time.Now().Add(a.Within)
+	if a.DeliverWithin > 0 {
+		sendBy = time.Now().Add(a.DeliverWithin)
 	}
 	attemptCtx, cancel := context.WithCancel(ctx)
 	if rest == nil { // else its time begins with its last byte
@@ -113,15 +113,15 @@
 	call := r.call
 	carryOut := func() {
 		if rest == nil && call.client.ClientClosed() { // danger: after the process stood still its close waits unread
-			l.send(input{event: policy.Event{Kind: policy.EventHangup}, call: call})
+			l.send(input{event: policy.Event{Kind: policy.EventClientGone}, call: call})
 			l.send(input{sent: sent, by: by, event: policy.Event{
-				Kind: policy.EventOutcome, Request: id, Attempt: n, Server: server, Outcome: policy.Moot, Load: settings.NoLoad(),
+				Kind: policy.EventOutcome, Request: id, Attempt: n, Server: server, Outcome: policy.NotSent, Load: settings.NoLoad(),
 			}})
 			return
 		}
 		res := l.backends.exchange(attemptCtx, t, msg, sendBy, l.set.ReportFields)
 		if rest != nil && rest.hasFailed() {
-			l.send(input{event: policy.Event{Kind: policy.EventHangup}, call: call})
+			l.send(input{event: policy.Event{Kind: policy.EventClientGone}, call: call})
 		}
 		l.send(input{answer: res.answer, sent: sent, took: res.took, by: by, event: policy.Event{
 			Kind: policy.EventOutcome, Request: id, Attempt: n, Server: server, Outcome: res.outcome, Load: res.load,
@@ -139,14 +139,14 @@
 	t := l.targets[server]
 	if t == nil {
 		l.events = append(l.events, decision{by, policy.Event{
-			Kind: policy.EventProbed, Server: server, Outcome: policy.Moot, Load: settings.NoLoad(),
+			Kind: policy.EventProbeResult, Server: server, Outcome: policy.NotSent, Load: settings.NoLoad(),
 		}})
 		return
 	}
 	go func() {
 		res := l.backends.probe(ctx, t, l.set)
 		l.send(input{seen: res.seen - l.late.own(), event: policy.Event{
-			Kind: policy.EventProbed, Server: server, Outcome: res.outcome, Load: res.load,
+			Kind: policy.EventProbeResult, Server: server, Outcome: res.outcome, Load: res.load,
 		}})
 	}()
 }
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -148,9 +148,9 @@
 	if in := receive(t, "outcome", inputs); in.event.Outcome != policy.OK {
 		t.Fatalf("outcome %d", in.event.Outcome)
 	}
-	send.Within = 1 // a nanosecond, which is over before a connection can be had
+	send.DeliverWithin = 1 // a nanosecond, which is over before a connection can be had
 	l.act(ctx, l.current, &send)
-	if in := receive(t, "outcome", inputs); in.event.Outcome != policy.Moot {
+	if in := receive(t, "outcome", inputs); in.event.Outcome != policy.NotSent {
 		t.Errorf("sent too late: outcome %d", in.event.Outcome)
 	}
 	target := l.targets[x]
@@ -159,9 +159,9 @@
 	if len(l.targets) > 0 || !l.backends.Retired(target) || len(l.servers.ids) > 0 || len(l.servers.names) > 0 {
 		t.Errorf("still known: %v %v", l.targets, l.servers)
 	}
-	send.Within = 0
+	send.DeliverWithin = 0
 	l.act(ctx, l.current, &send)
-	if n := len(l.events); n != 1 || l.events[0].event.Outcome != policy.Moot {
+	if n := len(l.events); n != 1 || l.events[0].event.Outcome != policy.NotSent {
 		t.Errorf("to a backend that is gone: %+v", l.events)
 	}
 }
@@ -182,7 +182,7 @@
 	if len(l.requests) != 1 || l.requests[c.id].out != 1 {
 		t.Fatalf("after the request: %+v", l.requests)
 	}
-	hangup := input{event: policy.Event{Kind: policy.EventHangup}, call: c}
+	hangup := input{event: policy.Event{Kind: policy.EventClientGone}, call: c}
 	l.take(ctx, hangup)
 	l.take(ctx, input{answer: answer{status: 200}, event: policy.Event{Kind: policy.EventOutcome, Request: c.id}})
 	l.take(ctx, hangup)
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -65,6 +65,6 @@
 			continue
 		}
 		// What comes faster than this is lost in the socket's buffer.
-		l.send(input{event: policy.Event{Kind: policy.EventPeer, Data: append([]byte(nil), buf[:n]...)}})
+		l.send(input{event: policy.Event{Kind: policy.EventPeerMessage, Data: append([]byte(nil), buf[:n]...)}})
 	}
 }
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -48,7 +48,7 @@
 	friend.WriteToUDPAddrPort([]byte("in"), at)
 	select {
 	case in := <-inputs:
-		if in.event.Kind != policy.EventPeer || string(in.event.Data) != "in" {
+		if in.event.Kind != policy.EventPeerMessage || string(in.event.Data) != "in" {
 			t.Errorf("the loop was given %+v", in.event)
 		}
 	case <-time.After(10 * time.Second):
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -122,7 +122,7 @@
 		s.respond(w, answer{status: statusRefused, retryAfter: fullAdvice})
 		return
 	}
-	hangup := input{event: policy.Event{Kind: policy.EventHangup}, call: c}
+	hangup := input{event: policy.Event{Kind: policy.EventClientGone}, call: c}
 	left := make(chan struct{}) // closed if the client leaves behind the first bytes of its next request
 	if rest == nil {
 		c.client = connOf(r).watch
@@ -296,7 +296,7 @@
 		c.deadline += longest(rest.size)
 		rest.arrived = func() time.Duration {
 			s.coming.Add(-1)
-			s.loop.send(input{event: policy.Event{Kind: policy.EventArrived}, call: c})
+			s.loop.send(input{event: policy.Event{Kind: policy.EventBodyReceived}, call: c})
 			return budget
 		}
 	}
@@ -321,7 +321,7 @@
 // checkEffect checks that a request is sent as its class's effect asks. Danger: a keyed request without its
 // key would be repeated as if backends could tell.
 func checkEffect(effect policy.Effect, r *http.Request) error {
-	method, keyed := http.MethodPost, effect == policy.Token
+	method, keyed := http.MethodPost, effect == policy.Keyed
 	if effect == policy.Pure {
 		method = http.MethodGet
 	}
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -129,8 +129,8 @@
 	silent := map[policy.ServerID]bool{}
 	if v, ok := l.current.Decider.(viewer); ok {
 		for _, b := range v.View(now) {
-			uses = append(uses, site.Load{ID: b.ID, InFlight: b.Held, Capacity: b.Room})
-			silent[b.ID] = b.Silent > 0
+			uses = append(uses, site.Load{ID: b.ID, InFlight: b.Outstanding, Capacity: b.ConcurrencyLimit})
+			silent[b.ID] = b.Overdue > 0
 		}
 	}
 	if now >= s.blind {
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -77,12 +77,12 @@
 	case policy.EventList:
 		return c.list(&ev, out)
 	case policy.EventTimer:
-		return append(out, policy.Action{Kind: policy.ActFollow})
+		return append(out, policy.Action{Kind: policy.ActSubscribe})
 	case policy.EventRequest:
 		return c.request(&ev, out)
 	case policy.EventOutcome:
 		return c.outcome(&ev, out)
-	case policy.EventHangup:
+	case policy.EventClientGone:
 		if r := c.open[ev.Request]; r != nil && r.server != nil {
 			return append(out, policy.Action{Kind: policy.ActCancel, Request: ev.Request})
 		}
@@ -95,7 +95,7 @@
 		return append(out, policy.Action{Kind: policy.ActTimer, Wait: askAgain})
 	}
 	if ev.ListMode == policy.ListCached && c.ask {
-		out = append(out, policy.Action{Kind: policy.ActFollow})
+		out = append(out, policy.Action{Kind: policy.ActSubscribe})
 	}
 	if ev.ListMode != policy.ListDelta {
 		for _, s := range c.order {
@@ -131,13 +131,13 @@
 			ready = append(ready, s)
 		}
 	}
-	if len(ready) == 0 || ev.Left <= 0 {
+	if len(ready) == 0 || ev.TimeLeft <= 0 {
 		return append(out, policy.Action{Kind: policy.ActRefuse, Request: ev.Request, Wait: advice})
 	}
 	s := c.pick(ready)
 	s.inFlight++
 	c.open[ev.Request] = &request{effect: c.classes[ev.Class].Effect, server: s}
-	return append(out, policy.Action{Kind: policy.ActSend, Request: ev.Request, Server: s.ID, Wait: ev.Left})
+	return append(out, policy.Action{Kind: policy.ActSend, Request: ev.Request, Server: s.ID, Wait: ev.TimeLeft})
 }
 
 func (c *Chooser) outcome(ev *policy.Event, out []policy.Action) []policy.Action {
@@ -147,9 +147,9 @@
 	}
 	r.server.inFlight--
 	delete(c.open, ev.Request)
-	never := ev.Outcome == policy.Full || ev.Outcome == policy.ConnectFailed || ev.Outcome == policy.Moot
+	never := ev.Outcome == policy.Full || ev.Outcome == policy.ConnectFailed || ev.Outcome == policy.NotSent
 	switch {
-	case ev.Closed || ev.Outcome == policy.OK:
+	case ev.Final || ev.Outcome == policy.OK:
 		return out
 	case never || r.effect == policy.Pure:
 		return append(out, policy.Action{Kind: policy.ActRefuse, Request: ev.Request, Wait: advice})
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -20,7 +20,7 @@
 }
 
 func ask(c *Chooser, id policy.RequestID, class int) policy.Action {
-	return c.Handle(0, policy.Event{Kind: policy.EventRequest, Request: id, Class: class, Left: time.Second}, nil)[0]
+	return c.Handle(0, policy.Event{Kind: policy.EventRequest, Request: id, Class: class, TimeLeft: time.Second}, nil)[0]
 }
 
 func TestChoices(t *testing.T) {
@@ -59,7 +59,7 @@
 	for outcome, want := range map[policy.Outcome][2]policy.ActionKind{
 		policy.Reset: {policy.ActFail, policy.ActRefuse}, policy.Timeout: {policy.ActFail, policy.ActRefuse},
 		policy.Error: {policy.ActFail, policy.ActRefuse}, policy.Full: {policy.ActRefuse, policy.ActRefuse},
-		policy.ConnectFailed: {policy.ActRefuse, policy.ActRefuse}, policy.Moot: {policy.ActRefuse, policy.ActRefuse},
+		policy.ConnectFailed: {policy.ActRefuse, policy.ActRefuse}, policy.NotSent: {policy.ActRefuse, policy.ActRefuse},
 	} {
 		for class, kind := range want {
 			c := chooser(t, "random", policy.ServerEntry{ID: 1, State: policy.Ready})
--- a/internal/fleet/planted_test.go
+++ b/internal/fleet/planted_test.go
@@ -240,9 +240,9 @@
 		again, waits := any, time.Duration(0)
 		switch {
 		case p.bug == repeatsUnsafe && effect == policy.SideEffect:
-		case p.bug == leavesCell && effect == policy.Token:
+		case p.bug == leavesCell && effect == policy.Keyed:
 			again = func(m plantedMember) bool { return m.Cell != to.Cell }
-		case p.bug == repeatsLate && effect == policy.Token:
+		case p.bug == repeatsLate && effect == policy.Keyed:
 			again, waits = func(m plantedMember) bool { return m.ID == to.ID }, 250*time.Millisecond
 		default:
 			again = nil
--- a/internal/level/level.go
+++ b/internal/level/level.go
@@ -72,7 +72,7 @@
 	config   Config
 	portions []float64 // of accounts
 	rng      *rand.Rand
-	mix      limit.Mix
+	mix      limit.TenantMix
 
 	at       int
 	since    time.Duration   // when the level was entered
@@ -97,7 +97,7 @@
 // against them.
 func New(c *Config, s *Service, seed uint64, now time.Duration) *Controller {
 	m := &Controller{
-		config: *c, portions: s.Portions, rng: rand.New(rand.NewPCG(seed, 1)), mix: limit.NewMix(len(s.Portions)), since: now,
+		config: *c, portions: s.Portions, rng: rand.New(rand.NewPCG(seed, 1)), mix: limit.NewTenantMix(len(s.Portions)), since: now,
 		levels: []rung{{Level: Level{Name: Normal}, shed: make([]bool, len(s.Classes))}}, reached: make([]time.Duration, len(c.Level)+1),
 		fits: make([]float64, len(c.Level)+1),
 	}
@@ -167,7 +167,7 @@
 		return 1
 	}
 	portion := m.portions[account]
-	return m.mix.Over(account, portion)
+	return m.mix.AddRequest(account, portion)
 }
 
 // after is when a request that is turned away may come again. Danger: all that are turned away together come back together.
--- a/internal/level/level_test.go
+++ b/internal/level/level_test.go
@@ -45,7 +45,7 @@
 `
 
 var service = Service{
-	Classes:  []Class{{"status-update", policy.Token}, {"delivery-close", policy.SideEffect}},
+	Classes:  []Class{{"status-update", policy.Keyed}, {"delivery-close", policy.SideEffect}},
 	Portions: []float64{0.75, 0.25},
 }
 
--- a/internal/life/attempt.go
+++ b/internal/life/attempt.go
@@ -68,7 +68,7 @@
 		return policy.ConnectFailed
 	}
 	return [...]policy.Outcome{
-		Served: policy.OK, Failed: policy.Error, Rejected: policy.Full, NeverSent: policy.ConnectFailed, NotTried: policy.Moot,
+		Served: policy.OK, Failed: policy.Error, Rejected: policy.Full, NeverSent: policy.ConnectFailed, NotTried: policy.NotSent,
 		ConnectionLost: policy.Reset, TimedOut: policy.Timeout, Cancelled: policy.Cancelled,
 	}[s]
 }
--- a/internal/life/attempt_test.go
+++ b/internal/life/attempt_test.go
@@ -74,7 +74,7 @@
 					t.Errorf("%v: %s, and then %s", way, s, i)
 				}
 			}
-			if o := s.Outcome(); (o == policy.OK) != has(way, GoodAnswer) || (o == policy.Moot) != (s == NotTried) {
+			if o := s.Outcome(); (o == policy.OK) != has(way, GoodAnswer) || (o == policy.NotSent) != (s == NotTried) {
 				t.Errorf("%v: outcome %v", way, o)
 			}
 			return
--- a/internal/limit/mix.go
+++ b/internal/limit/mix.go
@@ -1,13 +1,13 @@
 package limit
 
 // Mix counts who has asked of late.
-type Mix struct {
+type TenantMix struct {
 	seen []float64
 	sum  float64
 }
 
 // NewMix returns a Mix of so many tenants.
-func NewMix(tenants int) Mix { return Mix{seen: make([]float64, tenants)} }
+func NewTenantMix(tenants int) TenantMix { return TenantMix{seen: make([]float64, tenants)} }
 
 const (
 	mixPrior = 10.0 // requests' worth of belief in the stated shares
@@ -15,7 +15,7 @@
 )
 
 // Over counts a request and returns its tenant's part of the recent ones over the share that it is due.
-func (m *Mix) Over(tenant int, portion float64) float64 {
+func (m *TenantMix) AddRequest(tenant int, portion float64) float64 {
 	m.seen[tenant]++
 	if m.sum++; m.sum > mixLife {
 		m.sum /= 2
--- a/internal/mesh/outbound/attempt.go
+++ b/internal/mesh/outbound/attempt.go
@@ -156,7 +156,7 @@
 	case f.Reason == transport.Cancelled && f.Verdict != transport.NotRun:
 		return policy.Cancelled
 	case f.Verdict == transport.NotRun && (f.Reason == transport.LocalShortage || f.Reason == transport.Cancelled):
-		return policy.Moot
+		return policy.NotSent
 	case f.Verdict == transport.NotRun:
 		return policy.Full
 	case f.Reason == transport.ResponseTimeout:
--- a/internal/mesh/outbound/chooser.go
+++ b/internal/mesh/outbound/chooser.go
@@ -101,7 +101,7 @@
 	}
 	k := &call{id: c.next, open: len(c.targets), ready: make(chan struct{}, 1), again: again}
 	c.calls[k.id] = k
-	c.handle(policy.Event{Kind: policy.EventRequest, Request: k.id, Class: class, Left: left})
+	c.handle(policy.Event{Kind: policy.EventRequest, Request: k.id, Class: class, TimeLeft: left})
 	return k
 }
 
@@ -124,7 +124,7 @@
 func (c *chooser) outcome(k *call, attempt int, s policy.ServerID, how policy.Outcome, load policy.Load, after time.Duration, arrived, closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handle(policy.Event{Kind: policy.EventOutcome, Request: k.id, Attempt: attempt, Server: s, Outcome: how, Load: load, After: after, Arrived: arrived, Closed: closed})
+	c.handle(policy.Event{Kind: policy.EventOutcome, Request: k.id, Attempt: attempt, Server: s, Outcome: how, Load: load, RetryAfter: after, ReachedServer: arrived, Final: closed})
 }
 
 // forget ends a call's orders: it has its answer, or its client has left and nothing more is owed.
@@ -133,7 +133,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if left {
-		c.handle(policy.Event{Kind: policy.EventHangup, Request: k.id})
+		c.handle(policy.Event{Kind: policy.EventClientGone, Request: k.id})
 	}
 	delete(c.calls, k.id)
 	for len(c.timers) > 0 && c.stale(&c.timers[0]) {
@@ -204,7 +204,7 @@
 	for len(c.timers) > 0 && (c.timers[0].at <= now || c.stale(&c.timers[0])) {
 		t := heap.Pop(&c.timers).(timer)
 		if !c.stale(&t) {
-			c.handle(policy.Event{Kind: policy.EventTimer, Token: t.token, Late: max(0, now-t.at)})
+			c.handle(policy.Event{Kind: policy.EventTimer, Token: t.token, AgentDelay: max(0, now-t.at)})
 		}
 	}
 	c.arm()
@@ -213,9 +213,9 @@
 // loadOf translates what a gate knows of its backend.
 func loadOf(l *transport.Load) policy.Load {
 	if l.Recent <= 0 {
-		return policy.Load{Known: true, InFlight: float64(l.InFlight), Queue: float64(l.Waiting), Recent: -1, Rate: -1, Errors: -1}
+		return policy.Load{Known: true, InFlight: float64(l.InFlight), Queue: float64(l.Waiting), ServiceTime: -1, Rate: -1, ErrorRate: -1}
 	}
-	return policy.Load{Known: true, InFlight: float64(l.InFlight), Queue: float64(l.Waiting), Recent: l.Recent, Rate: l.Rate, Errors: l.Errors}
+	return policy.Load{Known: true, InFlight: float64(l.InFlight), Queue: float64(l.Waiting), ServiceTime: l.Recent, Rate: l.Rate, ErrorRate: l.Errors}
 }
 
 type timer struct {
--- a/internal/mesh/outbound/chooser_test.go
+++ b/internal/mesh/outbound/chooser_test.go
@@ -84,9 +84,9 @@
 	i := l.r.IntN(len(k.out))
 	n := k.out[i]
 	k.out = slices.Delete(k.out, i, i+1)
-	how := policy.Outcome(l.r.IntN(int(policy.Moot)+1) * l.r.IntN(2))
+	how := policy.Outcome(l.r.IntN(int(policy.NotSent)+1) * l.r.IntN(2))
 	after := time.Duration(20+l.r.IntN(300)) * time.Millisecond
-	if how != policy.Full && how != policy.ConnectFailed && how != policy.Moot {
+	if how != policy.Full && how != policy.ConnectFailed && how != policy.NotSent {
 		k.ran++
 	}
 	arrived := how == policy.Full && l.r.IntN(3) == 0 // the backend itself had no room
--- a/internal/mesh/outbound/figures.go
+++ b/internal/mesh/outbound/figures.go
@@ -42,7 +42,7 @@
 	for _, service := range slices.Sorted(maps.Keys(services)) {
 		c := services[service]
 		c.mu.Lock()
-		spent, allowed := c.module.Budget(c.now())
+		spent, allowed := c.module.RetryBudget(c.now())
 		c.mu.Unlock()
 		f.Add("micaline_mesh_budget_spent", float64(spent), service)
 		f.Add("micaline_mesh_budget_allowed", allowed, service)
--- a/internal/mesh/outbound/sender.go
+++ b/internal/mesh/outbound/sender.go
@@ -198,7 +198,7 @@
 func (s *Sender) settings(c *meshconfig.Config, name string, classes []policy.Class, width int) policy.Settings {
 	b := &s.set.Bounds
 	set := policy.Settings{
-		Agents: s.agents, Zone: s.zones[s.set.Zone], Classes: classes, Reports: policy.ReportsInline, Gates: true, HomeFirst: true, Width: float64(width),
+		Agents: s.agents, Zone: s.zones[s.set.Zone], Classes: classes, Reports: policy.ReportsInline, Gates: true, PreferLocalZone: true, Width: float64(width),
 		Tick: time.Millisecond, MaxAttempts: 6, SecondCopies: true,
 		ColdFrom: coldFrom, OverloadFactor: 2,
 		ExtraWindow: b.RetryWindow, ExtraFloor: floorShare * b.ExtraTries / float64(s.agents), ExtraRatio: budgetShare * b.RetryRatio,
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -86,7 +86,7 @@
 func (p *Sharer) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
 	p.now = max(now, p.now)
 	switch {
-	case ev.Kind == policy.EventPeer:
+	case ev.Kind == policy.EventPeerMessage:
 		p.hear(ev.Data)
 		p.give()
 		return out
@@ -109,7 +109,7 @@
 func (p *Sharer) learn() {
 	clear(p.known)
 	ids := make(map[policy.ServerID]bool, len(p.given))
-	p.Shares(func(e *policy.ServerEntry, _ int, _ float64) {
+	p.EachServerLoad(func(e *policy.ServerEntry, _ int, _ float64) {
 		p.known[key(e)] = e.ID
 		ids[e.ID] = true
 	})
@@ -170,14 +170,14 @@
 			continue
 		}
 		p.given[id] = s
-		p.Balancer.Handle(p.now, policy.Event{Kind: policy.EventShared, Server: id, Others: s.out, Limit: s.limit}, nil)
+		p.Balancer.Handle(p.now, policy.Event{Kind: policy.EventPeerLoad, Server: id, PeerInFlight: s.out, PeerLimit: s.limit}, nil)
 	}
 }
 
 // tell says what is out, if it is time to.
 func (p *Sharer) tell(out []policy.Action) []policy.Action {
 	changed, any := 0, false
-	p.Shares(func(e *policy.ServerEntry, n int, _ float64) {
+	p.EachServerLoad(func(e *policy.ServerEntry, n int, _ float64) {
 		was := p.told[key(e)]
 		changed += max(n-was, was-n)
 		any = any || n > 0
@@ -200,14 +200,14 @@
 		return out
 	}
 	p.toldAt = p.now
-	return append(out, policy.Action{Kind: policy.ActTell, Data: p.message()})
+	return append(out, policy.Action{Kind: policy.ActBroadcast, Data: p.message()})
 }
 
 // message is all there is to tell, servers without an attempt of ours left out.
 func (p *Sharer) message() []byte {
 	p.buf = binary.BigEndian.AppendUint16(append(p.buf[:0], version), uint16(p.rank))
 	clear(p.told)
-	p.Shares(func(e *policy.ServerEntry, n int, limit float64) {
+	p.EachServerLoad(func(e *policy.ServerEntry, n int, limit float64) {
 		if n <= 0 || len(p.told) >= mostShares {
 			return
 		}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -50,7 +50,7 @@
 func (a *agent) on(ev policy.Event) (sent []policy.Action) {
 	for _, act := range a.Handle(a.now, ev, nil) {
 		switch act.Kind {
-		case policy.ActTell:
+		case policy.ActBroadcast:
 			if len(act.Data) > MostBytes {
 				a.t.Fatalf("a message of %d bytes", len(act.Data))
 			}
@@ -66,12 +66,12 @@
 func (a *agent) ask(n int) (sent []policy.Action) {
 	for range n {
 		a.next++
-		sent = append(sent, a.on(policy.Event{Kind: policy.EventRequest, Request: a.next, Left: 3 * time.Second})...)
+		sent = append(sent, a.on(policy.Event{Kind: policy.EventRequest, Request: a.next, TimeLeft: 3 * time.Second})...)
 	}
 	return sent
 }
 
-func (a *agent) hears(msg []byte) { a.on(policy.Event{Kind: policy.EventPeer, Data: msg}) }
+func (a *agent) hears(msg []byte) { a.on(policy.Event{Kind: policy.EventPeerMessage, Data: msg}) }
 
 // passes lets time pass and a timer of the agent's fall due.
 func (a *agent) passes(d time.Duration) {
@@ -83,7 +83,7 @@
 func (a *agent) held() map[uint32]float64 {
 	held := map[uint32]float64{}
 	for _, v := range a.View(a.now) {
-		held[v.Key] = v.Held
+		held[v.Key] = v.Outstanding
 	}
 	return held
 }
@@ -131,7 +131,7 @@
 	b.hears(a.last())
 	for _, s := range sent {
 		a.now += ms
-		a.on(policy.Event{Kind: policy.EventOutcome, Request: s.Request, Server: s.Server, Outcome: policy.OK, Closed: true, Load: policy.Load{InFlight: -1, Queue: -1}})
+		a.on(policy.Event{Kind: policy.EventOutcome, Request: s.Request, Server: s.Server, Outcome: policy.OK, Final: true, Load: policy.Load{InFlight: -1, Queue: -1}})
 	}
 	a.passes(tellSlow)
 	if b.hears(a.last()); sum(b.held()) != 0 {
@@ -218,7 +218,7 @@
 			case 2:
 				if len(out) > 0 {
 					i := rng.IntN(len(out))
-					a.on(policy.Event{Kind: policy.EventOutcome, Request: out[i].send.Request, Server: out[i].send.Server, Outcome: policy.OK, Closed: true, Load: policy.Load{InFlight: -1, Queue: -1}})
+					a.on(policy.Event{Kind: policy.EventOutcome, Request: out[i].send.Request, Server: out[i].send.Server, Outcome: policy.OK, Final: true, Load: policy.Load{InFlight: -1, Queue: -1}})
 					out = append(out[:i], out[i+1:]...)
 				}
 			case 3:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -47,7 +47,7 @@
 }
 
 var effects = map[string]policy.Effect{
-	"pure": policy.Pure, "token": policy.Token, "side_effect": policy.SideEffect,
+	"pure": policy.Pure, "token": policy.Keyed, "side_effect": policy.SideEffect,
 }
 
 var scopes = map[string]policy.Scope{
@@ -163,7 +163,7 @@
 
 // NoLoad is a load report without any figure.
 func NoLoad() policy.Load {
-	return policy.Load{InFlight: -1, Queue: -1, Recent: -1, Rate: -1, Errors: -1}
+	return policy.Load{InFlight: -1, Queue: -1, ServiceTime: -1, Rate: -1, ErrorRate: -1}
 }
 
 // AddLoad puts the figure with a name of the settings into a report; what cannot be a figure stays absent.
@@ -178,10 +178,10 @@
 	case "backlog":
 		l.Queue = v
 	case "recent_ms":
-		l.Recent = Millis(v)
+		l.ServiceTime = Millis(v)
 	case "throughput":
 		l.Rate = v
 	case "errors_per_s":
-		l.Errors = v
+		l.ErrorRate = v
 	}
 }
--- a/internal/site/meter.go
+++ b/internal/site/meter.go
@@ -19,7 +19,7 @@
 type DemandMeter struct {
 	classes  []ClassDemand
 	accounts []Account
-	mix      limit.Mix
+	mix      limit.TenantMix
 	count    []float64 // share of the requests, by class
 	retries  float64
 	beyond   []float64 // by account, share of the requests that it asks for beyond its portion
@@ -28,7 +28,7 @@
 // NewMeter returns a meter; the Work of the classes is what is believed of it at first.
 func NewDemandMeter(classes []ClassDemand, accounts []Account) *DemandMeter {
 	m := &DemandMeter{
-		classes: classes, accounts: accounts, mix: limit.NewMix(len(accounts)), count: make([]float64, len(classes)),
+		classes: classes, accounts: accounts, mix: limit.NewTenantMix(len(accounts)), count: make([]float64, len(classes)),
 		beyond: make([]float64, len(accounts)),
 	}
 	for i := range m.count {
@@ -47,7 +47,7 @@
 		return
 	}
 	p := m.accounts[account].GuaranteedShare
-	share := p * m.mix.Over(account, p)
+	share := p * m.mix.AddRequest(account, p)
 	m.beyond[account] += meterGain * (max(0, share-p) - m.beyond[account])
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -53,7 +53,7 @@
 
 var outcomes = map[uint8]policy.Outcome{
 	10: policy.OK, 20: policy.Error, 30: policy.Full, 40: policy.Timeout,
-	50: policy.ConnectFailed, 60: policy.Reset, 70: policy.Cancelled, 80: policy.Moot,
+	50: policy.ConnectFailed, 60: policy.Reset, 70: policy.Cancelled, 80: policy.NotSent,
 }
 
 // Kind tells what a Record asks of the adapter.
@@ -185,30 +185,30 @@
 		}
 	case evAsk:
 		ev.Kind, ev.Request, ev.Tenant = policy.EventRequest, policy.RequestID(d.u32()), int(d.u16())
-		ev.Left = d.time()
+		ev.TimeLeft = d.time()
 		bits := d.u8()
 		d.u64()
 		d.time()
 		ev.Retry = bits&retryBit != 0
 		ev.Class = int(d.u16())
 	case evBegun:
-		ev.Kind, ev.Request = policy.EventBegun, policy.RequestID(d.u32())
+		ev.Kind, ev.Request = policy.EventStreamStarted, policy.RequestID(d.u32())
 		_, ev.Attempt, ev.Server = d.time(), int(d.u8()), policy.ServerID(d.u32())
 	case evReply:
 		ev.Kind, ev.Request = policy.EventOutcome, policy.RequestID(d.u32())
 		ev.Attempt, ev.Server, ev.Outcome = int(d.u8()), policy.ServerID(d.u32()), d.outcome()
-		_, ev.Closed = d.time(), d.u8() != 0
+		_, ev.Final = d.time(), d.u8() != 0
 		ev.Load = d.load(rec.Instance)
 	case evHangup:
-		ev.Kind, ev.Request = policy.EventHangup, policy.RequestID(d.u32())
+		ev.Kind, ev.Request = policy.EventClientGone, policy.RequestID(d.u32())
 	case evTimer:
 		ev.Kind, ev.Token = policy.EventTimer, d.u64()
 	case evCheck:
-		ev.Kind, ev.Server = policy.EventProbed, policy.ServerID(d.u32())
+		ev.Kind, ev.Server = policy.EventProbeResult, policy.ServerID(d.u32())
 		ev.Outcome, _ = d.outcome(), d.time()
 		ev.Load = d.load(rec.Instance)
 	case evDatagram:
-		ev.Kind = policy.EventPeer
+		ev.Kind = policy.EventPeerMessage
 		d.u32() // a message says itself who it is from
 		ev.Data = d.bytes(uint32(d.u16()))
 	default:
@@ -361,10 +361,10 @@
 	case policy.ActProbe:
 		e.head(acProbe, instance)
 		e.u32(uint32(a.Server))
-	case policy.ActFollow:
+	case policy.ActSubscribe:
 		e.head(acFollow, instance)
 		e.buf = append(e.buf, 1)
-	case policy.ActTell:
+	case policy.ActBroadcast:
 		e.head(acPublish, instance)
 		e.u32(everyPeer)
 		e.text(a.Data, len(a.Data))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -72,12 +72,12 @@
 	if !errors.Is(err, io.EOF) || len(recs) != 8 {
 		t.Fatalf("%d records, error %v", len(recs), err)
 	}
-	if ev := recs[7].Event; ev.Kind != policy.EventPeer || string(ev.Data) != "hi 7" {
+	if ev := recs[7].Event; ev.Kind != policy.EventPeerMessage || string(ev.Data) != "hi 7" {
 		t.Errorf("message of a peer: %+v", ev)
 	}
 	s := recs[0].Settings
 	want := policy.Class{Aim: 380 * time.Millisecond, Deadline: 949 * time.Millisecond, Worth: 8,
-		Effect: policy.Token, Scope: policy.ScopeCell, Window: 600 * time.Millisecond,
+		Effect: policy.Keyed, Scope: policy.ScopeCell, Window: 600 * time.Millisecond,
 		Zones: []int{1}, Kinds: []int{}}
 	if recs[0].Kind != Create || recs[0].Seed != 7 || !reflect.DeepEqual(s.Classes[0], want) || s.Rank != 2 || s.Agents != 3 ||
 		s.IdleClose != 15*time.Second || s.ExtraWindow != 5*time.Second || s.ExtraFloor != 3 || s.ExtraRatio != 0.2 || !s.AskList || s.MustAskIn != 10*time.Second || s.ColdFrom != 0.12 ||
@@ -90,15 +90,15 @@
 		t.Errorf("list %+v", l)
 	}
 	r := recs[2].Event
-	if r.Request != 0x5d3a91c4 || r.Tenant != 2 || r.Left != 240*time.Millisecond || !r.Retry || r.Class != 1 {
+	if r.Request != 0x5d3a91c4 || r.Tenant != 2 || r.TimeLeft != 240*time.Millisecond || !r.Retry || r.Class != 1 {
 		t.Errorf("request %+v", r)
 	}
 	o := recs[5].Event
-	if o.Attempt != 1 || o.Server != 0x03124a07 || o.Outcome != policy.Full || !o.Closed || !o.Load.Known ||
-		o.Load.InFlight != 7 || o.Load.Queue != 3 || o.Load.Recent >= 0 {
+	if o.Attempt != 1 || o.Server != 0x03124a07 || o.Outcome != policy.Full || !o.Final || !o.Load.Known ||
+		o.Load.InFlight != 7 || o.Load.Queue != 3 || o.Load.ServiceTime >= 0 {
 		t.Errorf("outcome %+v", o)
 	}
-	if p := recs[6].Event; p.Kind != policy.EventProbed || p.Load.Known {
+	if p := recs[6].Event; p.Kind != policy.EventProbeResult || p.Load.Known {
 		t.Errorf("probe %+v", p)
 	}
 }
@@ -110,7 +110,7 @@
 		{Kind: policy.ActSend, Request: 0x5d3a91c4, Server: 0x03124a07, Wait: 80 * time.Millisecond},
 		{Kind: policy.ActTimer, Wait: 500 * time.Millisecond, Token: 77},
 		{Kind: policy.ActRefuse, Request: 0x0e6f2b19, Wait: 250 * time.Millisecond},
-		{Kind: policy.ActFollow},
+		{Kind: policy.ActSubscribe},
 		{Kind: policy.ActCancel, Request: 0x5d3a91c4},
 		{Kind: policy.ActFail, Request: 0x0e6f2b19},
 		{Kind: policy.ActProbe, Server: 0x2c9011f2},
--- a/internal/work/explore_test.go
+++ b/internal/work/explore_test.go
@@ -196,7 +196,7 @@
 			p.phase = "writing"
 		}
 	case "writing": // it was allowed, and may have stood still for long
-		if h.effect == policy.Token && h.now >= p.until && h.bug != "a key is known for ever" {
+		if h.effect == policy.Keyed && h.now >= p.until && h.bug != "a key is known for ever" {
 			p.phase = "over" // a key may be forgotten by now
 			return
 		}
@@ -236,7 +236,7 @@
 
 func (h *hall) run(p *player) {
 	g := group(p.server)
-	if h.effect == policy.Token && h.now < h.knows[g] {
+	if h.effect == policy.Keyed && h.now < h.knows[g] {
 		return // its servers drop the repeat
 	}
 	if h.knows[g] == 0 {
@@ -250,7 +250,7 @@
 	if h.effect == policy.SideEffect && len(h.effects) > 1 {
 		h.fail("Once", "it happened %d times", len(h.effects))
 	}
-	if h.effect == policy.Token && len(h.effects) > 1 {
+	if h.effect == policy.Keyed && len(h.effects) > 1 {
 		h.fail("Group", "it happened in %v", h.effects)
 	}
 	if len(h.ends) > 1 {
@@ -299,7 +299,7 @@
 	if testing.Short() {
 		seeds = 3000
 	}
-	for _, effect := range []policy.Effect{policy.SideEffect, policy.Token} {
+	for _, effect := range []policy.Effect{policy.SideEffect, policy.Keyed} {
 		for seed := range seeds {
 			if found := play(seed, effect, ""); len(found) > 0 {
 				t.Fatalf("effect %d, seed %d: %s", effect, seed, strings.Join(found, "\n"))
@@ -460,7 +460,7 @@
 		"unknown where nothing was allowed":            "Unknown",
 	}, 30000, func(seed uint64, bug string) []string {
 		if strings.HasPrefix(bug, "a key is known") {
-			return play(seed, policy.Token, bug)
+			return play(seed, policy.Keyed, bug)
 		}
 		return play(seed, policy.SideEffect, bug)
 	})
--- a/internal/work/owner.go
+++ b/internal/work/owner.go
@@ -151,7 +151,7 @@
 	for _, a := range all {
 		switch {
 		case a.Fate == NotRun || o.Effect == policy.Pure:
-		case o.Effect == policy.Token && a.Age < window && (p.Group == "" || p.Group == a.Group):
+		case o.Effect == policy.Keyed && a.Age < window && (p.Group == "" || p.Group == a.Group):
 			p.Step, p.Group, p.Left = Repeat, a.Group, min(p.Left, window-a.Age)
 		default: // it may have run, and nobody will drop its repeat
 			return Plan{Step: Finish, End: Unknown}
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -23,10 +23,10 @@
 	}
 	c := &b.classes[ev.Class]
 	r := &request{id: ev.Request, class: c, tenant: ev.Tenant, held: 1}
-	r.deadline, r.aim = b.now+ev.Left, b.now+c.Aim
-	if passed := max(0, c.Deadline-ev.Left); !ev.Retry {
-		c.first = ev.Left
-	} else if (ev.Left - c.first).Abs() > 2*b.set.Tick { // it has all that remains
+	r.deadline, r.aim = b.now+ev.TimeLeft, b.now+c.Aim
+	if passed := max(0, c.Deadline-ev.TimeLeft); !ev.Retry {
+		c.first = ev.TimeLeft
+	} else if (ev.TimeLeft - c.first).Abs() > 2*b.set.Tick { // it has all that remains
 		r.aim -= passed
 	} else {
 		// Danger: a repeat with a first try's share came soon, after a refusal. Were all that may have passed taken
@@ -36,7 +36,7 @@
 	if c.LateWorth > 0 {
 		r.aim = r.deadline
 	}
-	if ev.Coming {
+	if ev.BodyPending {
 		r.held, r.aim = 0, r.deadline
 	}
 	b.open[r.id] = r
@@ -49,7 +49,7 @@
 // onArrived has what a request's last byte begins run from now.
 func (b *Balancer) onArrived(ev *Event) {
 	if r := b.open[ev.Request]; r != nil && r.held == 0 {
-		r.held, r.deadline, r.aim = 1, b.now+ev.Left, b.now+r.class.Aim
+		r.held, r.deadline, r.aim = 1, b.now+ev.TimeLeft, b.now+r.class.Aim
 		if r.out > 0 { // the last: it has no second copies
 			a := &r.attempts[len(r.attempts)-1]
 			a.sent, a.server.inFlight = b.now, a.server.inFlight+1
@@ -74,7 +74,7 @@
 		return 1
 	}
 	portion := b.set.Tenants[tenant].Portion
-	return b.mix.Over(tenant, portion)
+	return b.mix.AddRequest(tenant, portion)
 }
 
 // press sheds by a part of the aim that a request has met. Where servers report, what comes together says more than one
@@ -104,7 +104,7 @@
 		case !a.ran:
 		case r.class.Effect == SideEffect:
 			return false // danger: the effect would happen twice
-		case r.class.Effect == Token && (b.now >= a.sent+r.class.Window ||
+		case r.class.Effect == Keyed && (b.now >= a.sent+r.class.Window ||
 			r.class.Scope == ScopeZone && a.server.Zone != s.Zone ||
 			r.class.Scope == ScopeCell && a.server.Cell != s.Cell):
 			return false // danger: this server does not, or no longer, know the key
@@ -121,7 +121,7 @@
 // remembered is how long the servers go on to drop a repeat of the request, 0 if they need not.
 func (r *request) remembered(now time.Duration) (within time.Duration) {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; a.ran && r.class.Effect == Token {
+		if a := &r.attempts[i]; a.ran && r.class.Effect == Keyed {
 			if left := a.sent + r.class.Window - now; within == 0 || left < within {
 				within = left
 			}
@@ -133,7 +133,7 @@
 // mayRefuse answers whether the client may be told that a further try is harmless.
 func (b *Balancer) mayRefuse(r *request) bool {
 	return r.class.Effect == Pure || !slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		known := r.class.Effect == Token && r.class.Scope == ScopeAll && b.now < a.sent+r.class.Window
+		known := r.class.Effect == Keyed && r.class.Scope == ScopeAll && b.now < a.sent+r.class.Window
 		return a.ran && !known // danger: past the window nobody drops the client's repeat
 	})
 }
@@ -158,7 +158,7 @@
 	s.since++
 	s.inFlight += r.held
 	wait := r.deadline - b.now
-	b.act(Action{Kind: ActSend, Request: r.id, Server: s.ID, Wait: wait, Within: within})
+	b.act(Action{Kind: ActSend, Request: r.id, Server: s.ID, Wait: wait, DeliverWithin: within})
 	token := tokenCheck | n<<32 | uint64(r.id)
 	b.act(Action{Kind: ActTimer, Token: token, Wait: r.class.patient()})
 	return true
--- a/policy/attempt_test.go
+++ b/policy/attempt_test.go
@@ -96,7 +96,7 @@
 func TestHangupEndsOnceAndCancels(t *testing.T) {
 	x := start(t, settings(), fleet(3)...)
 	one(t, x.ask(1, unsafe), ActSend)
-	if a := one(t, x.on(Event{Kind: EventHangup, Request: 1}), ActCancel); a.Attempt != 0 {
+	if a := one(t, x.on(Event{Kind: EventClientGone, Request: 1}), ActCancel); a.Attempt != 0 {
 		t.Errorf("cancelled %+v", a)
 	}
 	none(t, x.ends(1, 0, Cancelled), ActSend, ActRefuse, ActFail)
@@ -166,7 +166,7 @@
 		if id%3 == 2 {
 			left = 850 * ms // a last try
 		}
-		for _, a := range x.on(Event{Kind: EventRequest, Request: id, Class: pure, Left: left, Retry: id%3 == 2}) {
+		for _, a := range x.on(Event{Kind: EventRequest, Request: id, Class: pure, TimeLeft: left, Retry: id%3 == 2}) {
 			if a.Kind == ActRefuse {
 				late++
 			} else if r := x.b.open[id]; a.Kind == ActSend && id%3 == 2 && r.aim != x.now+250*ms {
@@ -185,10 +185,10 @@
 func TestEarlyRepeatsKeepHalf(t *testing.T) {
 	x := start(t, settings(), fleet(3)...)
 	for id := range RequestID(10) {
-		x.on(Event{Kind: EventRequest, Request: id + 1, Class: pure, Left: 600 * ms})
+		x.on(Event{Kind: EventRequest, Request: id + 1, Class: pure, TimeLeft: 600 * ms})
 	}
 	for id, left := range map[RequestID]time.Duration{20: 600 * ms, 21: 700 * ms} {
-		x.on(Event{Kind: EventRequest, Request: id, Class: pure, Left: left, Retry: true})
+		x.on(Event{Kind: EventRequest, Request: id, Class: pure, TimeLeft: left, Retry: true})
 	}
 	if early, late := x.b.open[20].aim-x.now, x.b.open[21].aim-x.now; early != 200*ms || late != 100*ms {
 		t.Errorf("aims in %v and %v, want 200ms and 100ms", early, late)
@@ -209,12 +209,12 @@
 func TestKeyedRepeatsSayUntilWhen(t *testing.T) {
 	for how, want := range map[Outcome]time.Duration{Error: 200 * ms, Full: 0} {
 		x := start(t, settings(), fleet(6)...)
-		if first := one(t, x.ask(1, byAll), ActSend); first.Within != 0 {
-			t.Errorf("the first attempt is bound to %v", first.Within)
+		if first := one(t, x.ask(1, byAll), ActSend); first.DeliverWithin != 0 {
+			t.Errorf("the first attempt is bound to %v", first.DeliverWithin)
 		}
 		x.now += 100 * ms
-		if again := one(t, x.ends(1, 0, how), ActSend); again.Within != want {
-			t.Errorf("after outcome %d: within %v, want %v", how, again.Within, want)
+		if again := one(t, x.ends(1, 0, how), ActSend); again.DeliverWithin != want {
+			t.Errorf("after outcome %d: within %v, want %v", how, again.DeliverWithin, want)
 		}
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -23,8 +23,8 @@
 	return Settings{
 		Agents: 1, MaxAttempts: 6, Tick: ms, ColdFrom: 0.2, WarmAfter: 10 * time.Second, OverloadFactor: 2.5,
 		Cancel: true, Reports: ReportsInline, // none of which need come
-		Classes: []Class{class(Pure, 0, 0), class(Token, ScopeCell, 300*ms), class(Token, ScopeAll, 300*ms),
-			class(SideEffect, 0, 0), class(Token, ScopeZone, 300*ms)},
+		Classes: []Class{class(Pure, 0, 0), class(Keyed, ScopeCell, 300*ms), class(Keyed, ScopeAll, 300*ms),
+			class(SideEffect, 0, 0), class(Keyed, ScopeZone, 300*ms)},
 	}
 }
 
@@ -57,11 +57,11 @@
 func (x *bench) on(ev Event) []Action { return x.b.Handle(x.now, ev, nil) }
 
 func (x *bench) ask(id RequestID, class int) []Action {
-	return x.on(Event{Kind: EventRequest, Request: id, Class: class, Left: 1000 * ms})
+	return x.on(Event{Kind: EventRequest, Request: id, Class: class, TimeLeft: 1000 * ms})
 }
 
 func (x *bench) ends(id RequestID, attempt int, how Outcome) []Action {
-	return x.on(Event{Kind: EventOutcome, Request: id, Attempt: attempt, Outcome: how, Closed: how == OK})
+	return x.on(Event{Kind: EventOutcome, Request: id, Attempt: attempt, Outcome: how, Final: how == OK})
 }
 
 // draw and line are those of the first class.
@@ -275,7 +275,7 @@
 	if first.Wait < 3*time.Second || first.Wait > 4500*ms {
 		t.Errorf("rank 2 of 4 asks after %v, want its slot of the first 6 s", first.Wait)
 	}
-	one(t, x.on(Event{Kind: EventTimer, Token: first.Token}), ActFollow)
+	one(t, x.on(Event{Kind: EventTimer, Token: first.Token}), ActSubscribe)
 	last := time.Duration(0)
 	for range 4 {
 		a := one(t, x.on(Event{Kind: EventList, ListMode: ListFailed}), ActTimer)
@@ -326,17 +326,17 @@
 // Events with ids never seen, and figures that are none, do nothing.
 func TestStrayEvents(t *testing.T) {
 	x := start(t, settings(), fleet(3)...)
-	for kind := EventList; kind <= EventProbed+1; kind++ {
+	for kind := EventList; kind <= EventProbeResult+1; kind++ {
 		if kind == EventRequest || kind == EventList {
 			continue
 		}
 		acts := x.on(Event{Kind: kind, Request: 99, Server: 99, Attempt: 200, Token: math.MaxUint64,
-			Class: -1, Late: -ms})
+			Class: -1, AgentDelay: -ms})
 		if len(acts) != 0 {
 			t.Errorf("event kind %d: %+v", kind, acts)
 		}
 	}
-	none(t, x.on(Event{Kind: EventRequest, Request: 1, Class: 77, Left: ms}), ActSend)
+	none(t, x.on(Event{Kind: EventRequest, Request: 1, Class: 77, TimeLeft: ms}), ActSend)
 	x.on(Event{Kind: EventList, Servers: []ServerEntry{ready(9, math.NaN()), ready(10, -3), ready(11, math.Inf(1))}})
 	x.draw()
 	if sum := x.line().speeds.Span(0, 99); math.Abs(sum-6) > 1e-9 {
@@ -361,8 +361,8 @@
 
 func cycle(x *bench, id RequestID, out []Action) []Action {
 	x.now += ms
-	out = x.b.Handle(x.now, Event{Kind: EventRequest, Request: id, Left: 1000 * ms}, out[:0])
-	return x.b.Handle(x.now, Event{Kind: EventOutcome, Request: id, Outcome: OK, Closed: true}, out[:0])
+	out = x.b.Handle(x.now, Event{Kind: EventRequest, Request: id, TimeLeft: 1000 * ms}, out[:0])
+	return x.b.Handle(x.now, Event{Kind: EventOutcome, Request: id, Outcome: OK, Final: true}, out[:0])
 }
 
 func TestOrdinaryPathAllocations(t *testing.T) {
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -35,7 +35,7 @@
 
 // each is how long a request of the usual size takes on a server, in seconds.
 func (b *Balancer) each(s *server) float64 {
-	if s.load.Recent > 0 {
+	if s.load.ServiceTime > 0 {
 		return b.fleet.Kind(s.Kind).Recent.V * s.pace.Slow
 	}
 	return b.service.V / (1 + b.queue.V) * s.pace.Slow
@@ -81,7 +81,7 @@
 // place sends the request to a server, or lets it wait for a probe, or says that there is no room.
 func (b *Balancer) place(r *request) bool {
 	most := draws
-	if b.set.HomeFirst {
+	if b.set.PreferLocalZone {
 		most += homeDraws
 	}
 	for ; r.draws < most; r.draws++ {
@@ -147,7 +147,7 @@
 		return
 	}
 	if s.probing = false; ev.Outcome == OK {
-		b.report(s, ev.Load, ev.Late)
+		b.report(s, ev.Load, ev.AgentDelay)
 	}
 	b.resume(func(r *request) bool { return r.asked == s })
 }
--- a/policy/crowd_test.go
+++ b/policy/crowd_test.go
@@ -65,7 +65,7 @@
 		if id%10 == 0 {
 			tenant = 1
 		}
-		for _, a := range x.on(Event{Kind: EventRequest, Request: id, Tenant: tenant, Left: 1000 * ms}) {
+		for _, a := range x.on(Event{Kind: EventRequest, Request: id, Tenant: tenant, TimeLeft: 1000 * ms}) {
 			if a.Kind == ActRefuse {
 				refused[tenant]++
 			}
@@ -87,8 +87,8 @@
 	acts := x.ask(1, pure)
 	for _, a := range acts {
 		if a.Kind == ActProbe {
-			acts = x.on(Event{Kind: EventProbed, Server: a.Server, Outcome: OK,
-				Load: Load{Known: true, InFlight: 0, Queue: -1, Recent: 5 * time.Second, Rate: 1}})
+			acts = x.on(Event{Kind: EventProbeResult, Server: a.Server, Outcome: OK,
+				Load: Load{Known: true, InFlight: 0, Queue: -1, ServiceTime: 5 * time.Second, Rate: 1}})
 		}
 	}
 	one(t, acts, ActSend)
@@ -112,7 +112,7 @@
 	if got := x.b.held(s); got != 8 {
 		t.Errorf("without a report: %v held", got)
 	}
-	x.b.report(s, Load{Known: true, InFlight: 0, Queue: -1, Recent: 10 * ms, Rate: 10}, 0)
+	x.b.report(s, Load{Known: true, InFlight: 0, Queue: -1, ServiceTime: 10 * ms, Rate: 10}, 0)
 	if got := x.b.held(s); got != 1 {
 		t.Errorf("by a fresh report, 7 of 8 being silent: %v held", got)
 	}
@@ -128,7 +128,7 @@
 // Where no report tells a server's width, the number it holds says nothing: requests may wait on others.
 func TestCrowdNeedsAWidth(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
-	load := Load{Known: true, InFlight: 8, Queue: -1, Recent: 10 * ms, Rate: -1}
+	load := Load{Known: true, InFlight: 8, Queue: -1, ServiceTime: 10 * ms, Rate: -1}
 	s := x.b.ring[0]
 	for range 3 {
 		x.b.report(s, load, 0)
@@ -137,14 +137,14 @@
 	if x.b.crowded(r, s) {
 		t.Error("8 in hand at 10 ms each are no crowd for 400 ms")
 	}
-	load.Recent = 30 * ms
+	load.ServiceTime = 30 * ms
 	x.b.report(s, load, 0)
 	load.Queue = 0
 	x.b.report(s, load, 0)
 	if s.load.InFlight = 2; x.b.crowded(r, s) {
 		t.Error("where the queue is told, the aim of the request itself is what counts")
 	}
-	load.Recent, load.Queue = 10*ms, 7
+	load.ServiceTime, load.Queue = 10*ms, 7
 	x.b.report(s, load, 0)
 	if !x.b.crowded(r, s) {
 		t.Error("a queue of 7 at a width of 1 is a crowd")
@@ -186,7 +186,7 @@
 		set := settings()
 		set.Agents = agents
 		x := start(t, set, fleet(1)...)
-		x.b.report(x.b.servers[1], Load{Known: true, InFlight: 2, Queue: -1, Recent: 10 * ms, Rate: 200}, 0)
+		x.b.report(x.b.servers[1], Load{Known: true, InFlight: 2, Queue: -1, ServiceTime: 10 * ms, Rate: 200}, 0)
 		for held := 1; ; held++ {
 			x.b.servers[1].load.InFlight = float64(held)
 			if x.b.crowded(&request{class: &x.b.classes[pure], aim: x.now + time.Second}, x.b.servers[1]) {
@@ -205,7 +205,7 @@
 	x := start(t, settings(), fleet(2)...)
 	report := func(held float64) {
 		for _, s := range x.b.ring {
-			x.b.report(s, Load{Known: true, InFlight: held, Queue: -1, Recent: 20 * ms, Rate: 100}, 0)
+			x.b.report(s, Load{Known: true, InFlight: held, Queue: -1, ServiceTime: 20 * ms, Rate: 100}, 0)
 		}
 	}
 	for range 20 {
@@ -240,7 +240,7 @@
 	x := start(t, settings(), fleet(2)...)
 	report := func(n int, held float64) {
 		for range n {
-			x.b.report(x.b.ring[0], Load{Known: true, InFlight: held, Queue: -1, Recent: 20 * ms, Rate: 50 * held}, 0)
+			x.b.report(x.b.ring[0], Load{Known: true, InFlight: held, Queue: -1, ServiceTime: 20 * ms, Rate: 50 * held}, 0)
 		}
 	}
 	report(2500, 2)
@@ -255,8 +255,8 @@
 func TestOneReportSettlesNoWidth(t *testing.T) {
 	x := start(t, settings(), fleet(4)...)
 	told := func(rate float64) {
-		x.on(Event{Kind: EventProbed, Server: 1, Load: Load{
-			Known: true, InFlight: 4, Queue: -1, Recent: 100 * ms, Rate: rate, Errors: -1,
+		x.on(Event{Kind: EventProbeResult, Server: 1, Load: Load{
+			Known: true, InFlight: 4, Queue: -1, ServiceTime: 100 * ms, Rate: rate, ErrorRate: -1,
 		}})
 	}
 	for id := RequestID(1); id <= 200; id++ { // answers say nothing of it
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -36,7 +36,7 @@
 		Servers: []policy.ServerEntry{
 			{ID: 1, State: policy.Ready, Weight: 2}, {ID: 2, State: policy.Ready, Weight: 1},
 		}})
-	handle(policy.Event{Kind: policy.EventRequest, Request: 7, Left: time.Second})
-	handle(policy.Event{Kind: policy.EventOutcome, Request: 7, Outcome: policy.OK, Closed: true})
+	handle(policy.Event{Kind: policy.EventRequest, Request: 7, TimeLeft: time.Second})
+	handle(policy.Event{Kind: policy.EventOutcome, Request: 7, Outcome: policy.OK, Final: true})
 	// Output: send request 7 with a time-out of about 1s
 }
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -47,7 +47,7 @@
 			}
 			r.ended = true
 			for _, s := range r.sends {
-				harmless := r.class.Effect == Pure || r.class.Effect == Token && r.class.Scope == ScopeAll &&
+				harmless := r.class.Effect == Pure || r.class.Effect == Keyed && r.class.Scope == ScopeAll &&
 					c.now < s.at+r.class.Window
 				if a.Kind == ActRefuse && (s.ran || s.out) && !harmless {
 					c.t.Fatalf("refused a request that may have run")
@@ -95,7 +95,7 @@
 		if r.class.Effect == SideEffect {
 			c.t.Fatal("an unsafe request sent again")
 		}
-		if r.class.Effect == Token && (c.now >= p.at+r.class.Window ||
+		if r.class.Effect == Keyed && (c.now >= p.at+r.class.Window ||
 			r.class.Scope == ScopeCell && p.server.Cell != s.Cell ||
 			r.class.Scope == ScopeZone && p.server.Zone != s.Zone) {
 			c.t.Fatal("a keyed request sent where its key is not known")
@@ -122,12 +122,12 @@
 	c.pending = append(c.pending[:i:i], c.pending[i+1:]...)
 	r := c.tries[a.Request]
 	s := &r.sends[a.Attempt]
-	s.out, s.ran = false, how != Full && how != ConnectFailed && how != Moot
+	s.out, s.ran = false, how != Full && how != ConnectFailed && how != NotSent
 	if how == OK {
 		r.ended = true
 	}
 	c.on(Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Outcome: how,
-		Late: time.Duration(i%3) * (c.now - s.at) / 2, Closed: r.ended, Load: Load{Known: true, InFlight: float64(i % 9), Queue: float64(i % 5)}})
+		AgentDelay: time.Duration(i%3) * (c.now - s.at) / 2, Final: r.ended, Load: Load{Known: true, InFlight: float64(i % 9), Queue: float64(i % 5)}})
 }
 
 // pass lets time go by; what is due happens on the way.
@@ -203,21 +203,21 @@
 		left := time.Duration(1+arg) * 60 * time.Millisecond
 		c.tries[id] = &try{class: class, deadline: c.now + left}
 		c.taken = append(c.taken, c.now)
-		c.on(Event{Kind: EventRequest, Request: id, Class: arg % len(c.set.Classes), Left: left, Retry: arg == 15})
+		c.on(Event{Kind: EventRequest, Request: id, Class: arg % len(c.set.Classes), TimeLeft: left, Retry: arg == 15})
 	case what < 9 && len(c.pending) > 0:
-		c.finish(arg%len(c.pending), Outcome(what*5+byte(arg))%(Moot+1))
+		c.finish(arg%len(c.pending), Outcome(what*5+byte(arg))%(NotSent+1))
 	case what < 11:
 		c.pass(time.Duration(arg) * 20 * time.Millisecond)
 	case what < 12 && len(c.probes) > 0:
 		p := c.probes[0]
 		c.probes = c.probes[1:]
-		c.on(Event{Kind: EventProbed, Server: p, Outcome: Outcome(arg) % (Moot + 1),
-			Load: Load{Known: true, InFlight: float64(arg), Queue: -1, Recent: time.Duration(arg) * ms, Rate: 9}})
+		c.on(Event{Kind: EventProbeResult, Server: p, Outcome: Outcome(arg) % (NotSent + 1),
+			Load: Load{Known: true, InFlight: float64(arg), Queue: -1, ServiceTime: time.Duration(arg) * ms, Rate: 9}})
 	case what < 13 && len(c.pending) > 0:
 		r := c.tries[c.pending[arg%len(c.pending)].Request]
 		if !r.ended {
 			r.ended = true
-			c.on(Event{Kind: EventHangup, Request: c.pending[arg%len(c.pending)].Request})
+			c.on(Event{Kind: EventClientGone, Request: c.pending[arg%len(c.pending)].Request})
 		}
 	default:
 		e := ServerEntry{ID: ServerID(arg), Cell: arg % 3, Zone: arg % 2, Kind: arg / 2 % 2, State: ServerState(what % 3), Weight: float64(arg)}
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -125,7 +125,7 @@
 	for _, how := range []Outcome{ConnectFailed, Full} {
 		x := start(t, settings(), fleet(3)...)
 		s, c := x.b.servers[1], &x.b.classes[pure]
-		x.b.report(s, Load{Known: true, InFlight: 2, Queue: -1, Recent: 10 * ms, Rate: 200}, 0)
+		x.b.report(s, Load{Known: true, InFlight: 2, Queue: -1, ServiceTime: 10 * ms, Rate: 200}, 0)
 		x.b.judge(c, &attempt{server: s}, OK, 0.1, 1)
 		x.b.service.Add(0.01, 1)
 		sent := x.b.now
@@ -260,8 +260,8 @@
 		x := start(t, s, fleet(4)...)
 		acts := x.ask(1, pure)
 		bad := one(t, acts, ActProbe).Server
-		acts = x.on(Event{Kind: EventProbed, Server: bad, Outcome: OK, Load: Load{
-			Known: true, InFlight: 0, Queue: -1, Recent: 20 * ms, Rate: c.rate, Errors: c.errors,
+		acts = x.on(Event{Kind: EventProbeResult, Server: bad, Outcome: OK, Load: Load{
+			Known: true, InFlight: 0, Queue: -1, ServiceTime: 20 * ms, Rate: c.rate, ErrorRate: c.errors,
 		}})
 		sent := one(t, x.look(acts, nil), ActSend).Server
 		if out := x.b.servers[bad].health[pure].Until > x.now; out != c.out || out && sent == bad {
@@ -281,7 +281,7 @@
 		x.now += 50 * ms
 		x.b.now = x.now
 		x.b.judge(&x.b.classes[byAll], &attempt{server: s, sent: x.now - ms}, OK, 0.1, 1)
-		x.b.report(s, Load{Known: true, InFlight: 1, Queue: -1, Recent: 20 * ms, Rate: 4, Errors: 16}, 0)
+		x.b.report(s, Load{Known: true, InFlight: 1, Queue: -1, ServiceTime: 20 * ms, Rate: 4, ErrorRate: 16}, 0)
 	}
 	if s.health[byAll].Until > x.now {
 		t.Error("ejected for a class of which it answers everything")
--- a/policy/line.go
+++ b/policy/line.go
@@ -73,7 +73,7 @@
 }
 
 // home says whether a request is drawn from its own zone's servers for now.
-func (b *Balancer) home(r *request) bool { return b.set.HomeFirst && r.draws < homeDraws }
+func (b *Balancer) home(r *request) bool { return b.set.PreferLocalZone && r.draws < homeDraws }
 
 // draw picks a dedicated server (c is nil), or a pair. Both are nil when no server is ready.
 func (b *Balancer) draw(r *request) (a, c *server) {
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -21,26 +21,26 @@
 	}
 	a := &r.attempts[ev.Attempt]
 	s := a.server
-	a.out, a.spent, a.ran = false, ev.Arrived, ev.Outcome != Full && ev.Outcome != ConnectFailed && ev.Outcome != Moot
+	a.out, a.spent, a.ran = false, ev.ReachedServer, ev.Outcome != Full && ev.Outcome != ConnectFailed && ev.Outcome != NotSent
 	r.out--
 	s.inFlight -= r.held
 	if a.checks > 0 {
 		s.silent--
 	}
-	b.report(s, ev.Load, ev.Late)
+	b.report(s, ev.Load, ev.AgentDelay)
 	// Danger: what the agent is late with would be learnt of the server. It took at least the rest, and is believed the
 	// less, the more is in doubt.
-	past, late := (b.now - a.sent).Seconds(), max(0, ev.Late.Seconds())
+	past, late := (b.now - a.sent).Seconds(), max(0, ev.AgentDelay.Seconds())
 	at, sure := max(0, past-late), 1-min(1, late/max(past, 1e-9))
 	b.judge(r.class, a, ev.Outcome, at/r.class.Aim.Seconds(), sure)
 	if ev.Outcome == OK {
 		b.observe(r.class, s, at, sure)
 	}
 	if r.draws = 0; b.set.Gates && ev.Outcome == Full {
-		s.health[r.class.index].Full = b.now + ev.After
+		s.health[r.class.index].Full = b.now + ev.RetryAfter
 	}
 	switch {
-	case ev.Closed || ev.Outcome == OK || r.ended:
+	case ev.Final || ev.Outcome == OK || r.ended:
 		b.end(r, false)
 	case r.out > 0:
 	case ev.Outcome == Timeout || b.now >= r.aim || !b.place(r): // a further attempt, if it is worth one
@@ -125,13 +125,13 @@
 func (b *Balancer) onTimer(ev *Event) {
 	switch token := ev.Token; token >> 56 << 56 {
 	case tokenAsk:
-		b.act(Action{Kind: ActFollow})
+		b.act(Action{Kind: ActSubscribe})
 	case tokenWait:
 		b.resume(func(r *request) bool { return r.id == RequestID(token) })
 	case tokenCheck:
 		n := int(token >> 32 & 0xff)
 		if r := b.open[RequestID(token)]; r != nil && n < len(r.attempts) && r.attempts[n].out {
-			if r.held == 0 || ev.Late > r.class.patient()/4 { // danger: answers lie unread, or it has hardly been sent
+			if r.held == 0 || ev.AgentDelay > r.class.patient()/4 { // danger: answers lie unread, or it has hardly been sent
 				b.act(Action{Kind: ActTimer, Token: token, Wait: r.class.patient()})
 				return
 			}
--- a/policy/probe_test.go
+++ b/policy/probe_test.go
@@ -51,8 +51,8 @@
 }
 
 func (x *bench) probed(id ServerID, load map[ServerID]float64) []Action {
-	return x.on(Event{Kind: EventProbed, Server: id, Outcome: OK,
-		Load: Load{Known: true, InFlight: load[id], Queue: -1, Recent: 50 * ms, Rate: 10}})
+	return x.on(Event{Kind: EventProbeResult, Server: id, Outcome: OK,
+		Load: Load{Known: true, InFlight: load[id], Queue: -1, ServiceTime: 50 * ms, Rate: 10}})
 }
 
 func TestUnansweredProbesDoNotHold(t *testing.T) {
@@ -114,7 +114,7 @@
 	s := settings()
 	s.Probes, s.Reports, s.Tick = true, ReportsInline, 5*ms
 	x := start(t, s, fleet(4)...)
-	acts := x.on(Event{Kind: EventRequest, Request: 1, Class: pure, Left: 12 * ms})
+	acts := x.on(Event{Kind: EventRequest, Request: 1, Class: pure, TimeLeft: 12 * ms})
 	for ended := false; !ended; {
 		timer := one(t, acts, ActTimer)
 		if x.now += timer.Wait; x.now > time.Hour+12*ms {
@@ -142,7 +142,7 @@
 				share += 1.0 / requests
 			}
 			for _, s := range x.b.ring {
-				acts = append(acts, x.on(Event{Kind: EventProbed, Server: s.ID, Load: Load{Known: true, InFlight: 1}})...)
+				acts = append(acts, x.on(Event{Kind: EventProbeResult, Server: s.ID, Load: Load{Known: true, InFlight: 1}})...)
 			}
 			one(t, acts, ActSend)
 			x.ends(id, 0, OK)
@@ -163,7 +163,7 @@
 func TestOldReportForgetsSends(t *testing.T) {
 	x := start(t, settings(), fleet(1)...)
 	s := x.b.ring[0]
-	x.on(Event{Kind: EventProbed, Server: 1, Load: Load{Known: true, InFlight: 0}})
+	x.on(Event{Kind: EventProbeResult, Server: 1, Load: Load{Known: true, InFlight: 0}})
 	for id := RequestID(1); id <= 100; id++ {
 		x.ask(id, pure)
 		x.now += 100 * ms
--- a/policy/silence_test.go
+++ b/policy/silence_test.go
@@ -29,7 +29,7 @@
 		acts := x.ask(1, c.class)
 		first, timer := one(t, acts, ActSend).Server, one(t, acts, ActTimer)
 		if x.now += ms; c.report >= 0 {
-			x.on(Event{Kind: EventProbed, Server: first, Load: Load{Known: true, InFlight: c.report, Queue: -1, Recent: -1, Rate: -1}})
+			x.on(Event{Kind: EventProbeResult, Server: first, Load: Load{Known: true, InFlight: c.report, Queue: -1, ServiceTime: -1, Rate: -1}})
 		}
 		x.now += c.after
 		for look, want := range c.want {
@@ -76,7 +76,7 @@
 		var acts []Action
 		for range 2 {
 			x.now += 50 * ms // not the wait: a copy must still be in time
-			acts = x.on(Event{Kind: EventTimer, Token: check.Token, Late: away})
+			acts = x.on(Event{Kind: EventTimer, Token: check.Token, AgentDelay: away})
 		}
 		blamed, copies := 0.0, 0
 		for _, s := range x.b.ring {
--- a/policy/speed.go
+++ b/policy/speed.go
@@ -31,7 +31,7 @@
 	c.usual.Add(min(took, 4*c.usual.V), ewma.FleetGain*sure)
 	b.service.Add(took, ewma.FleetGain*sure)
 	b.learn(s, &k.Ratio, min(ratio, 4), sure)
-	if s.load.Recent <= 0 && s.load.Rate <= 0 { // else it says so itself; a queue of our own is no slowness
+	if s.load.ServiceTime <= 0 && s.load.Rate <= 0 { // else it says so itself; a queue of our own is no slowness
 		// Danger: where nothing tells how many it serves at once, our own in flight may be no queue at all: who is sent
 		// more would look faster and be sent more again, until it jams.
 		if ratio /= k.Ratio.V; b.set.Reports != ReportsOff {
@@ -82,18 +82,18 @@
 	if !l.Known {
 		return
 	}
-	if s.load, s.loadAt, s.since = l, b.now-late, 0; l.Recent > 0 {
+	if s.load, s.loadAt, s.since = l, b.now-late, 0; l.ServiceTime > 0 {
 		k := b.fleet.Kind(s.Kind) // one report of this is noise, their maximum is worse
-		b.learn(s, &k.Recent, l.Recent.Seconds(), 1)
-		b.fleet.Reported(l.Recent.Seconds())
-		b.slower(s, l.Recent.Seconds()/k.Recent.V, 2*ewma.Gain)
-		b.width.Report(l.Rate, l.Recent.Seconds(), l.InFlight)
+		b.learn(s, &k.Recent, l.ServiceTime.Seconds(), 1)
+		b.fleet.Reported(l.ServiceTime.Seconds())
+		b.slower(s, l.ServiceTime.Seconds()/k.Recent.V, 2*ewma.Gain)
+		b.width.Report(l.Rate, l.ServiceTime.Seconds(), l.InFlight)
 	}
-	if told := l.Errors + l.Rate; l.Errors >= 0 && l.Rate >= 0 && told > 0 {
+	if told := l.ErrorRate + l.Rate; l.ErrorRate >= 0 && l.Rate >= 0 && told > 0 {
 		// Danger: an agent meets most servers seldom, and each of many would have to be failed for itself.
 		for i := range b.classes {
 			c, h := &b.classes[i], &s.health[i]
-			if h.Fails = l.Errors / (told + 1); h.Failing() && b.doubt(c, s) == 1 {
+			if h.Fails = l.ErrorRate / (told + 1); h.Failing() && b.doubt(c, s) == 1 {
 				b.blame(c, s, 1, "errors that it reports")
 			}
 		}
--- a/policy/speed_test.go
+++ b/policy/speed_test.go
@@ -18,7 +18,7 @@
 			x.b.observe(&x.b.classes[pure], s, []float64{0.1, 0.2}[s.Kind], 1)
 		},
 		"reports": func(x *bench, s *server) {
-			x.b.report(s, Load{Known: true, InFlight: 1, Queue: -1, Recent: time.Duration(s.Kind+1) * 50 * ms, Rate: -1}, 0)
+			x.b.report(s, Load{Known: true, InFlight: 1, Queue: -1, ServiceTime: time.Duration(s.Kind+1) * 50 * ms, Rate: -1}, 0)
 		},
 	} {
 		x := start(t, settings(), list...)
@@ -49,7 +49,7 @@
 		x.b.now += 50 * ms
 		s := x.b.ring[i%4]
 		busy := float64(1 + 3*s.Kind)
-		x.b.report(s, Load{Known: true, InFlight: busy, Queue: -1, Recent: 50 * ms, Rate: 20 * busy}, 0)
+		x.b.report(s, Load{Known: true, InFlight: busy, Queue: -1, ServiceTime: 50 * ms, Rate: 20 * busy}, 0)
 	}
 	x.b.epoch++
 	x.draw()
@@ -135,7 +135,7 @@
 					took = 900 * ms
 				}
 				n := len(x.b.open[a.Request].attempts) - 1
-				dues = append(dues, due{x.now + took, Event{Kind: EventOutcome, Request: a.Request, Attempt: n, Server: a.Server, Outcome: OK, Closed: true, Load: Load{InFlight: -1, Queue: -1}}})
+				dues = append(dues, due{x.now + took, Event{Kind: EventOutcome, Request: a.Request, Attempt: n, Server: a.Server, Outcome: OK, Final: true, Load: Load{InFlight: -1, Queue: -1}}})
 			case ActTimer:
 				dues = append(dues, due{x.now + a.Wait, Event{Kind: EventTimer, Token: a.Token}})
 			}
@@ -218,7 +218,7 @@
 				late = own
 			}
 			x.now += 40*ms + late
-			x.on(Event{Kind: EventOutcome, Request: id, Outcome: OK, Closed: true, Late: late})
+			x.on(Event{Kind: EventOutcome, Request: id, Outcome: OK, Final: true, AgentDelay: late})
 		}
 		s, o := x.b.servers[1], x.b.servers[2]
 		if ratio := s.pace.Slow / o.pace.Slow; math.Abs(ratio-1) > 0.05 || s.room.Limit() != o.room.Limit() || x.b.pressure.Raw > 0 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -106,7 +106,7 @@
 	crowd    float64       // between crowdAlone and crowd
 	lost     float64       // share of requests not served within their aim
 	pressure limit.Pressure
-	mix      limit.Mix
+	mix      limit.TenantMix
 	worth    float64      // mean worth of the classes
 	budget   limit.Budget // of retries
 	asks     int          // failed calls for the list in a row
@@ -124,7 +124,7 @@
 	}
 	b := &Balancer{
 		set: s, rng: rand.New(rand.NewPCG(seed, 0)), epoch: 1, servers: map[ServerID]*server{},
-		open: map[RequestID]*request{}, mix: limit.NewMix(len(s.Tenants)),
+		open: map[RequestID]*request{}, mix: limit.NewTenantMix(len(s.Tenants)),
 	}
 	// What a server is sent by others between its report and a request is unknown, and grows with their number.
 	b.herd = 1 - 1/math.Sqrt(float64(s.Agents))
@@ -160,19 +160,19 @@
 		b.onRequest(&ev)
 	case EventOutcome:
 		b.onOutcome(&ev)
-	case EventHangup:
+	case EventClientGone:
 		if r := b.open[ev.Request]; r != nil {
 			b.end(r, false)
 		}
-	case EventArrived:
+	case EventBodyReceived:
 		b.onArrived(&ev)
 	case EventTimer:
 		b.onTimer(&ev)
-	case EventProbed:
+	case EventProbeResult:
 		b.onProbed(&ev)
-	case EventShared:
+	case EventPeerLoad:
 		if s := b.servers[ev.Server]; s != nil {
-			s.others, s.theirs = ev.Others, ev.Limit
+			s.others, s.theirs = ev.PeerInFlight, ev.PeerLimit
 		}
 	}
 	out, b.out = b.out, nil
--- a/policy/view.go
+++ b/policy/view.go
@@ -5,22 +5,22 @@
 // ServerView is what a Balancer makes of a server, for people to read. Nothing is decided by it.
 type ServerView struct {
 	ServerEntry
-	Speed     float64       // learnt, against other servers of this Balancer
-	Warmth    float64       // part of its capacity that it has by now, from 0 to 1
-	InFlight  int           // own attempts out
-	Silent    int           // of these, those that have been silent for longer than usual
-	Held      float64       // requests that it holds, as far as is known
-	Room      float64       // requests that it serves at once, as far as is known
-	ReportAge time.Duration // since its last report; negative if there is none
-	Full      time.Duration // that it is still passed by for want of room
-	Ejected   []Ejection    // by class, where it is ejected now
+	Speed            float64       // learnt, against other servers of this Balancer
+	WarmFraction     float64       // part of its capacity that it has by now, from 0 to 1
+	InFlight         int           // own attempts out
+	Overdue          int           // of these, those that have been silent for longer than usual
+	Outstanding      float64       // requests that it holds, as far as is known
+	ConcurrencyLimit float64       // requests that it serves at once, as far as is known
+	ReportAge        time.Duration // since its last report; negative if there is none
+	AvoidedFor       time.Duration // that it is still passed by for want of room
+	Ejected          []Ejection    // by class, where it is ejected now
 }
 
 // Ejection is one class that a server is ejected from.
 type Ejection struct {
-	Class int
-	For   time.Duration // still
-	Times int           // in a row
+	Class       int
+	Remaining   time.Duration // still
+	Consecutive int           // in a row
 }
 
 // View returns what the Balancer makes of each server at a time, in the order of its ring.
@@ -29,11 +29,11 @@
 	views := make([]ServerView, 0, len(b.ring))
 	for _, s := range b.ring {
 		v := ServerView{
-			ServerEntry: s.ServerEntry, Speed: b.speed(s), Warmth: b.warmth(s), InFlight: s.inFlight, Silent: s.silent,
-			Held: b.held(s), Room: b.width.Requests(), ReportAge: -1, Full: max(0, s.full-b.now),
+			ServerEntry: s.ServerEntry, Speed: b.speed(s), WarmFraction: b.warmth(s), InFlight: s.inFlight, Overdue: s.silent,
+			Outstanding: b.held(s), ConcurrencyLimit: b.width.Requests(), ReportAge: -1, AvoidedFor: max(0, s.full-b.now),
 		}
 		if b.set.Reports == ReportsOff {
-			v.Room = b.limit(s)
+			v.ConcurrencyLimit = b.limit(s)
 		}
 		if s.load.Known {
 			v.ReportAge = b.now - s.loadAt
@@ -50,7 +50,7 @@
 
 // Shares calls a function for each server with what there is to tell other agents of it: the attempts of ours that are
 // out, and the limit that we have learnt.
-func (b *Balancer) Shares(f func(e *ServerEntry, out int, limit float64)) {
+func (b *Balancer) EachServerLoad(f func(e *ServerEntry, out int, limit float64)) {
 	for _, s := range b.ring {
 		f(&s.ServerEntry, s.inFlight, s.room.Limit())
 	}
@@ -61,13 +61,13 @@
 
 var outcomeNames = [...]string{
 	OK: "ok", Error: "error", Full: "rejected", Timeout: "timeout", ConnectFailed: "connect failed", Reset: "reset",
-	Cancelled: "cancelled", Moot: "not sent",
+	Cancelled: "cancelled", NotSent: "not sent",
 }
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Budget is how many attempts beyond each request's first were made in the window of the retry budget, and how many it allows
 // in it.
-func (b *Balancer) Budget(now time.Duration) (spent int, allowed float64) {
+func (b *Balancer) RetryBudget(now time.Duration) (spent int, allowed float64) {
 	return b.budget.Spent(max(b.now, now), b.set.ExtraWindow, b.set.ExtraFloor, b.set.ExtraRatio)
 }
--- a/policy/view_test.go
+++ b/policy/view_test.go
@@ -27,7 +27,7 @@
 			{ID: 1, State: Ready, Weight: 1}, {ID: 2, State: Draining, Weight: 1}, {ID: 3, State: Ready, Weight: 1, Start: now},
 		}})
 		for id := range RequestID(30) {
-			for _, a := range do(Event{Kind: EventRequest, Request: id, Left: time.Second}) {
+			for _, a := range do(Event{Kind: EventRequest, Request: id, TimeLeft: time.Second}) {
 				if a.Kind == ActSend {
 					sent = append(sent, a.Server)
 				}
@@ -52,11 +52,11 @@
 		t.Fatalf("%d servers are shown", len(views))
 	}
 	for _, v := range views {
-		if v.InFlight != inFlight[v.ID] || v.ReportAge >= 0 || v.Held < float64(v.InFlight) {
+		if v.InFlight != inFlight[v.ID] || v.ReportAge >= 0 || v.Outstanding < float64(v.InFlight) {
 			t.Errorf("server %d: %+v, %d sent", v.ID, v, inFlight[v.ID])
 		}
-		if cold := v.ID == 3; cold != (v.Warmth < 1) {
-			t.Errorf("server %d: warmth %v", v.ID, v.Warmth)
+		if cold := v.ID == 3; cold != (v.WarmFraction < 1) {
+			t.Errorf("server %d: warmth %v", v.ID, v.WarmFraction)
 		}
 		if drains := v.ID == 2; drains != (v.State == Draining) {
 			t.Errorf("server %d: state %d", v.ID, v.State)
