--- a/internal/mesh/consensus/aside_test.go
+++ b/internal/mesh/consensus/aside_test.go
@@ -12,10 +12,10 @@
 // A leader whose machine is taken out of use asks to leave again and again, and runs on: it has neither
 // vote nor leadership meanwhile, also when a voter is lost, and takes a vote again afterwards.
 func TestNodeStandsAside(t *testing.T) {
-	dirs := fourDirs(t)
+	dirs := testNodeDirs(t)
 	synctest.Test(t, func(t *testing.T) {
-		net, nodes := startFour(t, dirs)
-		stop := func(name string) { stopOne(t, net, nodes, name) }
+		net, nodes := startTestNodes(t, dirs)
+		stop := func(name string) { stopTestNode(t, net, nodes, name) }
 		leader := func() string {
 			for name, n := range nodes {
 				if n.Status().Role == "leader" {
--- a/internal/mesh/consensus/backup.go
+++ b/internal/mesh/consensus/backup.go
@@ -79,9 +79,9 @@
 	if err != nil {
 		return nil, oops.Wrapf(err, "%s", path)
 	}
-	b := &Backup{Format: c.format, By: c.id.Address, Snapshot: c.state.Snapshot, Entries: c.state.Entries}
+	b := &Backup{Format: c.format, By: c.identity.Address, Snapshot: c.state.Snapshot, Entries: c.state.Entries}
 	if s := b.Snapshot; s != nil {
-		b.Entries = b.Entries[s.Index-c.state.Base:]
+		b.Entries = b.Entries[s.Index-c.state.BaseIndex:]
 	}
 	return b, b.check()
 }
@@ -110,14 +110,14 @@
 func (b *Backup) check() error {
 	s := State{Snapshot: b.Snapshot, Entries: b.Entries}
 	if b.Snapshot != nil {
-		s.Base, s.BaseTerm = b.Snapshot.Index, b.Snapshot.Term
+		s.BaseIndex, s.BaseTerm = b.Snapshot.Index, b.Snapshot.Term
 	}
 	at, members := b.end()
 	if at.Index == 0 || len(members.Voters) == 0 {
 		return oops.Errorf("it holds nothing: its node had not yet heard of any other")
 	}
 	s.Hard.Term = at.Term
-	return s.check()
+	return s.validate()
 }
 
 // Replay brings an empty table to where the backup ends.
@@ -157,5 +157,5 @@
 	members := Members{Voters: []Member{{self, id.Disk}}, Target: target, Mesh: mesh}
 	snapshot := &Snapshot{Index: at.Index, Term: at.Term, Members: members, MembersAt: at, Data: t.Snapshot()}
 	return mesh, diskError(dir, makeStore(dir, id, &Save{Hard: Hard{Term: at.Term}, Snapshot: snapshot,
-		Base: at.Index, BaseTerm: at.Term, First: at.Index + 1}))
+		BaseIndex: at.Index, BaseTerm: at.Term, FirstIndex: at.Index + 1}))
 }
--- a/internal/mesh/consensus/batch_test.go
+++ b/internal/mesh/consensus/batch_test.go
@@ -10,8 +10,8 @@
 
 // batchTable keeps what is applied, and how much of it each time that it is shown.
 type batchTable struct {
-	applied []uint64
-	shown   []int
+	applied   []uint64
+	published []int
 }
 
 func (t *batchTable) Apply(index uint64, _ []byte) []byte {
@@ -22,7 +22,7 @@
 func (t *batchTable) Batch(apply func(), show bool) {
 	apply()
 	if show {
-		t.shown = append(t.shown, len(t.applied))
+		t.published = append(t.published, len(t.applied))
 	}
 }
 
@@ -35,7 +35,7 @@
 	node := &Node{options: Options{Table: table}, machine: new(Machine), tableAt: 1}
 	require.NoError(t, node.bring(&Output{Apply: []Entry{{Index: 1, Origin: 1}, {Index: 2, Origin: 1}, {Index: 3}, {Index: 4, Origin: 1}}}))
 	require.Equal(t, []uint64{2, 4}, table.applied, "each once, and none that has no command")
-	require.Equal(t, []int{2}, table.shown)
+	require.Equal(t, []int{2}, table.published)
 	require.EqualValues(t, 4, node.tableAt)
 }
 
@@ -43,21 +43,21 @@
 // each backlog ends, and whenever somebody is told that something is done.
 func TestBacklogIsShownAtItsEnd(t *testing.T) {
 	table := &batchTable{}
-	node := &Node{options: Options{Table: table}, machine: &Machine{commit: 3}}
-	next := func(done ...Done) {
-		node.machine.applied++
-		require.NoError(t, node.bring(&Output{Apply: []Entry{{Index: node.machine.applied, Origin: 1}}, Behind: true, Done: done}))
-		node.machine.commit++ // never reached
+	node := &Node{options: Options{Table: table}, machine: &Machine{commitIndex: 3}}
+	next := func(done ...Completion) {
+		node.machine.appliedIndex++
+		require.NoError(t, node.bring(&Output{Apply: []Entry{{Index: node.machine.appliedIndex, Origin: 1}}, MoreToApply: true, Completions: done}))
+		node.machine.commitIndex++ // never reached
 	}
 	for range 3 {
 		next()
 	}
-	require.Equal(t, []int{3}, table.shown)
-	next(Done{ID: 1})
-	require.Equal(t, []int{3, 4}, table.shown, "who waits for it finds it")
+	require.Equal(t, []int{3}, table.published)
+	next(Completion{ID: 1})
+	require.Equal(t, []int{3, 4}, table.published, "who waits for it finds it")
 	next()
 	next()
-	require.Equal(t, []int{3, 4, 5}, table.shown, "5 were committed when the first backlog ended")
+	require.Equal(t, []int{3, 4, 5}, table.published, "5 were committed when the first backlog ended")
 }
 
 // TestBacklogHoldsUpNoHeartbeat has all nodes start with orders to carry out, for which two of them
--- a/internal/mesh/consensus/cutoff_test.go
+++ b/internal/mesh/consensus/cutoff_test.go
@@ -10,32 +10,32 @@
 )
 
 // cutFor is longer than the operators' worst days cut a core machine off.
-const cutFor = 25 * time.Second
+const cutDuration = 25 * time.Second
 
 // standBack bounds the time in which a leader that hears no majority goes on as one: what it heard
 // last counts for electionMax, and it looks at each heartbeat.
-const standBack = electionMax + 2*heartbeat
+const stepDownTimeout = maxElectionTimeout + 2*heartbeatInterval
 
 // cutoff is a way in which a core machine is away for others.
 type cutoff struct {
-	name   string
-	deaf   bool // hears nobody
-	mute   bool // nobody hears it
-	frozen bool
+	name          string
+	dropsIncoming bool // hears nobody
+	dropsOutgoing bool // nobody hears it
+	paused        bool
 }
 
 var cutoffs = []cutoff{{"both ways", true, true, false}, {"deaf", true, false, false}, {"mute", false, true, false}, {"frozen", false, false, true}}
 
 // begin puts a machine off.
-func (c cutoff) begin(w *world, h *host) {
-	if c.frozen {
-		h.frozen = w.now + cutFor
+func (c cutoff) apply(w *world, h *host) {
+	if c.paused {
+		h.frozen = w.now + cutDuration
 	}
 	for _, o := range w.hosts {
-		if c.deaf && o != h {
+		if c.dropsIncoming && o != h {
 			w.cut[[2]string{o.address, h.address}] = true
 		}
-		if c.mute && o != h {
+		if c.dropsOutgoing && o != h {
 			w.cut[[2]string{h.address, o.address}] = true
 		}
 	}
@@ -43,12 +43,12 @@
 
 // watch plays one cut of a machine, and returns what was answered during it: at the machine itself,
 // with success and with a word that the command never ran, and at the others.
-func watch(w *world, h *host, c cutoff) (confirmed, elsewhere int) {
+func playCutoff(w *world, h *host, c cutoff) (confirmed, elsewhere int) {
 	began, value := w.now, uint64(100)
 	acked := func(v uint64) bool { return w.fate[v] == "acked" }
-	c.begin(w, h)
+	c.apply(w, h)
 	var own, others []uint64
-	for w.now < began+cutFor-time.Second {
+	for w.now < began+cutDuration-time.Second {
 		value += 2
 		own, others = append(own, value), append(others, value+1)
 		before := w.reads
@@ -65,7 +65,7 @@
 			}
 		}
 		w.run(300 * time.Millisecond)
-		if !c.frozen && w.now-began > standBack && h.machine.role == leader {
+		if !c.paused && w.now-began > stepDownTimeout && h.machine.role == leader {
 			w.fail("%s still leads %v after it was cut off", h.address, w.now-began)
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 // explored plays a cut of one machine under a seed, with a planted bug or none.
-func explored(seed uint64, c cutoff, leads bool, bugs injectedBugs) (confirmed, elsewhere int, trouble any) {
+func runCutoffSeed(seed uint64, c cutoff, leads bool, bugs injectedBugs) (confirmed, elsewhere int, trouble any) {
 	defer func() { trouble = recover() }()
 	w := newWorld(seed, bugs)
 	for _, h := range w.hosts[:3] {
@@ -93,7 +93,7 @@
 	if !leads {
 		at = (at + 1 + w.rng.IntN(2)) % 3
 	}
-	confirmed, elsewhere = watch(w, w.hosts[at], c)
+	confirmed, elsewhere = playCutoff(w, w.hosts[at], c)
 	clear(w.cut)
 	w.run(2 * time.Second)
 	w.heal()
@@ -110,7 +110,7 @@
 			t.Run(fmt.Sprintf("%s, leads %v", c.name, leads), func(t *testing.T) {
 				t.Parallel()
 				for seed := range uint64(20) {
-					confirmed, elsewhere, trouble := explored(seed, c, leads, injectedBugs{})
+					confirmed, elsewhere, trouble := runCutoffSeed(seed, c, leads, injectedBugs{})
 					require.Nil(t, trouble, "seed %d", seed)
 					require.Zero(t, confirmed, "seed %d: it confirmed", seed)
 					require.Greater(t, elsewhere, 25, "seed %d: the others did not go on", seed)
@@ -124,7 +124,7 @@
 // for a majority's.
 func TestCutOffMachineIsCaught(t *testing.T) {
 	for name, p := range map[string]injectedBugs{"a read without its round": {localRead: true}, "an acknowledgement without a majority": {earlyAck: true}} {
-		confirmed, _, trouble := explored(1, cutoffs[0], true, p)
+		confirmed, _, trouble := runCutoffSeed(1, cutoffs[0], true, p)
 		require.True(t, confirmed > 0 || trouble != nil, "%s is not seen", name)
 	}
 }
--- a/internal/mesh/consensus/election.go
+++ b/internal/mesh/consensus/election.go
@@ -7,106 +7,108 @@
 )
 
 func (m *Machine) isVoter() bool {
-	_, ok := m.log.current().members.find(m.self, m.disk, m.founder)
+	_, ok := m.log.latestConfiguration().members.findVoter(m.self, m.diskID, m.founder)
 	return ok
 }
 
 // mayCampaign tells whether we are a member, by all we know.
-func (m *Machine) mayCampaign() bool { return m.isVoter() && !m.log.current().at.before(m.outside) }
+func (m *Machine) canCampaign() bool {
+	return m.isVoter() && !m.log.latestConfiguration().place.before(m.excludedAt)
+}
 
-func (m *Machine) resetElection() {
-	low, high := electionMin, electionMax
-	if m.led == (Hard{}) { // after all were down at once nobody leads before somebody asks; a leader would be heard by those asked
+func (m *Machine) resetElectionTimer() {
+	low, high := minElectionTimeout, maxElectionTimeout
+	if m.lastLeader == (Hard{}) { // after all were down at once nobody leads before somebody asks; a leader would be heard by those asked
 		// Danger: on a slow machine several ask at once, again and again, if they don't give one another more time.
-		low, high = min(low, firstMin<<m.tries), min(high, firstMax<<m.tries)
-		m.tries = min(m.tries+1, mostTries)
+		low, high = min(low, minFirstElectionTimeout<<m.timeoutDoublings), min(high, maxFirstElectionTimeout<<m.timeoutDoublings)
+		m.timeoutDoublings = min(m.timeoutDoublings+1, maxTimeoutDoublings)
 	}
-	m.electionAt = m.now + low + time.Duration(m.rng.Int64N(int64(high-low)))
+	m.electionDeadline = m.now + low + time.Duration(m.rng.Int64N(int64(high-low)))
 }
 
 // hearsLeader tells whether a leader was heard so lately that an election would only disturb.
-func (m *Machine) hearsLeader() bool {
-	return m.role == leader || m.leader.Address != "" && m.now-m.heard < electionMin
+func (m *Machine) hasActiveLeader() bool {
+	return m.role == leader || m.leader.Address != "" && m.now-m.lastLeaderContact < minElectionTimeout
 }
 
 // follow enters a term as a follower, or stays in it as one. Who leads may be unknown yet.
-func (m *Machine) follow(term uint64) {
-	if term < m.hard.Term {
-		panic(fmt.Sprintf("consensus: term goes from %d to %d", m.hard.Term, term))
+func (m *Machine) becomeFollower(term uint64) {
+	if term < m.hardState.Term {
+		panic(fmt.Sprintf("consensus: term goes from %d to %d", m.hardState.Term, term))
 	}
-	if term > m.hard.Term {
-		m.hard, m.hardDirty = Hard{Term: term}, true
-		m.leader, m.leaderTime = Member{}, 0
+	if term > m.hardState.Term {
+		m.hardState, m.hardStateDirty = Hard{Term: term}, true
+		m.leader, m.leaderTenure = Member{}, 0
 	}
 	if m.role == leader {
-		m.peers, m.reads, m.transferee = nil, nil, nil
+		m.peers, m.leaderReads, m.transferee = nil, nil, nil
 	}
 	if m.role != follower {
-		m.resetElection()
+		m.resetElectionTimer()
 	}
 	m.role, m.votes = follower, nil
 }
 
 // followLeader follows the leader that a message is from.
 func (m *Machine) followLeader(msg Message) {
-	m.follow(msg.Term)
-	m.hearLeader(msg.LeaderTime)
+	m.becomeFollower(msg.Term)
+	m.recordLeaderTenure(msg.LeaderTime)
 	if by := (Member{msg.From, msg.Disk}); m.leader != by {
-		m.ledBy(by)
+		m.setLeader(by)
 		m.resendPending(0)
 	}
 }
 
 // ledBy notes who leads. That there is one leader a term at most is what all else hangs on.
-func (m *Machine) ledBy(by Member) {
-	if m.led.Term == m.hard.Term && m.led.Vote != by {
-		panic(fmt.Sprintf("consensus: two leaders in term %d: %v and %v", m.hard.Term, m.led.Vote, by))
+func (m *Machine) setLeader(by Member) {
+	if m.lastLeader.Term == m.hardState.Term && m.lastLeader.Vote != by {
+		panic(fmt.Sprintf("consensus: two leaders in term %d: %v and %v", m.hardState.Term, m.lastLeader.Vote, by))
 	}
-	m.led = Hard{Term: m.hard.Term, Vote: by}
+	m.lastLeader = Hard{Term: m.hardState.Term, Vote: by}
 	m.leader = by
-	m.changes++
+	m.leaderChanges++
 }
 
 // campaign asks for votes. A preCandidate only asks whether it would get them, so that who is cut
 // off doesn't raise the terms of all when it comes back.
 func (m *Machine) campaign(as role) {
-	m.resetElection()
+	m.resetElectionTimer()
 	m.role, m.votes, m.leader = as, nil, Member{}
 	m.failReads(ErrNoLeader)
-	kind, reply, term := PreVote, PreVoteReply, m.hard.Term+1
+	kind, reply, term := PreVote, PreVoteReply, m.hardState.Term+1
 	if as == candidate {
 		kind, reply = Vote, VoteReply
-		m.hard, m.hardDirty = Hard{Term: term, Vote: Member{m.self, m.disk}}, true
-		m.leaderTime = 0
+		m.hardState, m.hardStateDirty = Hard{Term: term, Vote: Member{m.self, m.diskID}}, true
+		m.leaderTenure = 0
 	}
-	c := m.log.current()
-	for _, v := range c.members.all() {
-		msg := Message{Kind: kind, To: v.Address, Term: term, Index: m.log.last(), LogTerm: m.log.lastTerm(),
-			MembersAt: c.at}
+	c := m.log.latestConfiguration()
+	for _, v := range c.members.allVoters() {
+		msg := Message{Kind: kind, To: v.Address, Term: term, Index: m.log.lastIndex(), LogTerm: m.log.lastTerm(),
+			MembersAt: c.place}
 		switch {
 		case v.Address == m.self && !m.isSelf(v): // the disk that was here before ours
 		case m.isSelf(v):
-			m.promise(Message{Kind: reply, To: m.self, Term: term})
+			m.sendAfterSync(Message{Kind: reply, To: m.self, Term: term})
 		case as == candidate: // whoever asks for votes has voted for itself
-			m.promise(msg)
+			m.sendAfterSync(msg)
 		default:
 			m.send(msg)
 		}
 	}
-	if as == preCandidate && m.now-m.heard >= askAllAfter {
-		m.askAllToJoin()
+	if as == preCandidate && m.now-m.lastLeaderContact >= joinBroadcastDelay {
+		m.broadcastJoin()
 	}
 }
 
-func (m *Machine) onVote(msg Message) {
-	c := m.log.current()
-	if _, ok := c.members.find(msg.From, msg.Disk, msg.Founder); !ok && msg.MembersAt.before(c.at) {
-		m.hint(msg.From) // it was taken out; its term is of no interest
+func (m *Machine) handleVote(msg Message) {
+	c := m.log.latestConfiguration()
+	if _, ok := c.members.findVoter(msg.From, msg.Disk, msg.Founder); !ok && msg.MembersAt.before(c.place) {
+		m.sendHint(msg.From) // it was taken out; its term is of no interest
 		return
 	}
-	recent := msg.LogTerm > m.log.lastTerm() || msg.LogTerm == m.log.lastTerm() && msg.Index >= m.log.last()
+	recent := msg.LogTerm > m.log.lastTerm() || msg.LogTerm == m.log.lastTerm() && msg.Index >= m.log.lastIndex()
 	if msg.Kind == PreVote {
-		grant := msg.Term > m.hard.Term && recent && !m.hearsLeader()
+		grant := msg.Term > m.hardState.Term && recent && !m.hasActiveLeader()
 		reply := Message{Kind: PreVoteReply, To: msg.From, Reject: !grant}
 		if grant {
 			reply.Term = msg.Term
@@ -114,73 +116,73 @@
 		m.send(reply)
 		return
 	}
-	if msg.Term > m.hard.Term {
-		m.follow(msg.Term)
+	if msg.Term > m.hardState.Term {
+		m.becomeFollower(msg.Term)
 	}
 	by := Member{msg.From, msg.Disk}
-	if msg.Term < m.hard.Term || !recent || m.hard.Vote != (Member{}) && m.hard.Vote != by {
+	if msg.Term < m.hardState.Term || !recent || m.hardState.Vote != (Member{}) && m.hardState.Vote != by {
 		m.send(Message{Kind: VoteReply, To: msg.From, Reject: true})
 		return
 	}
-	if m.hard.Vote != by {
-		m.hard.Vote, m.hardDirty = by, true
+	if m.hardState.Vote != by {
+		m.hardState.Vote, m.hardStateDirty = by, true
 	}
 	m.role, m.votes = follower, nil
-	m.resetElection()
-	m.promise(Message{Kind: VoteReply, To: msg.From})
+	m.resetElectionTimer()
+	m.sendAfterSync(Message{Kind: VoteReply, To: msg.From})
 }
 
-func (m *Machine) onVoteReply(msg Message) {
+func (m *Machine) handleVoteReply(msg Message) {
 	if msg.Reject {
-		if msg.Term > m.hard.Term {
-			m.follow(msg.Term)
+		if msg.Term > m.hardState.Term {
+			m.becomeFollower(msg.Term)
 		}
 		return
 	}
 	pre := msg.Kind == PreVoteReply
-	if pre && (m.role != preCandidate || msg.Term != m.hard.Term+1) ||
-		!pre && (m.role != candidate || msg.Term != m.hard.Term) {
+	if pre && (m.role != preCandidate || msg.Term != m.hardState.Term+1) ||
+		!pre && (m.role != candidate || msg.Term != m.hardState.Term) {
 		return
 	}
-	members := m.log.current().members
-	v, ok := members.find(msg.From, msg.Disk, msg.Founder)
+	members := m.log.latestConfiguration().members
+	v, ok := members.findVoter(msg.From, msg.Disk, msg.Founder)
 	if !ok || slices.Contains(m.votes, v) {
 		return
 	}
 	m.votes = append(m.votes, v)
-	if !members.quorum(func(v Member) bool { return slices.Contains(m.votes, v) }) {
+	if !members.hasQuorum(func(v Member) bool { return slices.Contains(m.votes, v) }) {
 		return
 	}
 	if pre {
 		m.campaign(candidate)
 		return
 	}
-	m.lead()
+	m.becomeLeader()
 }
 
 // lead begins to lead. The entry that opens the term commits what is left of earlier terms, since
 // those are not committed by counting.
-func (m *Machine) lead() {
-	before, votes := m.led.Vote, m.votes
-	m.ledBy(Member{m.self, m.disk})
+func (m *Machine) becomeLeader() {
+	before, votes := m.lastLeader.Vote, m.votes
+	m.setLeader(Member{m.self, m.diskID})
 	m.role, m.votes = leader, nil
-	m.peers, m.reads, m.transferee = nil, nil, nil
-	m.setPeers()
-	m.countSilenceOf(before, votes)
-	m.opened = m.log.last() + 1
-	m.log.append(Entry{Index: m.opened, Term: m.hard.Term})
-	m.beatAt = m.now + heartbeat
-	m.commitAtBeat, m.commitBefore, m.ledSince = m.opened, m.opened, m.now
+	m.peers, m.leaderReads, m.transferee = nil, nil, nil
+	m.updatePeers()
+	m.backdatePreviousLeader(before, votes)
+	m.termStartIndex = m.log.lastIndex() + 1
+	m.log.append(Entry{Index: m.termStartIndex, Term: m.hardState.Term})
+	m.nextHeartbeat = m.now + heartbeatInterval
+	m.commitAtLastHeartbeat, m.commitAtPreviousHeartbeat, m.leaderSince = m.termStartIndex, m.termStartIndex, m.now
 	m.resendPending(0)
 }
 
 // countSilenceOf has the leader of before count as unheard since it was last heard, and not only
 // since the election that its loss led to.
-func (m *Machine) countSilenceOf(before Member, votes []Member) {
+func (m *Machine) backdatePreviousLeader(before Member, votes []Member) {
 	for _, p := range m.peers {
 		isBefore := p.member == before || p.member.Disk == 0 && p.member.Address == before.Address
 		if isBefore && !slices.Contains(votes, p.member) {
-			p.heard = m.heard
+			p.lastContact = m.lastLeaderContact
 		}
 	}
 }
@@ -189,10 +191,10 @@
 // Of a joint configuration, only an incoming voter can finish the change.
 func (m *Machine) transferTarget() *progress {
 	var to *progress
-	incoming := m.log.current().members.Voters
+	incoming := m.log.latestConfiguration().members.Voters
 	for _, p := range m.peers {
-		fits := !p.learner && m.now >= p.leavingUntil && m.now-p.heard < healthy && slices.Contains(incoming, p.member)
-		if fits && (to == nil || p.match > to.match) {
+		fits := !p.isLearner && m.now >= p.leavingUntil && m.now-p.lastContact < peerTimeout && slices.Contains(incoming, p.member)
+		if fits && (to == nil || p.matchIndex > to.matchIndex) {
 			to = p
 		}
 	}
@@ -209,13 +211,13 @@
 	if to == nil {
 		return false
 	}
-	m.transferee, m.transferUntil = to, m.now+electionMin
+	m.transferee, m.transferDeadline = to, m.now+minElectionTimeout
 	m.sendTimeoutNow()
 	return true
 }
 
 func (m *Machine) sendTimeoutNow() {
-	if m.transferee != nil && m.transferee.match == m.log.last() {
+	if m.transferee != nil && m.transferee.matchIndex == m.log.lastIndex() {
 		m.send(Message{Kind: TimeoutNow, To: m.transferee.member.Address})
 	}
 }
--- a/internal/mesh/consensus/growth_test.go
+++ b/internal/mesh/consensus/growth_test.go
@@ -12,7 +12,7 @@
 
 // mostGrowth is how many times a snapshot and the log behind it the file of a store may take. bbolt
 // gives pages back to itself, never to the disk, and its file grows by doubling.
-const mostGrowth = 8
+const maxFileGrowth = 8
 
 // A store's file stays within its bound over many snapshots that grow, with entries saved in
 // between.
@@ -25,7 +25,7 @@
 	index, base, held := uint64(1), uint64(0), 0
 	for size := 256 << 10; size < 1<<20; size += 32 << 10 {
 		for range 4 {
-			save := &Save{Hard: Hard{Term: 1}, Base: base, BaseTerm: 1, First: index + 1}
+			save := &Save{Hard: Hard{Term: 1}, BaseIndex: base, BaseTerm: 1, FirstIndex: index + 1}
 			for range 1 + r.IntN(8) {
 				index++
 				save.Entries = append(save.Entries, Entry{Index: index, Term: 1, Origin: 1, ID: index, Command: make([]byte, 200+r.IntN(1500))})
@@ -33,11 +33,11 @@
 			require.NoError(t, s.save(save))
 		}
 		base, held = index-min(index, 30), size+30*1700
-		require.NoError(t, s.save(&Save{Hard: Hard{Term: 1}, Base: base, BaseTerm: 1, First: index + 1,
+		require.NoError(t, s.save(&Save{Hard: Hard{Term: 1}, BaseIndex: base, BaseTerm: 1, FirstIndex: index + 1,
 			Snapshot: &Snapshot{Index: index, Term: 1, Data: bytes.Repeat([]byte{byte(size)}, size)}}))
 	}
 	info, err := os.Stat(filepath.Join(dir, storeName))
 	require.NoError(t, err)
 	t.Logf("snapshots up to %d bytes with the log: the file has %d, %.1f times that", held, info.Size(), float64(info.Size())/float64(held))
-	require.Less(t, info.Size(), int64(mostGrowth*held))
+	require.Less(t, info.Size(), int64(maxFileGrowth*held))
 }
--- a/internal/mesh/consensus/leave_test.go
+++ b/internal/mesh/consensus/leave_test.go
@@ -13,23 +13,23 @@
 )
 
 // fourNames are of three voters and a learner.
-var fourNames = []string{"a", "b", "c", "d"}
+var testNodeNames = []string{"a", "b", "c", "d"}
 
 // fourDirs are folders for startFour; they are made outside of a bubble of virtual time.
-func fourDirs(t *testing.T) map[string]string {
+func testNodeDirs(t *testing.T) map[string]string {
 	dirs := map[string]string{}
-	for _, name := range fourNames {
+	for _, name := range testNodeNames {
 		dirs[name] = t.TempDir()
 	}
 	return dirs
 }
 
 // startFour starts three voters and a learner that find one another.
-func startFour(t *testing.T, dirs map[string]string) (*network, map[string]*Node) {
+func startTestNodes(t *testing.T, dirs map[string]string) (*network, map[string]*Node) {
 	net := &network{nodes: map[string]*Node{}}
 	nodes := map[string]*Node{}
-	for _, name := range fourNames {
-		node, err := Start(Options{Self: name, Seeds: fourNames[:3], FirstStart: name != "d", Dir: dirs[name], Table: &lines{},
+	for _, name := range testNodeNames {
+		node, err := Start(Options{Self: name, Seeds: testNodeNames[:3], FirstStart: name != "d", Dir: dirs[name], Table: &lines{},
 			Send: net.send, Log: &log.Logger{Handler: discard.Default}})
 		require.NoError(t, err)
 		nodes[name] = node
@@ -38,7 +38,7 @@
 	return net, nodes
 }
 
-func stopOne(t *testing.T, net *network, nodes map[string]*Node, name string) {
+func stopTestNode(t *testing.T, net *network, nodes map[string]*Node, name string) {
 	net.set(name, nil)
 	require.NoError(t, nodes[name].Close())
 	delete(nodes, name)
@@ -47,10 +47,10 @@
 // A leader that is told to go gives its vote and its leadership away before it ends, and then one
 // more may be lost. Without anybody to take its vote a node ends soon all the same.
 func TestNodesLeave(t *testing.T) {
-	dirs := fourDirs(t)
+	dirs := testNodeDirs(t)
 	synctest.Test(t, func(t *testing.T) {
-		net, nodes := startFour(t, dirs)
-		stop := func(name string) { stopOne(t, net, nodes, name) }
+		net, nodes := startTestNodes(t, dirs)
+		stop := func(name string) { stopTestNode(t, net, nodes, name) }
 		leads := func() (leader string) {
 			for leader == "" {
 				time.Sleep(10 * time.Millisecond)
@@ -63,7 +63,7 @@
 			return leader
 		}
 		leave := func(name string, within time.Duration) {
-			ctx, cancel := context.WithTimeout(t.Context(), 2*leaveWithin)
+			ctx, cancel := context.WithTimeout(t.Context(), 2*leaveTimeout)
 			defer cancel()
 			began := time.Now()
 			nodes[name].Leave(ctx)
--- a/internal/mesh/consensus/losses_test.go
+++ b/internal/mesh/consensus/losses_test.go
@@ -290,7 +290,7 @@
 
 // awaitLeft ends a host once it may end.
 func (l *losses) awaitLeft(h *host) {
-	if h.machine != nil && !h.machine.Left() {
+	if h.machine != nil && !h.machine.HasLeft() {
 		l.w.after(time.Millisecond, func() { l.awaitLeft(h) })
 		return
 	}
@@ -314,7 +314,7 @@
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
-			waits, seeds := map[string][]time.Duration{}, uint64(*lossSeeds)
+			waits, seeds := map[string][]time.Duration{}, uint64(*lossSeedCount)
 			if testing.Short() {
 				seeds = 1
 			}
@@ -333,10 +333,10 @@
 // takeSingleSteps puts one step in place of a joint configuration that hasn't left the machine yet:
 // a voter is added before another is taken out, and a lost disk is taken out before its successor.
 func takeSingleSteps(m *Machine) {
-	if m.role != leader || m.log.last() <= m.handed || !m.log.current().members.joint() {
+	if m.role != leader || m.log.lastIndex() <= m.handedOffIndex || !m.log.latestConfiguration().members.isJoint() {
 		return
 	}
-	joint := m.log.current()
+	joint := m.log.latestConfiguration()
 	isIn := func(set []Member) func(Member) bool {
 		return func(v Member) bool { return slices.Contains(set, v) }
 	}
@@ -351,13 +351,13 @@
 	default:
 		next.Voters = append(next.Voters, added[0])
 	}
-	rest := m.log.between(joint.at.Index, m.log.last(), 1<<62)
-	m.log.cut(joint.at.Index)
-	m.log.append(Entry{Index: joint.at.Index, Term: joint.at.Term, Members: &next})
+	rest := m.log.entriesBetween(joint.place.Index, m.log.lastIndex(), 1<<62)
+	m.log.truncateFrom(joint.place.Index)
+	m.log.append(Entry{Index: joint.place.Index, Term: joint.place.Term, Members: &next})
 	for _, e := range rest {
 		m.log.append(e)
 	}
-	m.setPeers()
+	m.updatePeers()
 }
 
 // report tells the longest waits for an acknowledgement after each kind of loss.
--- a/internal/mesh/consensus/machine.go
+++ b/internal/mesh/consensus/machine.go
@@ -43,37 +43,37 @@
 )
 
 const (
-	heartbeat   = 250 * time.Millisecond
-	electionMin = 900 * time.Millisecond
-	electionMax = 1500 * time.Millisecond
-	firstMin    = 60 * time.Millisecond // until a leader has been heard of in this life
-	firstMax    = 350 * time.Millisecond
-	mostTries   = 4                      // by then they are as long as all others
-	healthy     = time.Second            // a peer that was heard in this time is there
-	joinFirst   = 125 * time.Millisecond // before a Join is repeated, while nobody replicates to us;
-	joinEvery   = time.Second            // twice as long each time, up to this
-	resendAfter = 500 * time.Millisecond
-	chunkWait   = time.Second // for a chunk of a snapshot to be acknowledged, before it is sent again
+	heartbeatInterval       = 250 * time.Millisecond
+	minElectionTimeout      = 900 * time.Millisecond
+	maxElectionTimeout      = 1500 * time.Millisecond
+	minFirstElectionTimeout = 60 * time.Millisecond // until a leader has been heard of in this life
+	maxFirstElectionTimeout = 350 * time.Millisecond
+	maxTimeoutDoublings     = 4                      // by then they are as long as all others
+	peerTimeout             = time.Second            // a peer that was heard in this time is there
+	minJoinBackoff          = 125 * time.Millisecond // before a Join is repeated, while nobody replicates to us;
+	maxJoinBackoff          = time.Second            // twice as long each time, up to this
+	resendTimeout           = 500 * time.Millisecond
+	chunkAckTimeout         = time.Second // for a chunk of a snapshot to be acknowledged, before it is sent again
 	// A sync that takes longer is no contact with the leader any more: see answersEarly.
-	stalledAfter = 4 * time.Second
-
-	mostPending   = 512       // proposals and reads of one node
-	mostReads     = 1024      // that a leader keeps, of all nodes
-	mostLearners  = 64        //
-	mostKnown     = 64        // addresses that a learner asks
-	mostOrigins   = 64        // lives of processes whose proposals a leader tells apart
-	mostMessage   = 64 << 10  // bytes of entries in one message, so that heartbeats don't wait long behind it
-	mostInFlight  = 512 << 10 // bytes of entries that a follower hasn't acknowledged
-	mostChunk     = 32 << 10  // bytes of a snapshot in one message
-	mostSnapshot  = 64 << 20  // bytes of a snapshot
-	mostOpen      = 8 << 20   // bytes of entries that aren't committed
-	mostApplied   = 8         // entries that are applied at a time: see Output.Behind
-	compactAfter  = 512       // entries,
-	compactBytes  = 4 << 20   // or so many bytes
-	unheardFactor = 4         // learners are dropped after this many times Replace
-
-	defaultReplace = 2 * time.Second // half of the time that a repaired machine has to catch up
-	askAllAfter    = 2 * electionMax // without a leader, a voter asks everybody who leads
+	syncStallTimeout = 4 * time.Second
+
+	maxPendingRequests    = 512       // proposals and reads of one node
+	maxLeaderReads        = 1024      // that a leader keeps, of all nodes
+	maxLearners           = 64        //
+	maxKnownAddresses     = 64        // addresses that a learner asks
+	maxProposalWindows    = 64        // lives of processes whose proposals a leader tells apart
+	maxMessageBytes       = 64 << 10  // bytes of entries in one message, so that heartbeats don't wait long behind it
+	maxInFlightBytes      = 512 << 10 // bytes of entries that a follower hasn't acknowledged
+	maxChunkBytes         = 32 << 10  // bytes of a snapshot in one message
+	maxSnapshotBytes      = 64 << 20  // bytes of a snapshot
+	maxUncommittedBytes   = 8 << 20   // bytes of entries that aren't committed
+	maxApplyBatch         = 8         // entries that are applied at a time: see Output.Behind
+	defaultCompactEntries = 512       // entries,
+	compactBytes          = 4 << 20   // or so many bytes
+	learnerTimeoutFactor  = 4         // learners are dropped after this many times Replace
+
+	defaultReplaceAfter = 2 * time.Second        // half of the time that a repaired machine has to catch up
+	joinBroadcastDelay  = 2 * maxElectionTimeout // without a leader, a voter asks everybody who leads
 )
 
 type role uint8
@@ -93,38 +93,38 @@
 
 // State is what a disk holds.
 type State struct {
-	Disk           uint64
-	Founder        bool // made at the first start of all
-	Hard           Hard
-	Base, BaseTerm uint64
-	Entries        []Entry // after the base
-	Snapshot       *Snapshot
+	Disk                uint64
+	Founder             bool // made at the first start of all
+	Hard                Hard
+	BaseIndex, BaseTerm uint64
+	Entries             []Entry // after the base
+	Snapshot            *Snapshot
 }
 
 // Config is what a Machine is made of.
 type Config struct {
-	Self    string
-	Seeds   []string
-	Life    uint64 // a number that no other process has had
-	Replace time.Duration
-	Voters  int    // how many there are to be; fewer than there are seeds: as many as those
-	Zone    string // in which this node stands; empty: unknown
-	Rand    *rand.Rand
-	State   State
-	TableAt uint64 // what the table holds already: more than the disk, after that had failed
+	Self         string
+	Seeds        []string
+	Incarnation  uint64 // a number that no other process has had
+	ReplaceAfter time.Duration
+	TargetVoters int    // how many there are to be; fewer than there are seeds: as many as those
+	Zone         string // in which this node stands; empty: unknown
+	Rand         *rand.Rand
+	State        State
+	TableIndex   uint64 // what the table holds already: more than the disk, after that had failed
 }
 
 // Save is to be written in one transaction, and synced.
 type Save struct {
-	Hard           Hard
-	Snapshot       *Snapshot // nil: as before
-	Base, BaseTerm uint64    // entries up to Base go
-	First          uint64    // entries from here on go, in favour of
-	Entries        []Entry
+	Hard                Hard
+	Snapshot            *Snapshot // nil: as before
+	BaseIndex, BaseTerm uint64    // entries up to Base go
+	FirstIndex          uint64    // entries from here on go, in favour of
+	Entries             []Entry
 }
 
 // Done is the end of a proposal or a read.
-type Done struct {
+type Completion struct {
 	ID    uint64
 	Index uint64 // where the proposal was applied
 	Err   error
@@ -138,110 +138,110 @@
 // send and answer heartbeats in between: a leader that applied them all first would lose its
 // followers, and the next one would begin the same again.
 type Output struct {
-	Send    []Message
-	Restore *Snapshot
-	Apply   []Entry
-	Behind  bool // more is committed than Apply reaches
-	Done    []Done
-	Compact bool // call Compact with the table's snapshot, as of Apply's last entry
-	Save    *Save
+	Messages    []Message
+	Restore     *Snapshot
+	Apply       []Entry
+	MoreToApply bool // more is committed than Apply reaches
+	Completions []Completion
+	Compact     bool // call Compact with the table's snapshot, as of Apply's last entry
+	Save        *Save
 }
 
 // Empty tells that there is nothing to do.
 func (o *Output) Empty() bool {
-	return len(o.Send) == 0 && o.Restore == nil && len(o.Apply) == 0 && len(o.Done) == 0 && !o.Compact && o.Save == nil
+	return len(o.Messages) == 0 && o.Restore == nil && len(o.Apply) == 0 && len(o.Completions) == 0 && !o.Compact && o.Save == nil
 }
 
 // Machine is one node's part in the agreement. It is not safe for concurrent use.
 type Machine struct {
-	self    string
-	seeds   []string
-	life    uint64
-	replace time.Duration
-	rng     *rand.Rand
-	disk    uint64
-	founder bool
-
-	now      time.Duration
-	hard     Hard
-	log      entryLog
-	snapshot *Snapshot
-	commit   uint64
-	applied  uint64
-	tableAt  uint64 // the table holds this at least, so no snapshot is taken before it
-	compact  uint64 // entries after which a snapshot is taken; half of them are kept behind it
-
-	role       role
-	leader     Member        // of this term, if it is known; Address empty if not
-	leaderTime time.Duration // how long it had led when it was heard last; 0 if it was not
-	led        Hard          // who was last known to lead, and in which term
-	heard      time.Duration // when a leader was last heard
-	electionAt time.Duration
-	tries      int // elections waited for before any leader was heard of
-	votes      []Member
-	began      uint64 // the term that this life began in
-	changes    uint64 // of the leader
-	foreign    uint64 // messages of another mesh
-	met        uint64 // the mesh that was heard last, while we belong to none
+	self         string
+	seeds        []string
+	incarnation  uint64
+	replaceAfter time.Duration
+	rng          *rand.Rand
+	diskID       uint64
+	founder      bool
+
+	now            time.Duration
+	hardState      Hard
+	log            entryLog
+	snapshot       *Snapshot
+	commitIndex    uint64
+	appliedIndex   uint64
+	tableIndex     uint64 // the table holds this at least, so no snapshot is taken before it
+	compactEntries uint64 // entries after which a snapshot is taken; half of them are kept behind it
+
+	role              role
+	leader            Member        // of this term, if it is known; Address empty if not
+	leaderTenure      time.Duration // how long it had led when it was heard last; 0 if it was not
+	lastLeader        Hard          // who was last known to lead, and in which term
+	lastLeaderContact time.Duration // when a leader was last heard
+	electionDeadline  time.Duration
+	timeoutDoublings  int // elections waited for before any leader was heard of
+	votes             []Member
+	initialTerm       uint64 // the term that this life began in
+	leaderChanges     uint64 // of the leader
+	foreignMessages   uint64 // messages of another mesh
+	provisionalMesh   uint64 // the mesh that was heard last, while we belong to none
 
 	// What the disk has. A promise waits in held until a Save that covers it is under way, then in
 	// waiting until it is synced.
-	hardDirty, baseDirty    bool
-	saving                  bool
-	savingSince             time.Duration
-	savingTerm, syncedTerm  uint64 // the term in the Save under way, and on disk
-	handed, savedTo, synced uint64 // entries up to here were handed out, are in the Save under way, are on disk
-	out, held, waiting      []Message
+	hardStateDirty, snapshotDirty            bool
+	saveInProgress                           bool
+	saveStartedAt                            time.Duration
+	savingTerm, syncedTerm                   uint64 // the term in the Save under way, and on disk
+	handedOffIndex, savingIndex, syncedIndex uint64 // entries up to here were handed out, are in the Save under way, are on disk
+	outbox, awaitingSave, awaitingSync       []Message
 
 	// As a leader.
-	peers                      []*progress
-	opened                     uint64 // the index of the entry that opened the term
-	round                      uint64 // of heartbeats
-	reads                      []read
-	beatAt, ledSince           time.Duration
-	commitAtBeat, commitBefore uint64    // at the last beat, and at the one before
-	transferee                 *progress // who leadership is handed to
-	transferUntil              time.Duration
-	seen                       []origin
+	peers                                            []*progress
+	termStartIndex                                   uint64 // the index of the entry that opened the term
+	heartbeatRound                                   uint64 // of heartbeats
+	leaderReads                                      []leaderRead
+	nextHeartbeat, leaderSince                       time.Duration
+	commitAtLastHeartbeat, commitAtPreviousHeartbeat uint64    // at the last beat, and at the one before
+	transferee                                       *progress // who leadership is handed to
+	transferDeadline                                 time.Duration
+	proposalWindows                                  []proposalWindow
 
 	// As a learner.
-	outside  Place // members newer than those in the log don't hold us
-	known    []string
-	joinAt   time.Duration
-	joinWait time.Duration // until the next Join
-	joinedAt time.Duration // when the leader was last asked
-	adopted  time.Duration // when a leader last replicated to this very disk
-
-	departure departure
-	incoming  *incoming         // the snapshot that is being received
-	voters    int               // that there are to be
-	zone      string            // of this node,
-	zones     map[string]string // and of others, by address
-	chunk     int               // bytes of one that are sent at a time
-
-	pending      []pending // proposals, in order
-	pendingReads []pendingRead
-	done         []Done
-	restore      *Snapshot
+	excludedAt       Place // members newer than those in the log don't hold us
+	knownAddresses   []string
+	nextJoin         time.Duration
+	joinBackoff      time.Duration // until the next Join
+	lastJoinSent     time.Duration // when the leader was last asked
+	lastReplicatedTo time.Duration // when a leader last replicated to this very disk
+
+	departure        departure
+	incomingSnapshot *incomingSnapshot // the snapshot that is being received
+	targetVoters     int               // that there are to be
+	zone             string            // of this node,
+	zones            map[string]string // and of others, by address
+	chunkBytes       int               // bytes of one that are sent at a time
+
+	pendingProposals  []pendingProposal // proposals, in order
+	pendingReads      []pendingRead
+	completions       []Completion
+	snapshotToRestore *Snapshot
 }
 
 // New makes a machine of what a disk holds. A first member finds the first members in its log: see
 // Found.
 func New(c Config) *Machine {
-	m := &Machine{self: c.Self, seeds: c.Seeds, life: c.Life, replace: c.Replace, rng: c.Rand, disk: c.State.Disk,
-		founder: c.State.Founder, hard: c.State.Hard, began: c.State.Hard.Term, snapshot: c.State.Snapshot, tableAt: c.TableAt,
-		voters: c.Voters, zone: c.Zone, zones: map[string]string{}, compact: compactAfter, chunk: mostChunk, syncedTerm: c.State.Hard.Term}
-	if m.replace == 0 {
-		m.replace = defaultReplace
+	m := &Machine{self: c.Self, seeds: c.Seeds, incarnation: c.Incarnation, replaceAfter: c.ReplaceAfter, rng: c.Rand, diskID: c.State.Disk,
+		founder: c.State.Founder, hardState: c.State.Hard, initialTerm: c.State.Hard.Term, snapshot: c.State.Snapshot, tableIndex: c.TableIndex,
+		targetVoters: c.TargetVoters, zone: c.Zone, zones: map[string]string{}, compactEntries: defaultCompactEntries, chunkBytes: maxChunkBytes, syncedTerm: c.State.Hard.Term}
+	if m.replaceAfter == 0 {
+		m.replaceAfter = defaultReplaceAfter
 	}
-	m.replace = max(m.replace, healthy)
-	m.log.base, m.log.baseTerm = c.State.Base, c.State.BaseTerm
+	m.replaceAfter = max(m.replaceAfter, peerTimeout)
+	m.log.baseIndex, m.log.baseTerm = c.State.BaseIndex, c.State.BaseTerm
 	if s := m.snapshot; s != nil {
-		m.commit, m.applied = s.Index, s.Index
-		m.log.members = []decided{{s.MembersAt, s.Members}}
+		m.commitIndex, m.appliedIndex = s.Index, s.Index
+		m.log.configurations = []configuration{{s.MembersAt, s.Members}}
 	}
 	for _, e := range c.State.Entries {
-		if e.Members != nil && m.log.current().at.Index >= e.Index { // the snapshot knows it already
+		if e.Members != nil && m.log.latestConfiguration().place.Index >= e.Index { // the snapshot knows it already
 			members := e.Members
 			e.Members = nil
 			m.log.append(e)
@@ -250,44 +250,44 @@
 		}
 		m.log.append(e)
 	}
-	if m.log.last() < m.commit {
-		panic(fmt.Sprintf("consensus: the log ends at %d, before the snapshot at %d", m.log.last(), m.commit))
+	if m.log.lastIndex() < m.commitIndex {
+		panic(fmt.Sprintf("consensus: the log ends at %d, before the snapshot at %d", m.log.lastIndex(), m.commitIndex))
 	}
-	m.handed, m.savedTo, m.synced = m.log.last(), m.log.last(), m.log.last()
+	m.handedOffIndex, m.savingIndex, m.syncedIndex = m.log.lastIndex(), m.log.lastIndex(), m.log.lastIndex()
 	m.learnAddresses(c.Seeds)
-	m.resetElection()
+	m.resetElectionTimer()
 	return m
 }
 
 // Found is the log of a first member: the seeds, by addresses alone, since nobody knows any disk
 // yet.
-func Found(seeds []string) []Entry {
+func BootstrapEntries(seeds []string) []Entry {
 	members := &Members{Target: len(seeds)}
-	for _, s := range sorted(seeds) {
+	for _, s := range sortedUnique(seeds) {
 		members.Voters = append(members.Voters, Member{Address: s})
 	}
 	return []Entry{{Index: 1, Term: 1, Members: members}}
 }
 
 // Clock tells the time, which never goes back.
-func (m *Machine) Clock(now time.Duration) { m.now = max(m.now, now) }
+func (m *Machine) SetClock(now time.Duration) { m.now = max(m.now, now) }
 
 // Advance tells the time and does what is due.
 func (m *Machine) Advance(now time.Duration) {
-	m.Clock(now)
+	m.SetClock(now)
 	m.advanceDeparture()
 	switch {
 	case m.role == leader:
-		if m.now >= m.beatAt {
-			m.beat()
+		if m.now >= m.nextHeartbeat {
+			m.startHeartbeatRound()
 		}
-	case m.mayCampaign():
-		if m.now >= m.electionAt {
+	case m.canCampaign():
+		if m.now >= m.electionDeadline {
 			m.campaign(preCandidate)
 		}
 	default:
-		if m.now >= m.joinAt {
-			m.join()
+		if m.now >= m.nextJoin {
+			m.requestJoin()
 		}
 	}
 }
@@ -295,187 +295,189 @@
 // Deadline is when Advance is next due.
 func (m *Machine) Deadline() time.Duration {
 	if m.isDeparting() {
-		return min(m.timerDue(), m.departure.repeatAt, m.departure.until)
+		return min(m.timerDeadline(), m.departure.nextRequest, m.departure.deadline)
 	}
-	return m.timerDue()
+	return m.timerDeadline()
 }
 
-func (m *Machine) timerDue() time.Duration {
+func (m *Machine) timerDeadline() time.Duration {
 	switch {
 	case m.role == leader:
-		return m.beatAt
-	case m.mayCampaign():
-		return m.electionAt
+		return m.nextHeartbeat
+	case m.canCampaign():
+		return m.electionDeadline
 	}
-	return m.joinAt
+	return m.nextJoin
 }
 
 // Step takes a message.
-func (m *Machine) Step(msg Message) {
+func (m *Machine) HandleMessage(msg Message) {
 	if msg.To != m.self || msg.From == "" {
 		return
 	}
 	switch mine := m.log.mesh(); {
 	case msg.Mesh == 0:
-	case mine == 0 && msg.Mesh != m.met:
-		m.meet(msg.Mesh)
+	case mine == 0 && msg.Mesh != m.provisionalMesh:
+		m.switchMesh(msg.Mesh)
 	case mine != 0 && msg.Mesh != mine:
-		m.foreign++ // indexes and terms of another mesh mean nothing here
+		m.foreignMessages++ // indexes and terms of another mesh mean nothing here
 		return
 	}
-	m.learnZone(msg)
+	m.recordZone(msg)
 	switch msg.Kind {
 	case PreVote, Vote:
-		m.onVote(msg)
+		m.handleVote(msg)
 	case PreVoteReply, VoteReply:
-		m.onVoteReply(msg)
-	case Append:
-		m.onAppend(msg)
-	case AppendReply:
-		m.onAppendReply(msg)
-	case Install:
-		m.onInstall(msg)
-	case InstallReply:
-		m.onInstallReply(msg)
+		m.handleVoteReply(msg)
+	case AppendEntries:
+		m.handleAppend(msg)
+	case AppendEntriesReply:
+		m.handleAppendReply(msg)
+	case InstallSnapshot:
+		m.handleInstallSnapshot(msg)
+	case InstallSnapshotReply:
+		m.handleInstallSnapshotReply(msg)
 	case TimeoutNow:
-		if msg.Term == m.hard.Term && m.role == follower && m.mayCampaign() {
+		if msg.Term == m.hardState.Term && m.role == follower && m.canCampaign() {
 			m.campaign(candidate)
 		}
 	case Join:
-		m.onJoin(msg)
+		m.handleJoin(msg)
 	case Hint:
-		m.onHint(msg)
+		m.handleHint(msg)
 	case Forward:
-		m.onForward(msg)
-	case Refuse:
-		m.onRefuse(msg)
-	case ReadAsk:
-		m.onReadAsk(msg)
-	case ReadReply:
-		m.onReadReply(msg)
+		m.handleForward(msg)
+	case ForwardReject:
+		m.handleForwardReject(msg)
+	case ReadIndex:
+		m.handleReadIndex(msg)
+	case ReadIndexReply:
+		m.handleReadIndexReply(msg)
 	case Leave:
-		m.onLeave(msg)
+		m.handleLeave(msg)
 	case LeaveReply:
-		m.onLeaveReply(msg)
+		m.handleLeaveReply(msg)
 	}
 	m.advanceDeparture()
 }
 
 // meet turns to another mesh. Who knows no members has an empty log, and no vote that counts: it
 // belongs to none, and hears whichever speaks. Who led the other one leads nobody here.
-func (m *Machine) meet(mesh uint64) {
-	m.met, m.led, m.leader = mesh, Hard{}, Member{}
-	for _, p := range m.pending {
-		m.done = append(m.done, Done{ID: p.id, Err: ErrUnknown})
+func (m *Machine) switchMesh(mesh uint64) {
+	m.provisionalMesh, m.lastLeader, m.leader = mesh, Hard{}, Member{}
+	for _, p := range m.pendingProposals {
+		m.completions = append(m.completions, Completion{ID: p.id, Err: ErrUnknown})
 	}
-	m.pending = nil
+	m.pendingProposals = nil
 	m.failReads(ErrNoLeader)
 }
 
 // Take says what is to be done. It is to be called again until there is nothing.
-func (m *Machine) Take() Output {
+func (m *Machine) NextOutput() Output {
 	if m.role == leader {
 		m.replicate()
 	}
 	var o Output
-	if !m.saving {
-		if m.hardDirty || m.baseDirty || m.handed < m.log.last() {
-			o.Save = m.save()
-			m.waiting, m.held = m.held, nil
-			m.saving, m.savingSince, m.savingTerm = true, m.now, m.hard.Term
-		} else if len(m.held) > 0 {
-			held := m.held
-			m.held = nil
-			m.release(held)
+	if !m.saveInProgress {
+		if m.hardStateDirty || m.snapshotDirty || m.handedOffIndex < m.log.lastIndex() {
+			o.Save = m.buildSave()
+			m.awaitingSync, m.awaitingSave = m.awaitingSave, nil
+			m.saveInProgress, m.saveStartedAt, m.savingTerm = true, m.now, m.hardState.Term
+		} else if len(m.awaitingSave) > 0 {
+			held := m.awaitingSave
+			m.awaitingSave = nil
+			m.releaseMessages(held)
 		}
 	}
-	o.Send, m.out = m.out, nil
-	o.Restore, m.restore = m.restore, nil
-	if m.applied < m.commit {
-		to := min(m.commit, m.applied+mostApplied)
-		o.Apply = m.log.between(m.applied, to, mostMessage)
+	o.Messages, m.outbox = m.outbox, nil
+	o.Restore, m.snapshotToRestore = m.snapshotToRestore, nil
+	if m.appliedIndex < m.commitIndex {
+		to := min(m.commitIndex, m.appliedIndex+maxApplyBatch)
+		o.Apply = m.log.entriesBetween(m.appliedIndex, to, maxMessageBytes)
 		for _, e := range o.Apply {
-			m.onApplied(e)
+			m.completeProposals(e)
 		}
-		m.applied += uint64(len(o.Apply))
-		o.Behind = m.applied < m.commit
+		m.appliedIndex += uint64(len(o.Apply))
+		o.MoreToApply = m.appliedIndex < m.commitIndex
 	}
-	m.finishReads()
-	o.Done, m.done = m.done, nil
-	o.Compact = m.compactDue()
+	m.completeReads()
+	o.Completions, m.completions = m.completions, nil
+	o.Compact = m.isCompactionDue()
 	return o
 }
 
 // Saved tells that the Save under way is synced.
-func (m *Machine) Saved() {
-	m.saving = false
-	m.synced, m.syncedTerm = max(m.synced, m.savedTo), m.savingTerm
-	waiting := m.waiting
-	m.waiting = nil
-	m.release(waiting)
+func (m *Machine) SaveCompleted() {
+	m.saveInProgress = false
+	m.syncedIndex, m.syncedTerm = max(m.syncedIndex, m.savingIndex), m.savingTerm
+	waiting := m.awaitingSync
+	m.awaitingSync = nil
+	m.releaseMessages(waiting)
 	if m.role == leader {
 		m.advanceCommit()
 	}
 }
 
 // release lets promises go that are kept. What a machine promises itself comes back to it.
-func (m *Machine) release(messages []Message) {
+func (m *Machine) releaseMessages(messages []Message) {
 	for _, msg := range messages {
 		if msg.To == m.self {
-			m.Step(msg)
+			m.HandleMessage(msg)
 		} else {
-			m.out = append(m.out, msg)
+			m.outbox = append(m.outbox, msg)
 		}
 	}
 }
 
-func (m *Machine) save() *Save {
-	s := &Save{Hard: m.hard, Base: m.log.base, BaseTerm: m.log.baseTerm, First: m.handed + 1,
-		Entries: m.log.between(m.handed, m.log.last(), math.MaxUint64)}
-	if m.baseDirty {
+func (m *Machine) buildSave() *Save {
+	s := &Save{Hard: m.hardState, BaseIndex: m.log.baseIndex, BaseTerm: m.log.baseTerm, FirstIndex: m.handedOffIndex + 1,
+		Entries: m.log.entriesBetween(m.handedOffIndex, m.log.lastIndex(), math.MaxUint64)}
+	if m.snapshotDirty {
 		s.Snapshot = m.snapshot
 	}
-	m.hardDirty, m.baseDirty = false, false
-	m.handed, m.savedTo = m.log.last(), m.log.last()
+	m.hardStateDirty, m.snapshotDirty = false, false
+	m.handedOffIndex, m.savingIndex = m.log.lastIndex(), m.log.lastIndex()
 	return s
 }
 
 // cut drops entries in favour of a leader's.
-func (m *Machine) cut(from uint64) {
-	if from <= m.commit {
-		panic(fmt.Sprintf("consensus: a committed entry overwritten, at %d of %d", from, m.commit))
+func (m *Machine) truncateFrom(from uint64) {
+	if from <= m.commitIndex {
+		panic(fmt.Sprintf("consensus: a committed entry overwritten, at %d of %d", from, m.commitIndex))
 	}
-	m.log.cut(from)
-	m.handed, m.savedTo, m.synced = min(m.handed, from-1), min(m.savedTo, from-1), min(m.synced, from-1)
+	m.log.truncateFrom(from)
+	m.handedOffIndex, m.savingIndex, m.syncedIndex = min(m.handedOffIndex, from-1), min(m.savingIndex, from-1), min(m.syncedIndex, from-1)
 }
 
 func (m *Machine) commitTo(index uint64) {
-	if index < m.commit || index > m.log.last() {
-		panic(fmt.Sprintf("consensus: commit goes from %d to %d, and the log ends at %d", m.commit, index, m.log.last()))
+	if index < m.commitIndex || index > m.log.lastIndex() {
+		panic(fmt.Sprintf("consensus: commit goes from %d to %d, and the log ends at %d", m.commitIndex, index, m.log.lastIndex()))
 	}
-	m.commit = index
-	if in := m.incoming; in != nil && in.transferID.at.Index <= index {
-		m.incoming = nil
+	m.commitIndex = index
+	if in := m.incomingSnapshot; in != nil && in.transferID.place.Index <= index {
+		m.incomingSnapshot = nil
 	}
 }
 
 // send fills in who we are. A message that promises something goes through promise instead.
-func (m *Machine) send(msg Message) { m.out = append(m.out, m.signed(msg)) }
+func (m *Machine) send(msg Message) { m.outbox = append(m.outbox, m.withSender(msg)) }
 
-func (m *Machine) promise(msg Message) { m.held = append(m.held, m.signed(msg)) }
+func (m *Machine) sendAfterSync(msg Message) {
+	m.awaitingSave = append(m.awaitingSave, m.withSender(msg))
+}
 
-func (m *Machine) signed(msg Message) Message {
-	msg.From, msg.Disk, msg.Founder, msg.Mesh, msg.Zone = m.self, m.disk, m.founder, m.log.mesh(), m.zone
+func (m *Machine) withSender(msg Message) Message {
+	msg.From, msg.Disk, msg.Founder, msg.Mesh, msg.Zone = m.self, m.diskID, m.founder, m.log.mesh(), m.zone
 	if msg.Term == 0 {
-		msg.Term = m.hard.Term
+		msg.Term = m.hardState.Term
 	}
 	return msg
 }
 
 // Status is how the machine stands.
 func (m *Machine) Status() Status {
-	s := Status{Leader: m.leader.Address, Term: m.hard.Term, Commit: m.commit, Applied: m.applied, LeaderChanges: m.changes, Foreign: m.foreign}
-	members := m.log.current().members
+	s := Status{Leader: m.leader.Address, Term: m.hardState.Term, Commit: m.commitIndex, Applied: m.appliedIndex, LeaderChanges: m.leaderChanges, Foreign: m.foreignMessages}
+	members := m.log.latestConfiguration().members
 	for _, v := range members.Voters {
 		s.Members = append(s.Members, v.Address)
 	}
@@ -486,18 +488,18 @@
 	}
 	for _, p := range m.peers {
 		switch {
-		case p.learner:
+		case p.isLearner:
 			s.Learners = append(s.Learners, p.member.Address)
-		case m.role == leader && m.now-p.heard >= healthy:
+		case m.role == leader && m.now-p.lastContact >= peerTimeout:
 			s.Silent = append(s.Silent, p.member.Address)
 		}
 	}
 	switch {
 	case m.role == leader:
 		s.Role, s.Zones = "leader", m.zones
-	case !m.mayCampaign():
+	case !m.canCampaign():
 		s.Role = "learner"
-		if m.lostDisk() {
+		if m.hasLostDisk() {
 			s.Role = "recovering"
 		}
 	case m.role == follower:
--- a/internal/mesh/consensus/machine_test.go
+++ b/internal/mesh/consensus/machine_test.go
@@ -11,23 +11,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-var seeds = flag.Int("seeds", 400, "how many seeds the explorer plays")
+var seedCount = flag.Int("seeds", 400, "how many seeds the explorer plays")
 var firstSeed = flag.Uint64("first", 1, "the first of them")
-var lossSeeds = flag.Int("loss-seeds", 4, "how many seeds of losses and repairs are played, of each deployment")
-var tracing = flag.Bool("tell", false, "tell what goes on")
+var lossSeedCount = flag.Int("loss-seeds", 4, "how many seeds of losses and repairs are played, of each deployment")
+var traceEnabled = flag.Bool("tell", false, "tell what goes on")
 
 func TestExplore(t *testing.T) {
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
 	acks, reads := 0, 0
-	for seed := *firstSeed; seed < *firstSeed+uint64(*seeds); seed++ {
+	for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
 		w, trouble := explore(seed, injectedBugs{})
 		require.Nil(t, trouble, "seed %d", seed)
 		acks += w.acks
 		reads += w.reads
 	}
 	t.Logf("%d acknowledged, %d read", acks, reads)
-	require.Greater(t, acks, *seeds*20, "too little came through to tell anything")
-	require.Greater(t, reads, *seeds*20, "too little came through to tell anything")
+	require.Greater(t, acks, *seedCount*20, "too little came through to tell anything")
+	require.Greater(t, reads, *seedCount*20, "too little came through to tell anything")
 }
 
 // Each planted fault is found by the same checks.
@@ -52,7 +52,7 @@
 }
 
 // settled is a world in which a leads b and c, and all is well.
-func settled(t *testing.T) *world {
+func newSettledWorld(t *testing.T) *world {
 	for seed := uint64(1); ; seed++ {
 		w := newWorld(seed, injectedBugs{})
 		for _, h := range w.hosts[:3] {
@@ -75,7 +75,7 @@
 // What two of three have holds when one of them loses its disk and all others their power.
 func TestWipedAndPowerless(t *testing.T) {
 	for _, names := range [][2]string{{"a", "b"}, {"b", "a"}} {
-		w := settled(t)
+		w := newSettledWorld(t)
 		wiped, whole, lags := w.host(names[0]), w.host(names[1]), w.host("c")
 		w.isolate(lags)
 		w.propose(w.host("a"), 7)
@@ -100,7 +100,7 @@
 }
 
 func TestWipedOneAfterTheOther(t *testing.T) {
-	w := settled(t)
+	w := newSettledWorld(t)
 	w.gone = w.host("d")
 	w.propose(w.host("a"), 7)
 	w.run(time.Second)
@@ -140,12 +140,12 @@
 // By chance alone this takes thousands of seeds.
 func TestVoteOutlivesCrash(t *testing.T) {
 	for _, forgets := range []bool{false, true} {
-		w := settled(t)
+		w := newSettledWorld(t)
 		w.bugs.forgetVote = forgets
 		a, b, c := w.host("a"), w.host("b"), w.host("c")
 		w.stop(a)
 		w.start(a)
-		term := a.machine.hard.Term + 1
+		term := a.machine.hardState.Term + 1
 		w.cut[[2]string{"a", "b"}], w.cut[[2]string{"b", "a"}] = true, true
 		w.touch(a, a.life, func(m *Machine) { m.campaign(candidate) })
 		for c.disk.Hard.Term < term {
@@ -158,8 +158,8 @@
 		w.start(c)
 		w.touch(b, b.life, func(m *Machine) { m.campaign(candidate) })
 		w.run(50 * time.Millisecond)
-		require.Equal(t, term, a.machine.hard.Term)
-		require.Equal(t, term, b.machine.hard.Term)
+		require.Equal(t, term, a.machine.hardState.Term)
+		require.Equal(t, term, b.machine.hardState.Term)
 		require.Equal(t, forgets, b.machine.role == leader)
 	}
 }
@@ -167,10 +167,10 @@
 // An answer to an append of an earlier term confirms no round: its sender may lead again, with
 // rounds that begin anew.
 func TestStaleAppendConfirmsNothing(t *testing.T) {
-	b := settled(t).host("b").machine
-	b.Step(Message{Kind: Append, From: "a", To: "b", Term: b.hard.Term - 1, Sequence: 99})
-	reply := b.Take().Send[0]
-	require.Equal(t, AppendReply, reply.Kind)
+	b := newSettledWorld(t).host("b").machine
+	b.HandleMessage(Message{Kind: AppendEntries, From: "a", To: "b", Term: b.hardState.Term - 1, Sequence: 99})
+	reply := b.NextOutput().Messages[0]
+	require.Equal(t, AppendEntriesReply, reply.Kind)
 	require.True(t, reply.Reject)
 	require.Zero(t, reply.Sequence)
 }
--- a/internal/mesh/consensus/members.go
+++ b/internal/mesh/consensus/members.go
@@ -20,31 +20,31 @@
 // planMembers is what a leader does about the members. A change begins only after the one before is
 // committed and after an entry of the leader's own term is: before, it isn't known which
 // configuration holds.
-func (m *Machine) planMembers() {
-	current := m.log.current()
-	if m.role != leader || m.commit < m.opened || current.at.Index > m.commit || m.transferee != nil {
+func (m *Machine) reconcileMembers() {
+	current := m.log.latestConfiguration()
+	if m.role != leader || m.commitIndex < m.termStartIndex || current.place.Index > m.commitIndex || m.transferee != nil {
 		return
 	}
 	members := current.members
-	if members.joint() {
-		m.finishChange(members)
+	if members.isJoint() {
+		m.finishJointChange(members)
 		return
 	}
 	next := members
-	next.Voters, next.Target = m.withKnownDisks(members.Voters), max(members.Target, m.voters)
+	next.Voters, next.Target = m.withDiscoveredDisks(members.Voters), max(members.Target, m.targetVoters)
 	if !slices.Equal(next.Voters, members.Voters) || next.Target != members.Target {
 		m.appendMembers(next) // the same machines, so no quorum changes
 		return
 	}
-	next.Voters, next.Old = m.nextVoters(members), members.Voters
-	if !sameVoters(next.Voters, members.Voters) && next.quorum(m.inTouch) {
+	next.Voters, next.Old = m.desiredVoters(members), members.Voters
+	if !sameVoters(next.Voters, members.Voters) && next.hasQuorum(m.isReachable) {
 		m.appendMembers(next)
 	}
 }
 
 // finishChange ends a joint configuration. A leader that isn't among the incoming voters hands
 // leadership to one that is, since it could not commit its own leaving as a voter.
-func (m *Machine) finishChange(members Members) {
+func (m *Machine) finishJointChange(members Members) {
 	if !slices.ContainsFunc(members.Voters, m.isSelf) {
 		m.TransferLeadership()
 		return
@@ -55,7 +55,7 @@
 
 // nextVoters are the voters as they should be by now. Votes are given to learners in the zones that
 // have the fewest.
-func (m *Machine) nextVoters(members Members) []Member {
+func (m *Machine) desiredVoters(members Members) []Member {
 	ready := m.readyLearners()
 	take := func(i int) Member {
 		v := ready[i]
@@ -69,29 +69,29 @@
 		}
 	}
 	for len(next) > max(members.Target, 1) {
-		next = m.withoutLeastUseful(next)
+		next = m.removeLeastUseful(next)
 	}
 	for i, v := range next {
-		if !m.isUnheard(v) && !m.isLeaving(v) {
+		if !m.isPresumedLost(v) && !m.isLeaving(v) {
 			continue
 		}
-		if at := m.leastCrowded(ready, slices.Delete(slices.Clone(next), i, i+1)); at >= 0 {
+		if at := m.indexInLeastCrowdedZone(ready, slices.Delete(slices.Clone(next), i, i+1)); at >= 0 {
 			next[i] = take(at)
 		}
 	}
 	for len(next) < members.Target && len(ready) > 0 {
-		next = append(next, take(m.leastCrowded(ready, next)))
+		next = append(next, take(m.indexInLeastCrowdedZone(ready, next)))
 	}
-	if sameVoters(next, members.Voters) && !slices.ContainsFunc(next, func(v Member) bool { return !m.inTouch(v) }) {
-		return m.spread(next, ready)
+	if sameVoters(next, members.Voters) && !slices.ContainsFunc(next, func(v Member) bool { return !m.isReachable(v) }) {
+		return m.rebalanceZones(next, ready)
 	}
 	return next
 }
 
 // withoutLeastUseful leaves out a voter: one that is unheard, else one that is leaving, else the
 // last that isn't this node.
-func (m *Machine) withoutLeastUseful(voters []Member) []Member {
-	i := slices.IndexFunc(voters, m.isUnheard)
+func (m *Machine) removeLeastUseful(voters []Member) []Member {
+	i := slices.IndexFunc(voters, m.isPresumedLost)
 	if i < 0 {
 		i = slices.IndexFunc(voters, m.isLeaving)
 	}
@@ -109,7 +109,7 @@
 func (m *Machine) readyLearners() []Member {
 	var ready []Member
 	for _, p := range m.peers {
-		if m.mayBecomeReady(p) && p.round > p.since && p.match >= m.commitBefore {
+		if m.isActiveLearner(p) && p.ackedRound > p.learnerSinceRound && p.matchIndex >= m.commitAtPreviousHeartbeat {
 			ready = append(ready, p.member)
 		}
 	}
@@ -117,16 +117,16 @@
 }
 
 // mayBecomeReady tells whether a peer is a learner that is there to stay.
-func (m *Machine) mayBecomeReady(p *progress) bool {
-	return p.learner && m.now >= p.leavingUntil && m.now-p.heard < healthy
+func (m *Machine) isActiveLearner(p *progress) bool {
+	return p.isLearner && m.now >= p.leavingUntil && m.now-p.lastContact < peerTimeout
 }
 
-func (m *Machine) isSelf(v Member) bool { return v.is(m.self, m.disk, m.founder) }
+func (m *Machine) isSelf(v Member) bool { return v.matches(m.self, m.diskID, m.founder) }
 
 // voter is what a leader knows of another voter; nil if there is nothing, as of itself.
-func (m *Machine) voter(v Member) *progress {
+func (m *Machine) voterProgress(v Member) *progress {
 	for _, p := range m.peers {
-		if p.member == v && !p.learner {
+		if p.member == v && !p.isLearner {
 			return p
 		}
 	}
@@ -134,36 +134,36 @@
 }
 
 // inTouch tells whether a node answered just now, as a voter or as a learner.
-func (m *Machine) inTouch(v Member) bool {
+func (m *Machine) isReachable(v Member) bool {
 	return m.isSelf(v) || slices.ContainsFunc(m.peers, func(p *progress) bool {
-		return p.member == v && m.now-p.heard < healthy
+		return p.member == v && m.now-p.lastContact < peerTimeout
 	})
 }
 
-func (m *Machine) isUnheard(v Member) bool {
-	p := m.voter(v)
-	return p != nil && m.now-p.heard >= m.replace
+func (m *Machine) isPresumedLost(v Member) bool {
+	p := m.voterProgress(v)
+	return p != nil && m.now-p.lastContact >= m.replaceAfter
 }
 
 func (m *Machine) isLeaving(v Member) bool {
 	if m.isSelf(v) {
 		return m.isDeparting()
 	}
-	p := m.voter(v)
+	p := m.voterProgress(v)
 	return p != nil && m.now < p.leavingUntil
 }
 
 // withKnownDisks are the voters with the numbers of the disks that are only now known.
-func (m *Machine) withKnownDisks(voters []Member) []Member {
+func (m *Machine) withDiscoveredDisks(voters []Member) []Member {
 	next := slices.Clone(voters)
 	for i, v := range next {
 		if v.Disk != 0 {
 			continue
 		}
 		if m.isSelf(v) {
-			next[i].Disk = m.disk
-		} else if p := m.voter(v); p != nil && p.disk != 0 {
-			next[i].Disk = p.disk
+			next[i].Disk = m.diskID
+		} else if p := m.voterProgress(v); p != nil && p.discoveredDisk != 0 {
+			next[i].Disk = p.discoveredDisk
 		}
 	}
 	return next
@@ -178,15 +178,15 @@
 
 // appendMembers appends a configuration, which counts from here on.
 func (m *Machine) appendMembers(next Members) {
-	m.checkChange(m.log.current(), next)
-	m.log.append(Entry{Index: m.log.last() + 1, Term: m.hard.Term, Members: &next})
-	m.setPeers()
+	m.validateChange(m.log.latestConfiguration(), next)
+	m.log.append(Entry{Index: m.log.lastIndex() + 1, Term: m.hardState.Term, Members: &next})
+	m.updatePeers()
 }
 
 // checkChange panics unless any two quorums of a configuration and the next have a disk in common.
-func (m *Machine) checkChange(current decided, next Members) {
-	if current.at.Index > m.commit || m.commit < m.opened {
-		panic(fmt.Sprintf("consensus: members change at %d, and those of %d are not committed", m.log.last()+1, current.at.Index))
+func (m *Machine) validateChange(current configuration, next Members) {
+	if current.place.Index > m.commitIndex || m.commitIndex < m.termStartIndex {
+		panic(fmt.Sprintf("consensus: members change at %d, and those of %d are not committed", m.log.lastIndex()+1, current.place.Index))
 	}
 	from := current.members
 	addresses := func(voters []Member) []string {
@@ -196,9 +196,9 @@
 		}
 		return all
 	}
-	enters := !from.joint() && next.joint() && slices.Equal(next.Old, from.Voters)
-	ends := from.joint() && !next.joint() && slices.Equal(next.Voters, from.Voters)
-	names := !from.joint() && !next.joint() && slices.Equal(addresses(next.Voters), addresses(from.Voters))
+	enters := !from.isJoint() && next.isJoint() && slices.Equal(next.Old, from.Voters)
+	ends := from.isJoint() && !next.isJoint() && slices.Equal(next.Voters, from.Voters)
+	names := !from.isJoint() && !next.isJoint() && slices.Equal(addresses(next.Voters), addresses(from.Voters))
 	if !enters && !ends && !names || len(next.Voters) == 0 {
 		panic(fmt.Sprintf("consensus: members change from %v to %v", from, next))
 	}
--- a/internal/mesh/consensus/members_encoding.go
+++ b/internal/mesh/consensus/members_encoding.go
@@ -34,7 +34,7 @@
 		return nil, false
 	}
 	for b = b[n:]; len(b) > 0; {
-		v, rest, ok := cutMember(b)
+		v, rest, ok := decodeMember(b)
 		if !ok {
 			return nil, false
 		}
@@ -44,7 +44,7 @@
 			s.Old = append(s.Old, v)
 		}
 	}
-	return s, uint64(len(s.Voters)) == incoming && incoming > 0 && s.joint()
+	return s, uint64(len(s.Voters)) == incoming && incoming > 0 && s.isJoint()
 }
 
 func appendMember(b []byte, v Member) []byte {
@@ -53,7 +53,7 @@
 }
 
 // cutMember takes a member off the front.
-func cutMember(b []byte) (v Member, rest []byte, ok bool) {
+func decodeMember(b []byte) (v Member, rest []byte, ok bool) {
 	if len(b) < 9 {
 		return Member{}, nil, false
 	}
--- a/internal/mesh/consensus/members_encoding_test.go
+++ b/internal/mesh/consensus/members_encoding_test.go
@@ -21,14 +21,14 @@
 		back, err := decodeEntry(7, record)
 		require.NoError(t, err)
 		require.Equal(t, entry, back)
-		if !members.joint() {
+		if !members.isJoint() {
 			continue
 		}
 		for cut := 9; cut < len(record); cut++ {
 			short, err := decodeEntry(7, record[:cut])
 			if err == nil { // between two members of the outgoing set
 				require.NotEqual(t, entry, short)
-				require.True(t, short.Members.joint())
+				require.True(t, short.Members.isJoint())
 				require.Equal(t, next, short.Members.Voters)
 			}
 		}
--- a/internal/mesh/consensus/message.go
+++ b/internal/mesh/consensus/message.go
@@ -7,23 +7,23 @@
 
 // The kinds of message.
 const (
-	PreVote      Kind = iota + 1 // would you vote for me in this term?
-	PreVoteReply                 //
-	Vote                         // vote for me
-	VoteReply                    // a promise: it leaves once the vote is synced
-	Append                       // entries of the leader's log, or none: a heartbeat
-	AppendReply                  // a promise: it leaves once the entries are synced
-	Install                      // a chunk of a snapshot in place of entries that the leader no longer has
-	TimeoutNow                   // campaign now: leadership is being transferred
-	Join                         // replicate to me: I am no voter
-	Hint                         // these are the members and the leader that I know
-	Forward                      // append this command
-	Refuse                       // the command was not appended and never will be
-	ReadAsk                      // which index must I have applied to answer a read?
-	ReadReply                    //
-	Leave                        // I am about to end: have a learner take my vote
-	LeaveReply                   // you have no vote any more, or nobody can take it
-	InstallReply                 // up to where the chunks have come; promises nothing
+	PreVote              Kind = iota + 1 // would you vote for me in this term?
+	PreVoteReply                         //
+	Vote                                 // vote for me
+	VoteReply                            // a promise: it leaves once the vote is synced
+	AppendEntries                        // entries of the leader's log, or none: a heartbeat
+	AppendEntriesReply                   // a promise: it leaves once the entries are synced
+	InstallSnapshot                      // a chunk of a snapshot in place of entries that the leader no longer has
+	TimeoutNow                           // campaign now: leadership is being transferred
+	Join                                 // replicate to me: I am no voter
+	Hint                                 // these are the members and the leader that I know
+	Forward                              // append this command
+	ForwardReject                        // the command was not appended and never will be
+	ReadIndex                            // which index must I have applied to answer a read?
+	ReadIndexReply                       //
+	Leave                                // I am about to end: have a learner take my vote
+	LeaveReply                           // you have no vote any more, or nobody can take it
+	InstallSnapshotReply                 // up to where the chunks have come; promises nothing
 )
 
 // Entry is one place of the log: a command, a change of members, or nothing but the opening of a
--- a/internal/mesh/consensus/node.go
+++ b/internal/mesh/consensus/node.go
@@ -275,7 +275,7 @@
 				break
 			}
 			n.noteSync(s.took)
-			n.machine.Saved()
+			n.machine.SaveCompleted()
 		case opened := <-n.opened:
 			if err := n.resume(opened); err != nil {
 				n.end(err)
@@ -307,7 +307,7 @@
 
 func (n *Node) clock() {
 	if n.machine != nil {
-		n.machine.Clock(time.Since(n.began))
+		n.machine.SetClock(time.Since(n.began))
 	}
 }
 
@@ -335,7 +335,7 @@
 	if n.machine == nil {
 		return
 	}
-	at := max(n.machine.Deadline(), time.Since(n.began)+min(n.options.Tick, heartbeat))
+	at := max(n.machine.Deadline(), time.Since(n.began)+min(n.options.Tick, heartbeatInterval))
 	if n.ringing && n.armed <= at {
 		return
 	}
@@ -350,16 +350,16 @@
 	}
 	switch r.kind {
 	case step:
-		n.machine.Step(*r.message)
+		n.machine.HandleMessage(*r.message)
 	case cancel:
 		n.machine.Cancel(r.waiter.id)
 		delete(n.waiters, r.waiter.id)
 	case backup:
-		if n.machine.applied < n.tableAt {
+		if n.machine.appliedIndex < n.tableAt {
 			r.waiter.done <- outcome{err: ErrNoLeader}
 			break
 		}
-		r.waiter.done <- outcome{snapshot: n.machine.asOfApplied(n.options.Table.Snapshot())}
+		r.waiter.done <- outcome{snapshot: n.machine.snapshotAtApplied(n.options.Table.Snapshot())}
 	case leave:
 		n.leaving = append(n.leaving, r.waiter)
 		n.machine.Leave()
@@ -377,7 +377,7 @@
 
 // leave answers those who wait until this node may end.
 func (n *Node) leave() {
-	if len(n.leaving) == 0 || !n.machine.Left() {
+	if len(n.leaving) == 0 || !n.machine.HasLeft() {
 		return
 	}
 	for _, w := range n.leaving {
--- a/internal/mesh/consensus/node_apply.go
+++ b/internal/mesh/consensus/node_apply.go
@@ -13,18 +13,18 @@
 	}
 	n.leave()
 	for !behind {
-		o := n.machine.Take()
+		o := n.machine.NextOutput()
 		if o.Empty() {
 			break
 		}
-		behind = o.Behind
-		for _, m := range o.Send {
+		behind = o.MoreToApply
+		for _, m := range o.Messages {
 			n.options.Send(m)
 		}
 		if err := n.bring(&o); err != nil {
 			return false, err
 		}
-		for _, d := range o.Done {
+		for _, d := range o.Completions {
 			if w := n.waiters[d.ID]; w != nil {
 				w.done <- outcome{result: Result{d.Index, n.replies[d.ID]}, err: d.Err}
 				delete(n.waiters, d.ID)
@@ -56,7 +56,7 @@
 	}
 	apply := func() { n.apply(o.Apply) }
 	if table, ok := n.options.Table.(Batcher); ok {
-		table.Batch(apply, n.endsBacklog(o) || len(o.Done) > 0)
+		table.Batch(apply, n.endsBacklog(o) || len(o.Completions) > 0)
 	} else {
 		apply()
 	}
@@ -67,16 +67,16 @@
 // committed since is the next backlog: where orders never cease, the table is shown all the same.
 func (n *Node) endsBacklog(o *Output) bool {
 	switch {
-	case !o.Behind:
+	case !o.MoreToApply:
 		n.backlogEnd = 0
 		return true
 	case n.backlogEnd == 0:
-		n.backlogEnd = n.machine.commit
+		n.backlogEnd = n.machine.commitIndex
 		return false
-	case n.machine.applied < n.backlogEnd:
+	case n.machine.appliedIndex < n.backlogEnd:
 		return false
 	}
-	n.backlogEnd = n.machine.commit
+	n.backlogEnd = n.machine.commitIndex
 	return true
 }
 
@@ -90,7 +90,7 @@
 			continue
 		}
 		reply := n.options.Table.Apply(e.Index, e.Command)
-		if e.Origin == n.machine.life && n.waiters[e.ID] != nil {
+		if e.Origin == n.machine.incarnation && n.waiters[e.ID] != nil {
 			n.replies[e.ID] = reply
 		}
 	}
--- a/internal/mesh/consensus/placement.go
+++ b/internal/mesh/consensus/placement.go
@@ -8,14 +8,14 @@
 // VotersToBear is how many voters bear the loss of so many machines at once, disks and all: what was
 // agreed on is on a majority of them, and a majority is left. At least three, as one loss is always
 // to be borne.
-func VotersToBear(losses int) int { return 2*max(losses, 1) + 1 }
+func VotersToTolerate(losses int) int { return 2*max(losses, 1) + 1 }
 
 // mostZones bounds the nodes whose zones are remembered.
-const mostZones = 256
+const maxKnownZones = 256
 
 // learnZone remembers in which zone a node stands.
-func (m *Machine) learnZone(msg Message) {
-	if msg.Zone == "" || m.zones[msg.From] == "" && len(m.zones) >= mostZones {
+func (m *Machine) recordZone(msg Message) {
+	if msg.Zone == "" || m.zones[msg.From] == "" && len(m.zones) >= maxKnownZones {
 		return
 	}
 	if m.zones[msg.From] == msg.Zone {
@@ -37,7 +37,7 @@
 
 // inZoneOf is how many voters stand in the zone of a node. Where a zone isn't known none is taken to
 // share it: nobody is moved for want of knowledge.
-func (m *Machine) inZoneOf(voters []Member, of Member) (count int) {
+func (m *Machine) countInZoneOf(voters []Member, of Member) (count int) {
 	zone := m.zoneOf(of)
 	for _, v := range voters {
 		if zone != "" && m.zoneOf(v) == zone {
@@ -49,10 +49,10 @@
 
 // leastCrowded is the index of the candidate whose zone has the fewest voters, the first of several;
 // -1 if there is none.
-func (m *Machine) leastCrowded(candidates, voters []Member) int {
+func (m *Machine) indexInLeastCrowdedZone(candidates, voters []Member) int {
 	best := -1
 	for i, candidate := range candidates {
-		if best < 0 || m.inZoneOf(voters, candidate) < m.inZoneOf(voters, candidates[best]) {
+		if best < 0 || m.countInZoneOf(voters, candidate) < m.countInZoneOf(voters, candidates[best]) {
 			best = i
 		}
 	}
@@ -63,18 +63,18 @@
 // fewer. The loss of a zone must leave a majority, and the voters that a mesh begins with, or that
 // replaced others in a hurry, may stand anywhere. This node's own vote stays, since to give it away
 // is to give leadership away.
-func (m *Machine) spread(voters, ready []Member) []Member {
-	to := m.leastCrowded(ready, voters)
+func (m *Machine) rebalanceZones(voters, ready []Member) []Member {
+	to := m.indexInLeastCrowdedZone(ready, voters)
 	if to < 0 || m.zoneOf(ready[to]) == "" {
 		return voters
 	}
 	from := -1
 	for i, v := range voters {
-		if !m.isSelf(v) && (from < 0 || m.inZoneOf(voters, v) > m.inZoneOf(voters, voters[from])) {
+		if !m.isSelf(v) && (from < 0 || m.countInZoneOf(voters, v) > m.countInZoneOf(voters, voters[from])) {
 			from = i
 		}
 	}
-	if from < 0 || m.inZoneOf(voters, voters[from]) < m.inZoneOf(voters, ready[to])+2 {
+	if from < 0 || m.countInZoneOf(voters, voters[from]) < m.countInZoneOf(voters, ready[to])+2 {
 		return voters
 	}
 	next := slices.Clone(voters)
--- a/internal/mesh/consensus/placement_test.go
+++ b/internal/mesh/consensus/placement_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	spreadZones  = 5
-	spreadVoters = 5 // which bear two losses at once
-	spreadSeeds  = 20
+	zoneCount     = 5
+	zonedVoters   = 5 // which bear two losses at once
+	zoneSeedCount = 20
 )
 
 // newSpread is a mesh of three nodes in each of five zones. Its first members stand in one zone.
-func newSpread(seed uint64, voters int) *losses {
-	l := newLosses(seed, 3*spreadZones, 4*time.Second, 5*time.Second, lossPlant{})
+func newZonedMesh(seed uint64, voters int) *losses {
+	l := newLosses(seed, 3*zoneCount, 4*time.Second, 5*time.Second, lossPlant{})
 	l.w.voters = voters
 	for i, h := range l.w.hosts {
 		h.zone = fmt.Sprint("z", i/3)
@@ -28,7 +28,7 @@
 }
 
 // zones counts the voters in each zone.
-func (l *losses) zones() map[string]int {
+func (l *losses) votersByZone() map[string]int {
 	count := map[string]int{}
 	for _, v := range l.w.members.Voters {
 		count[l.w.host(v.Address).zone]++
@@ -37,7 +37,7 @@
 }
 
 // agree has a value agreed on.
-func (l *losses) agree(t *testing.T, value uint64) {
+func (l *losses) mustCommit(t *testing.T, value uint64) {
 	l.w.propose(l.leads(), value)
 	for began := l.w.now; l.w.fate[value] != "acked"; l.w.run(time.Millisecond) {
 		require.Less(t, l.w.now-began, 2*time.Second)
@@ -47,9 +47,9 @@
 // TestVotersAreSpread: wherever the first members stand, the loss of any zone leaves a majority, and
 // the zone's return has the votes spread again.
 func TestVotersAreSpread(t *testing.T) {
-	for seed := uint64(1); seed <= spreadSeeds; seed++ {
-		l := newSpread(seed, spreadVoters)
-		require.Len(t, l.zones(), spreadZones, "seed %d: %v", seed, l.zones())
+	for seed := uint64(1); seed <= zoneSeedCount; seed++ {
+		l := newZonedMesh(seed, zonedVoters)
+		require.Len(t, l.votersByZone(), zoneCount, "seed %d: %v", seed, l.votersByZone())
 		zone := l.leads().zone
 		inZone := func(h *host) bool { return h.zone == zone }
 		for _, h := range l.w.hosts {
@@ -59,14 +59,14 @@
 		}
 		l.w.run(4 * time.Second)
 		require.NotNil(t, l.leads(), "seed %d: no leader without a zone", seed)
-		l.agree(t, 7)
+		l.mustCommit(t, 7)
 		for _, h := range l.w.hosts {
 			if inZone(h) {
 				l.w.start(h)
 			}
 		}
 		l.w.run(10 * time.Second)
-		require.Len(t, l.zones(), spreadZones, "seed %d: %v", seed, l.zones())
+		require.Len(t, l.votersByZone(), zoneCount, "seed %d: %v", seed, l.votersByZone())
 		l.w.heal()
 	}
 }
@@ -76,8 +76,8 @@
 func TestTwoDisksAreLost(t *testing.T) {
 	lose := func(seed uint64, voters int) (trouble any) {
 		defer func() { trouble = recover() }()
-		l := newSpread(seed, voters)
-		l.agree(t, 7)
+		l := newZonedMesh(seed, voters)
+		l.mustCommit(t, 7)
 		lost := slices.Clone(l.w.members.Voters)
 		l.w.rng.Shuffle(len(lost), func(i, j int) { lost[i], lost[j] = lost[j], lost[i] })
 		for _, h := range l.w.hosts {
@@ -90,8 +90,8 @@
 		return nil
 	}
 	found := 0
-	for seed := uint64(1); seed <= spreadSeeds; seed++ {
-		require.Nil(t, lose(seed, spreadVoters), "seed %d", seed)
+	for seed := uint64(1); seed <= zoneSeedCount; seed++ {
+		require.Nil(t, lose(seed, zonedVoters), "seed %d", seed)
 		if lose(seed, 3) != nil {
 			found++
 		}
--- a/internal/mesh/consensus/propose.go
+++ b/internal/mesh/consensus/propose.go
@@ -8,106 +8,108 @@
 // pending is a proposal of this node. Its fate is known for certain once it is applied, or once an
 // entry of a later term than the one in which it was given to the leader is: what isn't there by
 // then can't come any more, since terms never go back along the log.
-type pending struct {
-	id      uint64
-	term    uint64
-	command []byte
-	again   bool // it was refused once
-	sent    time.Duration
+type pendingProposal struct {
+	id            uint64
+	forwardedTerm uint64
+	command       []byte
+	retried       bool // it was refused once
+	sentAt        time.Duration
 }
 
 // pendingRead is a read of this node.
 type pendingRead struct {
-	id    uint64
-	sent  time.Duration
-	known bool
-	index uint64 // to be applied
+	id        uint64
+	sentAt    time.Duration
+	confirmed bool
+	readIndex uint64 // to be applied
 }
 
 // read is one that a leader confirms.
-type read struct {
-	from       string
-	origin, id uint64
-	need       uint64 // round of heartbeats
+type leaderRead struct {
+	from          string
+	origin, id    uint64
+	requiredRound uint64 // round of heartbeats
 }
 
 // origin remembers which proposals of one process a leader has dealt with, whichever way, so that a
 // message which comes twice has no second effect.
-type origin struct {
-	life uint64
-	high uint64
-	bits [16]uint64
+type proposalWindow struct {
+	incarnation uint64
+	highestID   uint64
+	seenBits    [16]uint64
 }
 
 // fresh tells whether a number is new, and remembers it. Those that are too old to tell are not.
-func (o *origin) fresh(id uint64) bool {
+func (o *proposalWindow) recordNew(id uint64) bool {
 	const window = 1024
-	for o.high < id {
-		o.high++
-		if id-o.high < window {
-			o.bits[o.high%window/64] &^= 1 << (o.high % 64)
+	for o.highestID < id {
+		o.highestID++
+		if id-o.highestID < window {
+			o.seenBits[o.highestID%window/64] &^= 1 << (o.highestID % 64)
 		} else {
-			o.high = id - window
+			o.highestID = id - window
 		}
 	}
-	if id+window <= o.high {
+	if id+window <= o.highestID {
 		return false
 	}
 	bit := uint64(1) << (id % 64)
-	if o.bits[id%window/64]&bit != 0 {
+	if o.seenBits[id%window/64]&bit != 0 {
 		return false
 	}
-	o.bits[id%window/64] |= bit
+	o.seenBits[id%window/64] |= bit
 	return true
 }
 
-func (m *Machine) fresh(life, id uint64) bool {
-	i := slices.IndexFunc(m.seen, func(o origin) bool { return o.life == life })
+func (m *Machine) recordProposal(life, id uint64) bool {
+	i := slices.IndexFunc(m.proposalWindows, func(o proposalWindow) bool { return o.incarnation == life })
 	if i < 0 {
-		if len(m.seen) == mostOrigins {
-			m.seen = m.seen[1:]
+		if len(m.proposalWindows) == maxProposalWindows {
+			m.proposalWindows = m.proposalWindows[1:]
 		}
-		m.seen = append(m.seen, origin{life: life})
-		i = len(m.seen) - 1
+		m.proposalWindows = append(m.proposalWindows, proposalWindow{incarnation: life})
+		i = len(m.proposalWindows) - 1
 	}
-	return m.seen[i].fresh(id)
+	return m.proposalWindows[i].recordNew(id)
 }
 
 // Propose has a command appended. Numbers go up by one, for proposals and reads together.
 func (m *Machine) Propose(id uint64, command []byte) {
 	switch {
-	case len(m.pending) >= mostPending || m.role == leader && m.full():
-		m.done = append(m.done, Done{ID: id, Err: ErrBusy})
+	case len(m.pendingProposals) >= maxPendingRequests || m.role == leader && m.isUncommittedLimitReached():
+		m.completions = append(m.completions, Completion{ID: id, Err: ErrBusy})
 		return
 	case m.leader.Address == "" || m.role == leader && m.transferee != nil:
-		m.done = append(m.done, Done{ID: id, Err: ErrNoLeader})
+		m.completions = append(m.completions, Completion{ID: id, Err: ErrNoLeader})
 		return
 	}
-	m.pending = append(m.pending, pending{id: id, command: command})
-	m.forward(&m.pending[len(m.pending)-1])
+	m.pendingProposals = append(m.pendingProposals, pendingProposal{id: id, command: command})
+	m.forwardProposal(&m.pendingProposals[len(m.pendingProposals)-1])
 }
 
 // forward gives a proposal to the leader.
-func (m *Machine) forward(p *pending) {
-	p.term, p.sent = m.hard.Term, m.now
+func (m *Machine) forwardProposal(p *pendingProposal) {
+	p.forwardedTerm, p.sentAt = m.hardState.Term, m.now
 	if m.role == leader {
-		m.appendCommand(m.life, p.id, p.command)
+		m.appendCommand(m.incarnation, p.id, p.command)
 		return
 	}
-	m.send(Message{Kind: Forward, To: m.leader.Address, ToDisk: m.leader.Disk, Origin: m.life, ID: p.id, Command: p.command,
-		LeaderTime: m.leaderTime})
+	m.send(Message{Kind: Forward, To: m.leader.Address, ToDisk: m.leader.Disk, Origin: m.incarnation, ID: p.id, Command: p.command,
+		LeaderTime: m.leaderTenure})
 }
 
 func (m *Machine) appendCommand(origin, id uint64, command []byte) {
-	m.log.append(Entry{Index: m.log.last() + 1, Term: m.hard.Term, Origin: origin, ID: id, Command: command})
+	m.log.append(Entry{Index: m.log.lastIndex() + 1, Term: m.hardState.Term, Origin: origin, ID: id, Command: command})
 }
 
 // full tells that too much waits to be committed.
-func (m *Machine) full() bool { return m.log.bytes(m.commit, m.log.last()) >= mostOpen }
+func (m *Machine) isUncommittedLimitReached() bool {
+	return m.log.bytesBetween(m.commitIndex, m.log.lastIndex()) >= maxUncommittedBytes
+}
 
 // Cancel forgets a proposal or a read that nobody waits for.
 func (m *Machine) Cancel(id uint64) {
-	m.pending = slices.DeleteFunc(m.pending, func(p pending) bool { return p.id == id })
+	m.pendingProposals = slices.DeleteFunc(m.pendingProposals, func(p pendingProposal) bool { return p.id == id })
 	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(a pendingRead) bool { return a.id == id })
 }
 
@@ -115,48 +117,48 @@
 // only if no message with this proposal can have been or will be taken: all of this life are
 // remembered, and an earlier life on this disk wasn't a leader in a later term than this one began
 // in. Otherwise there is no answer, and the log will tell.
-func (m *Machine) onForward(msg Message) {
-	if msg.Term > m.hard.Term || !m.fresh(msg.Origin, msg.ID) {
+func (m *Machine) handleForward(msg Message) {
+	if msg.Term > m.hardState.Term || !m.recordProposal(msg.Origin, msg.ID) {
 		return
 	}
-	if m.role == leader && msg.Term == m.hard.Term && m.transferee == nil && !m.full() && !m.isStale(msg) {
+	if m.role == leader && msg.Term == m.hardState.Term && m.transferee == nil && !m.isUncommittedLimitReached() && !m.isStale(msg) {
 		m.appendCommand(msg.Origin, msg.ID, msg.Command)
 		return
 	}
-	if msg.Term > m.began && msg.ToDisk == m.disk {
-		m.send(Message{Kind: Refuse, To: msg.From, Origin: msg.Origin, ID: msg.ID, About: msg.Term})
+	if msg.Term > m.initialTerm && msg.ToDisk == m.diskID {
+		m.send(Message{Kind: ForwardReject, To: msg.From, Origin: msg.Origin, ID: msg.ID, About: msg.Term})
 	}
 }
 
-func (m *Machine) onRefuse(msg Message) {
-	i := slices.IndexFunc(m.pending, func(p pending) bool { return p.id == msg.ID && p.term == msg.About })
-	if i < 0 || msg.Origin != m.life {
+func (m *Machine) handleForwardReject(msg Message) {
+	i := slices.IndexFunc(m.pendingProposals, func(p pendingProposal) bool { return p.id == msg.ID && p.forwardedTerm == msg.About })
+	if i < 0 || msg.Origin != m.incarnation {
 		return
 	}
-	p := &m.pending[i]
-	if !p.again && m.leader.Address != "" && m.leader.Address != msg.From && (m.role != leader || m.transferee == nil && !m.full()) {
-		p.again = true
-		m.forward(p)
+	p := &m.pendingProposals[i]
+	if !p.retried && m.leader.Address != "" && m.leader.Address != msg.From && (m.role != leader || m.transferee == nil && !m.isUncommittedLimitReached()) {
+		p.retried = true
+		m.forwardProposal(p)
 		return
 	}
-	m.done = append(m.done, Done{ID: p.id, Err: ErrNoLeader})
-	m.pending = slices.Delete(m.pending, i, i+1)
+	m.completions = append(m.completions, Completion{ID: p.id, Err: ErrNoLeader})
+	m.pendingProposals = slices.Delete(m.pendingProposals, i, i+1)
 }
 
 // onApplied settles proposals by an entry that is applied.
-func (m *Machine) onApplied(e Entry) {
-	if e.Origin == m.life {
-		i := slices.IndexFunc(m.pending, func(p pending) bool { return p.id == e.ID })
+func (m *Machine) completeProposals(e Entry) {
+	if e.Origin == m.incarnation {
+		i := slices.IndexFunc(m.pendingProposals, func(p pendingProposal) bool { return p.id == e.ID })
 		if i >= 0 {
-			m.done = append(m.done, Done{ID: e.ID, Index: e.Index})
-			m.pending = slices.Delete(m.pending, i, i+1)
+			m.completions = append(m.completions, Completion{ID: e.ID, Index: e.Index})
+			m.pendingProposals = slices.Delete(m.pendingProposals, i, i+1)
 		}
 	}
-	m.pending = slices.DeleteFunc(m.pending, func(p pending) bool {
-		if p.term >= e.Term {
+	m.pendingProposals = slices.DeleteFunc(m.pendingProposals, func(p pendingProposal) bool {
+		if p.forwardedTerm >= e.Term {
 			return false
 		}
-		m.done = append(m.done, Done{ID: p.id, Err: ErrNoLeader})
+		m.completions = append(m.completions, Completion{ID: p.id, Err: ErrNoLeader})
 		return true
 	})
 }
@@ -164,21 +166,21 @@
 // Read asks for a proof that the table here is current.
 func (m *Machine) Read(id uint64) {
 	switch {
-	case len(m.pendingReads) >= mostPending:
-		m.done = append(m.done, Done{ID: id, Err: ErrBusy})
+	case len(m.pendingReads) >= maxPendingRequests:
+		m.completions = append(m.completions, Completion{ID: id, Err: ErrBusy})
 	case m.leader.Address == "":
-		m.done = append(m.done, Done{ID: id, Err: ErrNoLeader})
+		m.completions = append(m.completions, Completion{ID: id, Err: ErrNoLeader})
 	default:
 		m.pendingReads = append(m.pendingReads, pendingRead{id: id})
-		m.forwardRead(&m.pendingReads[len(m.pendingReads)-1])
+		m.requestReadIndex(&m.pendingReads[len(m.pendingReads)-1])
 	}
 }
 
-func (m *Machine) forwardRead(a *pendingRead) {
-	a.sent = m.now
-	msg := Message{Kind: ReadAsk, From: m.self, To: m.leader.Address, Origin: m.life, ID: a.id}
+func (m *Machine) requestReadIndex(a *pendingRead) {
+	a.sentAt = m.now
+	msg := Message{Kind: ReadIndex, From: m.self, To: m.leader.Address, Origin: m.incarnation, ID: a.id}
 	if m.role == leader {
-		m.onReadAsk(msg)
+		m.handleReadIndex(msg)
 		return
 	}
 	m.send(msg)
@@ -189,95 +191,95 @@
 // the log instead.
 func (m *Machine) resendPending(ago time.Duration) {
 	for i := range m.pendingReads {
-		if a := &m.pendingReads[i]; !a.known && m.now-a.sent >= ago {
-			m.forwardRead(a)
+		if a := &m.pendingReads[i]; !a.confirmed && m.now-a.sentAt >= ago {
+			m.requestReadIndex(a)
 		}
 	}
-	for i := range m.pending {
-		if p := &m.pending[i]; p.term == m.hard.Term && m.role != leader && m.now-p.sent >= ago {
-			m.forward(p)
+	for i := range m.pendingProposals {
+		if p := &m.pendingProposals[i]; p.forwardedTerm == m.hardState.Term && m.role != leader && m.now-p.sentAt >= ago {
+			m.forwardProposal(p)
 		}
 	}
 }
 
 func (m *Machine) failReads(err error) {
 	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(a pendingRead) bool {
-		if !a.known {
-			m.done = append(m.done, Done{ID: a.id, Err: err})
+		if !a.confirmed {
+			m.completions = append(m.completions, Completion{ID: a.id, Err: err})
 		}
-		return !a.known
+		return !a.confirmed
 	})
 }
 
 // onReadAsk takes a read, as a leader. It is answered once a round of heartbeats that begins after
 // it has been acknowledged by a majority: until then there may be another leader by now.
-func (m *Machine) onReadAsk(msg Message) {
-	if m.role != leader || len(m.reads) >= mostReads {
-		m.send(Message{Kind: ReadReply, To: msg.From, Origin: msg.Origin, ID: msg.ID, Reject: true})
+func (m *Machine) handleReadIndex(msg Message) {
+	if m.role != leader || len(m.leaderReads) >= maxLeaderReads {
+		m.send(Message{Kind: ReadIndexReply, To: msg.From, Origin: msg.Origin, ID: msg.ID, Reject: true})
 		return
 	}
-	m.reads = append(m.reads, read{msg.From, msg.Origin, msg.ID, m.round + 1})
+	m.leaderReads = append(m.leaderReads, leaderRead{msg.From, msg.Origin, msg.ID, m.heartbeatRound + 1})
 	m.confirmReads()
 }
 
 // confirmReads answers the reads whose round is acknowledged, with the commit of now, which isn't
 // known to be that of all before an entry of this term is committed.
 func (m *Machine) confirmReads() {
-	if m.role != leader || m.commit < m.opened || len(m.reads) == 0 {
+	if m.role != leader || m.commitIndex < m.termStartIndex || len(m.leaderReads) == 0 {
 		return
 	}
-	confirmed := m.log.current().members.quorumValue(func(v Member) uint64 {
+	confirmed := m.log.latestConfiguration().members.quorumValue(func(v Member) uint64 {
 		if m.isSelf(v) {
-			return m.round
+			return m.heartbeatRound
 		}
-		if p := m.voter(v); p != nil {
-			return p.round
+		if p := m.voterProgress(v); p != nil {
+			return p.ackedRound
 		}
 		return 0
 	})
-	m.reads = slices.DeleteFunc(m.reads, func(r read) bool {
-		if r.need > confirmed {
+	m.leaderReads = slices.DeleteFunc(m.leaderReads, func(r leaderRead) bool {
+		if r.requiredRound > confirmed {
 			return false
 		}
 		if r.from == m.self {
-			m.knowRead(r.id, m.commit)
+			m.setReadIndex(r.id, m.commitIndex)
 		} else {
-			m.send(Message{Kind: ReadReply, To: r.from, Origin: r.origin, ID: r.id, Index: m.commit})
+			m.send(Message{Kind: ReadIndexReply, To: r.from, Origin: r.origin, ID: r.id, Index: m.commitIndex})
 		}
 		return true
 	})
 }
 
-func (m *Machine) onReadReply(msg Message) {
-	if msg.Origin != m.life {
+func (m *Machine) handleReadIndexReply(msg Message) {
+	if msg.Origin != m.incarnation {
 		return
 	}
 	if !msg.Reject {
-		m.knowRead(msg.ID, msg.Index)
+		m.setReadIndex(msg.ID, msg.Index)
 		return
 	}
 	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(a pendingRead) bool {
-		refused := a.id == msg.ID && !a.known && m.leader.Address == msg.From
+		refused := a.id == msg.ID && !a.confirmed && m.leader.Address == msg.From
 		if refused {
-			m.done = append(m.done, Done{ID: a.id, Err: ErrNoLeader})
+			m.completions = append(m.completions, Completion{ID: a.id, Err: ErrNoLeader})
 		}
 		return refused
 	})
 }
 
-func (m *Machine) knowRead(id, index uint64) {
+func (m *Machine) setReadIndex(id, index uint64) {
 	for i := range m.pendingReads {
-		if a := &m.pendingReads[i]; a.id == id && !a.known {
-			a.known, a.index = true, index
+		if a := &m.pendingReads[i]; a.id == id && !a.confirmed {
+			a.confirmed, a.readIndex = true, index
 		}
 	}
 }
 
-func (m *Machine) finishReads() {
+func (m *Machine) completeReads() {
 	m.pendingReads = slices.DeleteFunc(m.pendingReads, func(a pendingRead) bool {
-		ready := a.known && a.index <= m.applied
+		ready := a.confirmed && a.readIndex <= m.appliedIndex
 		if ready {
-			m.done = append(m.done, Done{ID: a.id})
+			m.completions = append(m.completions, Completion{ID: a.id})
 		}
 		return ready
 	})
--- a/internal/mesh/consensus/reopen.go
+++ b/internal/mesh/consensus/reopen.go
@@ -67,7 +67,7 @@
 	if to == nil {
 		return nil
 	}
-	return []Message{m.signed(Message{Kind: TimeoutNow, To: to.member.Address})}
+	return []Message{m.withSender(Message{Kind: TimeoutNow, To: to.member.Address})}
 }
 
 // reopen closes a store that failed and opens it again, until that works, can't work, or the node
@@ -101,7 +101,7 @@
 		}
 	}
 	o := n.options
-	seeds := sorted(o.Seeds)
+	seeds := sortedUnique(o.Seeds)
 	store, state, err := openStore(o.Dir, o.Self, o.FirstStart && slices.Contains(seeds, o.Self), seeds)
 	return opening{store: store, state: state}, err
 }
@@ -124,8 +124,8 @@
 	}
 	o, life := n.options, randomNumber()
 	n.began = time.Now()
-	n.machine = New(Config{Self: o.Self, Seeds: sorted(o.Seeds), Life: life, Replace: o.Replace, Voters: o.Voters, Zone: o.Zone,
-		Rand: rand.New(rand.NewPCG(life, randomNumber())), State: opened.state, TableAt: n.tableAt})
+	n.machine = New(Config{Self: o.Self, Seeds: sortedUnique(o.Seeds), Incarnation: life, ReplaceAfter: o.Replace, TargetVoters: o.Voters, Zone: o.Zone,
+		Rand: rand.New(rand.NewPCG(life, randomNumber())), State: opened.state, TableIndex: n.tableAt})
 	n.disk = opened.store
 	if o.disk != nil {
 		n.disk = o.disk(opened.store)
--- a/internal/mesh/consensus/replacement_test.go
+++ b/internal/mesh/consensus/replacement_test.go
@@ -51,7 +51,7 @@
 	w.run(3 * time.Second)
 	frozen := w.host("c")
 	frozen.frozen = w.now + 3*time.Second
-	w.run(2*time.Second + 3*heartbeat)
+	w.run(2*time.Second + 3*heartbeatInterval)
 	members := w.members
 	require.ElementsMatch(t, []string{"a", "b", "n3"}, l.leads().machine.Status().Members)
 	w.run(6 * time.Second)
@@ -88,7 +88,7 @@
 			}
 			began := w.now
 			isLost := func(v Member) bool { return v.Address == lost.address }
-			for slices.ContainsFunc(w.members.all(), isLost) {
+			for slices.ContainsFunc(w.members.allVoters(), isLost) {
 				w.run(10 * time.Millisecond)
 				require.Less(t, w.now-began, catchUp*3/4, "seed %d", seed)
 			}
@@ -148,17 +148,17 @@
 		w.cut[[2]string{leads.address, h.address}] = true
 	}
 	w.touch(leads, leads.life, func(m *Machine) {
-		next := m.log.current().members
+		next := m.log.latestConfiguration().members
 		next.Old = next.Voters
 		next.Voters = append([]Member{{spare.address, spare.disk.Disk}}, next.Old[1:]...)
 		m.appendMembers(next)
 	})
 	w.run(100 * time.Millisecond)
-	require.True(t, spare.disk.newest().joint())
+	require.True(t, spare.disk.newest().isJoint())
 	w.stop(leads)
 	clear(w.cut)
 	w.run(10 * time.Second)
 	require.Equal(t, l.leads().address, spare.machine.Status().Leader)
 	require.Equal(t, l.leads().applied, spare.applied)
-	require.False(t, spare.machine.log.current().members.joint())
+	require.False(t, spare.machine.log.latestConfiguration().members.isJoint())
 }
--- a/internal/mesh/consensus/replicate.go
+++ b/internal/mesh/consensus/replicate.go
@@ -6,51 +6,51 @@
 	"time"
 )
 
-type stage uint8
+type replicationState uint8
 
 const (
-	probing    stage = iota // one message at a time, until it is known where the logs agree
-	streaming               // as much as may be in flight
-	installing              // a snapshot is under way, in chunks
+	probing         replicationState = iota // one message at a time, until it is known where the logs agree
+	replicating                             // as much as may be in flight
+	sendingSnapshot                         // a snapshot is under way, in chunks
 )
 
 // progress is what a leader knows of a peer.
 type progress struct {
-	member   Member
-	learner  bool
-	disk     uint64 // heard, of a member that is known by disk 0; 0 if not yet
-	stage    stage
-	probed   bool // the one message is under way
-	match    uint64
-	next     uint64
-	told     uint64 // commit
-	heard    time.Duration
-	round    uint64   // of heartbeats, acknowledged,
-	sent     uint64   // and sent
-	since    uint64   // the round at which it became a learner
-	transfer transfer // while installing
+	member            Member
+	isLearner         bool
+	discoveredDisk    uint64 // heard, of a member that is known by disk 0; 0 if not yet
+	state             replicationState
+	probeSent         bool // the one message is under way
+	matchIndex        uint64
+	nextIndex         uint64
+	sentCommit        uint64 // commit
+	lastContact       time.Duration
+	ackedRound        uint64           // of heartbeats, acknowledged,
+	sentRound         uint64           // and sent
+	learnerSinceRound uint64           // the round at which it became a learner
+	transfer          snapshotTransfer // while installing
 
 	leavingUntil time.Duration // it said that it is about to end
 }
 
 // is tells whether a reply comes from this peer. A member by disk 0 is the first disk that was
 // heard of it.
-func (p *progress) is(msg Message) bool {
-	return p.member.is(msg.From, msg.Disk, msg.Founder) && (p.disk == 0 || p.disk == msg.Disk)
+func (p *progress) matchesSender(msg Message) bool {
+	return p.member.matches(msg.From, msg.Disk, msg.Founder) && (p.discoveredDisk == 0 || p.discoveredDisk == msg.Disk)
 }
 
 // replier is the peer that answers this leader, in this term; nil if there is none.
-func (m *Machine) replier(msg Message) *progress {
-	if m.role != leader || msg.Term != m.hard.Term {
+func (m *Machine) peerForReply(msg Message) *progress {
+	if m.role != leader || msg.Term != m.hardState.Term {
 		return nil
 	}
-	return m.peerOf(msg)
+	return m.peerFor(msg)
 }
 
 // peerOf is the peer that a message is from; nil if there is none.
-func (m *Machine) peerOf(msg Message) *progress {
+func (m *Machine) peerFor(msg Message) *progress {
 	for _, p := range m.peers {
-		if p.is(msg) {
+		if p.matchesSender(msg) {
 			return p
 		}
 	}
@@ -59,31 +59,31 @@
 
 // setPeers brings the peers in line with the members. A voter that is taken out and still there
 // goes on as a learner, so that it hears of that, and stands by.
-func (m *Machine) setPeers() {
+func (m *Machine) updatePeers() {
 	var peers []*progress
-	members := m.log.current().members
-	for _, v := range members.all() {
+	members := m.log.latestConfiguration().members
+	for _, v := range members.allVoters() {
 		if v.Address == m.self { // ourselves, or the disk that was here before ours
 			continue
 		}
 		i := slices.IndexFunc(m.peers, func(p *progress) bool {
-			return p.member == v || p.member.Address == v.Address && p.member.Disk == 0 && p.disk == v.Disk
+			return p.member == v || p.member.Address == v.Address && p.member.Disk == 0 && p.discoveredDisk == v.Disk
 		})
-		p := &progress{heard: m.now, next: m.log.last() + 1}
+		p := &progress{lastContact: m.now, nextIndex: m.log.lastIndex() + 1}
 		if i >= 0 {
 			p = m.peers[i]
 		}
-		p.member, p.learner = v, false
+		p.member, p.isLearner = v, false
 		peers = append(peers, p)
 	}
 	for _, p := range m.peers {
 		atAddress := func(q *progress) bool { return q.member.Address == p.member.Address }
 		switch {
 		case slices.Contains(peers, p):
-		case p.learner:
+		case p.isLearner:
 			peers = append(peers, p)
-		case m.now-p.heard < healthy && !slices.ContainsFunc(peers, atAddress):
-			p.learner = true
+		case m.now-p.lastContact < peerTimeout && !slices.ContainsFunc(peers, atAddress):
+			p.isLearner = true
 			peers = append(peers, p)
 		}
 	}
@@ -92,159 +92,159 @@
 
 // beat is a leader's heartbeat. A leader that hasn't heard a majority for long stands back, so that
 // those who ask it go elsewhere.
-func (m *Machine) beat() {
-	stalled := m.now - m.beatAt
-	m.beatAt = m.now + heartbeat
-	if !m.quorumHeard(electionMax) {
-		m.follow(m.hard.Term)
+func (m *Machine) startHeartbeatRound() {
+	stalled := m.now - m.nextHeartbeat
+	m.nextHeartbeat = m.now + heartbeatInterval
+	if !m.hasQuorumContact(maxElectionTimeout) {
+		m.becomeFollower(m.hardState.Term)
 		m.leader = Member{}
 		m.failReads(ErrNoLeader)
 		return
 	}
-	if stalled >= m.replace/2 {
-		m.forgive(stalled)
+	if stalled >= m.replaceAfter/2 {
+		m.discountStall(stalled)
 	}
 	m.peers = slices.DeleteFunc(m.peers, func(p *progress) bool {
-		return p.learner && m.now-p.heard > unheardFactor*m.replace
+		return p.isLearner && m.now-p.lastContact > learnerTimeoutFactor*m.replaceAfter
 	})
-	if m.transferee != nil && m.now >= m.transferUntil {
+	if m.transferee != nil && m.now >= m.transferDeadline {
 		m.transferee = nil
 	}
 	m.sendTimeoutNow()
-	m.round++
-	m.commitBefore, m.commitAtBeat = m.commitAtBeat, m.commit
+	m.heartbeatRound++
+	m.commitAtPreviousHeartbeat, m.commitAtLastHeartbeat = m.commitAtLastHeartbeat, m.commitIndex
 	for _, p := range m.peers {
-		if m.now-p.heard >= healthy && p.stage == streaming {
-			p.stage, p.next = probing, p.match+1
+		if m.now-p.lastContact >= peerTimeout && p.state == replicating {
+			p.state, p.nextIndex = probing, p.matchIndex+1
 		}
-		p.probed = false
-		if p.stage == installing && m.now-p.heard >= healthy {
-			p.stage, p.transfer = probing, transfer{}
+		p.probeSent = false
+		if p.state == sendingSnapshot && m.now-p.lastContact >= peerTimeout {
+			p.state, p.transfer = probing, snapshotTransfer{}
 		}
 	}
-	m.planMembers()
+	m.reconcileMembers()
 }
 
 // quorumHeard tells whether a quorum was heard within a time.
-func (m *Machine) quorumHeard(within time.Duration) bool {
-	return m.log.current().members.quorum(func(v Member) bool {
-		p := m.voter(v)
-		return m.isSelf(v) || p != nil && m.now-p.heard <= within
+func (m *Machine) hasQuorumContact(within time.Duration) bool {
+	return m.log.latestConfiguration().members.hasQuorum(func(v Member) bool {
+		p := m.voterProgress(v)
+		return m.isSelf(v) || p != nil && m.now-p.lastContact <= within
 	})
 }
 
 // forgive doesn't count against the others the time in which this node itself stood still.
-func (m *Machine) forgive(stalled time.Duration) {
+func (m *Machine) discountStall(stalled time.Duration) {
 	for _, p := range m.peers {
-		p.heard = min(p.heard+stalled, m.now)
+		p.lastContact = min(p.lastContact+stalled, m.now)
 	}
 }
 
 // superseded tells that a voter's disk is gone: its successor answers at the address.
-func (m *Machine) superseded(p *progress) bool {
+func (m *Machine) isSuperseded(p *progress) bool {
 	return slices.ContainsFunc(m.peers, func(q *progress) bool {
-		return q != p && q.member.Address == p.member.Address && q.round > q.since && q.heard >= p.heard
+		return q != p && q.member.Address == p.member.Address && q.ackedRound > q.learnerSinceRound && q.lastContact >= p.lastContact
 	})
 }
 
 // replicate sends to all peers what they need.
 func (m *Machine) replicate() {
-	if slices.ContainsFunc(m.reads, func(r read) bool { return r.need > m.round }) {
-		m.round++
+	if slices.ContainsFunc(m.leaderReads, func(r leaderRead) bool { return r.requiredRound > m.heartbeatRound }) {
+		m.heartbeatRound++
 		m.confirmReads() // it may be that nobody else is needed
 	}
 	for _, p := range m.peers {
-		if p.learner || !m.superseded(p) {
-			m.sendTo(p)
+		if p.isLearner || !m.isSuperseded(p) {
+			m.replicateTo(p)
 		}
 	}
 }
 
-func (m *Machine) sendTo(p *progress) {
-	if p.stage == probing && p.probed {
+func (m *Machine) replicateTo(p *progress) {
+	if p.state == probing && p.probeSent {
 		return
 	}
-	if p.stage != installing && p.next <= m.log.base {
-		if m.now-p.heard < healthy { // to who is down, a snapshot would only be traffic
-			m.beginTransfer(p)
+	if p.state != sendingSnapshot && p.nextIndex <= m.log.baseIndex {
+		if m.now-p.lastContact < peerTimeout { // to who is down, a snapshot would only be traffic
+			m.beginSnapshotTransfer(p)
 			return
 		}
-		p.next = m.log.base + 1
+		p.nextIndex = m.log.baseIndex + 1
 	}
-	if p.stage == installing {
+	if p.state == sendingSnapshot {
 		m.sendChunk(p)
-		if p.sent < m.round { // only a heartbeat, at the one index where all logs agree
-			p.sent = m.round
-			m.send(Message{Kind: Append, To: p.member.Address, ToDisk: p.member.Disk, Sequence: m.round, LeaderTime: m.leadingFor()})
+		if p.sentRound < m.heartbeatRound { // only a heartbeat, at the one index where all logs agree
+			p.sentRound = m.heartbeatRound
+			m.send(Message{Kind: AppendEntries, To: p.member.Address, ToDisk: p.member.Disk, Sequence: m.heartbeatRound, LeaderTime: m.ownTenure()})
 		}
 		return
 	}
 	for {
-		quiet := m.now-p.heard >= healthy // who is down gets heartbeats alone
-		full := m.log.bytes(p.match, p.next-1) >= mostInFlight
-		most := m.sendable(p)
-		more := p.next <= most && !quiet && !full
-		if !more && p.sent >= m.round && p.told >= min(m.commit, p.next-1) {
+		quiet := m.now-p.lastContact >= peerTimeout // who is down gets heartbeats alone
+		full := m.log.bytesBetween(p.matchIndex, p.nextIndex-1) >= maxInFlightBytes
+		most := m.lastSendableIndex(p)
+		more := p.nextIndex <= most && !quiet && !full
+		if !more && p.sentRound >= m.heartbeatRound && p.sentCommit >= min(m.commitIndex, p.nextIndex-1) {
 			return
 		}
-		if !more && quiet && p.sent >= m.round {
+		if !more && quiet && p.sentRound >= m.heartbeatRound {
 			return
 		}
-		term, _ := m.log.term(p.next - 1)
-		msg := Message{Kind: Append, To: p.member.Address, ToDisk: p.member.Disk, Index: p.next - 1, LogTerm: term,
-			Commit: m.commit, Sequence: m.round, LeaderTime: m.leadingFor()}
+		term, _ := m.log.termAt(p.nextIndex - 1)
+		msg := Message{Kind: AppendEntries, To: p.member.Address, ToDisk: p.member.Disk, Index: p.nextIndex - 1, LogTerm: term,
+			Commit: m.commitIndex, Sequence: m.heartbeatRound, LeaderTime: m.ownTenure()}
 		if more {
-			msg.Entries = m.log.between(p.next-1, most, mostMessage)
+			msg.Entries = m.log.entriesBetween(p.nextIndex-1, most, maxMessageBytes)
 		}
-		msg.Quiet = !more && p.stage == streaming && p.sent >= m.round
+		msg.Quiet = !more && p.state == replicating && p.sentRound >= m.heartbeatRound
 		m.send(msg)
-		p.sent, p.told = m.round, m.commit
-		if p.stage == probing {
-			p.probed = true
+		p.sentRound, p.sentCommit = m.heartbeatRound, m.commitIndex
+		if p.state == probing {
+			p.probeSent = true
 			return
 		}
-		p.next += uint64(len(msg.Entries))
+		p.nextIndex += uint64(len(msg.Entries))
 	}
 }
 
 // sendable is how far a peer may hold the log. A learner gets committed entries alone: a voter that
 // is taken out still votes by the joint configuration it knows, and if it held a final one that no
 // incoming voter has kept, it could be neither elected nor vote for those who can be.
-func (m *Machine) sendable(p *progress) uint64 {
-	if p.learner {
-		return m.commit
+func (m *Machine) lastSendableIndex(p *progress) uint64 {
+	if p.isLearner {
+		return m.commitIndex
 	}
-	return m.log.last()
+	return m.log.lastIndex()
 }
 
-func (m *Machine) onAppend(msg Message) {
+func (m *Machine) handleAppend(msg Message) {
 	if !m.acceptLeader(msg) {
 		return
 	}
 	prev, entries := msg.Index, msg.Entries
-	if prev < m.log.base { // what we no longer hold is committed, so it agrees
-		skip := min(m.log.base-prev, uint64(len(entries)))
+	if prev < m.log.baseIndex { // what we no longer hold is committed, so it agrees
+		skip := min(m.log.baseIndex-prev, uint64(len(entries)))
 		entries = entries[skip:]
 		prev += skip
-		if prev < m.log.base {
-			m.acknowledge(msg, m.commit)
+		if prev < m.log.baseIndex {
+			m.acknowledge(msg, m.commitIndex)
 			return
 		}
 		msg.LogTerm = m.log.baseTerm
 	}
-	if term, ok := m.log.term(prev); !ok || term != msg.LogTerm {
-		if ok && prev <= m.commit {
+	if term, ok := m.log.termAt(prev); !ok || term != msg.LogTerm {
+		if ok && prev <= m.commitIndex {
 			panic(fmt.Sprintf("consensus: entry %d is committed in term %d, and the leader of term %d has it of term %d",
 				prev, term, msg.Term, msg.LogTerm))
 		}
-		m.disagree(msg, prev)
+		m.rejectAppend(msg, prev)
 		return
 	}
 	for i, e := range entries {
-		if term, ok := m.log.term(e.Index); ok && term == e.Term {
+		if term, ok := m.log.termAt(e.Index); ok && term == e.Term {
 			continue
 		} else if ok {
-			m.cut(e.Index)
+			m.truncateFrom(e.Index)
 		}
 		for _, e := range entries[i:] {
 			m.log.append(e)
@@ -252,7 +252,7 @@
 		break
 	}
 	agreed := prev + uint64(len(entries))
-	if to := min(msg.Commit, agreed); to > m.commit {
+	if to := min(msg.Commit, agreed); to > m.commitIndex {
 		m.commitTo(to)
 	}
 	if !msg.Quiet {
@@ -262,48 +262,48 @@
 
 // acceptLeader tells whether a leader's message counts, and follows it.
 func (m *Machine) acceptLeader(msg Message) bool {
-	if msg.Term < m.hard.Term {
+	if msg.Term < m.hardState.Term {
 		// Without the round: the sender may lead again by now, in this very term, and would take it
 		// for one of today's.
-		m.send(Message{Kind: AppendReply, To: msg.From, Reject: true})
+		m.send(Message{Kind: AppendEntriesReply, To: msg.From, Reject: true})
 		return false
 	}
-	if m.role == leader && msg.Term == m.hard.Term {
+	if m.role == leader && msg.Term == m.hardState.Term {
 		panic(fmt.Sprintf("consensus: two leaders in term %d: %s and we", msg.Term, msg.From))
 	}
 	m.followLeader(msg)
-	m.heard = m.now
-	m.resetElection()
-	if m.mayCampaign() {
-		m.resendPending(resendAfter)
+	m.lastLeaderContact = m.now
+	m.resetElectionTimer()
+	if m.canCampaign() {
+		m.resendPending(resendTimeout)
 		return true
 	}
-	if msg.ToDisk == m.disk {
-		m.adopted = m.now
-		m.joinAt, m.joinWait = m.now+electionMax, 0
-	} else if m.now-m.joinedAt >= heartbeat {
-		m.joinAt = m.now
+	if msg.ToDisk == m.diskID {
+		m.lastReplicatedTo = m.now
+		m.nextJoin, m.joinBackoff = m.now+maxElectionTimeout, 0
+	} else if m.now-m.lastJoinSent >= heartbeatInterval {
+		m.nextJoin = m.now
 	}
-	m.resendPending(resendAfter)
+	m.resendPending(resendTimeout)
 	return true
 }
 
 // acknowledge promises that the log agrees with the leader's up to an index. It stands for what it
 // promised this leader before and waits for the same sync: however long that takes, one is kept.
 func (m *Machine) acknowledge(msg Message, index uint64) {
-	reply := Message{Kind: AppendReply, To: msg.From, Term: m.hard.Term, Index: index, Sequence: msg.Sequence}
-	if m.answersEarly() {
+	reply := Message{Kind: AppendEntriesReply, To: msg.From, Term: m.hardState.Term, Index: index, Sequence: msg.Sequence}
+	if m.acknowledgesEarly() {
 		early := reply
-		early.Index = min(index, m.synced)
+		early.Index = min(index, m.syncedIndex)
 		m.send(early)
 	}
-	if i := len(m.held) - 1; i >= 0 {
-		if last := m.held[i]; last.Kind == AppendReply && last.To == reply.To && last.Term == reply.Term {
+	if i := len(m.awaitingSave) - 1; i >= 0 {
+		if last := m.awaitingSave[i]; last.Kind == AppendEntriesReply && last.To == reply.To && last.Term == reply.Term {
 			reply.Index, reply.Sequence = max(last.Index, index), max(last.Sequence, msg.Sequence)
-			m.held = m.held[:i]
+			m.awaitingSave = m.awaitingSave[:i]
 		}
 	}
-	m.promise(reply)
+	m.sendAfterSync(reply)
 }
 
 // answersEarly tells whether a leader is answered before the sync that is under way is done, with
@@ -311,80 +311,80 @@
 // snapshot, would cost a leader its quorum. The term has to be on the disk as well, or a leader of
 // an earlier one could take back, after a crash, what was acknowledged. A disk that doesn't answer
 // for long counts as lost, so that another can take its place.
-func (m *Machine) answersEarly() bool {
-	took := m.now - m.savingSince
-	return m.saving && took >= heartbeat && took < stalledAfter && m.syncedTerm == m.hard.Term
+func (m *Machine) acknowledgesEarly() bool {
+	took := m.now - m.saveStartedAt
+	return m.saveInProgress && took >= heartbeatInterval && took < syncStallTimeout && m.syncedTerm == m.hardState.Term
 }
 
 // disagree tells the leader where to look next: at our end, or before the term that doesn't fit.
-func (m *Machine) disagree(msg Message, prev uint64) {
-	to := m.log.last()
-	if term, ok := m.log.term(prev); ok {
+func (m *Machine) rejectAppend(msg Message, prev uint64) {
+	to := m.log.lastIndex()
+	if term, ok := m.log.termAt(prev); ok {
 		to = prev - 1
-		for t, ok := m.log.term(to); ok && t == term && to > m.commit; t, ok = m.log.term(to) {
+		for t, ok := m.log.termAt(to); ok && t == term && to > m.commitIndex; t, ok = m.log.termAt(to) {
 			to--
 		}
 	}
-	m.send(Message{Kind: AppendReply, To: msg.From, Reject: true, Index: to, About: prev, Sequence: msg.Sequence})
+	m.send(Message{Kind: AppendEntriesReply, To: msg.From, Reject: true, Index: to, About: prev, Sequence: msg.Sequence})
 }
 
-func (m *Machine) onAppendReply(msg Message) {
-	if msg.Term > m.hard.Term {
-		m.follow(msg.Term)
+func (m *Machine) handleAppendReply(msg Message) {
+	if msg.Term > m.hardState.Term {
+		m.becomeFollower(msg.Term)
 		return
 	}
-	p := m.replier(msg)
+	p := m.peerForReply(msg)
 	if p == nil {
 		return
 	}
-	p.heard, p.disk, p.round = m.now, msg.Disk, max(p.round, msg.Sequence)
+	p.lastContact, p.discoveredDisk, p.ackedRound = m.now, msg.Disk, max(p.ackedRound, msg.Sequence)
 	m.peers = slices.DeleteFunc(m.peers, func(q *progress) bool { // an old Join of a disk that is there no more
-		return q != p && q.learner && q.member.Address == p.member.Address && p.round > q.since
+		return q != p && q.isLearner && q.member.Address == p.member.Address && p.ackedRound > q.learnerSinceRound
 	})
 	if msg.Reject {
-		if prev := msg.About; prev == p.next-1 && p.stage == probing || p.stage == streaming && prev > p.match {
-			p.stage, p.probed = probing, false
-			p.next = max(min(prev, msg.Index+1), p.match+1)
+		if prev := msg.About; prev == p.nextIndex-1 && p.state == probing || p.state == replicating && prev > p.matchIndex {
+			p.state, p.probeSent = probing, false
+			p.nextIndex = max(min(prev, msg.Index+1), p.matchIndex+1)
 		}
 		m.confirmReads()
 		return
 	}
-	if msg.Index > m.log.last() {
-		panic(fmt.Sprintf("consensus: %v acknowledges %d, and the log ends at %d", p.member, msg.Index, m.log.last()))
+	if msg.Index > m.log.lastIndex() {
+		panic(fmt.Sprintf("consensus: %v acknowledges %d, and the log ends at %d", p.member, msg.Index, m.log.lastIndex()))
 	}
-	p.match = max(p.match, msg.Index)
-	p.next = max(p.next, p.match+1)
-	if p.stage == probing && msg.Index >= p.next-1 || p.stage == installing && p.match >= p.transfer.snapshot.Index {
-		p.stage, p.next, p.transfer = streaming, p.match+1, transfer{}
+	p.matchIndex = max(p.matchIndex, msg.Index)
+	p.nextIndex = max(p.nextIndex, p.matchIndex+1)
+	if p.state == probing && msg.Index >= p.nextIndex-1 || p.state == sendingSnapshot && p.matchIndex >= p.transfer.snapshot.Index {
+		p.state, p.nextIndex, p.transfer = replicating, p.matchIndex+1, snapshotTransfer{}
 	}
 	m.advanceCommit()
 	m.confirmReads()
 	if p == m.transferee {
 		m.sendTimeoutNow()
 	}
-	if p.learner {
-		m.planMembers()
+	if p.isLearner {
+		m.reconcileMembers()
 	}
 }
 
 // advanceCommit commits what a quorum has synced, once that reaches this term.
 func (m *Machine) advanceCommit() {
-	index := m.log.current().members.quorumValue(func(v Member) uint64 {
+	index := m.log.latestConfiguration().members.quorumValue(func(v Member) uint64 {
 		if m.isSelf(v) {
-			return m.synced
+			return m.syncedIndex
 		}
-		if p := m.voter(v); p != nil {
-			return p.match
+		if p := m.voterProgress(v); p != nil {
+			return p.matchIndex
 		}
 		return 0
 	})
-	if index <= m.commit {
+	if index <= m.commitIndex {
 		return
 	}
-	if term, _ := m.log.term(index); term != m.hard.Term {
+	if term, _ := m.log.termAt(index); term != m.hardState.Term {
 		return
 	}
 	m.commitTo(index)
 	m.confirmReads()
-	m.planMembers()
+	m.reconcileMembers()
 }
--- a/internal/mesh/consensus/sim_judge_test.go
+++ b/internal/mesh/consensus/sim_judge_test.go
@@ -64,13 +64,13 @@
 	return v
 }
 
-func (w *world) done(h *host, d Done) {
+func (w *world) done(h *host, d Completion) {
 	what, ok := h.asked[d.ID]
 	if !ok {
 		return
 	}
 	delete(h.asked, d.ID)
-	w.history.answer(h, d)
+	w.history.endCall(h, d)
 	switch {
 	case h.isRead[d.ID]:
 		if d.Err == nil {
--- a/internal/mesh/consensus/sim_test.go
+++ b/internal/mesh/consensus/sim_test.go
@@ -94,7 +94,7 @@
 
 func newWorld(seed uint64, bugs injectedBugs) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]string]bool{}, bugs: bugs, fate: map[uint64]string{},
-		at: map[uint64]uint64{}, acked: map[uint64]uint64{}, lost: map[Member]bool{}, late: time.Second, slow: 5 * time.Millisecond, compact: 24, chunk: mostChunk, replace: 3 * time.Second}
+		at: map[uint64]uint64{}, acked: map[uint64]uint64{}, lost: map[Member]bool{}, late: time.Second, slow: 5 * time.Millisecond, compact: 24, chunk: maxChunkBytes, replace: 3 * time.Second}
 	for _, a := range []string{"a", "b", "c", "d"} {
 		w.hosts = append(w.hosts, &host{address: a, first: a != "d", seeds: seedNames})
 	}
@@ -107,7 +107,7 @@
 
 // trace writes what goes on, for -first SEED -seeds 1 -tell.
 func (w *world) trace(format string, args ...any) {
-	if *tracing {
+	if *traceEnabled {
 		fmt.Printf("%12v "+format+"\n", append([]any{w.now}, args...)...)
 	}
 }
@@ -147,7 +147,7 @@
 	if h.disk == nil {
 		h.disk = &State{Disk: w.rng.Uint64() | 1, Founder: h.first}
 		if h.first {
-			h.disk.Hard.Term, h.disk.Entries = 1, Found(seedNames)
+			h.disk.Hard.Term, h.disk.Entries = 1, BootstrapEntries(seedNames)
 		}
 	}
 	h.first = false
@@ -156,11 +156,11 @@
 	h.life = w.life
 	state := *h.disk
 	state.Entries = slices.Clone(state.Entries)
-	if err := state.check(); err != nil {
+	if err := state.validate(); err != nil {
 		w.fail("%s: %v", h.address, err)
 	}
 	if w.bugs.oldState && state.Snapshot != nil {
-		state.Entries = state.Entries[:state.Snapshot.Index-state.Base]
+		state.Entries = state.Entries[:state.Snapshot.Index-state.BaseIndex]
 	}
 	h.tableAt = 0
 	if h.kept {
@@ -169,12 +169,12 @@
 		h.table, h.applied = nil, 0
 	}
 	h.kept = false
-	c := Config{Self: h.address, Seeds: h.seeds, Life: h.life, Rand: rand.New(rand.NewPCG(w.rng.Uint64(), 2)),
-		State: state, Replace: w.replace, Voters: w.voters, Zone: h.zone, TableAt: h.tableAt}
+	c := Config{Self: h.address, Seeds: h.seeds, Incarnation: h.life, Rand: rand.New(rand.NewPCG(w.rng.Uint64(), 2)),
+		State: state, ReplaceAfter: w.replace, TargetVoters: w.voters, Zone: h.zone, TableIndex: h.tableAt}
 	h.machine = New(c)
-	h.machine.compact, h.machine.chunk = w.compact, w.chunk
+	h.machine.compactEntries, h.machine.chunkBytes = w.compact, w.chunk
 	h.machine.now = w.now
-	h.machine.resetElection()
+	h.machine.resetElectionTimer()
 	h.saving, h.next, h.frozen, h.due = nil, 0, 0, 0
 	h.asked, h.isRead, h.early = map[uint64]uint64{}, map[uint64]bool{}, nil
 	if s := state.Snapshot; s != nil {
@@ -203,15 +203,15 @@
 // mayWipe tells whether the disk of a host may be lost now: all others of the members are whole,
 // those of the outgoing ones too while they change.
 func (w *world) mayWipe() bool {
-	var newest decided
+	var newest configuration
 	for _, h := range w.hosts {
 		if h.machine != nil {
-			if c := h.machine.log.current(); newest.at.before(c.at) {
+			if c := h.machine.log.latestConfiguration(); newest.place.before(c.place) {
 				newest = c
 			}
 		}
 	}
-	return !w.anyLost(newest.members.all()) && !w.anyLost(w.members.all()) && len(newest.members.Voters) >= 3 && len(w.members.Voters) >= 3
+	return !w.anyLost(newest.members.allVoters()) && !w.anyLost(w.members.allVoters()) && len(newest.members.Voters) >= 3 && len(w.members.Voters) >= 3
 }
 
 func (w *world) wipe(h *host) {
@@ -233,7 +233,7 @@
 
 func (w *world) write(h *host, s *Save) {
 	d := h.disk
-	d.Hard, d.Base, d.BaseTerm = s.Hard, s.Base, s.BaseTerm
+	d.Hard, d.BaseIndex, d.BaseTerm = s.Hard, s.BaseIndex, s.BaseTerm
 	if w.bugs.forgetVote {
 		d.Hard.Vote = Member{}
 	}
@@ -242,7 +242,7 @@
 	}
 	var entries []Entry
 	for _, e := range d.Entries {
-		if e.Index > s.Base && e.Index < s.First {
+		if e.Index > s.BaseIndex && e.Index < s.FirstIndex {
 			entries = append(entries, e)
 		}
 	}
@@ -258,7 +258,7 @@
 		w.after(h.frozen-w.now, func() { w.touch(h, life, do) })
 		return
 	}
-	h.machine.Clock(w.now)
+	h.machine.SetClock(w.now)
 	do(h.machine)
 	if w.bugs.singleSteps {
 		takeSingleSteps(h.machine)
@@ -270,8 +270,8 @@
 
 func (w *world) settle(h *host) {
 	m, life := h.machine, h.life
-	for o := m.Take(); !o.Empty(); o = m.Take() {
-		for _, msg := range o.Send {
+	for o := m.NextOutput(); !o.Empty(); o = m.NextOutput() {
+		for _, msg := range o.Messages {
 			w.send(msg)
 		}
 		if o.Restore != nil {
@@ -280,7 +280,7 @@
 		for _, e := range o.Apply {
 			w.apply(h, e)
 		}
-		for _, d := range o.Done {
+		for _, d := range o.Completions {
 			w.done(h, d)
 		}
 		if o.Compact {
@@ -313,19 +313,19 @@
 					}
 					if w.rng.Float64() < w.broken {
 						if !w.bugs.trustFailed {
-							w.suspend(h)
+							w.suspendHost(h)
 							return
 						}
 						h.saving = nil
-						m.Saved()
+						m.SaveCompleted()
 						return
 					}
 					w.write(h, s)
 					h.saving = nil
-					m.Saved()
+					m.SaveCompleted()
 					if w.bugs.earlyAck && m.role == leader {
 						for _, id := range h.early {
-							w.done(h, Done{ID: id, Index: m.log.entries[slices.IndexFunc(m.log.entries, func(e Entry) bool { return e.Origin == h.life && e.ID == id })].Index})
+							w.done(h, Completion{ID: id, Index: m.log.entries[slices.IndexFunc(m.log.entries, func(e Entry) bool { return e.Origin == h.life && e.ID == id })].Index})
 						}
 					}
 					h.early = nil
@@ -354,7 +354,7 @@
 		w.after(delay, func() {
 			h := w.host(msg.To)
 			if !w.cut[[2]string{msg.From, msg.To}] {
-				w.touch(h, h.life, func(m *Machine) { w.step(m, msg) })
+				w.touch(h, h.life, func(m *Machine) { w.deliver(m, msg) })
 			}
 		})
 	}
@@ -364,7 +364,7 @@
 	w.touch(h, h.life, func(m *Machine) {
 		h.next++
 		h.asked[h.next] = value
-		w.history.set(h, value)
+		w.history.beginSet(h, value)
 		if m.role == leader {
 			h.early = append(h.early, h.next)
 		}
@@ -377,12 +377,12 @@
 	w.touch(h, h.life, func(m *Machine) {
 		h.next++
 		h.asked[h.next], h.isRead[h.next] = uint64(len(w.committed)), true
-		if w.history.get(h) {
+		if w.history.beginGet(h) {
 			h.asked[h.next] = 0 // the history is to tell
 		}
 		m.Read(h.next)
 		if w.bugs.localRead && m.role == leader {
-			w.done(h, Done{ID: h.next})
+			w.done(h, Completion{ID: h.next})
 		}
 	})
 }
--- a/internal/mesh/consensus/snapshot_test.go
+++ b/internal/mesh/consensus/snapshot_test.go
@@ -14,7 +14,7 @@
 
 // suspend is a save that fails, done or not: the machine is given up, and the table stays. See
 // reopen.go.
-func (w *world) suspend(h *host) {
+func (w *world) suspendHost(h *host) {
 	w.suspended++
 	for _, msg := range h.machine.resign() {
 		w.send(msg)
@@ -25,18 +25,18 @@
 }
 
 // step hands a machine a message, with the faults that are planted.
-func (w *world) step(m *Machine, msg Message) {
-	if msg.Kind != Install {
-		m.Step(msg)
+func (w *world) deliver(m *Machine, msg Message) {
+	if msg.Kind != InstallSnapshot {
+		m.HandleMessage(msg)
 		return
 	}
-	if in := m.incoming; w.bugs.mixChunks && in != nil && msg.Term >= m.hard.Term {
+	if in := m.incomingSnapshot; w.bugs.mixChunks && in != nil && msg.Term >= m.hardState.Term {
 		msg.Sum = crc32.Checksum(append(slices.Clone(in.data), msg.Snapshot.Data...), castagnoli)
 		in.transferID = transferID{Member{msg.From, msg.Disk}, msg.Term, Place{msg.Snapshot.Term, msg.Snapshot.Index},
 			msg.Size, msg.Sum}
 	}
 	had := m.snapshot
-	m.Step(msg)
+	m.HandleMessage(msg)
 	if m.snapshot != had {
 		if msg.Offset > 0 {
 			w.installs++
@@ -59,15 +59,15 @@
 
 func TestExploreSnapshots(t *testing.T) {
 	acks, installs, suspended := 0, 0, 0
-	for seed := *firstSeed; seed < *firstSeed+uint64(*seeds)/2; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount)/2; seed++ {
 		w, trouble := exploreSnapshots(seed, injectedBugs{})
 		require.Nil(t, trouble, "seed %d", seed)
 		acks, installs, suspended = acks+w.acks, installs+w.installs, suspended+w.suspended
 	}
 	t.Logf("%d acknowledged, %d snapshots in several chunks, %d disks that failed", acks, installs, suspended)
-	require.Greater(t, acks, *seeds*5, "too little came through to tell anything")
-	require.Greater(t, installs, *seeds/2)
-	require.Greater(t, suspended, *seeds/2)
+	require.Greater(t, acks, *seedCount*5, "too little came through to tell anything")
+	require.Greater(t, installs, *seedCount/2)
+	require.Greater(t, suspended, *seedCount/2)
 }
 
 func TestExploreSnapshotsFindsPlanted(t *testing.T) {
@@ -93,18 +93,18 @@
 // After its disk failed, a node's table may be ahead of what the machine has applied anew. No
 // snapshot is taken of it then, since it would stand at the wrong index.
 func TestNoSnapshotOfATableAhead(t *testing.T) {
-	state := State{Disk: 1, Founder: true, Hard: Hard{Term: 1}, Entries: Found([]string{"a", "b", "c"})}
+	state := State{Disk: 1, Founder: true, Hard: Hard{Term: 1}, Entries: BootstrapEntries([]string{"a", "b", "c"})}
 	for i := uint64(2); i <= 20; i++ {
 		state.Entries = append(state.Entries, Entry{Index: i, Term: 1, Origin: 1, ID: i, Command: []byte{1}})
 	}
-	m := New(Config{Self: "a", Seeds: seedNames, Life: 1, Rand: rand.New(rand.NewPCG(1, 1)), State: state, TableAt: 15})
-	m.compact = 4
+	m := New(Config{Self: "a", Seeds: seedNames, Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 1)), State: state, TableIndex: 15})
+	m.compactEntries = 4
 	for commit, due := range []bool{12: false, 14: false, 15: true} {
 		if commit < 12 {
 			continue
 		}
 		m.commitTo(uint64(commit))
-		o := m.Take()
+		o := m.NextOutput()
 		require.Equal(t, due, o.Compact, "at %d", commit)
 	}
 }
--- a/internal/mesh/consensus/stale.go
+++ b/internal/mesh/consensus/stale.go
@@ -12,17 +12,17 @@
 
 // staleAfter is the age at which a proposal is refused: its caller waits for less than a second, and
 // the follower that passed it on heard the leader at most so long before.
-const staleAfter = 2 * healthy
+const maxProposalAge = 2 * peerTimeout
 
 // leadingFor is how long this node has led, and never 0: that is what an older program says.
-func (m *Machine) leadingFor() time.Duration { return m.now - m.ledSince + 1 }
+func (m *Machine) ownTenure() time.Duration { return m.now - m.leaderSince + 1 }
 
 // hearLeader notes how long the leader says that it has led. Messages may come out of order.
-func (m *Machine) hearLeader(leadingFor time.Duration) {
-	m.leaderTime = max(m.leaderTime, leadingFor)
+func (m *Machine) recordLeaderTenure(leadingFor time.Duration) {
+	m.leaderTenure = max(m.leaderTenure, leadingFor)
 }
 
 // isStale tells whether a proposal was given to this leader, in this term, too long ago.
 func (m *Machine) isStale(msg Message) bool {
-	return msg.LeaderTime != 0 && m.leadingFor()-msg.LeaderTime > staleAfter
+	return msg.LeaderTime != 0 && m.ownTenure()-msg.LeaderTime > maxProposalAge
 }
--- a/internal/mesh/consensus/stale_test.go
+++ b/internal/mesh/consensus/stale_test.go
@@ -10,33 +10,33 @@
 // TestStaleProposalIsRefused has the leader get a proposal at once, late, and from a program that
 // doesn't say what it heard of the leader.
 func TestStaleProposalIsRefused(t *testing.T) {
-	m := alone(3)
-	elected(t, m)
-	beats(m, map[string]uint64{"b": 2, "c": 2})
+	m := newTestMachine(3)
+	electLeader(t, m)
+	runHeartbeats(m, map[string]uint64{"b": 2, "c": 2})
 	forward := func(id uint64, leaderTime time.Duration) (taken bool, refused bool) {
-		before := m.log.last()
-		m.Step(Message{Kind: Forward, From: "b", To: "a", Disk: 2, ToDisk: 1, Term: m.hard.Term, Origin: 9, ID: id,
+		before := m.log.lastIndex()
+		m.HandleMessage(Message{Kind: Forward, From: "b", To: "a", Disk: 2, ToDisk: 1, Term: m.hardState.Term, Origin: 9, ID: id,
 			Command: []byte("x"), LeaderTime: leaderTime})
-		for o := m.Take(); !o.Empty(); o = m.Take() {
-			for _, msg := range o.Send {
-				refused = refused || msg.Kind == Refuse && msg.ID == id
+		for o := m.NextOutput(); !o.Empty(); o = m.NextOutput() {
+			for _, msg := range o.Messages {
+				refused = refused || msg.Kind == ForwardReject && msg.ID == id
 			}
 			if o.Save != nil {
-				m.Saved()
+				m.SaveCompleted()
 			}
 		}
-		return m.log.last() > before, refused
+		return m.log.lastIndex() > before, refused
 	}
-	heard := m.leadingFor()
+	heard := m.ownTenure()
 	taken, refused := forward(1, heard)
 	require.True(t, taken && !refused)
 	for range 20 {
-		beats(m, map[string]uint64{"b": 2, "c": 2})
+		runHeartbeats(m, map[string]uint64{"b": 2, "c": 2})
 	}
-	require.Greater(t, m.leadingFor()-heard, staleAfter)
+	require.Greater(t, m.ownTenure()-heard, maxProposalAge)
 	taken, refused = forward(2, heard)
 	require.True(t, !taken && refused, "it was given long ago")
-	taken, refused = forward(2, m.leadingFor())
+	taken, refused = forward(2, m.ownTenure())
 	require.False(t, taken || refused, "it was refused for good")
 	taken, _ = forward(3, 0)
 	require.True(t, taken, "an older program does not say when")
@@ -45,17 +45,17 @@
 // TestProposalsNameTheLeaderTheyAreFor has a follower with a proposal hear a new leader: it says how long
 // that one had led, and nothing of the one before.
 func TestProposalsNameTheLeaderTheyAreFor(t *testing.T) {
-	m := alone(3)
+	m := newTestMachine(3)
 	hear := func(term uint64, leaderTime time.Duration) (forwarded []Message) {
-		m.Step(Message{Kind: Append, From: "b", To: "a", Disk: 2, ToDisk: 1, Term: term, Index: 1, LogTerm: 1, LeaderTime: leaderTime})
-		for o := m.Take(); !o.Empty(); o = m.Take() {
-			for _, msg := range o.Send {
+		m.HandleMessage(Message{Kind: AppendEntries, From: "b", To: "a", Disk: 2, ToDisk: 1, Term: term, Index: 1, LogTerm: 1, LeaderTime: leaderTime})
+		for o := m.NextOutput(); !o.Empty(); o = m.NextOutput() {
+			for _, msg := range o.Messages {
 				if msg.Kind == Forward {
 					forwarded = append(forwarded, msg)
 				}
 			}
 			if o.Save != nil {
-				m.Saved()
+				m.SaveCompleted()
 			}
 		}
 		return forwarded
@@ -63,8 +63,8 @@
 	hear(4, time.Hour)
 	m.Propose(1, []byte("x"))
 	hear(4, time.Second) // an old message
-	require.Equal(t, time.Hour, m.leaderTime)
-	m.follow(5)
+	require.Equal(t, time.Hour, m.leaderTenure)
+	m.becomeFollower(5)
 	forwarded := hear(5, time.Minute)
 	require.Empty(t, forwarded, "given to the leader before, who may have it in the log")
 	m.Propose(2, []byte("y"))
--- a/internal/mesh/consensus/store.go
+++ b/internal/mesh/consensus/store.go
@@ -80,13 +80,13 @@
 	if err != nil {
 		return nil, State{}, errs.Wrapf(err, "reading %s", path)
 	}
-	if c.id.Address != "" && c.id.Address != self {
+	if c.identity.Address != "" && c.identity.Address != self {
 		return nil, State{}, errs.Wrap(unusable("%s is the store of %s, and this node is %s, which must not take over its promises: "+
 			"mend the node's address or data folder in the settings, or take the file away, and the node recovers from the others",
-			path, c.id.Address, self))
+			path, c.identity.Address, self))
 	}
 	if c.format != storeFormat {
-		if err := makeStore(dir, identity{c.id.Disk, c.id.Founder, self}, c.whole()); err != nil {
+		if err := makeStore(dir, identity{c.identity.Disk, c.identity.Founder, self}, c.fullSave()); err != nil {
 			return nil, State{}, errs.Wrapf(diskError(dir, err), "bringing %s from format %d to %d", path, c.format, storeFormat)
 		}
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, State{}, errs.Wrapf(diskError(dir, err), "opening %s", path)
 	}
-	return &store{db: db, dir: dir, hard: c.state.Hard, base: base{c.state.Base, c.state.BaseTerm}}, c.state, nil
+	return &store{db: db, dir: dir, hard: c.state.Hard, base: base{c.state.BaseIndex, c.state.BaseTerm}}, c.state, nil
 }
 
 func exists(path string) (bool, error) {
@@ -121,11 +121,11 @@
 		if err != nil {
 			return oops.Wrapf(err, "reading %s", suspect)
 		}
-		return makeStore(dir, c.id, c.whole())
+		return makeStore(dir, c.identity, c.fullSave())
 	}
-	save := &Save{First: 1}
+	save := &Save{FirstIndex: 1}
 	if founder {
-		save.Hard.Term, save.Entries = 1, Found(seeds)
+		save.Hard.Term, save.Entries = 1, BootstrapEntries(seeds)
 	}
 	return makeStore(dir, identity{randomNumber(), founder, self}, save)
 }
@@ -199,7 +199,7 @@
 		s.failed = true
 		return diskError(s.dir, err)
 	}
-	s.hard, s.base = save.Hard, base{save.Base, save.BaseTerm}
+	s.hard, s.base = save.Hard, base{save.BaseIndex, save.BaseTerm}
 	return nil
 }
 
@@ -226,7 +226,7 @@
 			return err
 		}
 	}
-	at := base{save.Base, save.BaseTerm}
+	at := base{save.BaseIndex, save.BaseTerm}
 	if at != s.base || meta.Get(baseKey) == nil {
 		if err := putGob(meta, baseKey, at); err != nil {
 			return err
@@ -239,10 +239,10 @@
 	}
 	var drop [][]byte
 	c := log.Cursor()
-	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= save.Base; k, _ = c.Next() {
+	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= save.BaseIndex; k, _ = c.Next() {
 		drop = append(drop, k)
 	}
-	for k, _ := c.Seek(indexKey(save.First)); k != nil; k, _ = c.Next() {
+	for k, _ := c.Seek(indexKey(save.FirstIndex)); k != nil; k, _ = c.Next() {
 		drop = append(drop, k)
 	}
 	for _, k := range drop {
@@ -273,7 +273,7 @@
 func get(b *bbolt.Bucket, key []byte) ([]byte, error) {
 	record := b.Get(key)
 	if len(record) < 4 || binary.BigEndian.Uint32(record) != checksum(key, record[4:]) {
-		return nil, oops.Errorf("record %q is missing, or its checksum doesn't fit: %s", key, damaged)
+		return nil, oops.Errorf("record %q is missing, or its checksum doesn't fit: %s", key, damagedAdvice)
 	}
 	return record[4:], nil
 }
@@ -311,7 +311,7 @@
 	switch {
 	case e.Members != nil:
 		switch {
-		case e.Members.joint():
+		case e.Members.isJoint():
 			b = appendJointMembers(append(b, holdsJointMembers), e.Members)
 			return b
 		case e.Members.Mesh == 0:
@@ -361,7 +361,7 @@
 		}
 		e.Members.Target = int(target)
 		for b = b[n:]; len(b) > 0; {
-			v, rest, ok := cutMember(b)
+			v, rest, ok := decodeMember(b)
 			if !ok {
 				return Entry{}, bad
 			}
--- a/internal/mesh/consensus/store_test.go
+++ b/internal/mesh/consensus/store_test.go
@@ -16,23 +16,23 @@
 	dir := filepath.Join(t.TempDir(), "new", "folder")
 	s, first, err := openStore(dir, "a", true, []string{"a", "b"})
 	require.NoError(t, err)
-	require.Equal(t, Found([]string{"a", "b"}), first.Entries)
+	require.Equal(t, BootstrapEntries([]string{"a", "b"}), first.Entries)
 	require.NotZero(t, first.Disk)
 	command := func(index, term uint64) Entry {
 		return Entry{Index: index, Term: term, Origin: 3, ID: index, Command: []byte{byte(index)}}
 	}
 	members := Members{Target: 3, Voters: []Member{{"a", 7}, {"b", 1 << 63}}}
 	hard := Hard{Term: 4, Vote: Member{"a", 7}}
-	require.NoError(t, s.save(&Save{Hard: hard, First: 2,
+	require.NoError(t, s.save(&Save{Hard: hard, FirstIndex: 2,
 		Entries: []Entry{{Index: 2, Term: 2}, command(3, 2), command(4, 2), {Index: 5, Term: 2, Members: &members}}}))
 	snapshot := &Snapshot{Index: 3, Term: 2, Members: members, MembersAt: Place{1, 1}, Data: []byte("state")}
-	require.NoError(t, s.save(&Save{Hard: hard, Base: 2, BaseTerm: 2, Snapshot: snapshot, First: 5,
+	require.NoError(t, s.save(&Save{Hard: hard, BaseIndex: 2, BaseTerm: 2, Snapshot: snapshot, FirstIndex: 5,
 		Entries: []Entry{command(5, 4)}}))
 	require.NoError(t, s.close())
 
 	s, state, err := openStore(dir, "a", true, nil)
 	require.NoError(t, err)
-	require.Equal(t, State{Disk: first.Disk, Founder: true, Hard: hard, Base: 2, BaseTerm: 2, Snapshot: snapshot,
+	require.Equal(t, State{Disk: first.Disk, Founder: true, Hard: hard, BaseIndex: 2, BaseTerm: 2, Snapshot: snapshot,
 		Entries: []Entry{command(3, 2), command(4, 2), command(5, 4)}}, state)
 	require.NoError(t, s.close())
 }
@@ -120,7 +120,7 @@
 		entry := func(index uint64) Entry {
 			return Entry{Index: index, Term: 2, Origin: 3, ID: index, Command: bytes.Repeat([]byte{byte(index)}, int(index))}
 		}
-		require.NoError(t, s.save(&Save{Hard: Hard{Term: 2}, First: i, Entries: []Entry{entry(i), entry(i + 1), entry(i + 2),
+		require.NoError(t, s.save(&Save{Hard: Hard{Term: 2}, FirstIndex: i, Entries: []Entry{entry(i), entry(i + 1), entry(i + 2),
 			entry(i + 3), entry(i + 4), entry(i + 5)}}))
 	}
 	require.NoError(t, s.close())
--- a/internal/mesh/consensus/whole_members_test.go
+++ b/internal/mesh/consensus/whole_members_test.go
@@ -26,28 +26,28 @@
 }
 
 func (p smallBugs) appendEarlyFinal(m *Machine) {
-	members := m.log.current().members
-	if m.role == leader && m.commit >= m.opened && members.joint() {
+	members := m.log.latestConfiguration().members
+	if m.role == leader && m.commitIndex >= m.termStartIndex && members.isJoint() {
 		members.Old = nil
-		m.log.append(Entry{Index: m.log.last() + 1, Term: m.hard.Term, Members: &members})
-		m.setPeers()
+		m.log.append(Entry{Index: m.log.lastIndex() + 1, Term: m.hardState.Term, Members: &members})
+		m.updatePeers()
 	}
 }
 
 func (p smallBugs) commitByUnion(_ *small, m *Machine) {
-	members := m.log.current().members
-	if m.role != leader || !members.joint() {
+	members := m.log.latestConfiguration().members
+	if m.role != leader || !members.isJoint() {
 		return
 	}
-	index := majorityValue(members.all(), func(v Member) uint64 {
+	index := majorityValue(members.allVoters(), func(v Member) uint64 {
 		if m.isSelf(v) {
-			return m.synced
+			return m.syncedIndex
 		}
-		return m.voter(v).match
+		return m.voterProgress(v).matchIndex
 	})
-	if term, _ := m.log.term(index); index > m.commit && term == m.hard.Term {
+	if term, _ := m.log.termAt(index); index > m.commitIndex && term == m.hardState.Term {
 		m.commitTo(index)
-		m.planMembers()
+		m.reconcileMembers()
 	}
 }
 
@@ -66,10 +66,10 @@
 	s = s.step(0, func(_ *small, c *cell) { c.machine.campaign(candidate) })
 	s = s.calm()
 	for i := 3; i < hosts; i++ {
-		s = s.step(i, func(_ *small, c *cell) { c.machine.askToJoin("a") })
+		s = s.step(i, func(_ *small, c *cell) { c.machine.sendJoin("a") })
 	}
 	s = s.calm()
-	s = s.step(0, func(_ *small, c *cell) { c.machine.beat() })
+	s = s.step(0, func(_ *small, c *cell) { c.machine.startHeartbeatRound() })
 	s = s.calm()
 	s.left, s.bugs, s.oneIsLost = left, bugs, left.Down != ""
 	return s.step(0, func(_ *small, c *cell) {
@@ -77,13 +77,13 @@
 			switch {
 			case !slices.Contains(replaced, p.member.Address):
 			case len(replaced) == 1:
-				p.heard -= c.machine.replace
+				p.lastContact -= c.machine.replaceAfter
 			default: // of those that are unheard, two would be too many
-				p.leavingUntil = leaveCounts
+				p.leavingUntil = leavingExpiry
 			}
 		}
-		c.machine.planMembers()
-		if len(replaced) > 0 && !c.machine.log.current().members.joint() {
+		c.machine.reconcileMembers()
+		if len(replaced) > 0 && !c.machine.log.latestConfiguration().members.isJoint() {
 			panic("nobody is replaced")
 		}
 	})
@@ -97,10 +97,10 @@
 	s = s.copied()
 	s.start(2, &State{Disk: 13}, 13)
 	s.settle(2)
-	isJoint := func(s *small) bool { return s.cells[0].machine.log.current().members.joint() }
-	s = s.step(2, func(_ *small, c *cell) { c.machine.askToJoin("a") }).calmUntil(isJoint)
+	isJoint := func(s *small) bool { return s.cells[0].machine.log.latestConfiguration().members.isJoint() }
+	s = s.step(2, func(_ *small, c *cell) { c.machine.sendJoin("a") }).calmUntil(isJoint)
 	for !isJoint(s) {
-		s = s.step(0, func(_ *small, c *cell) { c.machine.beat() }).calmUntil(isJoint)
+		s = s.step(0, func(_ *small, c *cell) { c.machine.startHeartbeatRound() }).calmUntil(isJoint)
 	}
 	s.left, s.oneIsLost = left, true
 	return s
@@ -124,7 +124,7 @@
 					f := s.links[l][0]
 					s, again = s.step(to, func(n *small, c *cell) {
 						n.links[l] = n.links[l][1:]
-						c.machine.Step(f.msg)
+						c.machine.HandleMessage(f.msg)
 					}), true
 				}
 			}
@@ -149,14 +149,14 @@
 
 func (d *State) end() Place {
 	if len(d.Entries) == 0 {
-		return Place{d.BaseTerm, d.Base}
+		return Place{d.BaseTerm, d.BaseIndex}
 	}
 	last := d.Entries[len(d.Entries)-1]
 	return Place{last.Term, last.Index}
 }
 
 func (d *State) holds(e Entry) bool {
-	return e.Index <= d.Base || e.Index-d.Base <= uint64(len(d.Entries)) && d.Entries[e.Index-d.Base-1].Term == e.Term
+	return e.Index <= d.BaseIndex || e.Index-d.BaseIndex <= uint64(len(d.Entries)) && d.Entries[e.Index-d.BaseIndex-1].Term == e.Term
 }
 
 // mayBeLost tells whether a host may be lost, by what the pages count: one at a time. One that was
@@ -167,7 +167,7 @@
 		return false
 	}
 	return !s.oneIsLost || slices.ContainsFunc(s.committed, func(e Entry) bool {
-		return e.Members != nil && !e.Members.joint()
+		return e.Members != nil && !e.Members.isJoint()
 	})
 }
 
@@ -206,10 +206,10 @@
 
 func (s *small) isElectable(i int, lost []string) bool {
 	disk := s.cells[i].disk
-	if _, isVoter := disk.newest().find(wholeNames[i], disk.Disk, false); !isVoter {
+	if _, isVoter := disk.newest().findVoter(wholeNames[i], disk.Disk, false); !isVoter {
 		return false
 	}
-	return disk.newest().quorum(func(v Member) bool {
+	return disk.newest().hasQuorum(func(v Member) bool {
 		j := slices.Index(wholeNames, v.Address)
 		other := s.cells[j].disk
 		return !slices.Contains(lost, v.Address) && other.Disk == v.Disk && !disk.end().before(other.end())
--- a/internal/mesh/consensus/whole_test.go
+++ b/internal/mesh/consensus/whole_test.go
@@ -154,34 +154,34 @@
 func (c *cell) seal() {
 	m := c.machine
 	var k ink
-	for _, h := range []Hard{c.disk.Hard, m.hard, m.led} {
+	for _, h := range []Hard{c.disk.Hard, m.hardState, m.lastLeader} {
 		k.num(h.Term)
 		k.members(h.Vote)
 	}
-	k.num(c.disk.Disk, c.disk.Base, m.disk, m.life, uint64(m.role), m.log.base, m.commit, m.applied, m.handed, m.savedTo, m.synced, m.opened,
-		m.round, m.outside.Term, m.outside.Index)
+	k.num(c.disk.Disk, c.disk.BaseIndex, m.diskID, m.incarnation, uint64(m.role), m.log.baseIndex, m.commitIndex, m.appliedIndex, m.handedOffIndex, m.savingIndex, m.syncedIndex, m.termStartIndex,
+		m.heartbeatRound, m.excludedAt.Term, m.excludedAt.Index)
 	k.entries(c.disk.Entries)
 	k.entries(m.log.entries)
 	k.members(append([]Member{m.leader}, m.votes...)...)
-	k.truth(m.departure.asked, m.departure.done)
-	if k.truth(m.hardDirty, m.baseDirty, c.saving != nil, c.disk.Snapshot != nil); c.saving != nil {
-		k.num(c.saving.Hard.Term, c.saving.First, c.saving.Base)
+	k.truth(m.departure.requested, m.departure.finished)
+	if k.truth(m.hardStateDirty, m.snapshotDirty, c.saving != nil, c.disk.Snapshot != nil); c.saving != nil {
+		k.num(c.saving.Hard.Term, c.saving.FirstIndex, c.saving.BaseIndex)
 		k.members(c.saving.Hard.Vote)
 		k.entries(c.saving.Entries)
 	}
-	k.messages(m.held...)
-	k.messages(m.waiting...)
+	k.messages(m.awaitingSave...)
+	k.messages(m.awaitingSync...)
 	for _, p := range m.peers {
 		k.members(p.member)
-		k.truth(p.learner, p.probed, p.leavingUntil > 0)
-		k.num(p.disk, uint64(p.stage), p.match, p.next, p.told, p.round, p.sent, p.since)
+		k.truth(p.isLearner, p.probeSent, p.leavingUntil > 0)
+		k.num(p.discoveredDisk, uint64(p.state), p.matchIndex, p.nextIndex, p.sentCommit, p.ackedRound, p.sentRound, p.learnerSinceRound)
 	}
-	for _, p := range m.pending {
-		k.truth(p.again)
-		k.num(p.id, p.term)
+	for _, p := range m.pendingProposals {
+		k.truth(p.retried)
+		k.num(p.id, p.forwardedTerm)
 	}
-	for _, o := range m.seen {
-		k.num(o.life, o.high, o.bits[0])
+	for _, o := range m.proposalWindows {
+		k.num(o.incarnation, o.highestID, o.seenBits[0])
 	}
 	c.key = k.key()
 }
@@ -189,10 +189,10 @@
 // clone is a machine of its own.
 func (m *Machine) clone() *Machine {
 	c := *m
-	c.log.entries, c.log.sums, c.log.members = slices.Clone(m.log.entries), slices.Clone(m.log.sums), slices.Clone(m.log.members)
-	c.votes, c.known, c.seen = slices.Clone(m.votes), slices.Clone(m.known), slices.Clone(m.seen)
-	c.out, c.held, c.waiting = slices.Clone(m.out), slices.Clone(m.held), slices.Clone(m.waiting)
-	c.pending, c.pendingReads, c.done, c.reads = slices.Clone(m.pending), slices.Clone(m.pendingReads), slices.Clone(m.done), slices.Clone(m.reads)
+	c.log.entries, c.log.cumulativeBytes, c.log.configurations = slices.Clone(m.log.entries), slices.Clone(m.log.cumulativeBytes), slices.Clone(m.log.configurations)
+	c.votes, c.knownAddresses, c.proposalWindows = slices.Clone(m.votes), slices.Clone(m.knownAddresses), slices.Clone(m.proposalWindows)
+	c.outbox, c.awaitingSave, c.awaitingSync = slices.Clone(m.outbox), slices.Clone(m.awaitingSave), slices.Clone(m.awaitingSync)
+	c.pendingProposals, c.pendingReads, c.completions, c.leaderReads = slices.Clone(m.pendingProposals), slices.Clone(m.pendingReads), slices.Clone(m.completions), slices.Clone(m.leaderReads)
 	c.peers = slices.Clone(m.peers)
 	for i, p := range m.peers {
 		q := *p
@@ -202,8 +202,8 @@
 }
 
 func (s *small) start(i int, disk *State, life uint64) {
-	m := New(Config{Self: wholeNames[i], Seeds: seedNames, Life: life, Rand: rand.New(rand.NewPCG(1, 1)), State: *disk})
-	s.cells[i] = &cell{machine: m, disk: disk, applied: m.applied}
+	m := New(Config{Self: wholeNames[i], Seeds: seedNames, Incarnation: life, Rand: rand.New(rand.NewPCG(1, 1)), State: *disk})
+	s.cells[i] = &cell{machine: m, disk: disk, applied: m.appliedIndex}
 }
 
 // step has a host of a copy of the state do something.
@@ -218,8 +218,8 @@
 
 func (s *small) settle(i int) {
 	c := s.cells[i]
-	for o := c.machine.Take(); !o.Empty(); o = c.machine.Take() {
-		for _, msg := range o.Send {
+	for o := c.machine.NextOutput(); !o.Empty(); o = c.machine.NextOutput() {
+		for _, msg := range o.Messages {
 			if msg.To == s.left.Down {
 				continue
 			}
@@ -250,11 +250,11 @@
 				panic(fmt.Sprintf("%v was refused", e))
 			}
 		}
-		for _, d := range o.Done {
+		for _, d := range o.Completions {
 			if d.Err == nil {
 				s.acked = append(slices.Clip(s.acked), d.Index)
 			} else if !errors.Is(d.Err, ErrUnknown) {
-				id := c.machine.life<<8 | d.ID
+				id := c.machine.incarnation<<8 | d.ID
 				if slices.ContainsFunc(s.committed, func(e Entry) bool { return e.Origin<<8|e.ID == id }) {
 					panic("what was refused is committed")
 				}
@@ -267,7 +267,7 @@
 	}
 	if c.machine.role == leader {
 		for j, other := range s.cells {
-			if j != i && other.machine.role == leader && other.machine.hard.Term == c.machine.hard.Term {
+			if j != i && other.machine.role == leader && other.machine.hardState.Term == c.machine.hardState.Term {
 				panic("two leaders in one term")
 			}
 		}
@@ -281,7 +281,7 @@
 		disk := *c.disk
 		(&world{}).write(&host{disk: &disk}, c.saving)
 		c.disk, c.saving = &disk, nil
-		c.machine.Saved()
+		c.machine.SaveCompleted()
 	})
 }
 
@@ -297,7 +297,7 @@
 			for k, f := range link {
 				n := s.step(to, func(n *small, c *cell) {
 					n.links[n.link(i, to)] = slices.Delete(slices.Clone(link), k, k+1)
-					c.machine.Step(f.msg)
+					c.machine.HandleMessage(f.msg)
 				})
 				visit(fmt.Sprintf("%s gets %d of %s, term %d, index %d", f.msg.To, f.msg.Kind, f.msg.From, f.msg.Term, f.msg.Index), n)
 			}
@@ -306,11 +306,11 @@
 		if c.saving != nil {
 			visit(m.self+" has synced", s.synced(i))
 		}
-		if s.left.mayCampaign(i) && m.mayCampaign() && m.role != leader && m.hard.Term < lowest {
+		if s.left.mayCampaign(i) && m.canCampaign() && m.role != leader && m.hardState.Term < lowest {
 			visit(m.self+" campaigns", s.step(i, func(_ *small, c *cell) { c.machine.campaign(candidate) }))
 		}
 		if m.role == leader && s.left.Beats > 0 {
-			n := s.step(i, func(_ *small, c *cell) { c.machine.beat() })
+			n := s.step(i, func(_ *small, c *cell) { c.machine.startHeartbeatRound() })
 			n.left.Beats--
 			visit(m.self+" beats", n)
 		}
@@ -319,8 +319,8 @@
 			n.left.Items--
 			visit(m.self+" proposes", n)
 		}
-		if !m.mayCampaign() && m.role != leader && s.left.Joins > 0 {
-			n := s.step(i, func(_ *small, c *cell) { c.machine.join() })
+		if !m.canCampaign() && m.role != leader && s.left.Joins > 0 {
+			n := s.step(i, func(_ *small, c *cell) { c.machine.requestJoin() })
 			n.left.Joins--
 			visit(m.self+" asks to join", n)
 		}
@@ -361,7 +361,7 @@
 
 // memberState is a disk that holds the members as of 1, and is that of the i-th host.
 func memberState(i int, members Members) *State {
-	return &State{Disk: uint64(i + 1), Hard: Hard{Term: 1}, Base: 1, BaseTerm: 1,
+	return &State{Disk: uint64(i + 1), Hard: Hard{Term: 1}, BaseIndex: 1, BaseTerm: 1,
 		Snapshot: &Snapshot{Index: 1, Term: 1, Members: members, MembersAt: Place{1, 1}}}
 }
 
