--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -21,57 +21,57 @@
 // without a request longest goes, and where there is none a newcomer waits. Danger: a listener that merely stops
 // accepting lets clients that keep silent connections shut out all others; one that goes by what has been read ends
 // those whose requests an agent without processor has not come to yet, and they are lost.
-type admission struct {
+type connLimiter struct {
 	net.Listener
-	most int
+	maxConns int
 
-	mu     sync.Mutex
-	open   int
-	silent list.List     // of *clientConn: those without a whole request, the longest first
-	less   chan struct{} // closed once there may be room, made by whoever waits for that
-	ended  bool
+	mu        sync.Mutex
+	openConns int
+	idleConns list.List     // of *clientConn: those without a whole request, the longest first
+	roomFreed chan struct{} // closed once there may be room, made by whoever waits for that
+	closed    bool
 }
 
 // slowest is how long a client may take from a request's first byte until all of it is here that is kept: the time for its head,
 // 1 s for 64 KiB of body at 64 kB a second, and as much again for an agent that is late.
-const slowest = requestTimeout + 2*time.Second
+const maxRequestReadTime = requestTimeout + 2*time.Second
 
 // lookAgain is how soon connections are looked at again for one that can make room.
-const lookAgain = 20 * time.Millisecond
+const evictionRetryInterval = 20 * time.Millisecond
 
 // clientConn is one of them. Its fields are guarded by the admission's mutex.
 type clientConn struct {
 	net.Conn
-	watch   *hangup.Watcher
-	place   *list.Element // among the silent; nil while a request is open
-	closed  bool          // to make room, or by its server
-	leaving atomic.Bool   // it makes room, unless a request has come: its reader finds out
-	busy    atomic.Int64  // when the first of a request came, Unix nanoseconds; 0: nothing has
-	since   time.Time     // it is idle
-	head    []byte        // what has come since then, up to the body
-	inBody  atomic.Bool   // the head has come; net/http may look for the next request before its handler says so
-	writeBy time.Time     // the deadline that is set
+	hangupWatcher *hangup.Watcher
+	idleElement   *list.Element // among the silent; nil while a request is open
+	closed        bool          // to make room, or by its server
+	evicting      atomic.Bool   // it makes room, unless a request has come: its reader finds out
+	firstByteAt   atomic.Int64  // when the first of a request came, Unix nanoseconds; 0: nothing has
+	idleSince     time.Time     // it is idle
+	head          []byte        // what has come since then, up to the body
+	inBody        atomic.Bool   // the head has come; net/http may look for the next request before its handler says so
+	writeDeadline time.Time     // the deadline that is set
 }
 
 // Read reads. Danger: the deadline of an idle connection may pass while the agent gets no processor, and a request that came
 // in the meantime would be lost with the connection. What has come by then is read.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := tcp.ReadWaiting(c.Conn, b)
-	if first := c.busy.Load(); n == 0 && first > 0 && c.leaving.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
+	if first := c.firstByteAt.Load(); n == 0 && first > 0 && c.evicting.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
 		// It was to make room when a part of its request had just been read: it has the time that any has.
-		if until := time.Unix(0, first).Add(slowest); time.Now().Before(until) {
+		if until := time.Unix(0, first).Add(maxRequestReadTime); time.Now().Before(until) {
 			c.Conn.SetReadDeadline(until)
 			n, err = tcp.ReadWaiting(c.Conn, b)
 		}
 	}
 	if n > 0 {
-		c.watch.RecordReadAhead()
+		c.hangupWatcher.RecordReadAhead()
 	}
 	if c.inBody.Load() || n == 0 {
 		return n, err
 	}
-	c.busy.CompareAndSwap(0, time.Now().UnixNano()) // net/http tells that only once the head is whole
-	if len(c.head) == 0 && !bytes.Contains(b[:n], headEnd) {
+	c.firstByteAt.CompareAndSwap(0, time.Now().UnixNano()) // net/http tells that only once the head is whole
+	if len(c.head) == 0 && !bytes.Contains(b[:n], headTerminator) {
 		// Danger: net/http counts a head's time from when the connection became idle, and one that comes slowly late in that
 		// time would be cut off.
 		c.SetReadDeadline(time.Now().Add(requestTimeout))
@@ -82,7 +82,7 @@
 
 // saysLength says whether the chunked request whose head has come names a Content-Length too. It is not known where the head
 // came with the request before.
-func (c *clientConn) saysLength() (says, known bool) {
+func (c *clientConn) namesContentLength() (says, known bool) {
 	head := c.head
 	if i := bytes.Index(head, []byte("\n\r\n")); i >= 0 {
 		head = head[:i+1]
@@ -96,9 +96,9 @@
 // Write writes. Danger: a client that reads nothing would hold its answer for good. A deadline for each answer costs as much as
 // a short write, so one is used while half of it is left.
 func (c *clientConn) Write(b []byte) (int, error) {
-	if now := time.Now(); c.writeBy.Sub(now) < writeTimeout/2 {
-		c.writeBy = now.Add(writeTimeout)
-		c.Conn.SetWriteDeadline(c.writeBy) // where there is none to set the connection is gone, and writing tells
+	if now := time.Now(); c.writeDeadline.Sub(now) < writeTimeout/2 {
+		c.writeDeadline = now.Add(writeTimeout)
+		c.Conn.SetWriteDeadline(c.writeDeadline) // where there is none to set the connection is gone, and writing tells
 	}
 	return c.Conn.Write(b)
 }
@@ -113,23 +113,23 @@
 }
 
 // Accept returns the next connection, once there is room for it. Serve calls it from one goroutine.
-func (a *admission) Accept() (net.Conn, error) {
+func (a *connLimiter) Accept() (net.Conn, error) {
 	conn, err := a.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &clientConn{Conn: conn, watch: hangup.New(conn)}
+	c := &clientConn{Conn: conn, hangupWatcher: hangup.New(conn)}
 	for {
-		less := a.admit(c)
+		less := a.tryAdmit(c)
 		if less == nil {
 			return c, nil
 		}
 		select {
 		case <-less:
-		case <-time.After(lookAgain):
+		case <-time.After(evictionRetryInterval):
 		}
 		a.mu.Lock()
-		ended := a.ended
+		ended := a.closed
 		a.mu.Unlock()
 		if ended {
 			conn.Close()
@@ -139,52 +139,52 @@
 }
 
 // Close ends the listening, and the wait of a newcomer.
-func (a *admission) Close() error {
+func (a *connLimiter) Close() error {
 	a.mu.Lock()
-	a.ended = true
-	a.makeRoom()
+	a.closed = true
+	a.notifyRoomFreed()
 	a.mu.Unlock()
 	return a.Listener.Close()
 }
 
 // makeRoom wakes who waits for room. The mutex is held.
-func (a *admission) makeRoom() {
-	if a.less != nil {
-		close(a.less)
-		a.less = nil
+func (a *connLimiter) notifyRoomFreed() {
+	if a.roomFreed != nil {
+		close(a.roomFreed)
+		a.roomFreed = nil
 	}
 }
 
 // admit takes a connection in. Where there is no room, it returns what is closed once there may be.
-func (a *admission) admit(c *clientConn) (less <-chan struct{}) {
+func (a *connLimiter) tryAdmit(c *clientConn) (less <-chan struct{}) {
 	a.mu.Lock()
 	var victim *clientConn
-	if a.open >= a.most {
-		if victim = a.spare(); victim == nil {
+	if a.openConns >= a.maxConns {
+		if victim = a.evictionCandidate(); victim == nil {
 			defer a.mu.Unlock()
-			if a.less == nil {
-				a.less = make(chan struct{})
+			if a.roomFreed == nil {
+				a.roomFreed = make(chan struct{})
 			}
-			return a.less
+			return a.roomFreed
 		}
-		a.leave(victim)
+		a.evict(victim)
 	}
-	a.open++
-	c.since = time.Now()
-	c.place = a.silent.PushBack(c)
+	a.openConns++
+	c.idleSince = time.Now()
+	c.idleElement = a.idleConns.PushBack(c)
 	a.mu.Unlock()
 	return nil
 }
 
 // leave has a connection end on which nothing is. Danger: what has left the socket and is not noted yet can't be seen from here, and to
 // close the connection would lose it. So its reader is woken, and ends it if there is nothing to be read. The mutex is held.
-func (a *admission) leave(c *clientConn) {
-	slow := c.busy.Load() > 0
-	a.open--
-	a.makeRoom()
-	a.silent.Remove(c.place)
-	c.place = nil
-	c.leaving.Store(true)
+func (a *connLimiter) evict(c *clientConn) {
+	slow := c.firstByteAt.Load() > 0
+	a.openConns--
+	a.notifyRoomFreed()
+	a.idleConns.Remove(c.idleElement)
+	c.idleElement = nil
+	c.evicting.Store(true)
 	if slow {
 		c.closed = true
 		c.Close()
@@ -195,11 +195,11 @@
 
 // spare returns the connection that makes room: the longest without a request, or one whose request comes more slowly than
 // any may. The mutex is held.
-func (a *admission) spare() *clientConn {
+func (a *connLimiter) evictionCandidate() *clientConn {
 	now := time.Now()
-	for e := a.silent.Front(); e != nil; e = e.Next() {
+	for e := a.idleConns.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
-		if first := c.busy.Load(); first > 0 && now.Sub(time.Unix(0, first)) > slowest || c.quiet() {
+		if first := c.firstByteAt.Load(); first > 0 && now.Sub(time.Unix(0, first)) > maxRequestReadTime || c.nothingReceived() {
 			return c
 		}
 	}
@@ -207,8 +207,8 @@
 }
 
 // quiet says that nothing of a request has come, read or not.
-func (c *clientConn) quiet() bool {
-	if c.busy.Load() > 0 {
+func (c *clientConn) nothingReceived() bool {
+	if c.firstByteAt.Load() > 0 {
 		return false
 	}
 	sys, ok := c.Conn.(syscall.Conn)
@@ -216,83 +216,83 @@
 }
 
 // headEnd ends a head.
-var headEnd = []byte("\r\n\r\n")
+var headTerminator = []byte("\r\n\r\n")
 
 // usualHead is how much room for a head an idle connection holds, in bytes.
-const usualHead = 1 << 10
+const maxIdleHeadBuffer = 1 << 10
 
 // newest is how long a connection that is idle is left alone: its request may be on its way.
-const newest = 200 * time.Millisecond
+const minIdleAge = 200 * time.Millisecond
 
 // endIdle closes the connections on which nothing is, nor waits to be read.
-func (a *admission) endIdle() {
+func (a *connLimiter) closeIdle() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for e := a.silent.Front(); e != nil; {
+	for e := a.idleConns.Front(); e != nil; {
 		c := e.Value.(*clientConn)
 		e = e.Next()
-		if time.Since(c.since) >= newest && c.quiet() {
-			a.leave(c)
+		if time.Since(c.idleSince) >= minIdleAge && c.nothingReceived() {
+			a.evict(c)
 		}
 	}
 }
 
 // resize changes how many connections there may be. What is over it goes as it becomes silent and room is wanted.
-func (a *admission) resize(most int) {
+func (a *connLimiter) setMaxConns(most int) {
 	a.mu.Lock()
-	a.most = most
+	a.maxConns = most
 	a.mu.Unlock()
 }
 
 // release takes a connection out of the count. The mutex is held.
-func (a *admission) release(c *clientConn) {
+func (a *connLimiter) release(c *clientConn) {
 	if c.closed {
 		return
 	}
-	if c.closed = true; c.leaving.Load() {
+	if c.closed = true; c.evicting.Load() {
 		return
 	}
-	a.open--
-	a.makeRoom()
-	if c.place != nil {
-		a.silent.Remove(c.place)
-		c.place = nil
+	a.openConns--
+	a.notifyRoomFreed()
+	if c.idleElement != nil {
+		a.idleConns.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
 // take notes that a whole request has come on a connection, which is closed to make room no more. It is false if
 // the connection has been: what nobody can be told of must not be sent on.
-func (a *admission) take(c *clientConn) bool {
+func (a *connLimiter) beginRequest(c *clientConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if c.place != nil {
-		a.silent.Remove(c.place)
-		c.place = nil
+	if c.idleElement != nil {
+		a.idleConns.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 	return !c.closed
 }
 
 // noteState follows what net/http makes of a connection.
-func (a *admission) noteState(conn net.Conn, state http.ConnState) {
+func (a *connLimiter) trackState(conn net.Conn, state http.ConnState) {
 	c := conn.(*clientConn)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch state {
 	case http.StateIdle:
-		c.busy.Store(0)
+		c.firstByteAt.Store(0)
 		c.inBody.Store(false)
-		c.since = time.Now()
-		if c.head = c.head[:0]; cap(c.head) > usualHead {
+		c.idleSince = time.Now()
+		if c.head = c.head[:0]; cap(c.head) > maxIdleHeadBuffer {
 			c.head = nil
 		}
-		if c.leaving.CompareAndSwap(true, false) && !c.closed {
-			a.open++ // a request had come after all, and is answered
+		if c.evicting.CompareAndSwap(true, false) && !c.closed {
+			a.openConns++ // a request had come after all, and is answered
 		}
-		if c.place != nil {
-			a.silent.MoveToBack(c.place)
+		if c.idleElement != nil {
+			a.idleConns.MoveToBack(c.idleElement)
 		} else if !c.closed {
-			c.place = a.silent.PushBack(c)
-			a.makeRoom()
+			c.idleElement = a.idleConns.PushBack(c)
+			a.notifyRoomFreed()
 		}
 	case http.StateClosed:
 		a.release(c)
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -8,14 +8,14 @@
 )
 
 // pacing is the duty of pacing a site's return, by its name before the site's.
-const pacing = "pace:"
+const pacingDutyPrefix = "pace:"
 
 // Shared are the duties that this agent could hold for others: pacing the return of each site. There are none where no sites are
 // watched.
-func (a *Agent) Shared() (duties []string) {
+func (a *Agent) SharedDuties() (duties []string) {
 	if a.loop.sites != nil {
 		for _, name := range a.cfg.Settings.Zones {
-			duties = append(duties, pacing+name)
+			duties = append(duties, pacingDutyPrefix+name)
 		}
 	}
 	return duties
@@ -23,18 +23,18 @@
 
 // Weight is how well this agent could do a duty now. It paces a site only while it has found it lost, and not one that it stands in.
 func (a *Agent) Weight(duty string) (weight float64) {
-	name := strings.TrimPrefix(duty, pacing)
+	name := strings.TrimPrefix(duty, pacingDutyPrefix)
 	if own, zones := a.cfg.Settings.Module.Zone, a.cfg.Settings.Zones; own >= 0 && own < len(zones) && zones[own] == name {
 		return 0
 	}
-	a.loop.locked(func() { weight = a.loop.sites.PacerWeight(name) })
+	a.loop.withLock(func() { weight = a.loop.sites.PacerWeight(name) })
 	return weight
 }
 
 // Say is what this agent says as a site's pacer.
 func (a *Agent) Say(duty string) (word []byte) {
-	a.loop.locked(func() {
-		if w, ok := a.loop.sites.PacerStatus(strings.TrimPrefix(duty, pacing)); ok {
+	a.loop.withLock(func() {
+		if w, ok := a.loop.sites.PacerStatus(strings.TrimPrefix(duty, pacingDutyPrefix)); ok {
 			word, _ = json.Marshal(w) // numbers only
 		}
 	})
@@ -50,5 +50,7 @@
 			w = nil // as if nothing were said: each goes on alone
 		}
 	}
-	a.loop.locked(func() { a.loop.sites.FollowPacer(a.loop.clock.now(), strings.TrimPrefix(duty, pacing), epoch, w) })
+	a.loop.withLock(func() {
+		a.loop.sites.FollowPacer(a.loop.clock.now(), strings.TrimPrefix(duty, pacingDutyPrefix), epoch, w)
+	})
 }
--- a/internal/agent/judge.go
+++ b/internal/agent/judge.go
@@ -13,35 +13,35 @@
 // judge is the order in which a request is judged before the decision module sees it: the level of reduced service. What is
 // refused here is refused at once and by name; nothing has been sent for it, so trying again is harmless whatever its
 // class. The module alone places, retries and sheds what is let through.
-func (l *loop) judge(r *request) (a answer, refused bool) {
-	if l.levels == nil {
+func (l *loop) checkLevel(r *request) (a answer, refused bool) {
+	if l.levelController == nil {
 		return answer{}, false
 	}
-	no := l.levels.Admit(l.clock.now(), r.class, r.tenant, r.message.size())
+	no := l.levelController.Admit(l.clock.now(), r.class, r.tenant, r.message.size())
 	if no == nil {
 		return answer{}, false
 	}
-	l.counts.byLevel++
-	r.refusedBy = "level " + no.Level + ": " + no.Reason
-	return answer{status: statusRefused, retryAfter: no.RetryAfter, contentType: "text/plain", body: []byte("refused by " + r.refusedBy + "\n")}, true
+	l.counts.refusedByLevel++
+	r.refusalReason = "level " + no.Level + ": " + no.Reason
+	return answer{status: statusRefused, retryAfter: no.RetryAfter, contentType: "text/plain", body: []byte("refused by " + r.refusalReason + "\n")}, true
 }
 
 // allower is a Decider that can be told what it may do.
-type allower interface {
+type featureLimiter interface {
 	Allow(maxAttempts int, secondCopies, probes bool)
 }
 
 // lookAtLevel shows the levels what has been measured since the last look.
-func (l *loop) lookAtLevel() {
+func (l *loop) updateLevel() {
 	now := l.clock.now()
-	f := level.Sample{Pressure: -1, ListAge: now - l.heard}
-	c, before := &l.counts, &l.looked
-	f.Completed = int(c.served + c.refused + c.failed - c.byLevel - (before.served + before.refused + before.failed - before.byLevel))
+	f := level.Sample{Pressure: -1, ListAge: now - l.listReceivedAt}
+	c, before := &l.counts, &l.lastLevelCounts
+	f.Completed = int(c.served + c.refused + c.failed - c.refusedByLevel - (before.served + before.refused + before.failed - before.refusedByLevel))
 	f.InAim = int(c.inAim - before.inAim)
-	f.Refused = int(c.refused - c.byLevel - (before.refused - before.byLevel))
-	f.Shed = int(c.byLevel - before.byLevel)
-	l.looked = *c
-	_, f.AgentLateness = l.late.figures()
+	f.Refused = int(c.refused - c.refusedByLevel - (before.refused - before.refusedByLevel))
+	f.Shed = int(c.refusedByLevel - before.refusedByLevel)
+	l.lastLevelCounts = *c
+	_, f.AgentLateness = l.lagMonitor.stats()
 	if l.sites != nil {
 		f.WithdrawnSites = l.sites.WithdrawnShare()
 	}
@@ -56,37 +56,37 @@
 			}
 		}
 	}
-	l.levelChanged(l.levels.Update(now, f))
+	l.applyLevelChange(l.levelController.Update(now, f))
 }
 
 // levelChanged carries out a change of level, if there is one.
-func (l *loop) levelChanged(c *level.Change) {
+func (l *loop) applyLevelChange(c *level.Change) {
 	if c == nil {
 		return
 	}
 	l.log.Warn("level of service", "from", c.From, "to", c.To, "why", c.Reason)
-	l.allow()
+	l.applyLevelLimits()
 }
 
 // allow tells the decision module what the level leaves it.
-func (l *loop) allow() {
-	m, ok := l.current.Decider.(allower)
-	if l.levels == nil || !ok {
+func (l *loop) applyLevelLimits() {
+	m, ok := l.current.Decider.(featureLimiter)
+	if l.levelController == nil || !ok {
 		return
 	}
-	may, attempts := l.levels.Allowed(), l.decisions.MaxAttempts
+	may, attempts := l.levelController.Allowed(), l.moduleSettings.MaxAttempts
 	if !may.Retries {
 		attempts = 1
 	}
-	m.Allow(attempts, may.Hedges && l.decisions.SecondCopies, may.Probes && l.decisions.Probes)
+	m.Allow(attempts, may.Hedges && l.moduleSettings.SecondCopies, may.Probes && l.moduleSettings.Probes)
 }
 
 // Level returns the level of service; nil where there are none.
 func (a *Agent) Level(ctx context.Context) (*control.Level, error) {
 	var v *control.Level
 	err := a.loop.do(ctx, func() {
-		if a.loop.levels != nil {
-			v = a.loop.shownLevel()
+		if a.loop.levelController != nil {
+			v = a.loop.levelStatus()
 		}
 	})
 	return v, err
@@ -97,17 +97,17 @@
 	l := a.loop
 	var wrong error
 	err = l.do(ctx, func() {
-		if l.levels == nil {
+		if l.levelController == nil {
 			return
 		}
 		var c *level.Change
 		if d == 0 {
-			c = l.levels.Release(l.clock.now())
-		} else if c, wrong = l.levels.Hold(l.clock.now(), name, d, why); wrong != nil {
+			c = l.levelController.Release(l.clock.now())
+		} else if c, wrong = l.levelController.Hold(l.clock.now(), name, d, why); wrong != nil {
 			return
 		}
-		l.levelChanged(c)
-		v = l.shownLevel()
+		l.applyLevelChange(c)
+		v = l.levelStatus()
 	})
 	if wrong != nil {
 		return nil, fmt.Errorf("level: %w", wrong)
@@ -116,8 +116,8 @@
 }
 
 // shownLevel is the level for people to read.
-func (l *loop) shownLevel() *control.Level {
-	now, v := l.clock.now(), l.levels.Status()
+func (l *loop) levelStatus() *control.Level {
+	now, v := l.clock.now(), l.levelController.Status()
 	s := &control.Level{
 		Level: v.Level, Levels: v.Levels, For: round((now - v.Since).Seconds()), Dwell: v.MinDwell.Seconds(), Figures: v.Readings,
 		Refusals: []control.LevelRefusal{}, History: []control.LevelChange{},
--- a/internal/agent/lateness.go
+++ b/internal/agent/lateness.go
@@ -9,100 +9,100 @@
 )
 
 // Processor is a Network that knows whether the agent has a processor, as those of tests do.
-type Processor interface {
+type ProcessorWaiter interface {
 	// Wait returns once the agent has one.
 	Wait()
 }
 
 // lateness tells how late the agent itself is, while it has requests. An idle agent has no beats.
-type lateness struct {
-	time    clock
-	matters time.Duration          // the soonest aim
-	wait    func()                 // for a processor
-	tell    func(by time.Duration) // of a beat that is late by more than half of that
+type lagMonitor struct {
+	timeSource       clock
+	minTargetLatency time.Duration          // the soonest aim
+	waitForProcessor func()                 // for a processor
+	onLateTick       func(by time.Duration) // of a beat that is late by more than half of that
 
-	mu    sync.Mutex
-	clock lag.Detector
-	open  int           // requests that are not done
-	next  time.Duration // when the next beat is due
-	timer *time.Timer
+	mu           sync.Mutex
+	detector     lag.Detector
+	openRequests int           // requests that are not done
+	nextTick     time.Duration // when the next beat is due
+	tickTimer    *time.Timer
 }
 
 // newLateness returns that of an agent whose requests are wanted as the settings say: the soonest is what matters.
-func newLateness(s *settings.Settings, network Network) *lateness {
+func newLagMonitor(s *settings.Settings, network Network) *lagMonitor {
 	matters := s.Module.Classes[0].Aim
 	for _, c := range s.Module.Classes {
 		matters = min(matters, c.Aim)
 	}
-	l := &lateness{time: clock{time.Now()}, clock: lag.New(matters), wait: func() {}, matters: matters, tell: func(time.Duration) {}}
-	if p, ok := network.(Processor); ok {
-		l.wait = p.Wait
+	l := &lagMonitor{timeSource: clock{time.Now()}, detector: lag.New(matters), waitForProcessor: func() {}, minTargetLatency: matters, onLateTick: func(time.Duration) {}}
+	if p, ok := network.(ProcessorWaiter); ok {
+		l.waitForProcessor = p.Wait
 	}
 	return l
 }
 
 // begin has beats come as long as there are requests.
-func (l *lateness) begin() {
+func (l *lagMonitor) requestStarted() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open++; l.clock.Running() {
+	if l.openRequests++; l.detector.Running() {
 		return
 	}
-	now := l.time.now()
-	l.next = l.clock.Start(now)
-	wait := l.next - now
-	if l.timer == nil {
-		l.timer = time.AfterFunc(wait, l.due)
+	now := l.timeSource.now()
+	l.nextTick = l.detector.Start(now)
+	wait := l.nextTick - now
+	if l.tickTimer == nil {
+		l.tickTimer = time.AfterFunc(wait, l.tickDue)
 		return
 	}
-	l.timer.Reset(wait)
+	l.tickTimer.Reset(wait)
 }
 
 // end is to be called once for each begin.
-func (l *lateness) end() {
+func (l *lagMonitor) requestEnded() {
 	l.mu.Lock()
-	l.open--
+	l.openRequests--
 	l.mu.Unlock()
 }
 
 // due has a beat wait its turn as a reader does whose answer has come. The runtime runs the goroutine of a timer, as any that
 // was started last, before all others; the next one that is started sends it to the end of the queue.
-func (l *lateness) due() {
-	go l.beat()
+func (l *lagMonitor) tickDue() {
+	go l.tick()
 	go func() {}()
 }
 
-func (l *lateness) beat() {
-	l.wait()
+func (l *lagMonitor) tick() {
+	l.waitForProcessor()
 	l.mu.Lock()
-	now := l.time.now()
-	by := max(0, now-l.next)
-	l.next = l.clock.Tick(now)
-	if l.open == 0 {
-		l.clock.Stop()
+	now := l.timeSource.now()
+	by := max(0, now-l.nextTick)
+	l.nextTick = l.detector.Tick(now)
+	if l.openRequests == 0 {
+		l.detector.Stop()
 	} else {
-		l.timer.Reset(l.next - now)
+		l.tickTimer.Reset(l.nextTick - now)
 	}
 	l.mu.Unlock()
-	if by > l.matters/2 {
-		l.tell(by)
+	if by > l.minTargetLatency/2 {
+		l.onLateTick(by)
 	}
 }
 
 // own is how much of a delay that ends now may be the agent's own.
-func (l *lateness) own() time.Duration {
+func (l *lagMonitor) ownDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.clock.OwnDelay(l.time.now())
+	return l.detector.OwnDelay(l.timeSource.now())
 }
 
 // figures are what is known of the lateness, and the part of the soonest aim that is used up by it.
-func (l *lateness) figures() (f lag.Stats, part float64) {
+func (l *lagMonitor) stats() (f lag.Stats, part float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f = l.clock.Stats()
-	if l.clock.Running() { // else there is nothing to be late with
-		part = f.MeanDelay.Seconds() / l.matters.Seconds()
+	f = l.detector.Stats()
+	if l.detector.Running() { // else there is nothing to be late with
+		part = f.MeanDelay.Seconds() / l.minTargetLatency.Seconds()
 	}
 	return f, part
 }
--- a/internal/agent/level_test.go
+++ b/internal/agent/level_test.go
@@ -11,7 +11,7 @@
 	"example.org/micaline/internal/level"
 )
 
-func leanLevels(t *testing.T) level.Config {
+func testLevels(t *testing.T) level.Config {
 	t.Helper()
 	most := 0.5
 	least := 0.9
@@ -30,7 +30,7 @@
 	x := newBackend(t, serves)
 	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0)))
 	cfg := config(t, l.Addr, testSettings)
-	cfg.Levels = leanLevels(t)
+	cfg.Levels = testLevels(t)
 	a := start(t, cfg)
 	ctx := context.Background()
 	a.serve(t, 5)
@@ -84,7 +84,7 @@
 	x, y, z := newBackend(t, turns), newBackend(t, turns), newBackend(t, turns)
 	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0), host("y", y.Addr, "Ready", 0), host("z", z.Addr, "Ready", 0)))
 	cfg := config(t, l.Addr, testSettings)
-	cfg.Levels = leanLevels(t)
+	cfg.Levels = testLevels(t)
 	a := start(t, cfg)
 	attempts := func() int {
 		before := len(x.Got) + len(y.Got) + len(z.Got)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	sweepEvery = time.Second
-	lateEvery  = 10 * time.Second // between lines of the agent's own lateness
-	mostRecent = 4096             // ids of ended requests that are known, twice
+	sweepInterval       = time.Second
+	lateWarningInterval = 10 * time.Second // between lines of the agent's own lateness
+	maxRecentCallIDs    = 4096             // ids of ended requests that are known, twice
 )
 
 // clock tells the time since 1970 and never runs backwards: the wall's time at the start, and what has passed.
@@ -37,14 +37,14 @@
 
 // input is what has happened, on its way to the loop: an event for the module and what it has no use for.
 type input struct {
-	event   policy.Event
-	call    *call    // of EventRequest and EventHangup
-	answer  answer   // of EventOutcome, if it is OK
-	members []member // of EventList
-	by      *call    // whose handler brings it, and carries out one attempt for it
-
-	sent, took time.Duration // of EventOutcome: when it was decided, and how long it was at the backend, at least
-	seen       time.Duration // of EventProbed: when the answer was, less what may be the agent's own lateness
+	event          policy.Event
+	call           *call    // of EventRequest and EventHangup
+	answer         answer   // of EventOutcome, if it is OK
+	members        []member // of EventList
+	deliveringCall *call    // whose handler brings it, and carries out one attempt for it
+
+	sentAt, backendTime time.Duration // of EventOutcome: when it was decided, and how long it was at the backend, at least
+	answeredAt          time.Duration // of EventProbed: when the answer was, less what may be the agent's own lateness
 }
 
 // call is a client's request, which the client's handler shares with the loop.
@@ -54,9 +54,9 @@
 	retry         bool
 	deadline      time.Duration // of the clock
 	message       message
-	answered      chan answer // holds one, so that the loop never waits for a handler
-	attempt       func()      // for the handler to carry out, if set
-	client        *hangup.Watcher
+	answers       chan answer // holds one, so that the loop never waits for a handler
+	inlineAttempt func()      // for the handler to carry out, if set
+	hangupWatcher *hangup.Watcher
 
 	id policy.RequestID // the loop's
 }
@@ -67,35 +67,35 @@
 	retryAfter  time.Duration // 0: no advice
 	contentType string
 	body        []byte
-	rest        *download // behind the body; nil: nothing
+	bodyStream  *download // behind the body; nil: nothing
 }
 
 // request is what the loop knows of a call until it is answered and its attempts are back.
 type request struct {
 	*call
-	module   *module
-	begun    time.Duration        // of the clock
-	attempts []context.CancelFunc // to give each up
-	tries    []try                // where they went; nothing where no sites are watched
-	out      int                  // attempts out
-	last     policy.Outcome       // of the attempts that are back
-	ended    bool                 // answered, or its client is gone
-
-	refusedBy string // what refused it before a module saw it
+	module         *module
+	startedAt      time.Duration        // of the clock
+	attemptCancels []context.CancelFunc // to give each up
+	sentAttempts   []sentAttempt        // where they went; nothing where no sites are watched
+	inFlight       int                  // attempts out
+	lastOutcome    policy.Outcome       // of the attempts that are back
+	ended          bool                 // answered, or its client is gone
+
+	refusalReason string // what refused it before a module saw it
 }
 
 // module is a decision module. There is one, but for the time after a change of what is decided by: then the one before
 // finishes the requests that it has.
 type module struct {
 	Decider
-	open    int  // requests that it decides for
-	retired bool // it gets no new ones
+	openRequests int  // requests that it decides for
+	retired      bool // it gets no new ones
 }
 
 // decision is an event on its way to a module.
-type decision struct {
-	to    *module
-	event policy.Event
+type queuedEvent struct {
+	module *module
+	event  policy.Event
 }
 
 // loop owns the module and the state of all requests. It alone decides how a request ends: handlers, attempts
@@ -104,43 +104,43 @@
 type loop struct {
 	send func(input) // takes an input in, unless the loop has ended
 
-	mu    sync.Mutex // guards what follows
-	ctx   context.Context
-	ended bool
-	by    *call // whose handler brings the present input
-	wake  *time.Timer
-	armed time.Duration // of the clock, when wake is due; 0: it is not
-
-	set       *settings.Settings
-	clock     clock
-	current   *module         // gets new requests
-	modules   []*module       // it, and those before it that are not done
-	decisions policy.Settings // of the current one
-	backends  *backends
-	late      *lateness
-	follow    func()       // asks discovery for the list
-	tell      func([]byte) // tells all other agents
-	log       *slog.Logger
-	done      chan struct{} // closed when run returns
-	ready     atomic.Bool   // a list has come
-
-	servers  serverIDs
-	targets  map[policy.ServerID]*connpool.Target
-	requests map[policy.RequestID]*request
-	callIDs  callIDs
-	lastID   policy.RequestID
-	listed   map[policy.ServerID]policy.ServerEntry // as discovery tells
-	holds    handover.Register                      // what operators have said of backends
-	said     func()                                 // operators have said something
-	counts   counts
-	levels   *level.Controller // nil: there are none
-	every    time.Duration     // between looks at their figures
-	heard    time.Duration     // of the clock, when discovery last told anything
-	looked   counts            // as the levels last saw them
-	sites    *sites            // nil: they are not watched
-	timers   timers
-	events   []decision // to be handed over
-	actions  []policy.Action
+	mu             sync.Mutex // guards what follows
+	ctx            context.Context
+	ended          bool
+	deliveringCall *call // whose handler brings the present input
+	wakeTimer      *time.Timer
+	wakeAt         time.Duration // of the clock, when wake is due; 0: it is not
+
+	settings       *settings.Settings
+	clock          clock
+	current        *module         // gets new requests
+	modules        []*module       // it, and those before it that are not done
+	moduleSettings policy.Settings // of the current one
+	backends       *backends
+	lagMonitor     *lagMonitor
+	subscribe      func()       // asks discovery for the list
+	broadcast      func([]byte) // tells all other agents
+	log            *slog.Logger
+	done           chan struct{} // closed when run returns
+	ready          atomic.Bool   // a list has come
+
+	servers         serverIDs
+	targets         map[policy.ServerID]*connpool.Target
+	requests        map[policy.RequestID]*request
+	callIDs         callIDs
+	lastID          policy.RequestID
+	listedServers   map[policy.ServerID]policy.ServerEntry // as discovery tells
+	holds           handover.Register                      // what operators have said of backends
+	onHoldChange    func()                                 // operators have said something
+	counts          counts
+	levelController *level.Controller // nil: there are none
+	levelInterval   time.Duration     // between looks at their figures
+	listReceivedAt  time.Duration     // of the clock, when discovery last told anything
+	lastLevelCounts counts            // as the levels last saw them
+	sites           *sites            // nil: they are not watched
+	timers          timerHeap
+	eventQueue      []queuedEvent // to be handed over
+	actionBuffer    []policy.Action
 }
 
 func newLoop(cfg *Config, backends *backends, log *slog.Logger) (*loop, error) {
@@ -150,11 +150,11 @@
 	}
 	first := &module{Decider: decider}
 	l := &loop{
-		set: &cfg.Settings, clock: backends.late.time, late: backends.late, current: first, modules: []*module{first}, decisions: cfg.Settings.Module, backends: backends, log: log,
-		listed: map[policy.ServerID]policy.ServerEntry{}, holds: handover.Register{}, said: func() {},
-		counts: newCounts(len(cfg.Settings.Classes)),
-		tell:   func([]byte) {},
-		ctx:    context.Background(), wake: time.NewTimer(time.Hour),
+		settings: &cfg.Settings, clock: backends.late.timeSource, lagMonitor: backends.late, current: first, modules: []*module{first}, moduleSettings: cfg.Settings.Module, backends: backends, log: log,
+		listedServers: map[policy.ServerID]policy.ServerEntry{}, holds: handover.Register{}, onHoldChange: func() {},
+		counts:    newCounts(len(cfg.Settings.Classes)),
+		broadcast: func([]byte) {},
+		ctx:       context.Background(), wakeTimer: time.NewTimer(time.Hour),
 		done:     make(chan struct{}),
 		servers:  serverIDs{ids: map[string]policy.ServerID{}, names: map[policy.ServerID]string{}},
 		targets:  map[policy.ServerID]*connpool.Target{},
@@ -163,14 +163,14 @@
 	}
 	l.send = l.receive
 	var told atomic.Int64 // Unix nanoseconds
-	l.late.tell = func(by time.Duration) {
+	l.lagMonitor.onLateTick = func(by time.Duration) {
 		// Danger: the next beat may come while this one still waits for a processor.
 		last, now := told.Load(), time.Now().UnixNano()
-		if now-last >= int64(lateEvery) && told.CompareAndSwap(last, now) {
+		if now-last >= int64(lateWarningInterval) && told.CompareAndSwap(last, now) {
 			l.log.Warn("the agent itself was late", "by", by.Round(time.Millisecond))
 		}
 	}
-	l.wake.Stop()
+	l.wakeTimer.Stop()
 	if c := &cfg.Levels; c.Enabled() {
 		over := level.Service{}
 		for i, name := range cfg.Settings.Classes {
@@ -182,8 +182,8 @@
 		if err := c.ValidateFor(&over); err != nil {
 			return nil, fmt.Errorf("levels.%w", err)
 		}
-		l.heard, l.every = l.clock.now(), c.Every.D()
-		l.levels = level.New(c, &over, cfg.Seed, l.heard)
+		l.listReceivedAt, l.levelInterval = l.clock.now(), c.Every.D()
+		l.levelController = level.New(c, &over, cfg.Seed, l.listReceivedAt)
 	}
 	l.sites = newSites(cfg, l.clock.now())
 	return l, nil
@@ -191,16 +191,16 @@
 
 // receive takes an input in.
 func (l *loop) receive(in input) {
-	l.late.wait()
-	l.locked(func() {
-		l.by = in.by
-		l.take(l.ctx, in)
-		l.by = nil
+	l.lagMonitor.waitForProcessor()
+	l.withLock(func() {
+		l.deliveringCall = in.deliveringCall
+		l.processInput(l.ctx, in)
+		l.deliveringCall = nil
 	})
 }
 
 // locked calls a function between two inputs, and says whether it has: not once the loop has ended.
-func (l *loop) locked(f func()) bool {
+func (l *loop) withLock(f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer func() {
@@ -214,9 +214,9 @@
 		return false
 	}
 	f()
-	if len(l.timers) > 0 && (l.armed == 0 || l.timers[0].due < l.armed) {
-		l.armed = l.timers[0].due
-		l.wake.Reset(l.armed - l.clock.now())
+	if len(l.timers) > 0 && (l.wakeAt == 0 || l.timers[0].due < l.wakeAt) {
+		l.wakeAt = l.timers[0].due
+		l.wakeTimer.Reset(l.wakeAt - l.clock.now())
 	}
 	return true
 }
@@ -224,91 +224,91 @@
 // run handles timers until the context ends, and then the loop has ended.
 func (l *loop) run(ctx context.Context) {
 	defer close(l.done)
-	defer l.wake.Stop()
-	sweep := time.NewTicker(sweepEvery)
+	defer l.wakeTimer.Stop()
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	var siteLooks <-chan time.Time
 	if l.sites != nil {
-		t := time.NewTicker(siteEvery)
+		t := time.NewTicker(siteInterval)
 		defer t.Stop()
 		siteLooks = t.C
 	}
 	var looks <-chan time.Time // at the figures of the level; never where there are none
-	if l.levels != nil {
-		t := time.NewTicker(l.every)
+	if l.levelController != nil {
+		t := time.NewTicker(l.levelInterval)
 		defer t.Stop()
 		looks = t.C
 	}
 	for {
 		due := l.fireTimers
 		select {
-		case <-l.wake.C:
+		case <-l.wakeTimer.C:
 		case <-sweep.C:
 			due = func() {
 				l.backends.CloseExpired()
-				l.callIDs.age()
-				l.endHolds(ctx)
+				l.callIDs.rotate()
+				l.expireHolds(ctx)
 			}
 		case <-looks:
-			due = l.lookAtLevel
+			due = l.updateLevel
 		case <-siteLooks:
-			due = l.lookAtSites
+			due = l.evaluateSites
 		case <-ctx.Done():
-			l.locked(func() { l.ended = true })
+			l.withLock(func() { l.ended = true })
 			return
 		}
-		l.late.wait()
-		l.locked(due)
+		l.lagMonitor.waitForProcessor()
+		l.withLock(due)
 	}
 }
 
 // fireTimers hands over the timers that are due.
 func (l *loop) fireTimers() {
-	l.armed = 0
+	l.wakeAt = 0
 	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].due <= now; {
 		t := heap.Pop(&l.timers).(timer)
 		if slices.Contains(l.modules, t.module) {
-			l.handle(l.ctx, t.module, policy.Event{Kind: policy.EventTimer, Token: t.token, AgentDelay: l.late.own()})
+			l.handle(l.ctx, t.module, policy.Event{Kind: policy.EventTimer, Token: t.token, AgentDelay: l.lagMonitor.ownDelay()})
 		}
 	}
 }
 
 // take brings an input's facts up to date and hands its event to the module.
-func (l *loop) take(ctx context.Context, in input) {
+func (l *loop) processInput(ctx context.Context, in input) {
 	ev := in.event
 	switch ev.Kind {
 	case policy.EventList:
-		ev.Servers = l.entries(in.members)
-		l.listSites(ev.ListMode, ev.Servers)
+		ev.Servers = l.updateServers(in.members)
+		l.updateSiteServers(ev.ListMode, ev.Servers)
 		for i := range ev.Servers {
-			ev.Servers[i] = l.held(ev.Servers[i])
+			ev.Servers[i] = l.effectiveEntry(ev.Servers[i])
 		}
 		l.handleAll(ctx, ev)
 		if ev.ListMode != policy.ListFailed {
-			l.heard = l.clock.now()
-			l.forgetGone(ev.ListMode, ev.Servers)
+			l.listReceivedAt = l.clock.now()
+			l.removeGone(ev.ListMode, ev.Servers)
 			l.ready.Store(len(l.targets) > 0 || l.ready.Load())
 		}
 	case policy.EventRequest:
-		if !l.callIDs.take(in.call.callID) {
+		if !l.callIDs.reserve(in.call.callID) {
 			l.counts.classes[in.call.class].failed++
-			in.call.answered <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(callIDHeader + " is in use\n")}
+			in.call.answers <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(callIDHeader + " is in use\n")}
 			return
 		}
-		in.call.id = l.newID()
-		r := &request{call: in.call, module: l.current, begun: l.clock.now()}
+		in.call.id = l.newRequestID()
+		r := &request{call: in.call, module: l.current, startedAt: l.clock.now()}
 		l.requests[in.call.id] = r
-		l.late.begin()
-		r.module.open++
+		l.lagMonitor.requestStarted()
+		r.module.openRequests++
 		l.counts.requests++
 		ev.Request, ev.Class, ev.Tenant, ev.Retry = in.call.id, in.call.class, in.call.tenant, in.call.retry
 		ev.TimeLeft, ev.BodyPending = in.call.deadline-l.clock.now(), in.call.message.rest != nil
 		if l.sites != nil {
-			l.sites.meter.RecordRequest(r.class, r.tenant, r.retry)
+			l.sites.demandMeter.RecordRequest(r.class, r.tenant, r.retry)
 		}
-		if a, refused := l.judge(r); refused {
-			l.end(r, a)
-			l.forget(r)
+		if a, refused := l.checkLevel(r); refused {
+			l.answerClient(r, a)
+			l.forgetIfDone(r)
 			return
 		}
 		l.handle(ctx, r.module, ev)
@@ -317,40 +317,40 @@
 		if r == nil || r.ended {
 			return
 		}
-		r.begun = l.clock.now()
-		r.deadline = r.begun + r.message.rest.budget
+		r.startedAt = l.clock.now()
+		r.deadline = r.startedAt + r.message.rest.budget
 		ev.Request, ev.TimeLeft = r.id, r.message.rest.budget
 		l.handle(ctx, r.module, ev)
 	case policy.EventClientGone:
 		r := l.requests[in.call.id]
 		if r == nil || r.ended { // it crossed the answer, if there was one
 			select {
-			case a := <-in.call.answered:
+			case a := <-in.call.answers:
 				a.drop()
 			default:
 			}
 			return
 		}
 		r.ended = true
-		l.counts.left++
+		l.counts.clientGone++
 		ev.Request = r.id
 		l.handle(ctx, r.module, ev)
-		l.forget(r)
+		l.forgetIfDone(r)
 	case policy.EventOutcome:
 		r := l.requests[ev.Request]
-		ev.AgentDelay = max(0, l.clock.now()-in.sent-in.took)
-		r.attempts[ev.Attempt]()
-		r.out--
-		r.last = ev.Outcome
-		l.heardOf(r, &ev)
-		if ev.Outcome == policy.OK && !l.end(r, in.answer) {
+		ev.AgentDelay = max(0, l.clock.now()-in.sentAt-in.backendTime)
+		r.attemptCancels[ev.Attempt]()
+		r.inFlight--
+		r.lastOutcome = ev.Outcome
+		l.recordSiteOutcome(r, &ev)
+		if ev.Outcome == policy.OK && !l.answerClient(r, in.answer) {
 			in.answer.drop()
 		}
 		ev.Final = r.ended
 		l.handle(ctx, r.module, ev)
-		l.forget(r)
+		l.forgetIfDone(r)
 	case policy.EventProbeResult:
-		ev.AgentDelay = max(0, l.clock.now()-in.seen)
+		ev.AgentDelay = max(0, l.clock.now()-in.answeredAt)
 		if l.sites != nil {
 			l.sites.ReportProbe(l.clock.now(), ev.Server, ev.Outcome == policy.OK)
 		}
@@ -360,7 +360,7 @@
 	}
 }
 
-func (l *loop) newID() policy.RequestID {
+func (l *loop) newRequestID() policy.RequestID {
 	for {
 		l.lastID++
 		if l.requests[l.lastID] == nil {
@@ -370,26 +370,26 @@
 }
 
 // end gives the client its answer, unless it has one or is gone.
-func (l *loop) end(r *request, a answer) bool {
+func (l *loop) answerClient(r *request, a answer) bool {
 	if r.ended {
 		return false
 	}
 	r.ended = true
-	l.counts.end(r, a.status, l.clock.now(), l.decisions.Classes[r.class].Aim)
-	r.answered <- a
+	l.counts.recordEnd(r, a.status, l.clock.now(), l.moduleSettings.Classes[r.class].Aim)
+	r.answers <- a
 	return true
 }
 
 // forget drops a request of which nothing more is to be heard.
-func (l *loop) forget(r *request) {
-	if r.ended && r.out == 0 {
+func (l *loop) forgetIfDone(r *request) {
+	if r.ended && r.inFlight == 0 {
 		if l.requests[r.id] == nil {
 			return // it has been
 		}
 		delete(l.requests, r.id)
-		l.late.end()
+		l.lagMonitor.requestEnded()
 		l.callIDs.release(r.callID)
-		if r.module.open--; r.module.retired && r.module.open == 0 {
+		if r.module.openRequests--; r.module.retired && r.module.openRequests == 0 {
 			l.modules = slices.DeleteFunc(l.modules, func(m *module) bool { return m == r.module })
 		}
 	}
@@ -403,7 +403,7 @@
 }
 
 // take notes an id, unless it is known.
-func (c *callIDs) take(id string) bool {
+func (c *callIDs) reserve(id string) bool {
 	for _, known := range []map[string]struct{}{c.open, c.recent, c.older} {
 		if _, taken := known[id]; taken {
 			return false
@@ -416,29 +416,29 @@
 // release notes that the request with an id has ended.
 func (c *callIDs) release(id string) {
 	delete(c.open, id)
-	if c.recent[id] = struct{}{}; len(c.recent) >= mostRecent {
-		c.age()
+	if c.recent[id] = struct{}{}; len(c.recent) >= maxRecentCallIDs {
+		c.rotate()
 	}
 }
 
 // age forgets what was known at the last call but one.
-func (c *callIDs) age() { c.recent, c.older = map[string]struct{}{}, c.recent }
+func (c *callIDs) rotate() { c.recent, c.older = map[string]struct{}{}, c.recent }
 
 // entries notes where the members of a list are and turns them into the module's terms.
-func (l *loop) entries(members []member) []policy.ServerEntry {
+func (l *loop) updateServers(members []member) []policy.ServerEntry {
 	entries := make([]policy.ServerEntry, 0, len(members))
 	for _, m := range members {
 		e := policy.ServerEntry{
 			ID:     l.servers.of(m.ID),
-			Zone:   slices.Index(l.set.Zones, m.Locality),
-			Kind:   slices.Index(l.set.Kinds, m.Flavor),
+			Zone:   slices.Index(l.settings.Zones, m.Locality),
+			Kind:   slices.Index(l.settings.Kinds, m.Flavor),
 			Cell:   m.Cell,
 			State:  phases[m.Phase],
 			Weight: m.Size,
 			Start:  time.Duration(math.Round(m.UpSince * float64(time.Millisecond))),
-			Key:    keyOf(m.ID),
+			Key:    serverKey(m.ID),
 		}
-		l.listed[e.ID] = e
+		l.listedServers[e.ID] = e
 		entries = append(entries, e)
 		if e.State == policy.Gone {
 			continue // forgotten once the module has heard of it
@@ -456,14 +456,14 @@
 }
 
 // keyOf names a backend to other agents, whose numbers for it are others. FNV-1a, 32 bits.
-func keyOf(id string) uint32 {
+func serverKey(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id)) // never fails
 	return h.Sum32()
 }
 
 // forgetGone drops the addresses and idle connections of the backends that a list has shown to be gone.
-func (l *loop) forgetGone(mode policy.ListMode, entries []policy.ServerEntry) {
+func (l *loop) removeGone(mode policy.ListMode, entries []policy.ServerEntry) {
 	stays := make(map[policy.ServerID]bool, len(entries))
 	for _, e := range entries {
 		stays[e.ID] = e.State != policy.Gone
@@ -477,6 +477,6 @@
 			delete(l.targets, id)
 		}
 		l.servers.free(id)
-		delete(l.listed, id)
+		delete(l.listedServers, id)
 	}
 }
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -39,15 +39,15 @@
 		t.Errorf("%d more went on", n)
 	}
 	ids := callIDs{open: map[string]struct{}{}, recent: map[string]struct{}{}}
-	for i := range 10 * mostRecent {
+	for i := range 10 * maxRecentCallIDs {
 		id := fmt.Sprint(i)
-		ids.take(id)
+		ids.reserve(id)
 		ids.release(id)
 	}
-	if n := len(ids.open) + len(ids.recent) + len(ids.older); n > 2*mostRecent {
+	if n := len(ids.open) + len(ids.recent) + len(ids.older); n > 2*maxRecentCallIDs {
 		t.Errorf("%d ids are kept", n)
 	}
-	if ids.age(); !ids.take(fmt.Sprint(8*mostRecent - 1)) {
+	if ids.rotate(); !ids.reserve(fmt.Sprint(8*maxRecentCallIDs - 1)) {
 		t.Error("an id is kept for good")
 	}
 }
@@ -72,7 +72,7 @@
 }
 
 // writeRaw sends a request over a connection of its own, as no library does.
-func writeRaw(t *testing.T, a *running) net.Conn {
+func dialAndSendRequest(t *testing.T, a *running) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
@@ -89,7 +89,7 @@
 func TestHangupBehindNextRequest(t *testing.T) {
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
 	a := agentFor(t, testSettings, b)
-	c := writeRaw(t, a)
+	c := dialAndSendRequest(t, a)
 	receive(t, "request", b.Got)
 	if _, err := c.Write([]byte("GET /safe")); err != nil {
 		t.Fatal(err)
@@ -106,9 +106,9 @@
 	l := a.agent.loop
 	l.mu.Lock() // all that is decided waits
 	for range 20 {
-		writeRaw(t, a).Close()
+		dialAndSendRequest(t, a).Close()
 	}
-	c := writeRaw(t, a)
+	c := dialAndSendRequest(t, a)
 	l.mu.Unlock()
 	c.Close()
 	a.eventually(t, "nothing is held", func() bool { return a.agent.server.held.Load() == 0 })
@@ -118,7 +118,7 @@
 }
 
 // hold has a loop's inputs wait for the test.
-func hold(l *loop) <-chan input {
+func captureInputs(l *loop) <-chan input {
 	inputs := make(chan input, 8)
 	l.send = func(in input) { inputs <- in }
 	return inputs
@@ -132,24 +132,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	inputs := hold(l)
+	inputs := captureInputs(l)
 	ctx := t.Context()
 	list := func(mode policy.ListMode, phase string) {
-		l.take(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: mode},
+		l.processInput(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: mode},
 			members: []member{{ID: "x", HostPort: b.Addr, Phase: phase}}})
 	}
 	list(policy.ListFull, "Ready")
 	x := l.servers.of("x")
-	r := &request{module: l.current, call: &call{id: 7, deadline: l.clock.now() + wait, answered: make(chan answer, 1),
+	r := &request{module: l.current, call: &call{id: 7, deadline: l.clock.now() + wait, answers: make(chan answer, 1),
 		message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}}
 	l.requests[r.id] = r
 	send := policy.Action{Kind: policy.ActSend, Request: r.id, Server: x, Wait: wait}
-	l.act(ctx, l.current, &send)
+	l.execute(ctx, l.current, &send)
 	if in := receive(t, "outcome", inputs); in.event.Outcome != policy.OK {
 		t.Fatalf("outcome %d", in.event.Outcome)
 	}
 	send.DeliverWithin = 1 // a nanosecond, which is over before a connection can be had
-	l.act(ctx, l.current, &send)
+	l.execute(ctx, l.current, &send)
 	if in := receive(t, "outcome", inputs); in.event.Outcome != policy.NotSent {
 		t.Errorf("sent too late: outcome %d", in.event.Outcome)
 	}
@@ -160,9 +160,9 @@
 		t.Errorf("still known: %v %v", l.targets, l.servers)
 	}
 	send.DeliverWithin = 0
-	l.act(ctx, l.current, &send)
-	if n := len(l.events); n != 1 || l.events[0].event.Outcome != policy.NotSent {
-		t.Errorf("to a backend that is gone: %+v", l.events)
+	l.execute(ctx, l.current, &send)
+	if n := len(l.eventQueue); n != 1 || l.eventQueue[0].event.Outcome != policy.NotSent {
+		t.Errorf("to a backend that is gone: %+v", l.eventQueue)
 	}
 }
 
@@ -173,21 +173,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hold(l)
+	captureInputs(l)
 	ctx := t.Context()
-	l.take(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull},
+	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull},
 		members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
-	c := &call{class: 2, deadline: l.clock.now() + wait, answered: make(chan answer, 1), message: newMessage("POST", "/", "x", nil, nil, nil)}
-	l.take(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
-	if len(l.requests) != 1 || l.requests[c.id].out != 1 {
+	c := &call{class: 2, deadline: l.clock.now() + wait, answers: make(chan answer, 1), message: newMessage("POST", "/", "x", nil, nil, nil)}
+	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
+	if len(l.requests) != 1 || l.requests[c.id].inFlight != 1 {
 		t.Fatalf("after the request: %+v", l.requests)
 	}
 	hangup := input{event: policy.Event{Kind: policy.EventClientGone}, call: c}
-	l.take(ctx, hangup)
-	l.take(ctx, input{answer: answer{status: 200}, event: policy.Event{Kind: policy.EventOutcome, Request: c.id}})
-	l.take(ctx, hangup)
-	if len(c.answered) != 0 || len(l.requests) != 0 {
-		t.Errorf("%d answers, %d requests left", len(c.answered), len(l.requests))
+	l.processInput(ctx, hangup)
+	l.processInput(ctx, input{answer: answer{status: 200}, event: policy.Event{Kind: policy.EventOutcome, Request: c.id}})
+	l.processInput(ctx, hangup)
+	if len(c.answers) != 0 || len(l.requests) != 0 {
+		t.Errorf("%d answers, %d requests left", len(c.answers), len(l.requests))
 	}
 }
 
@@ -282,12 +282,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	inputs := hold(l)
+	inputs := captureInputs(l)
 	ctx := t.Context()
-	l.take(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull},
+	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull},
 		members: []member{{ID: "x", HostPort: x.Addr, Phase: "Ready"}, {ID: "y", HostPort: y.Addr, Phase: "Ready"}}})
-	c := &call{deadline: l.clock.now() + wait, answered: make(chan answer, 1), message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
-	l.take(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
+	c := &call{deadline: l.clock.now() + wait, answers: make(chan answer, 1), message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
+	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
 	swallower := x
 	select {
 	case <-x.Got:
@@ -301,9 +301,9 @@
 		l.handle(ctx, look.module, policy.Event{Kind: policy.EventTimer, Token: look.token})
 	}
 	for range 2 { // the copy's answer, and the end of the first attempt
-		l.take(ctx, receive(t, "outcome", inputs))
+		l.processInput(ctx, receive(t, "outcome", inputs))
 	}
-	if a := receive(t, "answer", c.answered); a.status != http.StatusOK {
+	if a := receive(t, "answer", c.answers); a.status != http.StatusOK {
 		t.Errorf("answered %d", a.status)
 	}
 	receive(t, "close of the silent connection", swallower.Ended)
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -13,18 +13,18 @@
 )
 
 // peerPause is how long reading messages rests after an error: one that lasts must not take the agent's core.
-const peerPause = 100 * time.Millisecond
+const peerReadBackoff = 100 * time.Millisecond
 
 // chatter carries messages between this agent and the others. They may be lost on the way, so whatever goes wrong with
 // one is as if it were.
-type chatter struct {
-	conn PacketConn
-	all  netip.AddrPort
-	from map[netip.AddrPort]bool
+type peerLink struct {
+	conn          PacketConn
+	broadcastAddr netip.AddrPort
+	peerAddrs     map[netip.AddrPort]bool
 }
 
 // openPeers opens the socket for other agents' messages; nil is none.
-func openPeers(p *Peers, network Network) (*chatter, error) {
+func openPeerLink(p *Peers, network Network) (*peerLink, error) {
 	packets, ok := network.(PacketNetwork)
 	if !ok || !p.Listen.IsValid() {
 		return nil, nil
@@ -33,20 +33,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	c := &chatter{conn: conn, all: p.All, from: map[netip.AddrPort]bool{}}
+	c := &peerLink{conn: conn, broadcastAddr: p.All, peerAddrs: map[netip.AddrPort]bool{}}
 	for _, addr := range p.From {
-		c.from[addr] = true
+		c.peerAddrs[addr] = true
 	}
 	return c, nil
 }
 
 // tell sends a message to all other agents.
-func (c *chatter) tell(msg []byte) {
-	c.conn.WriteToUDPAddrPort(msg, c.all)
+func (c *peerLink) broadcast(msg []byte) {
+	c.conn.WriteToUDPAddrPort(msg, c.broadcastAddr)
 }
 
 // hear hands messages to the loop until the socket is closed.
-func (c *chatter) hear(ctx context.Context, l *loop) {
+func (c *peerLink) receiveLoop(ctx context.Context, l *loop) {
 	buf := make([]byte, peers.MostBytes+1) // what is longer is cut, and told by its length
 	for {
 		n, from, err := c.conn.ReadFromUDPAddrPort(buf)
@@ -55,13 +55,13 @@
 		}
 		if err != nil {
 			select {
-			case <-time.After(peerPause):
+			case <-time.After(peerReadBackoff):
 				continue
 			case <-ctx.Done():
 				return
 			}
 		}
-		if n > peers.MostBytes || !c.from[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())] {
+		if n > peers.MostBytes || !c.peerAddrs[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())] {
 			continue
 		}
 		// What comes faster than this is lost in the socket's buffer.
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -16,24 +16,24 @@
 )
 
 // siteEvery is how often sites are looked at: a lost one is found by what is silent for a part of an aim.
-const siteEvery = 100 * time.Millisecond
+const siteInterval = 100 * time.Millisecond
 
 // sites is what the loop keeps for the sites' machine.
 type sites struct {
 	*site.Monitor
-	meter   *site.DemandMeter
-	looked  time.Duration // at them, last
-	blind   time.Duration // until then silence is the agent's own: it was late
-	planned time.Duration
-	warned  map[string]bool // sites whose loss could not be carried
-	wanted  map[string]bool // sites that the document in force has taken out
+	demandMeter          *site.DemandMeter
+	lastEvaluatedAt      time.Duration // at them, last
+	ignoreSilenceUntil   time.Duration // until then silence is the agent's own: it was late
+	lossImpactsCheckedAt time.Duration
+	warnedSites          map[string]bool // sites whose loss could not be carried
+	documentEvacuations  map[string]bool // sites that the document in force has taken out
 }
 
 // try is an attempt that is out.
-type try struct {
-	attempt int
-	server  policy.ServerID
-	sent    time.Duration
+type sentAttempt struct {
+	index  int
+	server policy.ServerID
+	sentAt time.Duration
 }
 
 func newSites(cfg *Config, now time.Duration) *sites {
@@ -49,12 +49,12 @@
 	for i, t := range m.Tenants {
 		accounts = append(accounts, site.Account{Name: cfg.Settings.Tenants[i], GuaranteedShare: t.Portion})
 	}
-	return &sites{meter: site.NewDemandMeter(classes, accounts), planned: now, warned: map[string]bool{}, Monitor: site.New(site.Settings{Names: cfg.Settings.Zones, Probes: m.Probes}, cfg.Seed, now), looked: now}
+	return &sites{demandMeter: site.NewDemandMeter(classes, accounts), lossImpactsCheckedAt: now, warnedSites: map[string]bool{}, Monitor: site.New(site.Settings{Names: cfg.Settings.Zones, Probes: m.Probes}, cfg.Seed, now), lastEvaluatedAt: now}
 }
 
 // entry is what the modules are told of a backend: one that is withdrawn with its site drains, and one that is let in again
 // counts as just started.
-func (s *sites) entry(e policy.ServerEntry) policy.ServerEntry {
+func (s *sites) adjustEntry(e policy.ServerEntry) policy.ServerEntry {
 	use, since := s.Admitted(e.ID)
 	switch {
 	case e.State != policy.Ready:
@@ -67,7 +67,7 @@
 }
 
 // listSites tells the sites' machine the list, of which these are the entries that are new, or all.
-func (l *loop) listSites(mode policy.ListMode, entries []policy.ServerEntry) {
+func (l *loop) updateSiteServers(mode policy.ListMode, entries []policy.ServerEntry) {
 	if l.sites == nil || mode == policy.ListFailed {
 		return
 	}
@@ -76,7 +76,7 @@
 		list = append(list, site.Server{ID: e.ID, Site: e.Zone, Ready: e.State == policy.Ready, Start: e.Start})
 	}
 	if mode == policy.ListDelta {
-		for _, e := range l.listed {
+		for _, e := range l.listedServers {
 			add(&e)
 		}
 	} else {
@@ -88,23 +88,23 @@
 }
 
 // heardOf tells the sites' machine what became of an attempt.
-func (l *loop) heardOf(r *request, ev *policy.Event) {
+func (l *loop) recordSiteOutcome(r *request, ev *policy.Event) {
 	if l.sites == nil {
 		return
 	}
 	now := l.clock.now()
 	var sent time.Duration
-	for i := range r.tries {
-		if r.tries[i].attempt == ev.Attempt {
-			sent = r.tries[i].sent
-			r.tries = append(r.tries[:i], r.tries[i+1:]...)
+	for i := range r.sentAttempts {
+		if r.sentAttempts[i].index == ev.Attempt {
+			sent = r.sentAttempts[i].sentAt
+			r.sentAttempts = append(r.sentAttempts[:i], r.sentAttempts[i+1:]...)
 			break
 		}
 	}
 	switch ev.Outcome {
 	case policy.OK, policy.Error:
 		if ev.Outcome == policy.OK {
-			l.sites.meter.RecordServed(r.class, now-sent)
+			l.sites.demandMeter.RecordServed(r.class, now-sent)
 		}
 		l.sites.ReportOutcome(now, ev.Server, site.Answered, sent)
 	case policy.Full:
@@ -112,19 +112,19 @@
 	case policy.Reset, policy.ConnectFailed:
 		l.sites.ReportOutcome(now, ev.Server, site.Failed, sent)
 	case policy.Timeout:
-		if now >= l.sites.blind {
+		if now >= l.sites.ignoreSilenceUntil {
 			l.sites.ReportOutcome(now, ev.Server, site.Failed, sent)
 		}
 	}
 }
 
 // lookAtSites has the sites' machine decide, and carries out what has changed.
-func (l *loop) lookAtSites() {
+func (l *loop) evaluateSites() {
 	s, now := l.sites, l.clock.now()
-	if now-s.looked > 3*siteEvery {
-		s.blind = now + l.decisions.Classes[0].Aim // danger: answers lie unread that came long ago
+	if now-s.lastEvaluatedAt > 3*siteInterval {
+		s.ignoreSilenceUntil = now + l.moduleSettings.Classes[0].Aim // danger: answers lie unread that came long ago
 	}
-	s.looked = now
+	s.lastEvaluatedAt = now
 	var uses []site.Load
 	silent := map[policy.ServerID]bool{}
 	if v, ok := l.current.Decider.(viewer); ok {
@@ -133,51 +133,51 @@
 			silent[b.ID] = b.Overdue > 0
 		}
 	}
-	if now >= s.blind {
+	if now >= s.ignoreSilenceUntil {
 		for _, r := range l.requests {
-			for i := range r.tries {
-				if t := &r.tries[i]; silent[t.server] && now-t.sent >= l.decisions.Classes[r.class].Aim/4 {
-					s.ReportOutcome(now, t.server, site.Failed, t.sent)
+			for i := range r.sentAttempts {
+				if t := &r.sentAttempts[i]; silent[t.server] && now-t.sentAt >= l.moduleSettings.Classes[r.class].Aim/4 {
+					s.ReportOutcome(now, t.server, site.Failed, t.sentAt)
 				}
 			}
 		}
 	}
 	r := s.Evaluate(now, uses)
-	l.warn(now)
+	l.warnOfLossImpacts(now)
 	for _, c := range r.Transitions {
 		l.log.Warn("site", "name", c.Site, "from", c.From.String(), "to", c.To.String(), "why", c.Reason)
 	}
 	if len(r.Changed) > 0 {
 		ev := policy.Event{Kind: policy.EventList, ListMode: policy.ListDelta}
 		for _, id := range r.Changed {
-			if e, listed := l.listed[id]; listed {
-				ev.Servers = append(ev.Servers, l.held(e))
+			if e, listed := l.listedServers[id]; listed {
+				ev.Servers = append(ev.Servers, l.effectiveEntry(e))
 			}
 		}
 		l.handleAll(context.WithoutCancel(l.ctx), ev)
 	}
 	for _, id := range r.Probes {
-		l.probe(l.ctx, l.current, id)
+		l.startProbe(l.ctx, l.current, id)
 	}
 }
 
 // warnEvery is how often plans are looked at for sites whose loss could not be carried.
-const warnEvery = 10 * time.Second
+const lossImpactInterval = 10 * time.Second
 
 // warn says of each site once that the others could not carry its load any more, and once that they can again.
-func (l *loop) warn(now time.Duration) {
+func (l *loop) warnOfLossImpacts(now time.Duration) {
 	s := l.sites
-	if now-s.planned < warnEvery {
+	if now-s.lossImpactsCheckedAt < lossImpactInterval {
 		return
 	}
-	s.planned = now
-	for _, p := range s.LossImpacts(now, s.meter.Demand()) {
+	s.lossImpactsCheckedAt = now
+	for _, p := range s.LossImpacts(now, s.demandMeter.Demand()) {
 		switch over := p.Utilization > site.MaxUtilization && p.LoadShare > 0; {
-		case over && !s.warned[p.Site]:
-			s.warned[p.Site] = true
+		case over && !s.warnedSites[p.Site]:
+			s.warnedSites[p.Site] = true
 			l.log.Warn("the loss of a site could not be carried", "name", p.Site, "carries", round(p.LoadShare), "refused", round(p.ShedShare))
-		case s.warned[p.Site] && p.Utilization < site.MaxUtilization-0.1:
-			delete(s.warned, p.Site)
+		case s.warnedSites[p.Site] && p.Utilization < site.MaxUtilization-0.1:
+			delete(s.warnedSites, p.Site)
 			l.log.Info("the loss of a site could be carried again", "name", p.Site)
 		}
 	}
@@ -188,7 +188,7 @@
 	var v *control.Sites
 	err := a.loop.do(ctx, func() {
 		if a.loop.sites != nil {
-			v = a.loop.shownSites()
+			v = a.loop.siteStatus()
 		}
 	})
 	return v, err
@@ -210,8 +210,8 @@
 		}
 		if wrong == nil {
 			l.log.Info("operators", "site", name, "out_for", d, "why", why)
-			l.lookAtSites()
-			v = l.shownSites()
+			l.evaluateSites()
+			v = l.siteStatus()
 		}
 	})
 	return v, errors.Join(err, wrong)
@@ -240,24 +240,24 @@
 			}
 			wanted[name] = true
 		}
-		back, not := s.wanted, wanted
+		back, not := s.documentEvacuations, wanted
 		if err != nil {
-			back, not = wanted, s.wanted
+			back, not = wanted, s.documentEvacuations
 		} else {
-			s.wanted = wanted
+			s.documentEvacuations = wanted
 		}
 		for _, name := range slices.Sorted(maps.Keys(back)) {
 			if !not[name] {
 				err = errors.Join(err, s.EndEvacuation(now, name))
 			}
 		}
-		l.lookAtSites()
+		l.evaluateSites()
 	})
 	return errors.Join(wrong, err)
 }
 
 // shownSites are the sites for people to read.
-func (l *loop) shownSites() *control.Sites {
+func (l *loop) siteStatus() *control.Sites {
 	now := l.clock.now()
 	views, history := l.sites.Snapshot()
 	s := &control.Sites{Sites: []control.Site{}, Plans: []control.SitePlan{}, History: []control.SiteChange{}}
@@ -280,7 +280,7 @@
 		}
 		s.Sites = append(s.Sites, c)
 	}
-	for _, p := range l.sites.LossImpacts(now, l.sites.meter.Demand()) {
+	for _, p := range l.sites.LossImpacts(now, l.sites.demandMeter.Demand()) {
 		c := control.SitePlan{Lose: p.Site, Share: round(p.LoadShare), Refused: round(p.ShedShare), Moves: []control.SiteMove{}, First: []control.SiteRefusal{}}
 		if !math.IsInf(p.Utilization, 0) {
 			after := round(p.Utilization)
--- a/internal/agent/timers.go
+++ b/internal/agent/timers.go
@@ -12,13 +12,13 @@
 }
 
 // timers is a heap, the next one first.
-type timers []timer
+type timerHeap []timer
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].due < t[j].due }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(timer)) }
-func (t *timers) Pop() any {
+func (t timerHeap) Len() int           { return len(t) }
+func (t timerHeap) Less(i, j int) bool { return t[i].due < t[j].due }
+func (t timerHeap) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *timerHeap) Push(x any)        { *t = append(*t, x.(timer)) }
+func (t *timerHeap) Pop() any {
 	old := *t
 	last := old[len(old)-1]
 	*t = old[:len(old)-1]
