--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -17,50 +17,55 @@
 	"example.org/micaline/internal/tcp"
 )
 
-// admission holds the connections of clients. There is room for so many; when it is short, the one that has been
-// without a request longest goes, and where there is none a newcomer waits. Danger: a listener that merely stops
-// accepting lets clients that keep silent connections shut out all others; one that goes by what has been read ends
-// those whose requests an agent without processor has not come to yet, and they are lost.
+// connLimiter is a net.Listener that limits the number of client connections. At the limit it
+// closes the connection that has been without a request longest to make room for a new one; if
+// there is none, the new connection waits. If it only stopped accepting, clients that hold idle
+// connections could lock out all others. If it went by the data already read, it would close
+// connections whose requests a suspended agent has not read yet, and those requests would be lost.
 type connLimiter struct {
 	net.Listener
 	maxConns int
 
 	mu        sync.Mutex
 	openConns int
-	idleConns list.List     // of *clientConn: those without a whole request, the longest first
-	roomFreed chan struct{} // closed once there may be room, made by whoever waits for that
+	idleConns list.List     // of *clientConn: without a complete request, the longest first
+	roomFreed chan struct{} // closed when there may be room; created by an Accept that waits
 	closed    bool
 }
 
-// slowest is how long a client may take from a request's first byte until all of it is here that is kept: the time for its head,
-// 1 s for 64 KiB of body at 64 kB a second, and as much again for an agent that is late.
+// maxRequestReadTime limits the time from the first byte of a request until the part of it that is
+// kept has arrived: the time for the header, 1 s for a body of 64 KiB at 64 kB/s, and another 1 s
+// in case the agent is delayed.
 const maxRequestReadTime = requestTimeout + 2*time.Second
 
-// lookAgain is how soon connections are looked at again for one that can make room.
+// evictionRetryInterval is how often a waiting Accept looks again for a connection to evict.
 const evictionRetryInterval = 20 * time.Millisecond
 
-// clientConn is one of them. Its fields are guarded by the admission's mutex.
+// clientConn is a connection of a client. The fields that are neither atomic nor used only by
+// net/http's goroutine for the connection are guarded by the mutex of the connLimiter.
 type clientConn struct {
 	net.Conn
 	hangupWatcher *hangup.Watcher
-	idleElement   *list.Element // among the silent; nil while a request is open
-	closed        bool          // to make room, or by its server
-	evicting      atomic.Bool   // it makes room, unless a request has come: its reader finds out
-	firstByteAt   atomic.Int64  // when the first of a request came, Unix nanoseconds; 0: nothing has
-	idleSince     time.Time     // it is idle
-	head          []byte        // what has come since then, up to the body
-	inBody        atomic.Bool   // the head has come; net/http may look for the next request before its handler says so
-	writeDeadline time.Time     // the deadline that is set
+	idleElement   *list.Element // in idleConns; nil while a request is being served
+	closed        bool          // by evict or by the HTTP server
+	evicting      atomic.Bool   // its read deadline was set to close it, unless a request has arrived
+	firstByteAt   atomic.Int64  // first byte of the request, Unix nanoseconds; 0: none was read
+	idleSince     time.Time     // when it connected or its last request ended
+	header        []byte        // data read since idleSince, up to the body
+	inBody        atomic.Bool   // the header is complete; what follows is the body or read ahead
+	writeDeadline time.Time     // the write deadline in effect
 }
 
-// Read reads. Danger: the deadline of an idle connection may pass while the agent gets no processor, and a request that came
-// in the meantime would be lost with the connection. What has come by then is read.
+// Read implements io.Reader. It still reads data that arrived before the deadline if the deadline
+// passes while the agent waits for the processor. Otherwise a request that arrived in the meantime
+// would be lost with the connection.
 func (c *clientConn) Read(b []byte) (int, error) {
 	n, err := tcp.ReadWaiting(c.Conn, b)
-	if first := c.firstByteAt.Load(); n == 0 && first > 0 && c.evicting.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
-		// It was to make room when a part of its request had just been read: it has the time that any has.
-		if until := time.Unix(0, first).Add(maxRequestReadTime); time.Now().Before(until) {
-			c.Conn.SetReadDeadline(until)
+	if firstByte := c.firstByteAt.Load(); n == 0 && firstByte > 0 && c.evicting.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
+		// The connection was selected for eviction just after a part of its request had been read.
+		// It gets as much time as any request.
+		if deadline := time.Unix(0, firstByte).Add(maxRequestReadTime); time.Now().Before(deadline) {
+			c.Conn.SetReadDeadline(deadline)
 			n, err = tcp.ReadWaiting(c.Conn, b)
 		}
 	}
@@ -70,240 +75,255 @@
 	if c.inBody.Load() || n == 0 {
 		return n, err
 	}
-	c.firstByteAt.CompareAndSwap(0, time.Now().UnixNano()) // net/http tells that only once the head is whole
-	if len(c.head) == 0 && !bytes.Contains(b[:n], headTerminator) {
-		// Danger: net/http counts a head's time from when the connection became idle, and one that comes slowly late in that
-		// time would be cut off.
+	// net/http reports StateActive only once the header is complete.
+	c.firstByteAt.CompareAndSwap(0, time.Now().UnixNano())
+	if len(c.header) == 0 && !bytes.Contains(b[:n], headerTerminator) {
+		// net/http measures the time for a header from when the connection became idle. Without a
+		// new deadline, a slow header that starts late would be cut off.
 		c.SetReadDeadline(time.Now().Add(requestTimeout))
 	}
-	c.head = append(c.head, b[:min(n, maxHeader-len(c.head))]...)
+	c.header = append(c.header, b[:min(n, maxHeader-len(c.header))]...)
 	return n, err
 }
 
-// saysLength says whether the chunked request whose head has come names a Content-Length too. It is not known where the head
-// came with the request before.
-func (c *clientConn) namesContentLength() (says, known bool) {
-	head := c.head
-	if i := bytes.Index(head, []byte("\n\r\n")); i >= 0 {
-		head = head[:i+1]
-	} else if i := bytes.Index(head, []byte("\n\n")); i >= 0 {
-		head = head[:i+1]
+// namesContentLength reports whether the header of the current chunked request also has a
+// Content-Length field. known is false if the header was read together with the previous request.
+func (c *clientConn) namesContentLength() (named, known bool) {
+	header := c.header
+	if i := bytes.Index(header, []byte("\n\r\n")); i >= 0 {
+		header = header[:i+1]
+	} else if i := bytes.Index(header, []byte("\n\n")); i >= 0 {
+		header = header[:i+1]
 	}
-	head = bytes.ToLower(head)
-	return bytes.Contains(head, []byte("\ncontent-length")), bytes.Contains(head, []byte("\ntransfer-encoding"))
+	header = bytes.ToLower(header)
+	return bytes.Contains(header, []byte("\ncontent-length")), bytes.Contains(header, []byte("\ntransfer-encoding"))
 }
 
-// Write writes. Danger: a client that reads nothing would hold its answer for good. A deadline for each answer costs as much as
-// a short write, so one is used while half of it is left.
+// Write implements io.Writer. It sets a write deadline, because a client that does not read would
+// keep its answer open forever. Setting a deadline costs as much as a short write, so the previous
+// one is reused while more than half of its time is left.
 func (c *clientConn) Write(b []byte) (int, error) {
 	if now := time.Now(); c.writeDeadline.Sub(now) < writeTimeout/2 {
 		c.writeDeadline = now.Add(writeTimeout)
-		c.Conn.SetWriteDeadline(c.writeDeadline) // where there is none to set the connection is gone, and writing tells
+		c.Conn.SetWriteDeadline(c.writeDeadline) // fails only if the Write below fails too
 	}
 	return c.Conn.Write(b)
 }
 
-// CloseWrite ends what the agent sends. Danger: without it net/http can't end a connection behind the answer to a
-// request that it has not read, and the client's next bytes would make a reset of it that destroys the answer.
+// CloseWrite closes the sending side. net/http needs it to close a connection after an answer to a
+// request that it has not read completely: otherwise the client's further data would cause a reset,
+// which destroys the answer.
 func (c *clientConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return nil
 }
 
-// Accept returns the next connection, once there is room for it. Serve calls it from one goroutine.
-func (a *connLimiter) Accept() (net.Conn, error) {
-	conn, err := a.Listener.Accept()
+// Accept returns the next connection once there is room for it. It must not be called concurrently.
+func (l *connLimiter) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	c := &clientConn{Conn: conn, hangupWatcher: hangup.New(conn)}
 	for {
-		less := a.tryAdmit(c)
-		if less == nil {
+		roomFreed := l.tryAdmit(c)
+		if roomFreed == nil {
 			return c, nil
 		}
 		select {
-		case <-less:
+		case <-roomFreed:
 		case <-time.After(evictionRetryInterval):
 		}
-		a.mu.Lock()
-		ended := a.closed
-		a.mu.Unlock()
-		if ended {
+		l.mu.Lock()
+		closed := l.closed
+		l.mu.Unlock()
+		if closed {
 			conn.Close()
 			return nil, net.ErrClosed
 		}
 	}
 }
 
-// Close ends the listening, and the wait of a newcomer.
-func (a *connLimiter) Close() error {
-	a.mu.Lock()
-	a.closed = true
-	a.notifyRoomFreed()
-	a.mu.Unlock()
-	return a.Listener.Close()
+// Close closes the listener and ends a waiting Accept.
+func (l *connLimiter) Close() error {
+	l.mu.Lock()
+	l.closed = true
+	l.notifyRoomFreed()
+	l.mu.Unlock()
+	return l.Listener.Close()
 }
 
-// makeRoom wakes who waits for room. The mutex is held.
-func (a *connLimiter) notifyRoomFreed() {
-	if a.roomFreed != nil {
-		close(a.roomFreed)
-		a.roomFreed = nil
+// notifyRoomFreed wakes a waiting Accept. The caller holds the mutex.
+func (l *connLimiter) notifyRoomFreed() {
+	if l.roomFreed != nil {
+		close(l.roomFreed)
+		l.roomFreed = nil
 	}
 }
 
-// admit takes a connection in. Where there is no room, it returns what is closed once there may be.
-func (a *connLimiter) tryAdmit(c *clientConn) (less <-chan struct{}) {
-	a.mu.Lock()
+// tryAdmit counts a new connection and returns nil. If there is no room and no connection to evict,
+// it returns a channel that is closed when there may be room.
+func (l *connLimiter) tryAdmit(c *clientConn) (roomFreed <-chan struct{}) {
+	l.mu.Lock()
 	var victim *clientConn
-	if a.openConns >= a.maxConns {
-		if victim = a.evictionCandidate(); victim == nil {
-			defer a.mu.Unlock()
-			if a.roomFreed == nil {
-				a.roomFreed = make(chan struct{})
+	if l.openConns >= l.maxConns {
+		if victim = l.evictionCandidate(); victim == nil {
+			defer l.mu.Unlock()
+			if l.roomFreed == nil {
+				l.roomFreed = make(chan struct{})
 			}
-			return a.roomFreed
+			return l.roomFreed
 		}
-		a.evict(victim)
+		l.evict(victim)
 	}
-	a.openConns++
+	l.openConns++
 	c.idleSince = time.Now()
-	c.idleElement = a.idleConns.PushBack(c)
-	a.mu.Unlock()
+	c.idleElement = l.idleConns.PushBack(c)
+	l.mu.Unlock()
 	return nil
 }
 
-// leave has a connection end on which nothing is. Danger: what has left the socket and is not noted yet can't be seen from here, and to
-// close the connection would lose it. So its reader is woken, and ends it if there is nothing to be read. The mutex is held.
-func (a *connLimiter) evict(c *clientConn) {
-	slow := c.firstByteAt.Load() > 0
-	a.openConns--
-	a.notifyRoomFreed()
-	a.idleConns.Remove(c.idleElement)
+// evict closes a connection without a complete request to make room. Data that the connection's
+// goroutine has taken from the socket but not recorded yet is not visible here, and closing the
+// connection would lose it. Therefore evict only wakes that goroutine with a past read deadline,
+// and net/http closes the connection if there is nothing to read. A connection whose request is too
+// slow is closed at once. The caller holds the mutex.
+func (l *connLimiter) evict(c *clientConn) {
+	tooSlow := c.firstByteAt.Load() > 0
+	l.openConns--
+	l.notifyRoomFreed()
+	l.idleConns.Remove(c.idleElement)
 	c.idleElement = nil
 	c.evicting.Store(true)
-	if slow {
+	if tooSlow {
 		c.closed = true
 		c.Close()
 		return
 	}
-	c.SetReadDeadline(time.Unix(1, 0)) // where that fails the connection is gone
+	c.SetReadDeadline(time.Unix(1, 0)) // it fails only on a closed connection
 }
 
-// spare returns the connection that makes room: the longest without a request, or one whose request comes more slowly than
-// any may. The mutex is held.
-func (a *connLimiter) evictionCandidate() *clientConn {
+// evictionCandidate returns the connection to be evicted: the one that has been without a request
+// longest, or one whose request exceeds maxRequestReadTime. It returns nil if there is none. The
+// caller holds the mutex.
+func (l *connLimiter) evictionCandidate() *clientConn {
 	now := time.Now()
-	for e := a.idleConns.Front(); e != nil; e = e.Next() {
+	for e := l.idleConns.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
-		if first := c.firstByteAt.Load(); first > 0 && now.Sub(time.Unix(0, first)) > maxRequestReadTime || c.nothingReceived() {
+		if firstByte := c.firstByteAt.Load(); firstByte > 0 && now.Sub(time.Unix(0, firstByte)) > maxRequestReadTime || c.nothingReceived() {
 			return c
 		}
 	}
 	return nil
 }
 
-// quiet says that nothing of a request has come, read or not.
+// nothingReceived reports whether no data of a request has arrived, neither read nor waiting in the
+// socket.
 func (c *clientConn) nothingReceived() bool {
 	if c.firstByteAt.Load() > 0 {
 		return false
 	}
-	sys, ok := c.Conn.(syscall.Conn)
-	return !ok || tcp.Quiet(sys)
+	socket, ok := c.Conn.(syscall.Conn)
+	return !ok || tcp.Quiet(socket)
 }
 
-// headEnd ends a head.
-var headTerminator = []byte("\r\n\r\n")
+// headerTerminator is the end of a request header.
+var headerTerminator = []byte("\r\n\r\n")
 
-// usualHead is how much room for a head an idle connection holds, in bytes.
-const maxIdleHeadBuffer = 1 << 10
+// maxIdleHeadBuffer is the capacity of the header buffer that an idle connection may keep, in
+// bytes.
+const maxIdleHeaderBuffer = 1 << 10
 
-// newest is how long a connection that is idle is left alone: its request may be on its way.
+// minIdleAge is how long closeIdle spares an idle connection, because its next request may be on
+// its way.
 const minIdleAge = 200 * time.Millisecond
 
-// endIdle closes the connections on which nothing is, nor waits to be read.
-func (a *connLimiter) closeIdle() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for e := a.idleConns.Front(); e != nil; {
+// closeIdle closes the connections on which no request has arrived.
+func (l *connLimiter) closeIdle() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for e := l.idleConns.Front(); e != nil; {
 		c := e.Value.(*clientConn)
 		e = e.Next()
 		if time.Since(c.idleSince) >= minIdleAge && c.nothingReceived() {
-			a.evict(c)
+			l.evict(c)
 		}
 	}
 }
 
-// resize changes how many connections there may be. What is over it goes as it becomes silent and room is wanted.
-func (a *connLimiter) setMaxConns(most int) {
-	a.mu.Lock()
-	a.maxConns = most
-	a.mu.Unlock()
+// setMaxConns changes the limit. Connections over the new limit are evicted as they become idle and
+// room is needed.
+func (l *connLimiter) setMaxConns(maxConns int) {
+	l.mu.Lock()
+	l.maxConns = maxConns
+	l.mu.Unlock()
 }
 
-// release takes a connection out of the count. The mutex is held.
-func (a *connLimiter) release(c *clientConn) {
+// release takes a closed connection out of the count. The caller holds the mutex.
+func (l *connLimiter) release(c *clientConn) {
 	if c.closed {
 		return
 	}
 	if c.closed = true; c.evicting.Load() {
 		return
 	}
-	a.openConns--
-	a.notifyRoomFreed()
+	l.openConns--
+	l.notifyRoomFreed()
 	if c.idleElement != nil {
-		a.idleConns.Remove(c.idleElement)
+		l.idleConns.Remove(c.idleElement)
 		c.idleElement = nil
 	}
 }
 
-// take notes that a whole request has come on a connection, which is closed to make room no more. It is false if
-// the connection has been: what nobody can be told of must not be sent on.
-func (a *connLimiter) beginRequest(c *clientConn) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// beginRequest records that a complete request has arrived, which protects the connection from
+// eviction. It returns false if the connection is closed already. Such a request must not be
+// forwarded, as its answer could not be sent.
+func (l *connLimiter) beginRequest(c *clientConn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if c.idleElement != nil {
-		a.idleConns.Remove(c.idleElement)
+		l.idleConns.Remove(c.idleElement)
 		c.idleElement = nil
 	}
 	return !c.closed
 }
 
-// noteState follows what net/http makes of a connection.
-func (a *connLimiter) trackState(conn net.Conn, state http.ConnState) {
+// trackState is the ConnState hook of the HTTP server.
+func (l *connLimiter) trackState(conn net.Conn, state http.ConnState) {
 	c := conn.(*clientConn)
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch state {
 	case http.StateIdle:
 		c.firstByteAt.Store(0)
 		c.inBody.Store(false)
 		c.idleSince = time.Now()
-		if c.head = c.head[:0]; cap(c.head) > maxIdleHeadBuffer {
-			c.head = nil
+		if c.header = c.header[:0]; cap(c.header) > maxIdleHeaderBuffer {
+			c.header = nil
 		}
 		if c.evicting.CompareAndSwap(true, false) && !c.closed {
-			a.openConns++ // a request had come after all, and is answered
+			l.openConns++ // a request arrived in spite of the eviction and was answered
 		}
 		if c.idleElement != nil {
-			a.idleConns.MoveToBack(c.idleElement)
+			l.idleConns.MoveToBack(c.idleElement)
 		} else if !c.closed {
-			c.idleElement = a.idleConns.PushBack(c)
-			a.notifyRoomFreed()
+			c.idleElement = l.idleConns.PushBack(c)
+			l.notifyRoomFreed()
 		}
 	case http.StateClosed:
-		a.release(c)
+		l.release(c)
 	}
 }
 
-// connKey is the context's key of a request's connection.
+// connKey is the context key for the connection of a request.
 type connKey struct{}
 
+// withConn adds the client connection to the context of its requests.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
+// connOf returns the client connection of a request.
 func connOf(r *http.Request) *clientConn { return r.Context().Value(connKey{}).(*clientConn) }
--- a/internal/agent/admission_test.go
+++ b/internal/agent/admission_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// dial opens a client's connection to an agent.
+// dial opens a client connection to the agent.
 func (r *running) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
@@ -24,28 +24,29 @@
 	return c
 }
 
-// talk writes what a client sends as it is, and returns all that comes back until the agent closes.
+// exchangeRaw sends text unchanged and returns everything that the agent sends until it closes the
+// connection.
 func (r *running) exchangeRaw(t *testing.T, text string) string {
 	t.Helper()
 	c := r.dial(t)
 	go io.WriteString(c, text)
 	got, err := io.ReadAll(c)
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		t.Errorf("the connection stays open after %.60q", text)
+		t.Errorf("the connection is still open after %.60q", text)
 	}
 	return string(got)
 }
 
-// Clients that keep connections without a request do not shut out others, and a request that is open is not
-// disturbed by them.
+// At the connection limit, idle client connections are closed to make room for new clients. Open
+// requests are not affected.
 func TestSilentClientsMakeRoom(t *testing.T) {
-	a, b, goOn, first := sendHeldRequest(t)
+	a, b, finishFirst, first := sendHeldRequest(t)
 	receive(t, "request", b.Got)
 	silent := make([]net.Conn, 1024)
 	for i := range silent {
 		silent[i] = a.dial(t)
 	}
-	silent[0].Read(make([]byte, 1)) // returns when it has been closed to make room
+	silent[0].Read(make([]byte, 1)) // returns when the connection has been evicted
 	second := make(chan int, 1)
 	go func() {
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(a.request("unsafe", "15000m"))
@@ -57,8 +58,8 @@
 		resp.Body.Close()
 		second <- resp.StatusCode
 	}()
-	receive(t, "request of a newcomer", b.Got)
-	close(goOn)
+	receive(t, "request of a new client", b.Got)
+	close(finishFirst)
 	for _, answered := range []chan int{first, second} {
 		if status := receive(t, "answer", answered); status != 200 {
 			t.Errorf("answered %d", status)
@@ -66,14 +67,14 @@
 	}
 }
 
-// An application that keeps each connection that it has used once, and holds a third of the sockets at most, still
-// has one for its next request.
+// An application that keeps each connection open after its request, and has at most a third of the
+// sockets, always finds a free one for its next request.
 func TestKeptConnectionsLeaveSome(t *testing.T) {
 	a := agentFor(t, testSettings, newBackend(t, serves))
-	held := make(chan struct{}, 1024/3)
+	openConns := make(chan struct{}, 1024/3)
 	for i := range 1024/3 + 1 {
 		select {
-		case held <- struct{}{}:
+		case openConns <- struct{}{}:
 		case <-time.After(idleClients / 2):
 			t.Fatalf("no connection left for request %d", i)
 		}
@@ -81,21 +82,22 @@
 		io.WriteString(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
 		go func() {
 			io.Copy(io.Discard, c) // until the agent closes it
-			<-held
+			<-openConns
 		}()
 	}
 }
 
-// net/http ends its side of a client's connection by the connection's own CloseWrite, which the agent passes on.
+// net/http closes the sending side of a client connection with CloseWrite, which clientConn must
+// pass on.
 func TestClientsSeeTheEndOfAnAnswer(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
 	ended := false
 	var c net.Conn = &clientConn{Conn: halfCloser{near, &ended}}
-	half, ok := c.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil || !ended {
-		t.Errorf("CloseWrite is there: %v, and passed on: %v", ok, ended)
+	closer, ok := c.(interface{ CloseWrite() error })
+	if !ok || closer.CloseWrite() != nil || !ended {
+		t.Errorf("CloseWrite exists: %v, and is passed on: %v", ok, ended)
 	}
 }
 
@@ -109,19 +111,20 @@
 	return nil
 }
 
-// Room is made by the connection that has been without a request longest, never by one whose request has come, be it that
-// nobody has read it yet: where there is no other, a newcomer waits. What was closed is not sent on.
+// The connection that has been without a request longest is evicted, but never one whose request
+// has arrived, even if it has not been read yet. If there is no other, a new connection waits. A
+// request on a closed connection is not forwarded.
 func TestRoomIsMadeByTheSilent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &connLimiter{Listener: listener, maxConns: 4}
+	limiter := &connLimiter{Listener: listener, maxConns: 4}
 	conns := make(chan *clientConn, 8)
 	go func() {
 		defer close(conns)
 		for {
-			c, err := a.Accept()
+			c, err := limiter.Accept()
 			if err != nil {
 				return
 			}
@@ -141,140 +144,143 @@
 		c := dial()
 		return c, receive(t, "connection", conns)
 	}
-	unread, u := accept()
-	slow, s := accept()
-	_, open := accept()
-	kept, k := accept()
-	io.WriteString(unread, "GET /up HTTP/1.1\r\n")
-	for u.nothingReceived() { // until it has arrived
+	unreadClient, unreadConn := accept()
+	slowClient, slowConn := accept()
+	_, openConn := accept()
+	idleClient, idleConn := accept()
+	io.WriteString(unreadClient, "GET /up HTTP/1.1\r\n")
+	for unreadConn.nothingReceived() { // until the data has arrived
 		time.Sleep(time.Millisecond)
 	}
-	io.WriteString(slow, "GET")
-	s.Read(make([]byte, 8))
-	if !a.beginRequest(open) {
-		t.Fatal("an open request has no connection")
+	io.WriteString(slowClient, "GET")
+	slowConn.Read(make([]byte, 8))
+	if !limiter.beginRequest(openConn) {
+		t.Fatal("the connection of an open request is closed")
 	}
 
-	ended := make(chan error, 1)
+	readErr := make(chan error, 1)
 	go func() { // as net/http does
-		_, err := k.Read(make([]byte, 8))
-		a.trackState(k, http.StateClosed)
-		k.Close()
-		ended <- err
+		_, err := idleConn.Read(make([]byte, 8))
+		limiter.trackState(idleConn, http.StateClosed)
+		idleConn.Close()
+		readErr <- err
 	}()
-	newcomer, n := accept()
-	if err := receive(t, "end of the silent connection", ended); !errors.Is(err, os.ErrDeadlineExceeded) || a.beginRequest(k) || !a.beginRequest(n) {
-		t.Errorf("the silent connection has not made room: %v", err)
+	newClient, newConn := accept()
+	if err := receive(t, "end of the idle connection", readErr); !errors.Is(err, os.ErrDeadlineExceeded) || limiter.beginRequest(idleConn) || !limiter.beginRequest(newConn) {
+		t.Errorf("the idle connection was not evicted: %v", err)
 	}
-	if _, err := kept.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("its client sees %v", err)
+	if _, err := idleClient.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("the client of the evicted connection gets %v", err)
 	}
-	dial() // the next: nobody is silent
+	dial() // waits: no connection can be evicted
 	select {
 	case <-conns:
-		t.Error("a connection whose request had come made room")
+		t.Error("a connection was evicted although its request had arrived")
 	case <-time.After(3 * evictionRetryInterval):
 	}
-	a.trackState(n, http.StateIdle) // answered, and quiet
-	last := receive(t, "connection of who has waited", conns)
-	// A request that came to it when it was to make room is read, taken, and counts again once it is answered.
-	io.WriteString(newcomer, "GET /up HTTP/1.1\r\n")
+	limiter.trackState(newConn, http.StateIdle) // answered and idle
+	waitingConn := receive(t, "connection that has waited", conns)
+	// A request that arrives just when its connection is evicted is still read and served, and the
+	// connection counts again after the answer.
+	io.WriteString(newClient, "GET /up HTTP/1.1\r\n")
 	for got := 0; got == 0; {
-		got, _ = n.Read(make([]byte, 32))
+		got, _ = newConn.Read(make([]byte, 32))
 	}
-	if !a.beginRequest(n) {
-		t.Error("a request that came at the last moment is lost")
+	if !limiter.beginRequest(newConn) {
+		t.Error("a request that arrived during the eviction is lost")
 	}
-	a.trackState(n, http.StateIdle)
-	a.trackState(n, http.StateClosed)
-	s.firstByteAt.Store(time.Now().Add(-2 * maxRequestReadTime).UnixNano())
+	limiter.trackState(newConn, http.StateIdle)
+	limiter.trackState(newConn, http.StateClosed)
+	slowConn.firstByteAt.Store(time.Now().Add(-2 * maxRequestReadTime).UnixNano())
 	accept()
-	if _, err := slow.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("a request that comes too slowly keeps its room: %v", err)
+	if _, err := slowClient.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("a connection whose request is too slow was not evicted: %v", err)
 	}
-	if !a.beginRequest(u) {
-		t.Error("the request that nobody has read is lost")
+	if !limiter.beginRequest(unreadConn) {
+		t.Error("the request that was not read yet is lost")
 	}
-	a.beginRequest(last)
-	a.mu.Lock()
-	if a.openConns != a.maxConns {
-		t.Errorf("%d connections are counted", a.openConns)
+	limiter.beginRequest(waitingConn)
+	limiter.mu.Lock()
+	if limiter.openConns != limiter.maxConns {
+		t.Errorf("%d open connections are counted", limiter.openConns)
 	}
-	a.mu.Unlock()
+	limiter.mu.Unlock()
 	dial()
-	a.Close()
-	for range conns { // ends: who waits goes with the listener
+	limiter.Close()
+	for range conns { // closing the limiter also ends the waiting Accept
 	}
 }
 
-// Clients that say nothing, or never end what they say, are closed; so are those with nothing more to say.
+// Clients that send nothing or an incomplete request are disconnected after a time, and so are idle
+// clients.
 func TestSlowClientsAreClosed(t *testing.T) {
 	a := agentFor(t, testSettings, newBackend(t, serves))
-	whole := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n"
-	for what, c := range map[string]struct{ text, answer string }{
+	completeHead := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n"
+	for name, test := range map[string]struct{ text, answer string }{
 		"silence":     {"", ""},
 		"half a head": {"POST /unsafe/1 HT", "HTTP/1.1 400 "},
-		"half a body": {whole + "Content-Length: 10\r\n\r\nhalf", "HTTP/1.1 408 "},
-		"idle":        {whole + "Content-Length: 4\r\n\r\nbody", "HTTP/1.1 200 "},
+		"half a body": {completeHead + "Content-Length: 10\r\n\r\nhalf", "HTTP/1.1 408 "},
+		"idle":        {completeHead + "Content-Length: 4\r\n\r\nbody", "HTTP/1.1 200 "},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if got := a.exchangeRaw(t, c.text); !strings.HasPrefix(got, c.answer) || c.answer == "" && got != "" {
+			if got := a.exchangeRaw(t, test.text); !strings.HasPrefix(got, test.answer) || test.answer == "" && got != "" {
 				t.Errorf("answered %q", got)
 			}
 		})
 	}
 }
 
-// A body that says where it ends in two ways can hide a second request, and headers that stand there twice mean
-// two things: neither goes on to a backend.
+// A body with two framings can hide a second request, and a duplicate header field is ambiguous.
+// Such requests must not reach a backend.
 func TestAmbiguousRequests(t *testing.T) {
 	b := newBackend(t, serves)
 	a := agentFor(t, testSettings, b)
 	head := func(extra string) string {
 		return "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n" + extra + "\r\n"
 	}
-	hidden := head("Content-Length: 0\r\n")
-	for what, c := range map[string]struct {
+	hiddenRequest := head("Content-Length: 0\r\n")
+	for name, test := range map[string]struct {
 		text   string
 		status int
 	}{
-		"both framings":     {head(fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n", 5+len(hidden))) + "0\r\n\r\n" + hidden, 400},
-		"hidden behind /up": {"GET /up HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
-		"two codings":       {head("Transfer-Encoding: gzip, chunked\r\n") + "0\r\n\r\n" + hidden, 501},
-		"bad chunks":        {head("Transfer-Encoding: chunked\r\n") + "zz\r\n\r\n" + hidden, 408},
-		"two ids":           {head("X-Call-Id: d\r\nContent-Length: 0\r\n") + hidden, 400},
-		"two budgets":       {head("X-Budget: 3m\r\nContent-Length: 0\r\n") + hidden, 400},
-		"id for a hop":      {head("Connection: x-call-id\r\nContent-Length: 0\r\n") + hidden, 400},
+		"both framings":     {head(fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n", 5+len(hiddenRequest))) + "0\r\n\r\n" + hiddenRequest, 400},
+		"hidden behind /up": {"GET /up HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hiddenRequest, 400},
+		"two codings":       {head("Transfer-Encoding: gzip, chunked\r\n") + "0\r\n\r\n" + hiddenRequest, 501},
+		"bad chunks":        {head("Transfer-Encoding: chunked\r\n") + "zz\r\n\r\n" + hiddenRequest, 408},
+		"two ids":           {head("X-Call-Id: d\r\nContent-Length: 0\r\n") + hiddenRequest, 400},
+		"two budgets":       {head("X-Budget: 3m\r\nContent-Length: 0\r\n") + hiddenRequest, 400},
+		"id for a hop":      {head("Connection: x-call-id\r\nContent-Length: 0\r\n") + hiddenRequest, 400},
 		"large body":        {head("Content-Length: 60000000\r\n"), 413},
-		"negative body":     {head("Content-Length: -1\r\n") + hidden, 400},
-		"huge body":         {head("Content-Length: 99999999999999999999\r\n") + hidden, 400},
+		"negative body":     {head("Content-Length: -1\r\n") + hiddenRequest, 400},
+		"huge body":         {head("Content-Length: 99999999999999999999\r\n") + hiddenRequest, 400},
 		"endless head":      {"POST /unsafe/1 HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20), 431},
-		"unreadable":        {"\x00\x01\x02\r\n\r\n" + hidden, 400},
+		"unreadable":        {"\x00\x01\x02\r\n\r\n" + hiddenRequest, 400},
 	} {
-		got := a.exchangeRaw(t, c.text)
-		if !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", c.status)) || strings.Count(got, "HTTP/1.1 ") != 1 {
-			t.Errorf("%s: answered %q", what, got)
+		got := a.exchangeRaw(t, test.text)
+		if !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", test.status)) || strings.Count(got, "HTTP/1.1 ") != 1 {
+			t.Errorf("%s: answered %q", name, got)
 		}
 	}
 	if n := len(b.Got); n != 0 {
-		t.Errorf("%d requests went on", n)
+		t.Errorf("%d requests reached the backend", n)
 	}
 }
 
-// A request that has come is read although the deadline of its connection has passed, as after a time without processor.
+// A request that arrived is read even if the read deadline has passed meanwhile, as after a
+// suspension of the process.
 func TestWaitingRequestOutlivesTheDeadline(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	client, err := net.Dial("tcp", l.Addr().String())
+	defer listener.Close()
+	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	accepted, err := l.Accept()
+	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -283,7 +289,7 @@
 	c.SetReadDeadline(time.Unix(1, 0))
 	b := make([]byte, 64)
 	if n, err := c.Read(b); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("%d bytes and %v with nothing sent", n, err)
+		t.Fatalf("read returned %d bytes and %v although nothing was sent", n, err)
 	}
 	const sent = "GET /up HTTP/1.1\r\n"
 	io.WriteString(client, sent)
@@ -300,6 +306,6 @@
 	}
 	client.Close()
 	if n, err := c.Read(b); n != 0 || err == nil {
-		t.Errorf("%d bytes and %v from a client that is gone", n, err)
+		t.Errorf("read returned %d bytes and %v after the client had closed", n, err)
 	}
 }
--- a/internal/agent/counts.go
+++ b/internal/agent/counts.go
@@ -5,58 +5,60 @@
 	"time"
 )
 
-// counts are the requests since the start, by how they ended.
+// counts holds the number of requests since the start, by how they ended.
 type counts struct {
+	// inAim is the part of served that was in time for its target latency.
 	requests, inAim, served, refused, failed, clientGone int64
-	refusedByLevel                                       int64 // of the refused, those that came to no module
+	refusedByLevel                                       int64 // refused before a module saw them
 
 	classes []classCounts
-	causes  map[cause]int64 // of refusals and failures: as many as there are classes and outcomes
+	causes  map[cause]int64 // of refusals and failures; bounded by classes and outcomes
 }
 
-// classCounts are the requests of a class by what their clients got.
+// classCounts holds the number of requests of one class by their answer.
 type classCounts struct{ served, refused, failed int64 }
 
 func newCounts(classes int) counts {
 	return counts{classes: make([]classCounts, classes), causes: map[cause]int64{}}
 }
 
-// cause is why a request was refused or failed.
+// cause is the reason why a request was refused or failed.
 type cause struct {
 	refused bool
 	class   int
 	reason  string
 }
 
-// end counts the end of a request.
+// recordEnd counts an answered request.
 func (c *counts) recordEnd(r *request, status int, now, aim time.Duration) {
-	of := &c.classes[r.class]
+	classTotals := &c.classes[r.class]
 	switch status {
 	case http.StatusOK:
 		c.served++
-		of.served++
+		classTotals.served++
 		if now-r.startedAt <= aim {
 			c.inAim++
 		}
 		return
 	case statusRefused:
 		c.refused++
-		of.refused++
+		classTotals.refused++
 	default:
 		c.failed++
-		of.failed++
+		classTotals.failed++
 	}
-	why := "no room" // nothing was sent for it
+	reason := "no room" // default: no attempt was made
 	switch {
 	case r.refusalReason != "":
-		why = r.refusalReason
+		reason = r.refusalReason
 	case len(r.attemptCancels) > 0:
-		why = r.lastOutcome.String()
+		reason = r.lastOutcome.String()
 	}
-	c.causes[cause{status == statusRefused, r.class, why}]++
+	c.causes[cause{status == statusRefused, r.class, reason}]++
 }
 
-// broke counts a request as failed that was counted as served when its answer began.
+// recordBrokenAnswer counts a request as failed that was counted as served when its streamed answer
+// began.
 func (c *counts) recordBrokenAnswer(class int) {
 	c.served--
 	c.classes[class].served--
@@ -65,7 +67,7 @@
 	c.causes[cause{false, class, "answer broken"}]++
 }
 
-// turnAway counts a request that was refused before the loop saw it.
+// recordOverloadRefusal counts a request that was refused before it reached the loop.
 func (c *counts) recordOverloadRefusal(class int) {
 	c.requests++
 	c.refused++
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -7,11 +7,11 @@
 	"example.org/micaline/internal/site"
 )
 
-// pacing is the duty of pacing a site's return, by its name before the site's.
+// pacingDutyPrefix precedes the site's name in the name of the duty to pace the site's recovery.
 const pacingDutyPrefix = "pace:"
 
-// Shared are the duties that this agent could hold for others: pacing the return of each site. There are none where no sites are
-// watched.
+// SharedDuties returns the duties for which this agent can get a lease: pacing the recovery of each
+// site. There are none if sites are not monitored.
 func (a *Agent) SharedDuties() (duties []string) {
 	if a.loop.sites != nil {
 		for _, name := range a.cfg.Settings.Zones {
@@ -21,36 +21,38 @@
 	return duties
 }
 
-// Weight is how well this agent could do a duty now. It paces a site only while it has found it lost, and not one that it stands in.
+// Weight rates how well this agent could hold a duty now; 0: it can't. An agent does not pace its
+// own site, nor a site that it has not found lost.
 func (a *Agent) Weight(duty string) (weight float64) {
 	name := strings.TrimPrefix(duty, pacingDutyPrefix)
-	if own, zones := a.cfg.Settings.Module.Zone, a.cfg.Settings.Zones; own >= 0 && own < len(zones) && zones[own] == name {
+	if ownZone, zones := a.cfg.Settings.Module.Zone, a.cfg.Settings.Zones; ownZone >= 0 && ownZone < len(zones) && zones[ownZone] == name {
 		return 0
 	}
 	a.loop.withLock(func() { weight = a.loop.sites.PacerWeight(name) })
 	return weight
 }
 
-// Say is what this agent says as a site's pacer.
-func (a *Agent) Say(duty string) (word []byte) {
+// Say returns what this agent reports as the pacer of a site, or nil if it has nothing to report.
+func (a *Agent) Say(duty string) (encoded []byte) {
 	a.loop.withLock(func() {
-		if w, ok := a.loop.sites.PacerStatus(strings.TrimPrefix(duty, pacingDutyPrefix)); ok {
-			word, _ = json.Marshal(w) // numbers only
+		if status, ok := a.loop.sites.PacerStatus(strings.TrimPrefix(duty, pacingDutyPrefix)); ok {
+			encoded, _ = json.Marshal(status) // can't fail: all fields are numbers
 		}
 	})
-	return word
+	return encoded
 }
 
-// Heard takes in what a site's pacer says.
-func (a *Agent) Heard(duty string, epoch uint64, word []byte) {
-	var w *site.PacerStatus
-	if word != nil {
-		w = &site.PacerStatus{}
-		if err := json.Unmarshal(word, w); err != nil || w.Validate() != nil {
-			w = nil // as if nothing were said: each goes on alone
+// Heard passes the report of a site's pacer to the site monitor. A nil report means that there is
+// no pacer.
+func (a *Agent) Heard(duty string, epoch uint64, encoded []byte) {
+	var status *site.PacerStatus
+	if encoded != nil {
+		status = &site.PacerStatus{}
+		if err := json.Unmarshal(encoded, status); err != nil || status.Validate() != nil {
+			status = nil // an invalid report counts as none: the agent recovers sites on its own
 		}
 	}
 	a.loop.withLock(func() {
-		a.loop.sites.FollowPacer(a.loop.clock.now(), strings.TrimPrefix(duty, pacingDutyPrefix), epoch, w)
+		a.loop.sites.FollowPacer(a.loop.clock.now(), strings.TrimPrefix(duty, pacingDutyPrefix), epoch, status)
 	})
 }
--- a/internal/agent/judge.go
+++ b/internal/agent/judge.go
@@ -10,127 +10,130 @@
 	"example.org/micaline/policy"
 )
 
-// judge is the order in which a request is judged before the decision module sees it: the level of reduced service. What is
-// refused here is refused at once and by name; nothing has been sent for it, so trying again is harmless whatever its
-// class. The module alone places, retries and sheds what is let through.
+// checkLevel applies the current service level to a request before the decision module handles it.
+// A refusal is sent at once and names the level. Nothing has been sent to a backend then, so a
+// retry is safe for any class. Routing, retries and load shedding of the admitted requests are up
+// to the module.
 func (l *loop) checkLevel(r *request) (a answer, refused bool) {
 	if l.levelController == nil {
 		return answer{}, false
 	}
-	no := l.levelController.Admit(l.clock.now(), r.class, r.tenant, r.message.size())
-	if no == nil {
+	rejection := l.levelController.Admit(l.clock.now(), r.class, r.tenant, r.message.size())
+	if rejection == nil {
 		return answer{}, false
 	}
 	l.counts.refusedByLevel++
-	r.refusalReason = "level " + no.Level + ": " + no.Reason
-	return answer{status: statusRefused, retryAfter: no.RetryAfter, contentType: "text/plain", body: []byte("refused by " + r.refusalReason + "\n")}, true
+	r.refusalReason = "level " + rejection.Level + ": " + rejection.Reason
+	return answer{status: statusRefused, retryAfter: rejection.RetryAfter, contentType: "text/plain", body: []byte("refused by " + r.refusalReason + "\n")}, true
 }
 
-// allower is a Decider that can be told what it may do.
+// featureLimiter is a Decider whose retries, second copies and probes can be limited.
 type featureLimiter interface {
 	Allow(maxAttempts int, secondCopies, probes bool)
 }
 
-// lookAtLevel shows the levels what has been measured since the last look.
+// updateLevel passes the measurements since the previous update to the level controller, and
+// applies the resulting change.
 func (l *loop) updateLevel() {
 	now := l.clock.now()
-	f := level.Sample{Pressure: -1, ListAge: now - l.listReceivedAt}
-	c, before := &l.counts, &l.lastLevelCounts
-	f.Completed = int(c.served + c.refused + c.failed - c.refusedByLevel - (before.served + before.refused + before.failed - before.refusedByLevel))
-	f.InAim = int(c.inAim - before.inAim)
-	f.Refused = int(c.refused - c.refusedByLevel - (before.refused - before.refusedByLevel))
-	f.Shed = int(c.refusedByLevel - before.refusedByLevel)
-	l.lastLevelCounts = *c
-	_, f.AgentLateness = l.lagMonitor.stats()
+	sample := level.Sample{Pressure: -1, ListAge: now - l.listReceivedAt}
+	total, previous := &l.counts, &l.lastLevelCounts
+	sample.Completed = int(total.served + total.refused + total.failed - total.refusedByLevel - (previous.served + previous.refused + previous.failed - previous.refusedByLevel))
+	sample.InAim = int(total.inAim - previous.inAim)
+	sample.Refused = int(total.refused - total.refusedByLevel - (previous.refused - previous.refusedByLevel))
+	sample.Shed = int(total.refusedByLevel - previous.refusedByLevel)
+	l.lastLevelCounts = *total
+	_, sample.AgentLateness = l.lagMonitor.stats()
 	if l.sites != nil {
-		f.WithdrawnSites = l.sites.WithdrawnShare()
+		sample.WithdrawnSites = l.sites.WithdrawnShare()
 	}
 	if v, ok := l.current.Decider.(viewer); ok {
-		f.Pressure = v.Pressure()
+		sample.Pressure = v.Pressure()
 		for _, s := range v.View(now) {
 			if s.State != policy.Ready {
 				continue
 			}
-			if f.Backends++; len(s.Ejected) > 0 {
-				f.Ejected++
+			if sample.Backends++; len(s.Ejected) > 0 {
+				sample.Ejected++
 			}
 		}
 	}
-	l.applyLevelChange(l.levelController.Update(now, f))
+	l.applyLevelChange(l.levelController.Update(now, sample))
 }
 
-// levelChanged carries out a change of level, if there is one.
-func (l *loop) applyLevelChange(c *level.Change) {
-	if c == nil {
+// applyLevelChange logs and applies a change of the service level. A nil change means none.
+func (l *loop) applyLevelChange(change *level.Change) {
+	if change == nil {
 		return
 	}
-	l.log.Warn("level of service", "from", c.From, "to", c.To, "why", c.Reason)
+	l.log.Warn("service level changed", "from", change.From, "to", change.To, "why", change.Reason)
 	l.applyLevelLimits()
 }
 
-// allow tells the decision module what the level leaves it.
+// applyLevelLimits tells the current decision module what the service level allows.
 func (l *loop) applyLevelLimits() {
-	m, ok := l.current.Decider.(featureLimiter)
+	limiter, ok := l.current.Decider.(featureLimiter)
 	if l.levelController == nil || !ok {
 		return
 	}
-	may, attempts := l.levelController.Allowed(), l.moduleSettings.MaxAttempts
-	if !may.Retries {
-		attempts = 1
+	allowed, maxAttempts := l.levelController.Allowed(), l.moduleSettings.MaxAttempts
+	if !allowed.Retries {
+		maxAttempts = 1
 	}
-	m.Allow(attempts, may.Hedges && l.moduleSettings.SecondCopies, may.Probes && l.moduleSettings.Probes)
+	limiter.Allow(maxAttempts, allowed.Hedges && l.moduleSettings.SecondCopies, allowed.Probes && l.moduleSettings.Probes)
 }
 
-// Level returns the level of service; nil where there are none.
+// Level returns the current service level, or nil if no levels are configured.
 func (a *Agent) Level(ctx context.Context) (*control.Level, error) {
-	var v *control.Level
+	var status *control.Level
 	err := a.loop.do(ctx, func() {
 		if a.loop.levelController != nil {
-			v = a.loop.levelStatus()
+			status = a.loop.levelStatus()
 		}
 	})
-	return v, err
+	return status, err
 }
 
-// HoldLevel keeps a level of service for so long, or lets the figures decide again if that is 0.
-func (a *Agent) HoldLevel(ctx context.Context, name string, d time.Duration, why string) (v *control.Level, err error) {
+// HoldLevel holds the named service level for the given duration, or ends the hold if the duration
+// is 0. It returns nil if no levels are configured.
+func (a *Agent) HoldLevel(ctx context.Context, name string, duration time.Duration, reason string) (status *control.Level, err error) {
 	l := a.loop
-	var wrong error
+	var holdErr error
 	err = l.do(ctx, func() {
 		if l.levelController == nil {
 			return
 		}
-		var c *level.Change
-		if d == 0 {
-			c = l.levelController.Release(l.clock.now())
-		} else if c, wrong = l.levelController.Hold(l.clock.now(), name, d, why); wrong != nil {
+		var change *level.Change
+		if duration == 0 {
+			change = l.levelController.Release(l.clock.now())
+		} else if change, holdErr = l.levelController.Hold(l.clock.now(), name, duration, reason); holdErr != nil {
 			return
 		}
-		l.applyLevelChange(c)
-		v = l.levelStatus()
+		l.applyLevelChange(change)
+		status = l.levelStatus()
 	})
-	if wrong != nil {
-		return nil, fmt.Errorf("level: %w", wrong)
+	if holdErr != nil {
+		return nil, fmt.Errorf("level: %w", holdErr)
 	}
-	return v, err
+	return status, err
 }
 
-// shownLevel is the level for people to read.
+// levelStatus returns the service level for the control interface.
 func (l *loop) levelStatus() *control.Level {
-	now, v := l.clock.now(), l.levelController.Status()
-	s := &control.Level{
-		Level: v.Level, Levels: v.Levels, For: round((now - v.Since).Seconds()), Dwell: v.MinDwell.Seconds(), Figures: v.Readings,
+	now, status := l.clock.now(), l.levelController.Status()
+	shown := &control.Level{
+		Level: status.Level, Levels: status.Levels, For: round((now - status.Since).Seconds()), Dwell: status.MinDwell.Seconds(), Figures: status.Readings,
 		Refusals: []control.LevelRefusal{}, History: []control.LevelChange{},
 	}
-	if v.HeldUntil > now {
-		s.Held = round((v.HeldUntil - now).Seconds())
+	if status.HeldUntil > now {
+		shown.Held = round((status.HeldUntil - now).Seconds())
 	}
-	for _, r := range v.Refusals {
-		s.Refusals = append(s.Refusals, control.LevelRefusal{Level: r.Level, Why: r.Reason, Count: r.Count})
+	for _, refusal := range status.Refusals {
+		shown.Refusals = append(shown.Refusals, control.LevelRefusal{Level: refusal.Level, Why: refusal.Reason, Count: refusal.Count})
 	}
-	for i := len(v.History) - 1; i >= 0; i-- { // the newest first
-		c := &v.History[i]
-		s.History = append(s.History, control.LevelChange{At: time.Unix(0, int64(c.At)).UTC(), From: c.From, To: c.To, Why: c.Reason})
+	for i := len(status.History) - 1; i >= 0; i-- { // newest first
+		change := &status.History[i]
+		shown.History = append(shown.History, control.LevelChange{At: time.Unix(0, int64(change.At)).UTC(), From: change.From, To: change.To, Why: change.Reason})
 	}
-	return s
+	return shown
 }
--- a/internal/agent/lateness.go
+++ b/internal/agent/lateness.go
@@ -8,40 +8,44 @@
 	"example.org/micaline/internal/settings"
 )
 
-// Processor is a Network that knows whether the agent has a processor, as those of tests do.
+// ProcessorWaiter is a Network that simulates the processor of the agent, as the networks of tests
+// do.
 type ProcessorWaiter interface {
-	// Wait returns once the agent has one.
+	// Wait blocks while the simulated processor is suspended.
 	Wait()
 }
 
-// lateness tells how late the agent itself is, while it has requests. An idle agent has no beats.
+// lagMonitor measures how late the agent itself processes events. It ticks only while there are
+// open requests, so an idle agent causes no work.
 type lagMonitor struct {
 	timeSource       clock
-	minTargetLatency time.Duration          // the soonest aim
-	waitForProcessor func()                 // for a processor
-	onLateTick       func(by time.Duration) // of a beat that is late by more than half of that
+	minTargetLatency time.Duration // lowest target latency of the classes
+	waitForProcessor func()        // blocks while the agent has no processor; only in tests
+	// onLateTick is called when a tick is late by more than half of minTargetLatency.
+	onLateTick func(delay time.Duration)
 
 	mu           sync.Mutex
 	detector     lag.Detector
-	openRequests int           // requests that are not done
-	nextTick     time.Duration // when the next beat is due
+	openRequests int           // requests that have not ended
+	nextTick     time.Duration // when the next tick is due
 	tickTimer    *time.Timer
 }
 
-// newLateness returns that of an agent whose requests are wanted as the settings say: the soonest is what matters.
+// newLagMonitor returns a lagMonitor for the lowest target latency in the settings.
 func newLagMonitor(s *settings.Settings, network Network) *lagMonitor {
-	matters := s.Module.Classes[0].Aim
+	minTarget := s.Module.Classes[0].Aim
 	for _, c := range s.Module.Classes {
-		matters = min(matters, c.Aim)
+		minTarget = min(minTarget, c.Aim)
 	}
-	l := &lagMonitor{timeSource: clock{time.Now()}, detector: lag.New(matters), waitForProcessor: func() {}, minTargetLatency: matters, onLateTick: func(time.Duration) {}}
+	l := &lagMonitor{timeSource: clock{time.Now()}, detector: lag.New(minTarget), waitForProcessor: func() {}, minTargetLatency: minTarget, onLateTick: func(time.Duration) {}}
 	if p, ok := network.(ProcessorWaiter); ok {
 		l.waitForProcessor = p.Wait
 	}
 	return l
 }
 
-// begin has beats come as long as there are requests.
+// requestStarted starts the ticks if they are not running. Each call must be followed by a call of
+// requestEnded.
 func (l *lagMonitor) requestStarted() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,25 +62,27 @@
 	l.tickTimer.Reset(wait)
 }
 
-// end is to be called once for each begin.
+// requestEnded ends one call of requestStarted. The ticks stop once no request is open.
 func (l *lagMonitor) requestEnded() {
 	l.mu.Lock()
 	l.openRequests--
 	l.mu.Unlock()
 }
 
-// due has a beat wait its turn as a reader does whose answer has come. The runtime runs the goroutine of a timer, as any that
-// was started last, before all others; the next one that is started sends it to the end of the queue.
+// tickDue runs the tick in a new goroutine, so that it waits for its turn like a reader whose
+// answer has arrived. The runtime runs the goroutine that was started last before all others, such
+// as that of a timer. Starting another goroutine moves the tick to the end of the run queue.
 func (l *lagMonitor) tickDue() {
 	go l.tick()
 	go func() {}()
 }
 
+// tick evaluates the due tick and schedules the next one while requests are open.
 func (l *lagMonitor) tick() {
 	l.waitForProcessor()
 	l.mu.Lock()
 	now := l.timeSource.now()
-	by := max(0, now-l.nextTick)
+	delay := max(0, now-l.nextTick)
 	l.nextTick = l.detector.Tick(now)
 	if l.openRequests == 0 {
 		l.detector.Stop()
@@ -84,25 +90,26 @@
 		l.tickTimer.Reset(l.nextTick - now)
 	}
 	l.mu.Unlock()
-	if by > l.minTargetLatency/2 {
-		l.onLateTick(by)
+	if delay > l.minTargetLatency/2 {
+		l.onLateTick(delay)
 	}
 }
 
-// own is how much of a delay that ends now may be the agent's own.
+// ownDelay returns how much of a delay that ends now may have been caused by the agent itself.
 func (l *lagMonitor) ownDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.detector.OwnDelay(l.timeSource.now())
 }
 
-// figures are what is known of the lateness, and the part of the soonest aim that is used up by it.
-func (l *lagMonitor) stats() (f lag.Stats, part float64) {
+// stats returns the delay statistics, and the mean delay as a share of the lowest target latency.
+// The share is 0 while there are no ticks.
+func (l *lagMonitor) stats() (s lag.Stats, targetShare float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f = l.detector.Stats()
-	if l.detector.Running() { // else there is nothing to be late with
-		part = f.MeanDelay.Seconds() / l.minTargetLatency.Seconds()
+	s = l.detector.Stats()
+	if l.detector.Running() { // without requests nothing can be delayed
+		targetShare = s.MeanDelay.Seconds() / l.minTargetLatency.Seconds()
 	}
-	return f, part
+	return s, targetShare
 }
--- a/internal/agent/level_test.go
+++ b/internal/agent/level_test.go
@@ -11,12 +11,15 @@
 	"example.org/micaline/internal/level"
 )
 
+// testLevels returns two levels: "lean" without retries, and "essential", which refuses most
+// classes.
+
 func testLevels(t *testing.T) level.Config {
 	t.Helper()
-	most := 0.5
-	least := 0.9
+	enterBelow := 0.5
+	exitAbove := 0.9
 	c := level.Config{Level: []level.Level{
-		{Name: "lean", Shed: []string{"safe"}, NoRetries: true, Enter: level.Thresholds{InAim: &most}, Exit: level.Thresholds{InAim: &least}},
+		{Name: "lean", Shed: []string{"safe"}, NoRetries: true, Enter: level.Thresholds{InAim: &enterBelow}, Exit: level.Thresholds{InAim: &exitAbove}},
 		{Name: "essential", Shed: []string{"safe", "keyed", "celled"}, NoRetries: true, MostBody: 100},
 	}}
 	if err := c.Validate(); err != nil {
@@ -25,17 +28,18 @@
 	return c
 }
 
-// What a level turns away is refused at once and by name, nothing of it is sent, and the rest is served as before.
+// Requests refused by the service level are answered at once with the level's name and are not sent
+// to a backend. Other requests are served as usual.
 func TestLevelRefusesByName(t *testing.T) {
 	x := newBackend(t, serves)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0)))
-	cfg := config(t, l.Addr, testSettings)
+	lists := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0)))
+	cfg := config(t, lists.Addr, testSettings)
 	cfg.Levels = testLevels(t)
 	a := start(t, cfg)
 	ctx := context.Background()
 	a.serve(t, 5)
-	if v, err := a.agent.HoldLevel(ctx, "essential", time.Minute, "a test"); err != nil || v.Level != "essential" || v.Held <= 0 {
-		t.Fatalf("held: %+v, error %v", v, err)
+	if status, err := a.agent.HoldLevel(ctx, "essential", time.Minute, "a test"); err != nil || status.Level != "essential" || status.Held <= 0 {
+		t.Fatalf("after HoldLevel: %+v, error %v", status, err)
 	}
 	sent := len(x.Got)
 	for _, class := range []string{"safe", "keyed", "celled"} {
@@ -44,52 +48,53 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text := new(strings.Builder)
-		resp.Write(text)
+		response := new(strings.Builder)
+		resp.Write(response)
 		resp.Body.Close()
-		after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-		if resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(text.String(), "refused by level essential: class") || err != nil || after < 30 || after > 80 {
-			t.Errorf("%s: %s", class, text)
+		retryAfter, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+		if resp.StatusCode != http.StatusServiceUnavailable || !strings.Contains(response.String(), "refused by level essential: class") || err != nil || retryAfter < 30 || retryAfter > 80 {
+			t.Errorf("%s: %s", class, response)
 		}
-		// The id is free again once the grace for repeats is over, as that of any request: until then it is known.
+		// As for any request, the id stays known until the time for duplicates is over.
 		if status, _ := a.do(t, req); status != http.StatusConflict {
-			t.Errorf("%s: the same id again: %d", class, status)
+			t.Errorf("%s: the same id again: answered %d", class, status)
 		}
 	}
 	if n := len(x.Got) - sent; n > 0 {
-		t.Errorf("%d of what was turned away were sent", n)
+		t.Errorf("%d refused requests were sent to the backend", n)
 	}
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != http.StatusOK {
-		t.Errorf("a class that the level serves: %d", status)
+		t.Errorf("a class that the level serves: answered %d", status)
 	}
 	if s := look(t, a); s.Service.Refused != 3 || s.Held != 0 {
-		t.Errorf("counted %+v, %d open", s.Service, s.Held)
+		t.Errorf("counts %+v, %d requests open", s.Service, s.Held)
 	} else if c := s.Causes; len(c) != 3 || c[0].Cause != "level essential: class" {
 		t.Errorf("causes %+v", c)
 	}
-	v, err := a.agent.HoldLevel(ctx, "", 0, "")
-	if err != nil || v.Held != 0 || len(v.History) != 2 || v.Refusals[0].Count != 3 {
-		t.Errorf("released: %+v, error %v", v, err)
+	released, err := a.agent.HoldLevel(ctx, "", 0, "")
+	if err != nil || released.Held != 0 || len(released.History) != 2 || released.Refusals[0].Count != 3 {
+		t.Errorf("after the end of the hold: %+v, error %v", released, err)
 	}
 	if _, err := a.agent.HoldLevel(ctx, "none", time.Minute, "a test"); err == nil || !strings.Contains(err.Error(), `no level "none"`) {
-		t.Errorf("held at a level that is not there: error %v", err)
+		t.Errorf("HoldLevel with an unknown level: error %v", err)
 	}
 }
 
-// Under a level without retries a request has one attempt, and under normal service what the settings allow.
+// Under a level without retries a request gets one attempt, and in normal service as many as the
+// settings allow.
 func TestLevelTakesRetries(t *testing.T) {
-	turns := func(int, *http.Request) (string, bool) {
+	reject := func(int, *http.Request) (string, bool) {
 		return "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", false
 	}
-	x, y, z := newBackend(t, turns), newBackend(t, turns), newBackend(t, turns)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0), host("y", y.Addr, "Ready", 0), host("z", z.Addr, "Ready", 0)))
-	cfg := config(t, l.Addr, testSettings)
+	x, y, z := newBackend(t, reject), newBackend(t, reject), newBackend(t, reject)
+	lists := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0), host("y", y.Addr, "Ready", 0), host("z", z.Addr, "Ready", 0)))
+	cfg := config(t, lists.Addr, testSettings)
 	cfg.Levels = testLevels(t)
 	a := start(t, cfg)
 	attempts := func() int {
 		before := len(x.Got) + len(y.Got) + len(z.Got)
 		if status, _ := a.do(t, a.request("unsafe", "15000m")); status != http.StatusServiceUnavailable {
-			t.Fatalf("answered %d, and all backends turn it away", status)
+			t.Fatalf("answered %d although all backends reject the request", status)
 		}
 		return len(x.Got) + len(y.Got) + len(z.Got) - before
 	}
@@ -106,7 +111,7 @@
 	}
 }
 
-// Levels that don't fit the classes end the start, and name the field.
+// Levels that do not fit the classes are rejected at the start, with the name of the field.
 func TestLevelsThatDoNotFit(t *testing.T) {
 	cfg := config(t, "127.0.0.1:1", testSettings)
 	cfg.Levels = level.Config{Level: []level.Level{{Name: "lean", Shed: []string{"unsafe"}}}}
@@ -118,15 +123,15 @@
 	}
 }
 
-// Without levels nothing is judged and nothing is shown.
+// Without levels no request is refused by a level and no level is shown.
 func TestNoLevels(t *testing.T) {
 	a := agentFor(t, testSettings, newBackend(t, serves))
 	ctx := context.Background()
-	if v, err := a.agent.Level(ctx); v != nil || err != nil {
-		t.Errorf("shown %+v, error %v", v, err)
+	if status, err := a.agent.Level(ctx); status != nil || err != nil {
+		t.Errorf("Level returned %+v, error %v", status, err)
 	}
-	if v, err := a.agent.HoldLevel(ctx, "lean", time.Minute, "a test"); v != nil || err != nil {
-		t.Errorf("held %+v, error %v", v, err)
+	if status, err := a.agent.HoldLevel(ctx, "lean", time.Minute, "a test"); status != nil || err != nil {
+		t.Errorf("HoldLevel returned %+v, error %v", status, err)
 	}
 	a.serve(t, 3)
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -24,125 +24,132 @@
 
 const (
 	sweepInterval       = time.Second
-	lateWarningInterval = 10 * time.Second // between lines of the agent's own lateness
-	maxRecentCallIDs    = 4096             // ids of ended requests that are known, twice
+	lateWarningInterval = 10 * time.Second // between warnings that the agent itself is delayed
+	maxRecentCallIDs    = 4096             // ids of ended requests kept in each of two generations
 )
 
-// clock tells the time since 1970 and never runs backwards: the wall's time at the start, and what has passed.
+// clock returns the Unix time but never goes back: it adds the elapsed monotonic time to the wall
+// clock time of its start.
 type clock struct{ start time.Time }
 
 func (c clock) now() time.Duration {
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// input is what has happened, on its way to the loop: an event for the module and what it has no use for.
+// input is an occurrence passed to the loop: an event for the decision module and the data that the
+// module does not need.
 type input struct {
 	event          policy.Event
-	call           *call    // of EventRequest and EventHangup
-	answer         answer   // of EventOutcome, if it is OK
-	members        []member // of EventList
-	deliveringCall *call    // whose handler brings it, and carries out one attempt for it
+	call           *call    // EventRequest, EventBodyReceived and EventClientGone
+	answer         answer   // EventOutcome with the outcome OK
+	members        []member // EventList
+	deliveringCall *call    // the call whose handler delivers the input; nil: none
 
-	sentAt, backendTime time.Duration // of EventOutcome: when it was decided, and how long it was at the backend, at least
-	answeredAt          time.Duration // of EventProbed: when the answer was, less what may be the agent's own lateness
+	sentAt, backendTime time.Duration // EventOutcome: start and least time at the backend
+	answeredAt          time.Duration // EventProbeResult: earliest possible arrival time
 }
 
-// call is a client's request, which the client's handler shares with the loop.
+// call is a request of a client. Its handler and the loop share it.
 type call struct {
-	callID        string // the client's
-	class, tenant int
-	retry         bool
-	deadline      time.Duration // of the clock
+	callID        string        // chosen by the client
+	class, tenant int           // indexes in the settings
+	retry         bool          // the client marks the request as a retry
+	deadline      time.Duration // on the loop's clock
 	message       message
-	answers       chan answer // holds one, so that the loop never waits for a handler
-	inlineAttempt func()      // for the handler to carry out, if set
+	answers       chan answer // has room for the one answer, so that the loop never blocks on a handler
+	inlineAttempt func()      // attempt that the handler is to run itself; nil: none
 	hangupWatcher *hangup.Watcher
 
-	id policy.RequestID // the loop's
+	id policy.RequestID // assigned by the loop
 }
 
-// answer is what a client gets.
+// answer is the response to a client.
 type answer struct {
 	status      int
-	retryAfter  time.Duration // 0: no advice
+	retryAfter  time.Duration // value of the Retry-After header; 0: no header
 	contentType string
 	body        []byte
-	bodyStream  *download // behind the body; nil: nothing
+	bodyStream  *download // remaining body after the given part; nil: the body is complete
 }
 
-// request is what the loop knows of a call until it is answered and its attempts are back.
+// request is the loop's state of a call. It is kept until the call is answered and no attempt is in
+// flight.
 type request struct {
 	*call
 	module         *module
-	startedAt      time.Duration        // of the clock
-	attemptCancels []context.CancelFunc // to give each up
-	sentAttempts   []sentAttempt        // where they went; nothing where no sites are watched
-	inFlight       int                  // attempts out
-	lastOutcome    policy.Outcome       // of the attempts that are back
-	ended          bool                 // answered, or its client is gone
-
-	refusalReason string // what refused it before a module saw it
+	startedAt      time.Duration        // when the request or, if it is streamed, its last byte arrived
+	attemptCancels []context.CancelFunc // cancel functions of all attempts so far
+	sentAttempts   []sentAttempt        // attempts in flight; empty if sites are not monitored
+	inFlight       int                  // number of attempts in flight
+	lastOutcome    policy.Outcome       // of the attempt that ended last
+	ended          bool                 // answered, or the client is gone
+
+	refusalReason string // why the request was refused before it reached a module; empty: it was not
 }
 
-// module is a decision module. There is one, but for the time after a change of what is decided by: then the one before
-// finishes the requests that it has.
+// module is a decision module. There is only one, except after new decision settings: then the
+// previous module finishes its open requests.
 type module struct {
 	Decider
-	openRequests int  // requests that it decides for
-	retired      bool // it gets no new ones
+	openRequests int  // open requests that it decides about
+	retired      bool // it gets no new requests
 }
 
-// decision is an event on its way to a module.
+// queuedEvent is an event to be handled by a module.
 type queuedEvent struct {
 	module *module
 	event  policy.Event
 }
 
-// loop owns the module and the state of all requests. It alone decides how a request ends: handlers, attempts
-// and discovery send it inputs and share nothing else with it. One input is taken in at a time, by whoever brings it:
-// handing it to another goroutine costs a wake-up of a thread where processors idle, and a turn in their queue where not.
+// loop owns the decision modules and the state of all requests. It alone decides how a request
+// ends: handlers, attempts and discovery send it inputs and share nothing else with it. Inputs are
+// processed one at a time in the goroutine that delivers them. Passing them to a goroutine of the
+// loop would cost a thread wake-up when processors are idle, and a wait in the run queue when they
+// are not.
 type loop struct {
-	send func(input) // takes an input in, unless the loop has ended
+	send func(input) // processes an input; does nothing once the loop has ended
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	ctx            context.Context
 	ended          bool
-	deliveringCall *call // whose handler brings the present input
+	deliveringCall *call // call whose handler delivers the current input; nil: none
 	wakeTimer      *time.Timer
-	wakeAt         time.Duration // of the clock, when wake is due; 0: it is not
+	wakeAt         time.Duration // when wakeTimer is due, on the loop's clock; 0: it is not set
 
 	settings       *settings.Settings
 	clock          clock
-	current        *module         // gets new requests
-	modules        []*module       // it, and those before it that are not done
-	moduleSettings policy.Settings // of the current one
+	current        *module         // gets the new requests
+	modules        []*module       // current, and its predecessors that still have open requests
+	moduleSettings policy.Settings // settings of the current module
 	backends       *backends
 	lagMonitor     *lagMonitor
-	subscribe      func()       // asks discovery for the list
-	broadcast      func([]byte) // tells all other agents
+	subscribe      func()       // asks discovery for the server list and its changes
+	broadcast      func([]byte) // sends a message to all other agents
 	log            *slog.Logger
 	done           chan struct{} // closed when run returns
-	ready          atomic.Bool   // a list has come
+	ready          atomic.Bool   // a server list has arrived
 
 	servers         serverIDs
 	targets         map[policy.ServerID]*connpool.Target
 	requests        map[policy.RequestID]*request
 	callIDs         callIDs
 	lastID          policy.RequestID
-	listedServers   map[policy.ServerID]policy.ServerEntry // as discovery tells
-	holds           handover.Register                      // what operators have said of backends
-	onHoldChange    func()                                 // operators have said something
+	listedServers   map[policy.ServerID]policy.ServerEntry // last entries received from discovery
+	holds           handover.Register                      // held out by operators, or recently back
+	onHoldChange    func()                                 // called when an operator has changed a hold
 	counts          counts
-	levelController *level.Controller // nil: there are none
-	levelInterval   time.Duration     // between looks at their figures
-	listReceivedAt  time.Duration     // of the clock, when discovery last told anything
-	lastLevelCounts counts            // as the levels last saw them
-	sites           *sites            // nil: they are not watched
+	levelController *level.Controller // nil: no reduced service levels are configured
+	levelInterval   time.Duration     // between updates of the service level
+	listReceivedAt  time.Duration     // when discovery last sent a list, on the loop's clock
+	lastLevelCounts counts            // counts at the last update of the service level
+	sites           *sites            // nil: sites are not monitored
 	timers          timerHeap
-	eventQueue      []queuedEvent // to be handed over
-	actionBuffer    []policy.Action
+	eventQueue      []queuedEvent   // events that modules are still to handle
+	actionBuffer    []policy.Action // reused by each call of handle
 }
 
+// newLoop returns a loop that does not run yet. It fails if the decision module rejects its
+// settings or the service levels do not fit the classes.
 func newLoop(cfg *Config, backends *backends, log *slog.Logger) (*loop, error) {
 	decider, err := cfg.decider()
 	if err != nil {
@@ -162,34 +169,34 @@
 		callIDs:  callIDs{open: map[string]struct{}{}, recent: map[string]struct{}{}},
 	}
 	l.send = l.receive
-	var told atomic.Int64 // Unix nanoseconds
-	l.lagMonitor.onLateTick = func(by time.Duration) {
-		// Danger: the next beat may come while this one still waits for a processor.
-		last, now := told.Load(), time.Now().UnixNano()
-		if now-last >= int64(lateWarningInterval) && told.CompareAndSwap(last, now) {
-			l.log.Warn("the agent itself was late", "by", by.Round(time.Millisecond))
+	var lastWarnedAt atomic.Int64 // Unix nanoseconds
+	l.lagMonitor.onLateTick = func(delay time.Duration) {
+		// The next tick may run while this one still waits for a processor.
+		last, now := lastWarnedAt.Load(), time.Now().UnixNano()
+		if now-last >= int64(lateWarningInterval) && lastWarnedAt.CompareAndSwap(last, now) {
+			l.log.Warn("the agent itself was late", "by", delay.Round(time.Millisecond))
 		}
 	}
 	l.wakeTimer.Stop()
 	if c := &cfg.Levels; c.Enabled() {
-		over := level.Service{}
+		service := level.Service{}
 		for i, name := range cfg.Settings.Classes {
-			over.Classes = append(over.Classes, level.Class{Name: name, Effect: cfg.Settings.Module.Classes[i].Effect})
+			service.Classes = append(service.Classes, level.Class{Name: name, Effect: cfg.Settings.Module.Classes[i].Effect})
 		}
 		for _, t := range cfg.Settings.Module.Tenants {
-			over.Portions = append(over.Portions, t.Portion)
+			service.Portions = append(service.Portions, t.Portion)
 		}
-		if err := c.ValidateFor(&over); err != nil {
+		if err := c.ValidateFor(&service); err != nil {
 			return nil, fmt.Errorf("levels.%w", err)
 		}
 		l.listReceivedAt, l.levelInterval = l.clock.now(), c.Every.D()
-		l.levelController = level.New(c, &over, cfg.Seed, l.listReceivedAt)
+		l.levelController = level.New(c, &service, cfg.Seed, l.listReceivedAt)
 	}
 	l.sites = newSites(cfg, l.clock.now())
 	return l, nil
 }
 
-// receive takes an input in.
+// receive processes an input.
 func (l *loop) receive(in input) {
 	l.lagMonitor.waitForProcessor()
 	l.withLock(func() {
@@ -199,12 +206,14 @@
 	})
 }
 
-// locked calls a function between two inputs, and says whether it has: not once the loop has ended.
+// withLock calls f between two inputs, and reports whether it did. It does not once the loop has
+// ended.
 func (l *loop) withLock(f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer func() {
-		// Danger: the goroutine may be one whose panics net/http survives, and half a decision must not be lived with.
+		// End the process with a panic in a new goroutine. net/http recovers a panic of a handler's
+		// goroutine, and the process must not go on with a half-processed input.
 		if p := recover(); p != nil {
 			go panic(fmt.Sprintf("%v\n%s", p, debug.Stack()))
 			select {}
@@ -221,48 +230,48 @@
 	return true
 }
 
-// run handles timers until the context ends, and then the loop has ended.
+// run fires timers and does the periodic work until the context ends, which also ends the loop.
 func (l *loop) run(ctx context.Context) {
 	defer close(l.done)
 	defer l.wakeTimer.Stop()
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
-	var siteLooks <-chan time.Time
+	var siteTicks <-chan time.Time
 	if l.sites != nil {
 		t := time.NewTicker(siteInterval)
 		defer t.Stop()
-		siteLooks = t.C
+		siteTicks = t.C
 	}
-	var looks <-chan time.Time // at the figures of the level; never where there are none
+	var levelTicks <-chan time.Time // nil, and never ready, if there are no service levels
 	if l.levelController != nil {
 		t := time.NewTicker(l.levelInterval)
 		defer t.Stop()
-		looks = t.C
+		levelTicks = t.C
 	}
 	for {
-		due := l.fireTimers
+		task := l.fireTimers
 		select {
 		case <-l.wakeTimer.C:
 		case <-sweep.C:
-			due = func() {
+			task = func() {
 				l.backends.CloseExpired()
 				l.callIDs.rotate()
 				l.expireHolds(ctx)
 			}
-		case <-looks:
-			due = l.updateLevel
-		case <-siteLooks:
-			due = l.evaluateSites
+		case <-levelTicks:
+			task = l.updateLevel
+		case <-siteTicks:
+			task = l.evaluateSites
 		case <-ctx.Done():
 			l.withLock(func() { l.ended = true })
 			return
 		}
 		l.lagMonitor.waitForProcessor()
-		l.withLock(due)
+		l.withLock(task)
 	}
 }
 
-// fireTimers hands over the timers that are due.
+// fireTimers handles the timers that are due.
 func (l *loop) fireTimers() {
 	l.wakeAt = 0
 	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].due <= now; {
@@ -273,7 +282,7 @@
 	}
 }
 
-// take brings an input's facts up to date and hands its event to the module.
+// processInput updates the loop's state from an input and lets the module handle its event.
 func (l *loop) processInput(ctx context.Context, in input) {
 	ev := in.event
 	switch ev.Kind {
@@ -323,7 +332,7 @@
 		l.handle(ctx, r.module, ev)
 	case policy.EventClientGone:
 		r := l.requests[in.call.id]
-		if r == nil || r.ended { // it crossed the answer, if there was one
+		if r == nil || r.ended { // already answered: the answer and the client's close crossed
 			select {
 			case a := <-in.call.answers:
 				a.drop()
@@ -360,6 +369,7 @@
 	}
 }
 
+// newRequestID returns an id that no request has at present.
 func (l *loop) newRequestID() policy.RequestID {
 	for {
 		l.lastID++
@@ -369,7 +379,8 @@
 	}
 }
 
-// end gives the client its answer, unless it has one or is gone.
+// answerClient gives the client its answer and reports whether it did. It does not if the request
+// is answered already or the client is gone.
 func (l *loop) answerClient(r *request, a answer) bool {
 	if r.ended {
 		return false
@@ -380,11 +391,11 @@
 	return true
 }
 
-// forget drops a request of which nothing more is to be heard.
+// forgetIfDone removes a request that has ended and has no attempt in flight.
 func (l *loop) forgetIfDone(r *request) {
 	if r.ended && r.inFlight == 0 {
 		if l.requests[r.id] == nil {
-			return // it has been
+			return // already removed
 		}
 		delete(l.requests, r.id)
 		l.lagMonitor.requestEnded()
@@ -395,17 +406,17 @@
 	}
 }
 
-// callIDs knows the clients' ids of the open requests and of those that ended a short while ago. Danger: backends
-// and clients tell requests apart by them, so a second request under an id would be served with the first one's
-// answer, or run as its repeat.
+// callIDs holds the ids that clients gave to the open requests and to those that ended recently.
+// Backends and clients identify requests by these ids: a second request under the same id would be
+// served with the answer of the first one, or be run as its retry.
 type callIDs struct {
 	open, recent, older map[string]struct{}
 }
 
-// take notes an id, unless it is known.
+// reserve adds an id and reports whether it was free.
 func (c *callIDs) reserve(id string) bool {
-	for _, known := range []map[string]struct{}{c.open, c.recent, c.older} {
-		if _, taken := known[id]; taken {
+	for _, ids := range []map[string]struct{}{c.open, c.recent, c.older} {
+		if _, found := ids[id]; found {
 			return false
 		}
 	}
@@ -413,7 +424,7 @@
 	return true
 }
 
-// release notes that the request with an id has ended.
+// release records that the request with an id has ended.
 func (c *callIDs) release(id string) {
 	delete(c.open, id)
 	if c.recent[id] = struct{}{}; len(c.recent) >= maxRecentCallIDs {
@@ -421,10 +432,11 @@
 	}
 }
 
-// age forgets what was known at the last call but one.
+// rotate forgets the ids that were released before the previous rotation.
 func (c *callIDs) rotate() { c.recent, c.older = map[string]struct{}{}, c.recent }
 
-// entries notes where the members of a list are and turns them into the module's terms.
+// updateServers records the addresses of the list members and converts the members to entries for
+// the module.
 func (l *loop) updateServers(members []member) []policy.ServerEntry {
 	entries := make([]policy.ServerEntry, 0, len(members))
 	for _, m := range members {
@@ -441,35 +453,37 @@
 		l.listedServers[e.ID] = e
 		entries = append(entries, e)
 		if e.State == policy.Gone {
-			continue // forgotten once the module has heard of it
+			continue // removed after the module has handled the list
 		}
-		old := l.targets[e.ID]
-		if old != nil && old.Addr == m.HostPort && old.ProcessStart == e.Start {
+		oldTarget := l.targets[e.ID]
+		if oldTarget != nil && oldTarget.Addr == m.HostPort && oldTarget.ProcessStart == e.Start {
 			continue
 		}
-		if old != nil {
-			l.backends.Retire(old)
+		if oldTarget != nil {
+			l.backends.Retire(oldTarget)
 		}
 		l.targets[e.ID] = l.backends.NewTarget(m.HostPort, e.Start)
 	}
 	return entries
 }
 
-// keyOf names a backend to other agents, whose numbers for it are others. FNV-1a, 32 bits.
+// serverKey returns the key of a backend in messages to other agents, which assign other IDs to it.
+// It is the 32-bit FNV-1a hash of its name.
 func serverKey(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id)) // never fails
 	return h.Sum32()
 }
 
-// forgetGone drops the addresses and idle connections of the backends that a list has shown to be gone.
+// removeGone removes the addresses and idle connections of the backends that are gone according to
+// a list.
 func (l *loop) removeGone(mode policy.ListMode, entries []policy.ServerEntry) {
-	stays := make(map[policy.ServerID]bool, len(entries))
+	remains := make(map[policy.ServerID]bool, len(entries))
 	for _, e := range entries {
-		stays[e.ID] = e.State != policy.Gone
+		remains[e.ID] = e.State != policy.Gone
 	}
 	for id := range l.servers.names {
-		if here, listed := stays[id]; here || !listed && mode == policy.ListDelta {
+		if present, listed := remains[id]; present || !listed && mode == policy.ListDelta {
 			continue
 		}
 		if t := l.targets[id]; t != nil {
--- a/internal/agent/loop_actions.go
+++ b/internal/agent/loop_actions.go
@@ -10,34 +10,36 @@
 	"example.org/micaline/policy"
 )
 
-// handleAll hands an event to each module.
+// handleAll lets each module handle an event.
 func (l *loop) handleAll(ctx context.Context, ev policy.Event) {
 	if len(l.modules) == 1 {
 		l.handle(ctx, l.current, ev)
 		return
 	}
-	// Danger: one that ends by this event leaves the list, and the next would not hear of it.
+	// A retired module whose last request ends with this event is deleted from l.modules, which
+	// would make the loop skip the next module.
 	for _, m := range slices.Clone(l.modules) {
 		l.handle(ctx, m, ev)
 	}
 }
 
-// handle hands an event to a module and carries out what it answers, and so on with the events that come of it.
-func (l *loop) handle(ctx context.Context, to *module, ev policy.Event) {
-	l.eventQueue = append(l.eventQueue, queuedEvent{to, ev})
-	for i := 0; i < len(l.eventQueue); i++ { // act may add to them
-		d := &l.eventQueue[i]
-		to = d.module
-		l.actionBuffer = to.Handle(l.clock.now(), d.event, l.actionBuffer[:0])
+// handle lets a module handle an event and executes the resulting actions, and does the same for
+// the events that these cause.
+func (l *loop) handle(ctx context.Context, mod *module, ev policy.Event) {
+	l.eventQueue = append(l.eventQueue, queuedEvent{mod, ev})
+	for i := 0; i < len(l.eventQueue); i++ { // execute may append to it
+		queued := &l.eventQueue[i]
+		mod = queued.module
+		l.actionBuffer = mod.Handle(l.clock.now(), queued.event, l.actionBuffer[:0])
 		for j := range l.actionBuffer {
-			l.execute(ctx, to, &l.actionBuffer[j])
+			l.execute(ctx, mod, &l.actionBuffer[j])
 		}
 	}
 	l.eventQueue = l.eventQueue[:0]
 }
 
-// act carries out one action.
-func (l *loop) execute(ctx context.Context, by *module, a *policy.Action) {
+// execute executes one action of a module.
+func (l *loop) execute(ctx context.Context, mod *module, a *policy.Action) {
 	r := l.requests[a.Request]
 	switch a.Kind {
 	case policy.ActSend:
@@ -59,13 +61,13 @@
 			r.attemptCancels[a.Attempt]()
 		}
 	case policy.ActTimer:
-		heap.Push(&l.timers, timer{due: l.clock.now() + a.Wait, token: a.Token, module: by})
+		heap.Push(&l.timers, timer{due: l.clock.now() + a.Wait, token: a.Token, module: mod})
 	case policy.ActProbe:
-		l.startProbe(ctx, by, a.Server)
+		l.startProbe(ctx, mod, a.Server)
 	case policy.ActSubscribe:
 		l.subscribe()
 	case policy.ActBroadcast:
-		if by == l.current { // danger: two modules' counts under one name would take turns
+		if mod == l.current { // else others would get two modules' counts in turn
 			l.broadcast(a.Data)
 		}
 	case policy.ActLog:
@@ -73,21 +75,22 @@
 	}
 }
 
-// attempt sends a request to a backend. What cannot be sent any more ends as moot.
+// startAttempt starts an attempt of a request at a backend. If it can't be sent any more, its
+// outcome is NotSent.
 func (l *loop) startAttempt(ctx context.Context, r *request, a *policy.Action) {
-	n := len(r.attemptCancels)
-	left := r.deadline - l.clock.now()
+	index := len(r.attemptCancels)
+	timeLeft := r.deadline - l.clock.now()
 	if a.Wait != 0 {
-		left = min(left, a.Wait)
+		timeLeft = min(timeLeft, a.Wait)
 	}
-	t := l.targets[a.Server]
-	rest := r.message.rest
-	// Danger: what has been read of a stream is nowhere any more, and two can't read it.
-	gone := rest != nil && (r.inFlight > 0 || rest.begun.Load())
-	if r.ended || left <= 0 || t == nil || n >= l.moduleSettings.MaxAttempts || gone {
+	target := l.targets[a.Server]
+	bodyStream := r.message.rest
+	// The part of a streamed body that was read is not kept, and only one attempt can read it.
+	bodyConsumed := bodyStream != nil && (r.inFlight > 0 || bodyStream.begun.Load())
+	if r.ended || timeLeft <= 0 || target == nil || index >= l.moduleSettings.MaxAttempts || bodyConsumed {
 		r.attemptCancels = append(r.attemptCancels, func() {})
 		l.eventQueue = append(l.eventQueue, queuedEvent{r.module, policy.Event{
-			Kind: policy.EventOutcome, Request: r.id, Attempt: n, Server: a.Server,
+			Kind: policy.EventOutcome, Request: r.id, Attempt: index, Server: a.Server,
 			Outcome: policy.NotSent, Final: r.ended, Load: settings.NoLoad(),
 		}})
 		return
@@ -97,54 +100,58 @@
 		sendBy = time.Now().Add(a.DeliverWithin)
 	}
 	attemptCtx, cancel := context.WithCancel(ctx)
-	if rest == nil { // else its time begins with its last byte
-		attemptCtx, cancel = context.WithTimeout(ctx, left)
+	if bodyStream == nil { // otherwise the time limit starts with the last byte of the body
+		attemptCtx, cancel = context.WithTimeout(ctx, timeLeft)
 	}
 	r.attemptCancels = append(r.attemptCancels, cancel)
 	r.inFlight++
 	if l.sites != nil {
-		r.sentAttempts = append(r.sentAttempts, sentAttempt{n, a.Server, l.clock.now()})
+		r.sentAttempts = append(r.sentAttempts, sentAttempt{index, a.Server, l.clock.now()})
 	}
-	id, server, msg, sent := r.id, a.Server, &r.message, l.clock.now()
-	by := l.deliveringCall
-	if by != r.call || by.inlineAttempt != nil || !l.moduleSettings.Cancel {
-		by = nil
+	id, server, outgoing, sentAt := r.id, a.Server, &r.message, l.clock.now()
+	inlineCall := l.deliveringCall
+	if inlineCall != r.call || inlineCall.inlineAttempt != nil || !l.moduleSettings.Cancel {
+		inlineCall = nil
 	}
-	call := r.call
-	carryOut := func() {
-		if rest == nil && call.hangupWatcher.ClientClosed() { // danger: after the process stood still its close waits unread
-			l.send(input{event: policy.Event{Kind: policy.EventClientGone}, call: call})
-			l.send(input{sentAt: sent, deliveringCall: by, event: policy.Event{
-				Kind: policy.EventOutcome, Request: id, Attempt: n, Server: server, Outcome: policy.NotSent, Load: settings.NoLoad(),
+	clientCall := r.call
+	runAttempt := func() {
+		// After the process was suspended, the close of the client connection may be unread.
+		if bodyStream == nil && clientCall.hangupWatcher.ClientClosed() {
+			l.send(input{event: policy.Event{Kind: policy.EventClientGone}, call: clientCall})
+			l.send(input{sentAt: sentAt, deliveringCall: inlineCall, event: policy.Event{
+				Kind: policy.EventOutcome, Request: id, Attempt: index, Server: server, Outcome: policy.NotSent, Load: settings.NoLoad(),
 			}})
 			return
 		}
-		res := l.backends.exchange(attemptCtx, t, msg, sendBy, l.settings.ReportFields)
-		if rest != nil && rest.hasFailed() {
-			l.send(input{event: policy.Event{Kind: policy.EventClientGone}, call: call})
+		res := l.backends.exchange(attemptCtx, target, outgoing, sendBy, l.settings.ReportFields)
+		if bodyStream != nil && bodyStream.hasFailed() {
+			l.send(input{event: policy.Event{Kind: policy.EventClientGone}, call: clientCall})
 		}
-		l.send(input{answer: res.answer, sentAt: sent, backendTime: res.took, deliveringCall: by, event: policy.Event{
-			Kind: policy.EventOutcome, Request: id, Attempt: n, Server: server, Outcome: res.outcome, Load: res.load,
+		l.send(input{answer: res.answer, sentAt: sentAt, backendTime: res.took, deliveringCall: inlineCall, event: policy.Event{
+			Kind: policy.EventOutcome, Request: id, Attempt: index, Server: server, Outcome: res.outcome, Load: res.load,
 		}})
 	}
-	if by == nil {
-		go carryOut()
+	if inlineCall == nil {
+		go runAttempt()
 		return
 	}
-	// Its handler has nothing else to do, and may be called back from it: what ends the request cancels its attempts.
-	by.inlineAttempt = carryOut
+	// The delivering handler runs the attempt, as it has nothing else to do. It can be stopped:
+	// whatever ends the request cancels its attempts.
+	inlineCall.inlineAttempt = runAttempt
 }
 
-func (l *loop) startProbe(ctx context.Context, by *module, server policy.ServerID) {
-	t := l.targets[server]
-	if t == nil {
-		l.eventQueue = append(l.eventQueue, queuedEvent{by, policy.Event{
+// startProbe probes a backend and sends the result to the loop. If the backend is unknown, the
+// outcome is NotSent and only the module that asked gets it.
+func (l *loop) startProbe(ctx context.Context, mod *module, server policy.ServerID) {
+	target := l.targets[server]
+	if target == nil {
+		l.eventQueue = append(l.eventQueue, queuedEvent{mod, policy.Event{
 			Kind: policy.EventProbeResult, Server: server, Outcome: policy.NotSent, Load: settings.NoLoad(),
 		}})
 		return
 	}
 	go func() {
-		res := l.backends.probe(ctx, t, l.settings)
+		res := l.backends.probe(ctx, target, l.settings)
 		l.send(input{answeredAt: res.seen - l.lagMonitor.ownDelay(), event: policy.Event{
 			Kind: policy.EventProbeResult, Server: server, Outcome: res.outcome, Load: res.load,
 		}})
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -15,28 +15,29 @@
 	"example.org/micaline/policy"
 )
 
-// The id of a request that is open, or was a moment ago, is no other's: the second is refused and the first served.
+// A request is refused if its id belongs to an open or recently ended request, and the first
+// request is served.
 func TestCallIDsAreUsedOnce(t *testing.T) {
-	a, b, goOn, first := sendHeldRequest(t)
+	a, b, finishFirst, first := sendHeldRequest(t)
 	id := receive(t, "request", b.Got).Header.Get(callIDHeader)
-	again := func() int {
+	repeat := func() int {
 		req := a.request("unsafe", "15000m")
 		req.Header.Set(callIDHeader, id)
 		status, _ := a.do(t, req)
 		return status
 	}
-	if status := again(); status != http.StatusConflict {
-		t.Errorf("while the first is open: answered %d", status)
+	if status := repeat(); status != http.StatusConflict {
+		t.Errorf("while the first request is open: answered %d", status)
 	}
-	close(goOn)
+	close(finishFirst)
 	if status := receive(t, "answer", first); status != 200 {
-		t.Errorf("the first is answered %d", status)
+		t.Errorf("the first request: answered %d", status)
 	}
-	if status := again(); status != http.StatusConflict {
-		t.Errorf("when the first has ended: answered %d", status)
+	if status := repeat(); status != http.StatusConflict {
+		t.Errorf("after the end of the first request: answered %d", status)
 	}
 	if n := len(b.Got); n > 0 {
-		t.Errorf("%d more went on", n)
+		t.Errorf("%d more requests reached the backend", n)
 	}
 	ids := callIDs{open: map[string]struct{}{}, recent: map[string]struct{}{}}
 	for i := range 10 * maxRecentCallIDs {
@@ -48,18 +49,18 @@
 		t.Errorf("%d ids are kept", n)
 	}
 	if ids.rotate(); !ids.reserve(fmt.Sprint(8*maxRecentCallIDs - 1)) {
-		t.Error("an id is kept for good")
+		t.Error("an id is never forgotten")
 	}
 }
 
-// A client that hangs up cancels its attempts, which closes their connections.
+// When a client disconnects, its attempts are cancelled and their connections closed.
 func TestHangup(t *testing.T) {
-	released := make(chan struct{})
+	clientDone := make(chan struct{})
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
 	a := agentFor(t, testSettings, b)
 	ctx, hangUp := context.WithCancel(context.Background())
 	go func() {
-		defer close(released)
+		defer close(clientDone)
 		if resp, err := a.client.Do(a.request("unsafe", "15000m").WithContext(ctx)); err == nil {
 			resp.Body.Close()
 			t.Errorf("answered %s", resp.Status)
@@ -67,11 +68,11 @@
 	}()
 	receive(t, "request", b.Got)
 	hangUp()
-	receive(t, "hangup", released)
+	receive(t, "hangup", clientDone)
 	receive(t, "close of the connection", b.Ended)
 }
 
-// writeRaw sends a request over a connection of its own, as no library does.
+// dialAndSendRequest sends a request over a connection of its own and leaves the answer unread.
 func dialAndSendRequest(t *testing.T, a *running) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
@@ -85,7 +86,8 @@
 	return c
 }
 
-// A client that hangs up behind the first bytes of its next request is seen to do so.
+// A disconnect is detected even if the client has sent the first bytes of its next request before
+// it.
 func TestHangupBehindNextRequest(t *testing.T) {
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
 	a := agentFor(t, testSettings, b)
@@ -98,33 +100,34 @@
 	receive(t, "close of the connection", b.Ended)
 }
 
-// Nothing is begun for a client whose close waits in its socket, as it does after the process stood
-// still.
+// No attempt is started for a client whose close has arrived but not been read, as after a
+// suspension of the process.
 func TestCloseWaitsInSocket(t *testing.T) {
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
 	a := agentFor(t, testSettings, b)
 	l := a.agent.loop
-	l.mu.Lock() // all that is decided waits
+	l.mu.Lock() // no input is processed
 	for range 20 {
 		dialAndSendRequest(t, a).Close()
 	}
 	c := dialAndSendRequest(t, a)
 	l.mu.Unlock()
 	c.Close()
-	a.eventually(t, "nothing is held", func() bool { return a.agent.server.held.Load() == 0 })
-	if n := len(b.Got); n > 1 { // the last may have come before its close
+	a.eventually(t, "no request is in progress", func() bool { return a.agent.server.held.Load() == 0 })
+	if n := len(b.Got); n > 1 { // the last request may be sent before the client closes
 		t.Errorf("%d requests reached a backend", n)
 	}
 }
 
-// hold has a loop's inputs wait for the test.
+// captureInputs replaces the processing of inputs: they go to the returned channel.
 func captureInputs(l *loop) <-chan input {
 	inputs := make(chan input, 8)
 	l.send = func(in input) { inputs <- in }
 	return inputs
 }
 
-// The loop keeps a repeat from being sent too late, and forgets backends that are gone.
+// The loop does not send an attempt whose delivery limit has passed, and removes backends that are
+// gone.
 func TestLoopCarriesOut(t *testing.T) {
 	b := newBackend(t, serves)
 	cfg := config(t, "127.0.0.1:1", testSettings)
@@ -134,11 +137,11 @@
 	}
 	inputs := captureInputs(l)
 	ctx := t.Context()
-	list := func(mode policy.ListMode, phase string) {
+	sendList := func(mode policy.ListMode, phase string) {
 		l.processInput(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: mode},
 			members: []member{{ID: "x", HostPort: b.Addr, Phase: phase}}})
 	}
-	list(policy.ListFull, "Ready")
+	sendList(policy.ListFull, "Ready")
 	x := l.servers.of("x")
 	r := &request{module: l.current, call: &call{id: 7, deadline: l.clock.now() + wait, answers: make(chan answer, 1),
 		message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}}
@@ -148,25 +151,26 @@
 	if in := receive(t, "outcome", inputs); in.event.Outcome != policy.OK {
 		t.Fatalf("outcome %d", in.event.Outcome)
 	}
-	send.DeliverWithin = 1 // a nanosecond, which is over before a connection can be had
+	send.DeliverWithin = 1 // 1 ns, over before there is a connection
 	l.execute(ctx, l.current, &send)
 	if in := receive(t, "outcome", inputs); in.event.Outcome != policy.NotSent {
-		t.Errorf("sent too late: outcome %d", in.event.Outcome)
+		t.Errorf("after the delivery limit: outcome %d", in.event.Outcome)
 	}
 	target := l.targets[x]
-	list(policy.ListDelta, "Gone")
+	sendList(policy.ListDelta, "Gone")
 	receive(t, "close of the idle connection", b.Ended)
 	if len(l.targets) > 0 || !l.backends.Retired(target) || len(l.servers.ids) > 0 || len(l.servers.names) > 0 {
-		t.Errorf("still known: %v %v", l.targets, l.servers)
+		t.Errorf("the removed backend is still known: %v %v", l.targets, l.servers)
 	}
 	send.DeliverWithin = 0
 	l.execute(ctx, l.current, &send)
 	if n := len(l.eventQueue); n != 1 || l.eventQueue[0].event.Outcome != policy.NotSent {
-		t.Errorf("to a backend that is gone: %+v", l.eventQueue)
+		t.Errorf("attempt to a removed backend: %+v", l.eventQueue)
 	}
 }
 
-// A request is answered once: the outcome of an attempt that crosses the hangup of its client changes nothing.
+// A request is answered once: the outcome of an attempt that arrives after the client's disconnect
+// is dropped.
 func TestLateOutcomeIsDropped(t *testing.T) {
 	cfg := config(t, "127.0.0.1:1", testSettings)
 	l, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
@@ -191,92 +195,92 @@
 	}
 }
 
-// Rejections by a backend that tells how little it holds are no crowd: while they last, the others' room is used and
-// nothing is shed.
+// Rejections by a backend that reports a low load are not taken for an overload of all backends:
+// the requests are served by the other backend and none is shed.
 func TestRejectionsShedNothing(t *testing.T) {
-	const asked, more = 16, 5
-	loads := func(req *http.Request) bool { return req.URL.Path == loadPath }
-	report := "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\noutstanding=1,recent_ms=50"
+	const firstWave, secondWave = 16, 5
+	isProbe := func(req *http.Request) bool { return req.URL.Path == loadPath }
+	loadResponse := "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\noutstanding=1,recent_ms=50"
 	reject, serve := make(chan struct{}), make(chan struct{})
 	x := newBackend(t, func(_ int, req *http.Request) (string, bool) {
-		if loads(req) {
-			return report, false
+		if isProbe(req) {
+			return loadResponse, false
 		}
 		<-reject
 		return "HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", false
 	})
 	y := newBackend(t, func(_ int, req *http.Request) (string, bool) {
-		if loads(req) {
-			return report, false
+		if isProbe(req) {
+			return loadResponse, false
 		}
 		<-serve
 		return okText, false
 	})
-	// With a tick of 5 s one probe of each lasts for the whole test.
+	// With a tick of 5 s, one probe of each backend lasts for the whole test.
 	a := agentFor(t, strings.NewReplacer(`"off"`, `"on_probe"`, `"tick":5`, `"tick":5000`,
 		`"maxAttempts":3`, `"maxAttempts":20,"probes":true`).Replace(testSettings), x, y)
-	answers := make(chan int, asked+more)
-	ask := func() {
+	answers := make(chan int, firstWave+secondWave)
+	sendRequest := func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
 		answers <- status
 	}
-	for range asked {
-		go ask()
+	for range firstWave {
+		go sendRequest()
 	}
 	atX, atY := 0, 0
-	for atX+atY < asked {
+	for atX+atY < firstWave {
 		select {
 		case req := <-x.Got:
-			if !loads(req) {
+			if !isProbe(req) {
 				atX++
 			}
 		case req := <-y.Got:
-			if !loads(req) {
+			if !isProbe(req) {
 				atY++
 			}
 		case <-time.After(wait):
-			t.Fatalf("%d and %d requests have come", atX, atY)
+			t.Fatalf("%d and %d requests have arrived", atX, atY)
 		}
 	}
 	close(reject)
-	arrive := func(n int) {
+	waitForArrivals := func(n int) {
 		for atY < n {
 			select {
 			case status := <-answers:
-				t.Fatalf("answered %d after %d rejections, with %d requests at the other", status, atX, atY)
+				t.Fatalf("answered %d after %d rejections, with %d requests at the other backend", status, atX, atY)
 			case req := <-y.Got:
-				if !loads(req) {
+				if !isProbe(req) {
 					atY++
 				}
 			case <-time.After(wait):
-				t.Fatalf("%d of %d requests are at the other", atY, n)
+				t.Fatalf("%d of %d requests have reached the other backend", atY, n)
 			}
 		}
 	}
-	arrive(asked) // what was rejected too
-	for range more {
-		go ask()
+	waitForArrivals(firstWave) // including the rejected requests
+	for range secondWave {
+		go sendRequest()
 	}
-	arrive(asked + more)
+	waitForArrivals(firstWave + secondWave)
 	close(serve)
-	for range asked + more {
+	for range firstWave + secondWave {
 		if status := receive(t, "answer", answers); status != http.StatusOK {
 			t.Errorf("answered %d after %d rejections", status, atX)
 		}
 	}
 }
 
-// A backend that swallows a request while it lives is not waited for: another gets a copy, whose answer is served, and
-// the first is given up.
+// If a backend accepts a request but never answers it, another backend gets a second copy. The
+// answer to the copy is served and the first attempt is cancelled.
 func TestSwallowedRequestIsServed(t *testing.T) {
-	var got atomic.Int64
-	script := func(int, *http.Request) (string, bool) {
-		if got.Add(1) == 1 {
+	var attempts atomic.Int64
+	swallowFirst := func(int, *http.Request) (string, bool) {
+		if attempts.Add(1) == 1 {
 			return "", false
 		}
 		return okText, false
 	}
-	x, y := newBackend(t, script), newBackend(t, script)
+	x, y := newBackend(t, swallowFirst), newBackend(t, swallowFirst)
 	cfg := config(t, "127.0.0.1:1", testSettings)
 	l, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -288,26 +292,26 @@
 		members: []member{{ID: "x", HostPort: x.Addr, Phase: "Ready"}, {ID: "y", HostPort: y.Addr, Phase: "Ready"}}})
 	c := &call{deadline: l.clock.now() + wait, answers: make(chan answer, 1), message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
 	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
-	swallower := x
+	silentBackend := x
 	select {
 	case <-x.Got:
 	case <-y.Got:
-		swallower = y
+		silentBackend = y
 	case <-time.After(wait):
 		t.Fatal("no request")
 	}
-	for range 2 { // the module's looks at the silent attempt, due or not
-		look := heap.Pop(&l.timers).(timer)
-		l.handle(ctx, look.module, policy.Event{Kind: policy.EventTimer, Token: look.token})
+	for range 2 { // the module's checks of the silent attempt, whether due or not
+		expired := heap.Pop(&l.timers).(timer)
+		l.handle(ctx, expired.module, policy.Event{Kind: policy.EventTimer, Token: expired.token})
 	}
-	for range 2 { // the copy's answer, and the end of the first attempt
+	for range 2 { // the answer to the copy, and the end of the first attempt
 		l.processInput(ctx, receive(t, "outcome", inputs))
 	}
 	if a := receive(t, "answer", c.answers); a.status != http.StatusOK {
 		t.Errorf("answered %d", a.status)
 	}
-	receive(t, "close of the silent connection", swallower.Ended)
-	if n := got.Load(); n != 2 || len(l.requests) > 0 {
+	receive(t, "close of the silent connection", silentBackend.Ended)
+	if n := attempts.Load(); n != 2 || len(l.requests) > 0 {
 		t.Errorf("%d attempts, %d requests left", n, len(l.requests))
 	}
 }
--- a/internal/agent/network.go
+++ b/internal/agent/network.go
@@ -7,23 +7,23 @@
 	"example.org/micaline/internal/connpool"
 )
 
-// Network is what the agent reaches backends and discovery through.
+// Network connects the agent to backends and discovery.
 type Network = connpool.Network
 
-// PacketNetwork is a Network that carries datagrams between agents.
+// PacketNetwork is a Network that also carries datagrams between agents.
 type PacketNetwork interface {
-	// ListenPacket opens a socket for datagrams at an address.
+	// ListenPacket opens a datagram socket bound to an address.
 	ListenPacket(addr netip.AddrPort) (PacketConn, error)
 }
 
-// PacketConn is a socket for datagrams.
+// PacketConn is a datagram socket.
 type PacketConn interface {
 	ReadFromUDPAddrPort(b []byte) (n int, from netip.AddrPort, err error)
 	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
 	Close() error
 }
 
-// TCP is the Network of the machine, and its PacketNetwork.
+// TCP is the Network and PacketNetwork of the operating system.
 type TCP struct{ connpool.TCP }
 
 // ListenPacket opens a UDP socket.
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -12,18 +12,20 @@
 	"example.org/micaline/policy"
 )
 
-// peerPause is how long reading messages rests after an error: one that lasts must not take the agent's core.
+// peerReadBackoff is the pause after a failed read, so that a persistent error does not use up the
+// agent's processor time.
 const peerReadBackoff = 100 * time.Millisecond
 
-// chatter carries messages between this agent and the others. They may be lost on the way, so whatever goes wrong with
-// one is as if it were.
+// peerLink carries messages between this agent and the others. Messages may be lost, so a message
+// that can't be sent or read is treated as lost.
 type peerLink struct {
 	conn          PacketConn
 	broadcastAddr netip.AddrPort
 	peerAddrs     map[netip.AddrPort]bool
 }
 
-// openPeers opens the socket for other agents' messages; nil is none.
+// openPeerLink opens the socket for messages of other agents. It returns nil if none is configured
+// or the network carries no datagrams.
 func openPeerLink(p *Peers, network Network) (*peerLink, error) {
 	packets, ok := network.(PacketNetwork)
 	if !ok || !p.Listen.IsValid() {
@@ -40,16 +42,16 @@
 	return c, nil
 }
 
-// tell sends a message to all other agents.
+// broadcast sends a message to all other agents.
 func (c *peerLink) broadcast(msg []byte) {
 	c.conn.WriteToUDPAddrPort(msg, c.broadcastAddr)
 }
 
-// hear hands messages to the loop until the socket is closed.
+// receiveLoop passes messages to the loop until the socket is closed.
 func (c *peerLink) receiveLoop(ctx context.Context, l *loop) {
-	buf := make([]byte, peers.MostBytes+1) // what is longer is cut, and told by its length
+	buf := make([]byte, peers.MostBytes+1) // the extra byte shows that a longer message was truncated
 	for {
-		n, from, err := c.conn.ReadFromUDPAddrPort(buf)
+		n, sender, err := c.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -61,10 +63,10 @@
 				return
 			}
 		}
-		if n > peers.MostBytes || !c.peerAddrs[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())] {
+		if n > peers.MostBytes || !c.peerAddrs[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())] {
 			continue
 		}
-		// What comes faster than this is lost in the socket's buffer.
+		// The socket's buffer drops messages that arrive faster than the loop processes them.
 		l.send(input{event: policy.Event{Kind: policy.EventPeerMessage, Data: append([]byte(nil), buf[:n]...)}})
 	}
 }
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -11,7 +11,7 @@
 	"example.org/micaline/policy"
 )
 
-// udp opens a socket on loopback.
+// listenUDP opens a UDP socket on the loopback interface.
 func listenUDP(t *testing.T) (*net.UDPConn, netip.AddrPort) {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -21,44 +21,45 @@
 	return c, c.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Messages go to the address of all, and those of the other agents come to the loop; a stranger's and one that is too
-// long do not.
+// Messages are sent to the broadcast address, and messages of the other agents reach the loop.
+// Messages of unknown senders and messages that are too long are dropped.
 func TestPeersTalk(t *testing.T) {
-	all, allAt := listenUDP(t)
-	friend, friendAt := listenUDP(t)
+	broadcastConn, broadcastAddr := listenUDP(t)
+	peer, peerAddr := listenUDP(t)
 	stranger, _ := listenUDP(t)
-	c, err := openPeerLink(&Peers{Listen: netip.MustParseAddrPort("127.0.0.1:0"), All: allAt, From: []netip.AddrPort{friendAt}}, TCP{})
+	link, err := openPeerLink(&Peers{Listen: netip.MustParseAddrPort("127.0.0.1:0"), All: broadcastAddr, From: []netip.AddrPort{peerAddr}}, TCP{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := c.conn.(*net.UDPConn).LocalAddr().(*net.UDPAddr).AddrPort()
-	c.broadcast([]byte("out"))
+	addr := link.conn.(*net.UDPConn).LocalAddr().(*net.UDPAddr).AddrPort()
+	link.broadcast([]byte("out"))
 	buf := make([]byte, 16)
-	all.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if n, from, err := all.ReadFromUDPAddrPort(buf); err != nil || string(buf[:n]) != "out" || from != at {
+	broadcastConn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	if n, from, err := broadcastConn.ReadFromUDPAddrPort(buf); err != nil || string(buf[:n]) != "out" || from != addr {
 		t.Fatalf("%q from %v, error %v", buf[:n], from, err)
 	}
 
 	inputs := make(chan input, 1)
 	l := &loop{send: func(in input) { inputs <- in }}
-	var hearing sync.WaitGroup
-	hearing.Go(func() { c.receiveLoop(context.Background(), l) })
-	stranger.WriteToUDPAddrPort([]byte("stranger"), at)
-	friend.WriteToUDPAddrPort(make([]byte, 257), at)
-	friend.WriteToUDPAddrPort([]byte("in"), at)
+	var receiving sync.WaitGroup
+	receiving.Go(func() { link.receiveLoop(context.Background(), l) })
+	stranger.WriteToUDPAddrPort([]byte("stranger"), addr)
+	peer.WriteToUDPAddrPort(make([]byte, 257), addr)
+	peer.WriteToUDPAddrPort([]byte("in"), addr)
 	select {
 	case in := <-inputs:
 		if in.event.Kind != policy.EventPeerMessage || string(in.event.Data) != "in" {
-			t.Errorf("the loop was given %+v", in.event)
+			t.Errorf("the loop received %+v", in.event)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("a peer's message did not come")
+		t.Error("the message of a peer did not arrive")
 	}
-	c.conn.Close()
-	hearing.Wait()
+	link.conn.Close()
+	receiving.Wait()
 }
 
-// Agents of different builds name a backend alike: the hash is the published one, whose test vectors these are.
+// All builds of the agent must derive the same key from a backend's name. The test vectors are
+// those published for FNV-1a.
 func TestBackendsKeepTheirKey(t *testing.T) {
 	for id, want := range map[string]uint32{"": 0x811c9dc5, "a": 0xe40c292c, "foobar": 0xbf9cf968} {
 		if got := serverKey(id); got != want {
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -15,58 +15,61 @@
 	"example.org/micaline/policy"
 )
 
-// siteEvery is how often sites are looked at: a lost one is found by what is silent for a part of an aim.
+// siteInterval is how often the sites are evaluated. A loss shows in attempts without an answer for
+// a fraction of a target latency, so it must be short compared with that.
 const siteInterval = 100 * time.Millisecond
 
-// sites is what the loop keeps for the sites' machine.
+// sites is the loop's state of site monitoring.
 type sites struct {
 	*site.Monitor
 	demandMeter          *site.DemandMeter
-	lastEvaluatedAt      time.Duration // at them, last
-	ignoreSilenceUntil   time.Duration // until then silence is the agent's own: it was late
+	lastEvaluatedAt      time.Duration
+	ignoreSilenceUntil   time.Duration // until then missing answers may be the agent's own delay
 	lossImpactsCheckedAt time.Duration
-	warnedSites          map[string]bool // sites whose loss could not be carried
-	documentEvacuations  map[string]bool // sites that the document in force has taken out
+	warnedSites          map[string]bool // sites whose load the others could not carry
+	documentEvacuations  map[string]bool // sites evacuated by the current operators' document
 }
 
-// try is an attempt that is out.
+// sentAttempt is an attempt in flight.
 type sentAttempt struct {
-	index  int
+	index  int // number of the attempt in its request
 	server policy.ServerID
 	sentAt time.Duration
 }
 
+// newSites returns the state of site monitoring, or nil if sites are not monitored.
 func newSites(cfg *Config, now time.Duration) *sites {
 	if !cfg.Sites.On || len(cfg.Settings.Zones) < 2 {
-		return nil // with one there is nowhere to go
+		return nil // with a single site there is no other to use
 	}
-	m := &cfg.Settings.Module
+	moduleSettings := &cfg.Settings.Module
 	var classes []site.ClassDemand
-	for i, c := range m.Classes {
+	for i, c := range moduleSettings.Classes {
 		classes = append(classes, site.ClassDemand{Name: cfg.Settings.Classes[i], Effect: c.Effect, Worth: c.Worth, SecondsPerRequest: c.Aim.Seconds() / 3})
 	}
 	var accounts []site.Account
-	for i, t := range m.Tenants {
+	for i, t := range moduleSettings.Tenants {
 		accounts = append(accounts, site.Account{Name: cfg.Settings.Tenants[i], GuaranteedShare: t.Portion})
 	}
-	return &sites{demandMeter: site.NewDemandMeter(classes, accounts), lossImpactsCheckedAt: now, warnedSites: map[string]bool{}, Monitor: site.New(site.Settings{Names: cfg.Settings.Zones, Probes: m.Probes}, cfg.Seed, now), lastEvaluatedAt: now}
+	return &sites{demandMeter: site.NewDemandMeter(classes, accounts), lossImpactsCheckedAt: now, warnedSites: map[string]bool{}, Monitor: site.New(site.Settings{Names: cfg.Settings.Zones, Probes: moduleSettings.Probes}, cfg.Seed, now), lastEvaluatedAt: now}
 }
 
-// entry is what the modules are told of a backend: one that is withdrawn with its site drains, and one that is let in again
-// counts as just started.
+// adjustEntry adapts a server entry to the state of its site: a withdrawn server is draining, and a
+// server that was admitted again counts as just started.
 func (s *sites) adjustEntry(e policy.ServerEntry) policy.ServerEntry {
-	use, since := s.Admitted(e.ID)
+	admitted, admittedAt := s.Admitted(e.ID)
 	switch {
 	case e.State != policy.Ready:
-	case !use:
+	case !admitted:
 		e.State = policy.Draining
-	case since > e.Start:
-		e.Start = since
+	case admittedAt > e.Start:
+		e.Start = admittedAt
 	}
 	return e
 }
 
-// listSites tells the sites' machine the list, of which these are the entries that are new, or all.
+// updateSiteServers passes a new server list to the site monitor. For ListDelta, entries holds only
+// the changes.
 func (l *loop) updateSiteServers(mode policy.ListMode, entries []policy.ServerEntry) {
 	if l.sites == nil || mode == policy.ListFailed {
 		return
@@ -87,16 +90,16 @@
 	l.sites.SetServers(l.clock.now(), list)
 }
 
-// heardOf tells the sites' machine what became of an attempt.
+// recordSiteOutcome reports the outcome of an attempt to the site monitor and the demand meter.
 func (l *loop) recordSiteOutcome(r *request, ev *policy.Event) {
 	if l.sites == nil {
 		return
 	}
 	now := l.clock.now()
-	var sent time.Duration
+	var sentAt time.Duration
 	for i := range r.sentAttempts {
 		if r.sentAttempts[i].index == ev.Attempt {
-			sent = r.sentAttempts[i].sentAt
+			sentAt = r.sentAttempts[i].sentAt
 			r.sentAttempts = append(r.sentAttempts[:i], r.sentAttempts[i+1:]...)
 			break
 		}
@@ -104,199 +107,203 @@
 	switch ev.Outcome {
 	case policy.OK, policy.Error:
 		if ev.Outcome == policy.OK {
-			l.sites.demandMeter.RecordServed(r.class, now-sent)
+			l.sites.demandMeter.RecordServed(r.class, now-sentAt)
 		}
-		l.sites.ReportOutcome(now, ev.Server, site.Answered, sent)
+		l.sites.ReportOutcome(now, ev.Server, site.Answered, sentAt)
 	case policy.Full:
-		l.sites.ReportOutcome(now, ev.Server, site.Rejected, sent)
+		l.sites.ReportOutcome(now, ev.Server, site.Rejected, sentAt)
 	case policy.Reset, policy.ConnectFailed:
-		l.sites.ReportOutcome(now, ev.Server, site.Failed, sent)
+		l.sites.ReportOutcome(now, ev.Server, site.Failed, sentAt)
 	case policy.Timeout:
 		if now >= l.sites.ignoreSilenceUntil {
-			l.sites.ReportOutcome(now, ev.Server, site.Failed, sent)
+			l.sites.ReportOutcome(now, ev.Server, site.Failed, sentAt)
 		}
 	}
 }
 
-// lookAtSites has the sites' machine decide, and carries out what has changed.
+// evaluateSites evaluates the sites, passes changed entries to the modules and starts the requested
+// probes.
 func (l *loop) evaluateSites() {
 	s, now := l.sites, l.clock.now()
 	if now-s.lastEvaluatedAt > 3*siteInterval {
-		s.ignoreSilenceUntil = now + l.moduleSettings.Classes[0].Aim // danger: answers lie unread that came long ago
+		// The agent was suspended: answers that arrived long ago may still be unread.
+		s.ignoreSilenceUntil = now + l.moduleSettings.Classes[0].Aim
 	}
 	s.lastEvaluatedAt = now
-	var uses []site.Load
-	silent := map[policy.ServerID]bool{}
+	var loads []site.Load
+	overdue := map[policy.ServerID]bool{}
 	if v, ok := l.current.Decider.(viewer); ok {
 		for _, b := range v.View(now) {
-			uses = append(uses, site.Load{ID: b.ID, InFlight: b.Outstanding, Capacity: b.ConcurrencyLimit})
-			silent[b.ID] = b.Overdue > 0
+			loads = append(loads, site.Load{ID: b.ID, InFlight: b.Outstanding, Capacity: b.ConcurrencyLimit})
+			overdue[b.ID] = b.Overdue > 0
 		}
 	}
 	if now >= s.ignoreSilenceUntil {
 		for _, r := range l.requests {
 			for i := range r.sentAttempts {
-				if t := &r.sentAttempts[i]; silent[t.server] && now-t.sentAt >= l.moduleSettings.Classes[r.class].Aim/4 {
+				if t := &r.sentAttempts[i]; overdue[t.server] && now-t.sentAt >= l.moduleSettings.Classes[r.class].Aim/4 {
 					s.ReportOutcome(now, t.server, site.Failed, t.sentAt)
 				}
 			}
 		}
 	}
-	r := s.Evaluate(now, uses)
+	result := s.Evaluate(now, loads)
 	l.warnOfLossImpacts(now)
-	for _, c := range r.Transitions {
-		l.log.Warn("site", "name", c.Site, "from", c.From.String(), "to", c.To.String(), "why", c.Reason)
+	for _, transition := range result.Transitions {
+		l.log.Warn("site", "name", transition.Site, "from", transition.From.String(), "to", transition.To.String(), "why", transition.Reason)
 	}
-	if len(r.Changed) > 0 {
+	if len(result.Changed) > 0 {
 		ev := policy.Event{Kind: policy.EventList, ListMode: policy.ListDelta}
-		for _, id := range r.Changed {
+		for _, id := range result.Changed {
 			if e, listed := l.listedServers[id]; listed {
 				ev.Servers = append(ev.Servers, l.effectiveEntry(e))
 			}
 		}
 		l.handleAll(context.WithoutCancel(l.ctx), ev)
 	}
-	for _, id := range r.Probes {
+	for _, id := range result.Probes {
 		l.startProbe(l.ctx, l.current, id)
 	}
 }
 
-// warnEvery is how often plans are looked at for sites whose loss could not be carried.
+// lossImpactInterval is how often the impact of losing each site is checked.
 const lossImpactInterval = 10 * time.Second
 
-// warn says of each site once that the others could not carry its load any more, and once that they can again.
+// warnOfLossImpacts warns once when the other sites could no longer carry the load of a site, and
+// logs once when they can again.
 func (l *loop) warnOfLossImpacts(now time.Duration) {
 	s := l.sites
 	if now-s.lossImpactsCheckedAt < lossImpactInterval {
 		return
 	}
 	s.lossImpactsCheckedAt = now
-	for _, p := range s.LossImpacts(now, s.demandMeter.Demand()) {
-		switch over := p.Utilization > site.MaxUtilization && p.LoadShare > 0; {
-		case over && !s.warnedSites[p.Site]:
-			s.warnedSites[p.Site] = true
-			l.log.Warn("the loss of a site could not be carried", "name", p.Site, "carries", round(p.LoadShare), "refused", round(p.ShedShare))
-		case s.warnedSites[p.Site] && p.Utilization < site.MaxUtilization-0.1:
-			delete(s.warnedSites, p.Site)
-			l.log.Info("the loss of a site could be carried again", "name", p.Site)
+	for _, impact := range s.LossImpacts(now, s.demandMeter.Demand()) {
+		switch overloaded := impact.Utilization > site.MaxUtilization && impact.LoadShare > 0; {
+		case overloaded && !s.warnedSites[impact.Site]:
+			s.warnedSites[impact.Site] = true
+			l.log.Warn("the other sites could not carry the load of a site if it were lost", "name", impact.Site, "carries", round(impact.LoadShare), "refused", round(impact.ShedShare))
+		case s.warnedSites[impact.Site] && impact.Utilization < site.MaxUtilization-0.1:
+			delete(s.warnedSites, impact.Site)
+			l.log.Info("the other sites could carry the load of a site again if it were lost", "name", impact.Site)
 		}
 	}
 }
 
-// Sites returns the sites; nil where they are not watched.
+// Sites returns the state of the sites, or nil if they are not monitored.
 func (a *Agent) Sites(ctx context.Context) (*control.Sites, error) {
-	var v *control.Sites
+	var status *control.Sites
 	err := a.loop.do(ctx, func() {
 		if a.loop.sites != nil {
-			v = a.loop.siteStatus()
+			status = a.loop.siteStatus()
 		}
 	})
-	return v, err
+	return status, err
 }
 
-// TakeOut has a site taken out by hand for so long, or let in again if that is 0. It returns nil where sites are not watched.
-func (a *Agent) TakeOut(ctx context.Context, name string, d time.Duration, force bool, why string) (v *control.Sites, err error) {
+// TakeOut evacuates a site for the given duration, or ends its evacuation if the duration is 0. It
+// returns nil if sites are not monitored.
+func (a *Agent) TakeOut(ctx context.Context, name string, duration time.Duration, force bool, reason string) (status *control.Sites, err error) {
 	l := a.loop
-	var wrong error
+	var siteErr error
 	err = l.do(ctx, func() {
 		if l.sites == nil {
 			return
 		}
 		now := l.clock.now()
-		if d == 0 {
-			wrong = l.sites.EndEvacuation(now, name)
+		if duration == 0 {
+			siteErr = l.sites.EndEvacuation(now, name)
 		} else {
-			wrong = l.sites.Evacuate(now, name, d, force, why)
+			siteErr = l.sites.Evacuate(now, name, duration, force, reason)
 		}
-		if wrong == nil {
-			l.log.Info("operators", "site", name, "out_for", d, "why", why)
+		if siteErr == nil {
+			l.log.Info("operators", "site", name, "out_for", duration, "why", reason)
 			l.evaluateSites()
-			v = l.siteStatus()
+			status = l.siteStatus()
 		}
 	})
-	return v, errors.Join(err, wrong)
+	return status, errors.Join(err, siteErr)
 }
 
-// applySites has the sites taken out that a document names, and those let in again that the one before named. What it can't do
-// whole it does not do.
-func (a *Agent) applySites(ctx context.Context, out map[string]document.Site) (err error) {
+// applySites evacuates the sites that an operators' document names, and ends the evacuations that
+// only the previous document named. If one evacuation fails, it undoes the others.
+func (a *Agent) applySites(ctx context.Context, evacuations map[string]document.Site) (err error) {
 	l := a.loop
-	wrong := l.do(ctx, func() {
+	loopErr := l.do(ctx, func() {
 		s := l.sites
 		if s == nil {
-			if len(out) > 0 {
+			if len(evacuations) > 0 {
 				err = errors.New("sites are not watched")
 			}
 			return
 		}
-		now, wanted := l.clock.now(), map[string]bool{}
-		for _, name := range slices.Sorted(maps.Keys(out)) {
-			d := time.Until(out[name].Until)
-			if d <= 0 {
+		now, requested := l.clock.now(), map[string]bool{}
+		for _, name := range slices.Sorted(maps.Keys(evacuations)) {
+			duration := time.Until(evacuations[name].Until)
+			if duration <= 0 {
 				continue
 			}
-			if err = s.Evacuate(now, name, d, out[name].Force, out[name].Why); err != nil {
+			if err = s.Evacuate(now, name, duration, evacuations[name].Force, evacuations[name].Why); err != nil {
 				break
 			}
-			wanted[name] = true
+			requested[name] = true
 		}
-		back, not := s.documentEvacuations, wanted
+		toEnd, toKeep := s.documentEvacuations, requested
 		if err != nil {
-			back, not = wanted, s.documentEvacuations
+			toEnd, toKeep = requested, s.documentEvacuations
 		} else {
-			s.documentEvacuations = wanted
+			s.documentEvacuations = requested
 		}
-		for _, name := range slices.Sorted(maps.Keys(back)) {
-			if !not[name] {
+		for _, name := range slices.Sorted(maps.Keys(toEnd)) {
+			if !toKeep[name] {
 				err = errors.Join(err, s.EndEvacuation(now, name))
 			}
 		}
 		l.evaluateSites()
 	})
-	return errors.Join(wrong, err)
+	return errors.Join(loopErr, err)
 }
 
-// shownSites are the sites for people to read.
+// siteStatus returns the state of the sites for the control interface.
 func (l *loop) siteStatus() *control.Sites {
 	now := l.clock.now()
-	views, history := l.sites.Snapshot()
-	s := &control.Sites{Sites: []control.Site{}, Plans: []control.SitePlan{}, History: []control.SiteChange{}}
-	for _, v := range views {
-		c := control.Site{
-			Name: v.Name, State: v.State.String(), For: round((now - v.Since).Seconds()), Servers: v.Servers, Used: v.Admitted, Times: v.RecentLosses,
-			Load: round(v.InFlight), Room: round(v.Capacity),
+	statuses, history := l.sites.Snapshot()
+	shown := &control.Sites{Sites: []control.Site{}, Plans: []control.SitePlan{}, History: []control.SiteChange{}}
+	for _, status := range statuses {
+		shownSite := control.Site{
+			Name: status.Name, State: status.State.String(), For: round((now - status.Since).Seconds()), Servers: status.Servers, Used: status.Admitted, Times: status.RecentLosses,
+			Load: round(status.InFlight), Room: round(status.Capacity),
 		}
-		if v.RetryAt > 0 {
-			c.Retry = round(max(0, v.RetryAt-now).Seconds())
+		if status.RetryAt > 0 {
+			shownSite.Retry = round(max(0, status.RetryAt-now).Seconds())
 		}
-		if v.EvacuatedUntil > 0 {
-			c.Out = round(max(0, v.EvacuatedUntil-now).Seconds())
+		if status.EvacuatedUntil > 0 {
+			shownSite.Out = round(max(0, status.EvacuatedUntil-now).Seconds())
 		}
-		if w := v.Pacer; w != nil {
-			c.Pacer = w.State.String()
-			if w.State == site.Recovering {
-				c.Pacer = fmt.Sprintf("%s, %.0f%% let in", w.State, 100*w.Part)
+		if pacer := status.Pacer; pacer != nil {
+			shownSite.Pacer = pacer.State.String()
+			if pacer.State == site.Recovering {
+				shownSite.Pacer = fmt.Sprintf("%s, %.0f%% let in", pacer.State, 100*pacer.Part)
 			}
 		}
-		s.Sites = append(s.Sites, c)
+		shown.Sites = append(shown.Sites, shownSite)
 	}
-	for _, p := range l.sites.LossImpacts(now, l.sites.demandMeter.Demand()) {
-		c := control.SitePlan{Lose: p.Site, Share: round(p.LoadShare), Refused: round(p.ShedShare), Moves: []control.SiteMove{}, First: []control.SiteRefusal{}}
-		if !math.IsInf(p.Utilization, 0) {
-			after := round(p.Utilization)
-			c.After = &after
+	for _, impact := range l.sites.LossImpacts(now, l.sites.demandMeter.Demand()) {
+		plan := control.SitePlan{Lose: impact.Site, Share: round(impact.LoadShare), Refused: round(impact.ShedShare), Moves: []control.SiteMove{}, First: []control.SiteRefusal{}}
+		if !math.IsInf(impact.Utilization, 0) {
+			utilization := round(impact.Utilization)
+			plan.After = &utilization
 		}
-		for _, m := range p.Shifts {
-			c.Moves = append(c.Moves, control.SiteMove{To: m.Site, Share: round(m.Share), After: round(m.Utilization)})
+		for _, shift := range impact.Shifts {
+			plan.Moves = append(plan.Moves, control.SiteMove{To: shift.Site, Share: round(shift.Share), After: round(shift.Utilization)})
 		}
-		for _, r := range p.Shed {
-			c.First = append(c.First, control.SiteRefusal{What: r.Name, Share: round(r.Share), Part: round(r.ShedFraction)})
+		for _, shed := range impact.Shed {
+			plan.First = append(plan.First, control.SiteRefusal{What: shed.Name, Share: round(shed.Share), Part: round(shed.ShedFraction)})
 		}
-		s.Plans = append(s.Plans, c)
+		shown.Plans = append(shown.Plans, plan)
 	}
-	for i := len(history) - 1; i >= 0; i-- { // the newest first
-		c := &history[i]
-		s.History = append(s.History, control.SiteChange{At: time.Unix(0, int64(c.At)).UTC(), Site: c.Site, From: c.From.String(), To: c.To.String(), Why: c.Reason})
+	for i := len(history) - 1; i >= 0; i-- { // newest first
+		transition := &history[i]
+		shown.History = append(shown.History, control.SiteChange{At: time.Unix(0, int64(transition.At)).UTC(), Site: transition.Site, From: transition.From.String(), To: transition.To.String(), Why: transition.Reason})
 	}
-	return s
+	return shown
 }
--- a/internal/agent/timers.go
+++ b/internal/agent/timers.go
@@ -4,14 +4,14 @@
 	"time"
 )
 
-// timer is an ActTimer that is to fall due.
+// timer is a timer that a module requested with ActTimer.
 type timer struct {
 	due    time.Duration
 	token  uint64
 	module *module
 }
 
-// timers is a heap, the next one first.
+// timerHeap is a heap.Interface of timers; the earliest is first.
 type timerHeap []timer
 
 func (t timerHeap) Len() int           { return len(t) }
