--- a/internal/agent/admission_test.go
+++ b/internal/agent/admission_test.go
@@ -42,11 +42,11 @@
 func TestSilentClientsMakeRoom(t *testing.T) {
 	a, b, finishFirst, first := sendHeldRequest(t)
 	receive(t, "request", b.Got)
-	silent := make([]net.Conn, 1024)
-	for i := range silent {
-		silent[i] = a.dial(t)
+	idleClientConns := make([]net.Conn, 1024)
+	for i := range idleClientConns {
+		idleClientConns[i] = a.dial(t)
 	}
-	silent[0].Read(make([]byte, 1)) // returns when the connection has been evicted
+	idleClientConns[0].Read(make([]byte, 1)) // returns when the connection has been evicted
 	second := make(chan int, 1)
 	go func() {
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(a.request("unsafe", "15000m"))
@@ -60,8 +60,8 @@
 	}()
 	receive(t, "request of a new client", b.Got)
 	close(finishFirst)
-	for _, answered := range []chan int{first, second} {
-		if status := receive(t, "answer", answered); status != 200 {
+	for _, answers := range []chan int{first, second} {
+		if status := receive(t, "answer", answers); status != 200 {
 			t.Errorf("answered %d", status)
 		}
 	}
@@ -294,7 +294,7 @@
 	const sent = "GET /up HTTP/1.1\r\n"
 	io.WriteString(client, sent)
 	var got []byte
-	for begun := time.Now(); len(got) < len(sent) && time.Since(begun) < wait; {
+	for started := time.Now(); len(got) < len(sent) && time.Since(started) < wait; {
 		n, err := c.Read(b)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal(err)
--- a/internal/agent/level_test.go
+++ b/internal/agent/level_test.go
@@ -11,9 +11,8 @@
 	"example.org/micaline/internal/level"
 )
 
-// testLevels returns two levels: "lean" without retries, and "essential", which refuses most
-// classes.
-
+// testLevels returns two levels without retries: "lean" refuses the class safe, and "essential"
+// refuses all classes but unsafe, and large bodies.
 func testLevels(t *testing.T) level.Config {
 	t.Helper()
 	enterBelow := 0.5
@@ -41,7 +40,7 @@
 	if status, err := a.agent.HoldLevel(ctx, "essential", time.Minute, "a test"); err != nil || status.Level != "essential" || status.Held <= 0 {
 		t.Fatalf("after HoldLevel: %+v, error %v", status, err)
 	}
-	sent := len(x.Got)
+	sentBefore := len(x.Got)
 	for _, class := range []string{"safe", "keyed", "celled"} {
 		req := a.request(class, "15000m")
 		resp, err := a.client.Do(req)
@@ -60,7 +59,7 @@
 			t.Errorf("%s: the same id again: answered %d", class, status)
 		}
 	}
-	if n := len(x.Got) - sent; n > 0 {
+	if n := len(x.Got) - sentBefore; n > 0 {
 		t.Errorf("%d refused requests were sent to the backend", n)
 	}
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != http.StatusOK {
