--- a/internal/agent/counts.go
+++ b/internal/agent/counts.go
@@ -5,59 +5,61 @@
 	"time"
 )
 
-// counts are the requests since the start, by how they ended.
+// counts holds the number of requests since the start, by how they ended.
 type counts struct {
-	requests, inAim, served, refused, failed, left int64
-	byLevel                                        int64 // of the refused, those that came to no module
+	// inAim is the part of served that was in time for its target latency.
+	requests, inAim, served, refused, failed, clientGone int64
+	refusedByLevel                                       int64 // refused before a module saw them
 
 	classes []classCounts
-	causes  map[cause]int64 // of refusals and failures: as many as there are classes and outcomes
+	causes  map[cause]int64 // of refusals and failures; bounded by classes and outcomes
 }
 
-// classCounts are the requests of a class by what their clients got.
+// classCounts holds the number of requests of one class by their answer.
 type classCounts struct{ served, refused, failed int64 }
 
 func newCounts(classes int) counts {
 	return counts{classes: make([]classCounts, classes), causes: map[cause]int64{}}
 }
 
-// cause is why a request was refused or failed.
+// cause is the reason why a request was refused or failed.
 type cause struct {
 	refused bool
 	class   int
-	why     string
+	reason  string
 }
 
-// end counts the end of a request.
-func (c *counts) end(r *request, status int, now, aim time.Duration) {
-	of := &c.classes[r.class]
+// recordEnd counts an answered request.
+func (c *counts) recordEnd(r *request, status int, now, aim time.Duration) {
+	classTotals := &c.classes[r.class]
 	switch status {
 	case http.StatusOK:
 		c.served++
-		of.served++
-		if now-r.begun <= aim {
+		classTotals.served++
+		if now-r.startedAt <= aim {
 			c.inAim++
 		}
 		return
 	case statusRefused:
 		c.refused++
-		of.refused++
+		classTotals.refused++
 	default:
 		c.failed++
-		of.failed++
+		classTotals.failed++
 	}
-	why := "no room" // nothing was sent for it
+	reason := "no room" // default: no attempt was made
 	switch {
-	case r.refusedBy != "":
-		why = r.refusedBy
-	case len(r.attempts) > 0:
-		why = r.last.String()
+	case r.refusalReason != "":
+		reason = r.refusalReason
+	case len(r.attemptCancels) > 0:
+		reason = r.lastOutcome.String()
 	}
-	c.causes[cause{status == statusRefused, r.class, why}]++
+	c.causes[cause{status == statusRefused, r.class, reason}]++
 }
 
-// broke counts a request as failed that was counted as served when its answer began.
-func (c *counts) broke(class int) {
+// recordBrokenAnswer counts a request as failed that was counted as served when its streamed answer
+// began.
+func (c *counts) recordBrokenAnswer(class int) {
 	c.served--
 	c.classes[class].served--
 	c.failed++
@@ -65,8 +67,8 @@
 	c.causes[cause{false, class, "answer broken"}]++
 }
 
-// turnAway counts a request that was refused before the loop saw it.
-func (c *counts) turnAway(class int) {
+// recordOverloadRefusal counts a request that was refused before it reached the loop.
+func (c *counts) recordOverloadRefusal(class int) {
 	c.requests++
 	c.refused++
 	c.classes[class].refused++
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -23,126 +23,133 @@
 )
 
 const (
-	sweepEvery = time.Second
-	lateEvery  = 10 * time.Second // between lines of the agent's own lateness
-	mostRecent = 4096             // ids of ended requests that are known, twice
+	sweepInterval       = time.Second
+	lateWarningInterval = 10 * time.Second // between warnings that the agent itself is delayed
+	maxRecentCallIDs    = 4096             // ids of ended requests kept in each of two generations
 )
 
-// clock tells the time since 1970 and never runs backwards: the wall's time at the start, and what has passed.
+// clock returns the Unix time but never goes back: it adds the elapsed monotonic time to the wall
+// clock time of its start.
 type clock struct{ start time.Time }
 
 func (c clock) now() time.Duration {
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// input is what has happened, on its way to the loop: an event for the module and what it has no use for.
+// input is an occurrence passed to the loop: an event for the decision module and the data that the
+// module does not need.
 type input struct {
-	event   policy.Event
-	call    *call    // of EventRequest and EventHangup
-	answer  answer   // of EventOutcome, if it is OK
-	members []member // of EventList
-	by      *call    // whose handler brings it, and carries out one attempt for it
-
-	sent, took time.Duration // of EventOutcome: when it was decided, and how long it was at the backend, at least
-	seen       time.Duration // of EventProbed: when the answer was, less what may be the agent's own lateness
+	event          policy.Event
+	call           *call    // EventRequest, EventBodyReceived and EventClientGone
+	answer         answer   // EventOutcome with the outcome OK
+	members        []member // EventList
+	deliveringCall *call    // the call whose handler delivers the input; nil: none
+
+	sentAt, backendTime time.Duration // EventOutcome: start and least time at the backend
+	answeredAt          time.Duration // EventProbeResult: earliest possible arrival time
 }
 
-// call is a client's request, which the client's handler shares with the loop.
+// call is a request of a client. Its handler and the loop share it.
 type call struct {
-	callID        string // the client's
-	class, tenant int
-	retry         bool
-	deadline      time.Duration // of the clock
+	callID        string        // chosen by the client
+	class, tenant int           // indexes in the settings
+	retry         bool          // the client marks the request as a retry
+	deadline      time.Duration // on the loop's clock
 	message       message
-	answered      chan answer // holds one, so that the loop never waits for a handler
-	attempt       func()      // for the handler to carry out, if set
-	client        *hangup.Watcher
+	answers       chan answer // has room for the one answer, so that the loop never blocks on a handler
+	inlineAttempt func()      // attempt that the handler is to run itself; nil: none
+	hangupWatcher *hangup.Watcher
 
-	id policy.RequestID // the loop's
+	id policy.RequestID // assigned by the loop
 }
 
-// answer is what a client gets.
+// answer is the response to a client.
 type answer struct {
 	status      int
-	retryAfter  time.Duration // 0: no advice
+	retryAfter  time.Duration // value of the Retry-After header; 0: no header
 	contentType string
 	body        []byte
-	rest        *download // behind the body; nil: nothing
+	bodyStream  *download // remaining body after the given part; nil: the body is complete
 }
 
-// request is what the loop knows of a call until it is answered and its attempts are back.
+// request is the loop's state of a call. It is kept until the call is answered and no attempt is in
+// flight.
 type request struct {
 	*call
-	module   *module
-	begun    time.Duration        // of the clock
-	attempts []context.CancelFunc // to give each up
-	tries    []try                // where they went; nothing where no sites are watched
-	out      int                  // attempts out
-	last     policy.Outcome       // of the attempts that are back
-	ended    bool                 // answered, or its client is gone
-
-	refusedBy string // what refused it before a module saw it
+	module         *module
+	startedAt      time.Duration        // when the request or, if it is streamed, its last byte arrived
+	attemptCancels []context.CancelFunc // cancel functions of all attempts so far
+	sentAttempts   []sentAttempt        // attempts in flight; empty if sites are not monitored
+	inFlight       int                  // number of attempts in flight
+	lastOutcome    policy.Outcome       // of the attempt that ended last
+	ended          bool                 // answered, or the client is gone
+
+	refusalReason string // why the request was refused before it reached a module; empty: it was not
 }
 
-// module is a decision module. There is one, but for the time after a change of what is decided by: then the one before
-// finishes the requests that it has.
+// module is a decision module. There is only one, except after new decision settings: then the
+// previous module finishes its open requests.
 type module struct {
 	Decider
-	open    int  // requests that it decides for
-	retired bool // it gets no new ones
+	openRequests int  // open requests that it decides about
+	retired      bool // it gets no new requests
 }
 
-// decision is an event on its way to a module.
-type decision struct {
-	to    *module
-	event policy.Event
+// queuedEvent is an event to be handled by a module.
+type queuedEvent struct {
+	module *module
+	event  policy.Event
 }
 
-// loop owns the module and the state of all requests. It alone decides how a request ends: handlers, attempts
-// and discovery send it inputs and share nothing else with it. One input is taken in at a time, by whoever brings it:
-// handing it to another goroutine costs a wake-up of a thread where processors idle, and a turn in their queue where not.
+// loop owns the decision modules and the state of all requests. It alone decides how a request
+// ends: handlers, attempts and discovery send it inputs and share nothing else with it. Inputs are
+// processed one at a time in the goroutine that delivers them. Passing them to a goroutine of the
+// loop would cost a thread wake-up when processors are idle, and a wait in the run queue when they
+// are not.
 type loop struct {
-	send func(input) // takes an input in, unless the loop has ended
-
-	mu    sync.Mutex // guards what follows
-	ctx   context.Context
-	ended bool
-	by    *call // whose handler brings the present input
-	wake  *time.Timer
-	armed time.Duration // of the clock, when wake is due; 0: it is not
-
-	set       *settings.Settings
-	clock     clock
-	current   *module         // gets new requests
-	modules   []*module       // it, and those before it that are not done
-	decisions policy.Settings // of the current one
-	backends  *backends
-	late      *lateness
-	follow    func()       // asks discovery for the list
-	tell      func([]byte) // tells all other agents
-	log       *slog.Logger
-	done      chan struct{} // closed when run returns
-	ready     atomic.Bool   // a list has come
-
-	servers  serverIDs
-	targets  map[policy.ServerID]*connpool.Target
-	requests map[policy.RequestID]*request
-	callIDs  callIDs
-	lastID   policy.RequestID
-	listed   map[policy.ServerID]policy.ServerEntry // as discovery tells
-	holds    handover.Register                      // what operators have said of backends
-	said     func()                                 // operators have said something
-	counts   counts
-	levels   *level.Controller // nil: there are none
-	every    time.Duration     // between looks at their figures
-	heard    time.Duration     // of the clock, when discovery last told anything
-	looked   counts            // as the levels last saw them
-	sites    *sites            // nil: they are not watched
-	timers   timers
-	events   []decision // to be handed over
-	actions  []policy.Action
+	send func(input) // processes an input; does nothing once the loop has ended
+
+	mu             sync.Mutex // guards the fields below
+	ctx            context.Context
+	ended          bool
+	deliveringCall *call // call whose handler delivers the current input; nil: none
+	wakeTimer      *time.Timer
+	wakeAt         time.Duration // when wakeTimer is due, on the loop's clock; 0: it is not set
+
+	settings       *settings.Settings
+	clock          clock
+	current        *module         // gets the new requests
+	modules        []*module       // current, and its predecessors that still have open requests
+	moduleSettings policy.Settings // settings of the current module
+	backends       *backends
+	lagMonitor     *lagMonitor
+	subscribe      func()       // asks discovery for the server list and its changes
+	broadcast      func([]byte) // sends a message to all other agents
+	log            *slog.Logger
+	done           chan struct{} // closed when run returns
+	ready          atomic.Bool   // a server list has arrived
+
+	servers         serverIDs
+	targets         map[policy.ServerID]*connpool.Target
+	requests        map[policy.RequestID]*request
+	callIDs         callIDs
+	lastID          policy.RequestID
+	listedServers   map[policy.ServerID]policy.ServerEntry // last entries received from discovery
+	holds           handover.Register                      // held out by operators, or recently back
+	onHoldChange    func()                                 // called when an operator has changed a hold
+	counts          counts
+	levelController *level.Controller // nil: no reduced service levels are configured
+	levelInterval   time.Duration     // between updates of the service level
+	listReceivedAt  time.Duration     // when discovery last sent a list, on the loop's clock
+	lastLevelCounts counts            // counts at the last update of the service level
+	sites           *sites            // nil: sites are not monitored
+	timers          timerHeap
+	eventQueue      []queuedEvent   // events that modules are still to handle
+	actionBuffer    []policy.Action // reused by each call of handle
 }
 
+// newLoop returns a loop that does not run yet. It fails if the decision module rejects its
+// settings or the service levels do not fit the classes.
 func newLoop(cfg *Config, backends *backends, log *slog.Logger) (*loop, error) {
 	decider, err := cfg.decider()
 	if err != nil {
@@ -150,11 +157,11 @@
 	}
 	first := &module{Decider: decider}
 	l := &loop{
-		set: &cfg.Settings, clock: backends.late.time, late: backends.late, current: first, modules: []*module{first}, decisions: cfg.Settings.Module, backends: backends, log: log,
-		listed: map[policy.ServerID]policy.ServerEntry{}, holds: handover.Register{}, said: func() {},
-		counts: newCounts(len(cfg.Settings.Classes)),
-		tell:   func([]byte) {},
-		ctx:    context.Background(), wake: time.NewTimer(time.Hour),
+		settings: &cfg.Settings, clock: backends.late.timeSource, lagMonitor: backends.late, current: first, modules: []*module{first}, moduleSettings: cfg.Settings.Module, backends: backends, log: log,
+		listedServers: map[policy.ServerID]policy.ServerEntry{}, holds: handover.Register{}, onHoldChange: func() {},
+		counts:    newCounts(len(cfg.Settings.Classes)),
+		broadcast: func([]byte) {},
+		ctx:       context.Background(), wakeTimer: time.NewTimer(time.Hour),
 		done:     make(chan struct{}),
 		servers:  serverIDs{ids: map[string]policy.ServerID{}, names: map[policy.ServerID]string{}},
 		targets:  map[policy.ServerID]*connpool.Target{},
@@ -162,49 +169,51 @@
 		callIDs:  callIDs{open: map[string]struct{}{}, recent: map[string]struct{}{}},
 	}
 	l.send = l.receive
-	var told atomic.Int64 // Unix nanoseconds
-	l.late.tell = func(by time.Duration) {
-		// Danger: the next beat may come while this one still waits for a processor.
-		last, now := told.Load(), time.Now().UnixNano()
-		if now-last >= int64(lateEvery) && told.CompareAndSwap(last, now) {
-			l.log.Warn("the agent itself was late", "by", by.Round(time.Millisecond))
+	var lastWarnedAt atomic.Int64 // Unix nanoseconds
+	l.lagMonitor.onLateTick = func(delay time.Duration) {
+		// The next tick may run while this one still waits for a processor.
+		last, now := lastWarnedAt.Load(), time.Now().UnixNano()
+		if now-last >= int64(lateWarningInterval) && lastWarnedAt.CompareAndSwap(last, now) {
+			l.log.Warn("the agent itself was late", "by", delay.Round(time.Millisecond))
 		}
 	}
-	l.wake.Stop()
+	l.wakeTimer.Stop()
 	if c := &cfg.Levels; c.Enabled() {
-		over := level.Service{}
+		service := level.Service{}
 		for i, name := range cfg.Settings.Classes {
-			over.Classes = append(over.Classes, level.Class{Name: name, Effect: cfg.Settings.Module.Classes[i].Effect})
+			service.Classes = append(service.Classes, level.Class{Name: name, Effect: cfg.Settings.Module.Classes[i].Effect})
 		}
 		for _, t := range cfg.Settings.Module.Tenants {
-			over.Portions = append(over.Portions, t.Portion)
+			service.Portions = append(service.Portions, t.Portion)
 		}
-		if err := c.ValidateFor(&over); err != nil {
+		if err := c.ValidateFor(&service); err != nil {
 			return nil, fmt.Errorf("levels.%w", err)
 		}
-		l.heard, l.every = l.clock.now(), c.Every.D()
-		l.levels = level.New(c, &over, cfg.Seed, l.heard)
+		l.listReceivedAt, l.levelInterval = l.clock.now(), c.Every.D()
+		l.levelController = level.New(c, &service, cfg.Seed, l.listReceivedAt)
 	}
 	l.sites = newSites(cfg, l.clock.now())
 	return l, nil
 }
 
-// receive takes an input in.
+// receive processes an input.
 func (l *loop) receive(in input) {
-	l.late.wait()
-	l.locked(func() {
-		l.by = in.by
-		l.take(l.ctx, in)
-		l.by = nil
+	l.lagMonitor.waitForProcessor()
+	l.withLock(func() {
+		l.deliveringCall = in.deliveringCall
+		l.processInput(l.ctx, in)
+		l.deliveringCall = nil
 	})
 }
 
-// locked calls a function between two inputs, and says whether it has: not once the loop has ended.
-func (l *loop) locked(f func()) bool {
+// withLock calls f between two inputs, and reports whether it did. It does not once the loop has
+// ended.
+func (l *loop) withLock(f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer func() {
-		// Danger: the goroutine may be one whose panics net/http survives, and half a decision must not be lived with.
+		// End the process with a panic in a new goroutine. net/http recovers a panic of a handler's
+		// goroutine, and the process must not go on with a half-processed input.
 		if p := recover(); p != nil {
 			go panic(fmt.Sprintf("%v\n%s", p, debug.Stack()))
 			select {}
@@ -214,101 +223,101 @@
 		return false
 	}
 	f()
-	if len(l.timers) > 0 && (l.armed == 0 || l.timers[0].due < l.armed) {
-		l.armed = l.timers[0].due
-		l.wake.Reset(l.armed - l.clock.now())
+	if len(l.timers) > 0 && (l.wakeAt == 0 || l.timers[0].due < l.wakeAt) {
+		l.wakeAt = l.timers[0].due
+		l.wakeTimer.Reset(l.wakeAt - l.clock.now())
 	}
 	return true
 }
 
-// run handles timers until the context ends, and then the loop has ended.
+// run fires timers and does the periodic work until the context ends, which also ends the loop.
 func (l *loop) run(ctx context.Context) {
 	defer close(l.done)
-	defer l.wake.Stop()
-	sweep := time.NewTicker(sweepEvery)
+	defer l.wakeTimer.Stop()
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
-	var siteLooks <-chan time.Time
+	var siteTicks <-chan time.Time
 	if l.sites != nil {
-		t := time.NewTicker(siteEvery)
+		t := time.NewTicker(siteInterval)
 		defer t.Stop()
-		siteLooks = t.C
+		siteTicks = t.C
 	}
-	var looks <-chan time.Time // at the figures of the level; never where there are none
-	if l.levels != nil {
-		t := time.NewTicker(l.every)
+	var levelTicks <-chan time.Time // nil, and never ready, if there are no service levels
+	if l.levelController != nil {
+		t := time.NewTicker(l.levelInterval)
 		defer t.Stop()
-		looks = t.C
+		levelTicks = t.C
 	}
 	for {
-		due := l.fireTimers
+		task := l.fireTimers
 		select {
-		case <-l.wake.C:
+		case <-l.wakeTimer.C:
 		case <-sweep.C:
-			due = func() {
+			task = func() {
 				l.backends.CloseExpired()
-				l.callIDs.age()
-				l.endHolds(ctx)
+				l.callIDs.rotate()
+				l.expireHolds(ctx)
 			}
-		case <-looks:
-			due = l.lookAtLevel
-		case <-siteLooks:
-			due = l.lookAtSites
+		case <-levelTicks:
+			task = l.updateLevel
+		case <-siteTicks:
+			task = l.evaluateSites
 		case <-ctx.Done():
-			l.locked(func() { l.ended = true })
+			l.withLock(func() { l.ended = true })
 			return
 		}
-		l.late.wait()
-		l.locked(due)
+		l.lagMonitor.waitForProcessor()
+		l.withLock(task)
 	}
 }
 
-// fireTimers hands over the timers that are due.
+// fireTimers handles the timers that are due.
 func (l *loop) fireTimers() {
-	l.armed = 0
+	l.wakeAt = 0
 	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].due <= now; {
 		t := heap.Pop(&l.timers).(timer)
 		if slices.Contains(l.modules, t.module) {
-			l.handle(l.ctx, t.module, policy.Event{Kind: policy.EventTimer, Token: t.token, AgentDelay: l.late.own()})
+			l.handle(l.ctx, t.module, policy.Event{Kind: policy.EventTimer, Token: t.token, AgentDelay: l.lagMonitor.ownDelay()})
 		}
 	}
 }
 
-// take brings an input's facts up to date and hands its event to the module.
-func (l *loop) take(ctx context.Context, in input) {
+// processInput updates the loop's state from an input and lets the module handle its event.
+func (l *loop) processInput(ctx context.Context, in input) {
 	ev := in.event
 	switch ev.Kind {
 	case policy.EventList:
-		ev.Servers = l.entries(in.members)
-		l.listSites(ev.ListMode, ev.Servers)
+		ev.Servers = l.updateServers(in.members)
+		l.updateSiteServers(ev.ListMode, ev.Servers)
 		for i := range ev.Servers {
-			ev.Servers[i] = l.held(ev.Servers[i])
+			ev.Servers[i] = l.effectiveEntry(ev.Servers[i])
 		}
 		l.handleAll(ctx, ev)
 		if ev.ListMode != policy.ListFailed {
-			l.heard = l.clock.now()
-			l.forgetGone(ev.ListMode, ev.Servers)
+			l.listReceivedAt = l.clock.now()
+			l.removeGone(ev.ListMode, ev.Servers)
 			l.ready.Store(len(l.targets) > 0 || l.ready.Load())
 		}
 	case policy.EventRequest:
-		if !l.callIDs.take(in.call.callID) {
+		if !l.callIDs.reserve(in.call.callID) {
 			l.counts.classes[in.call.class].failed++
-			in.call.answered <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(callIDHeader + " is in use\n")}
+			in.call.answers <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(callIDHeader + " is in use\n")}
 			return
 		}
-		in.call.id = l.newID()
-		r := &request{call: in.call, module: l.current, begun: l.clock.now()}
+		in.call.id = l.newRequestID()
+		r := &request{call: in.call, module: l.current, startedAt: l.clock.now()}
 		l.requests[in.call.id] = r
-		l.late.begin()
-		r.module.open++
+		l.lagMonitor.requestStarted()
+		r.module.openRequests++
 		l.counts.requests++
 		ev.Request, ev.Class, ev.Tenant, ev.Retry = in.call.id, in.call.class, in.call.tenant, in.call.retry
 		ev.TimeLeft, ev.BodyPending = in.call.deadline-l.clock.now(), in.call.message.rest != nil
 		if l.sites != nil {
-			l.sites.meter.RecordRequest(r.class, r.tenant, r.retry)
+			l.sites.demandMeter.RecordRequest(r.class, r.tenant, r.retry)
 		}
-		if a, refused := l.judge(r); refused {
-			l.end(r, a)
-			l.forget(r)
+		if a, refused := l.checkLevel(r); refused {
+			l.answerClient(r, a)
+			l.forgetIfDone(r)
 			return
 		}
 		l.handle(ctx, r.module, ev)
@@ -317,40 +326,40 @@
 		if r == nil || r.ended {
 			return
 		}
-		r.begun = l.clock.now()
-		r.deadline = r.begun + r.message.rest.budget
+		r.startedAt = l.clock.now()
+		r.deadline = r.startedAt + r.message.rest.budget
 		ev.Request, ev.TimeLeft = r.id, r.message.rest.budget
 		l.handle(ctx, r.module, ev)
 	case policy.EventClientGone:
 		r := l.requests[in.call.id]
-		if r == nil || r.ended { // it crossed the answer, if there was one
+		if r == nil || r.ended { // already answered: the answer and the client's close crossed
 			select {
-			case a := <-in.call.answered:
+			case a := <-in.call.answers:
 				a.drop()
 			default:
 			}
 			return
 		}
 		r.ended = true
-		l.counts.left++
+		l.counts.clientGone++
 		ev.Request = r.id
 		l.handle(ctx, r.module, ev)
-		l.forget(r)
+		l.forgetIfDone(r)
 	case policy.EventOutcome:
 		r := l.requests[ev.Request]
-		ev.AgentDelay = max(0, l.clock.now()-in.sent-in.took)
-		r.attempts[ev.Attempt]()
-		r.out--
-		r.last = ev.Outcome
-		l.heardOf(r, &ev)
-		if ev.Outcome == policy.OK && !l.end(r, in.answer) {
+		ev.AgentDelay = max(0, l.clock.now()-in.sentAt-in.backendTime)
+		r.attemptCancels[ev.Attempt]()
+		r.inFlight--
+		r.lastOutcome = ev.Outcome
+		l.recordSiteOutcome(r, &ev)
+		if ev.Outcome == policy.OK && !l.answerClient(r, in.answer) {
 			in.answer.drop()
 		}
 		ev.Final = r.ended
 		l.handle(ctx, r.module, ev)
-		l.forget(r)
+		l.forgetIfDone(r)
 	case policy.EventProbeResult:
-		ev.AgentDelay = max(0, l.clock.now()-in.seen)
+		ev.AgentDelay = max(0, l.clock.now()-in.answeredAt)
 		if l.sites != nil {
 			l.sites.ReportProbe(l.clock.now(), ev.Server, ev.Outcome == policy.OK)
 		}
@@ -360,7 +369,8 @@
 	}
 }
 
-func (l *loop) newID() policy.RequestID {
+// newRequestID returns an id that no request has at present.
+func (l *loop) newRequestID() policy.RequestID {
 	for {
 		l.lastID++
 		if l.requests[l.lastID] == nil {
@@ -369,43 +379,44 @@
 	}
 }
 
-// end gives the client its answer, unless it has one or is gone.
-func (l *loop) end(r *request, a answer) bool {
+// answerClient gives the client its answer and reports whether it did. It does not if the request
+// is answered already or the client is gone.
+func (l *loop) answerClient(r *request, a answer) bool {
 	if r.ended {
 		return false
 	}
 	r.ended = true
-	l.counts.end(r, a.status, l.clock.now(), l.decisions.Classes[r.class].Aim)
-	r.answered <- a
+	l.counts.recordEnd(r, a.status, l.clock.now(), l.moduleSettings.Classes[r.class].Aim)
+	r.answers <- a
 	return true
 }
 
-// forget drops a request of which nothing more is to be heard.
-func (l *loop) forget(r *request) {
-	if r.ended && r.out == 0 {
+// forgetIfDone removes a request that has ended and has no attempt in flight.
+func (l *loop) forgetIfDone(r *request) {
+	if r.ended && r.inFlight == 0 {
 		if l.requests[r.id] == nil {
-			return // it has been
+			return // already removed
 		}
 		delete(l.requests, r.id)
-		l.late.end()
+		l.lagMonitor.requestEnded()
 		l.callIDs.release(r.callID)
-		if r.module.open--; r.module.retired && r.module.open == 0 {
+		if r.module.openRequests--; r.module.retired && r.module.openRequests == 0 {
 			l.modules = slices.DeleteFunc(l.modules, func(m *module) bool { return m == r.module })
 		}
 	}
 }
 
-// callIDs knows the clients' ids of the open requests and of those that ended a short while ago. Danger: backends
-// and clients tell requests apart by them, so a second request under an id would be served with the first one's
-// answer, or run as its repeat.
+// callIDs holds the ids that clients gave to the open requests and to those that ended recently.
+// Backends and clients identify requests by these ids: a second request under the same id would be
+// served with the answer of the first one, or be run as its retry.
 type callIDs struct {
 	open, recent, older map[string]struct{}
 }
 
-// take notes an id, unless it is known.
-func (c *callIDs) take(id string) bool {
-	for _, known := range []map[string]struct{}{c.open, c.recent, c.older} {
-		if _, taken := known[id]; taken {
+// reserve adds an id and reports whether it was free.
+func (c *callIDs) reserve(id string) bool {
+	for _, ids := range []map[string]struct{}{c.open, c.recent, c.older} {
+		if _, found := ids[id]; found {
 			return false
 		}
 	}
@@ -413,63 +424,66 @@
 	return true
 }
 
-// release notes that the request with an id has ended.
+// release records that the request with an id has ended.
 func (c *callIDs) release(id string) {
 	delete(c.open, id)
-	if c.recent[id] = struct{}{}; len(c.recent) >= mostRecent {
-		c.age()
+	if c.recent[id] = struct{}{}; len(c.recent) >= maxRecentCallIDs {
+		c.rotate()
 	}
 }
 
-// age forgets what was known at the last call but one.
-func (c *callIDs) age() { c.recent, c.older = map[string]struct{}{}, c.recent }
+// rotate forgets the ids that were released before the previous rotation.
+func (c *callIDs) rotate() { c.recent, c.older = map[string]struct{}{}, c.recent }
 
-// entries notes where the members of a list are and turns them into the module's terms.
-func (l *loop) entries(members []member) []policy.ServerEntry {
+// updateServers records the addresses of the list members and converts the members to entries for
+// the module.
+func (l *loop) updateServers(members []member) []policy.ServerEntry {
 	entries := make([]policy.ServerEntry, 0, len(members))
 	for _, m := range members {
 		e := policy.ServerEntry{
 			ID:     l.servers.of(m.ID),
-			Zone:   slices.Index(l.set.Zones, m.Locality),
-			Kind:   slices.Index(l.set.Kinds, m.Flavor),
+			Zone:   slices.Index(l.settings.Zones, m.Locality),
+			Kind:   slices.Index(l.settings.Kinds, m.Flavor),
 			Cell:   m.Cell,
 			State:  phases[m.Phase],
 			Weight: m.Size,
 			Start:  time.Duration(math.Round(m.UpSince * float64(time.Millisecond))),
-			Key:    keyOf(m.ID),
+			Key:    serverKey(m.ID),
 		}
-		l.listed[e.ID] = e
+		l.listedServers[e.ID] = e
 		entries = append(entries, e)
 		if e.State == policy.Gone {
-			continue // forgotten once the module has heard of it
+			continue // removed after the module has handled the list
 		}
-		old := l.targets[e.ID]
-		if old != nil && old.Addr == m.HostPort && old.ProcessStart == e.Start {
+		oldTarget := l.targets[e.ID]
+		if oldTarget != nil && oldTarget.Addr == m.HostPort && oldTarget.ProcessStart == e.Start {
 			continue
 		}
-		if old != nil {
-			l.backends.Retire(old)
+		if oldTarget != nil {
+			l.backends.Retire(oldTarget)
 		}
 		l.targets[e.ID] = l.backends.NewTarget(m.HostPort, e.Start)
 	}
 	return entries
 }
 
-// keyOf names a backend to other agents, whose numbers for it are others. FNV-1a, 32 bits.
-func keyOf(id string) uint32 {
+// serverKey returns the key of a backend in messages to other agents, which assign other IDs to it.
+// It is the 32-bit FNV-1a hash of its name.
+func serverKey(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id)) // never fails
 	return h.Sum32()
 }
 
-// forgetGone drops the addresses and idle connections of the backends that a list has shown to be gone.
-func (l *loop) forgetGone(mode policy.ListMode, entries []policy.ServerEntry) {
-	stays := make(map[policy.ServerID]bool, len(entries))
+// removeGone removes the addresses and idle connections of the backends that are gone according to
+// a list.
+func (l *loop) removeGone(mode policy.ListMode, entries []policy.ServerEntry) {
+	remains := make(map[policy.ServerID]bool, len(entries))
 	for _, e := range entries {
-		stays[e.ID] = e.State != policy.Gone
+		remains[e.ID] = e.State != policy.Gone
 	}
 	for id := range l.servers.names {
-		if here, listed := stays[id]; here || !listed && mode == policy.ListDelta {
+		if present, listed := remains[id]; present || !listed && mode == policy.ListDelta {
 			continue
 		}
 		if t := l.targets[id]; t != nil {
@@ -477,6 +491,6 @@
 			delete(l.targets, id)
 		}
 		l.servers.free(id)
-		delete(l.listed, id)
+		delete(l.listedServers, id)
 	}
 }
