--- a/internal/mesh/inbound/exchange.go
+++ b/internal/mesh/inbound/exchange.go
@@ -90,8 +90,8 @@
 }
 
 // read reads the response to the request. A response to an earlier request may come first on a
-// reused connection. Its id gives it away, and the expected response follows it, so a few of these
-// are skipped.
+// reused connection. It is recognized by its id, and the expected response follows it, so a few of
+// these are skipped.
 func (r *responseReader) read() (*response, *transport.Failure) {
 	for stale, interim := 0, 0; ; {
 		r.limitRead(r.maxBytes)
@@ -272,7 +272,7 @@
 	if failure != nil && gone {
 		failure = cancelledFailure(transport.MayHaveRun)
 	}
-	h.releaseConn(conn, reusable && !gone) // an overdue connection is not read any more
+	h.releaseConn(conn, reusable && !gone) // after Expire nothing more can be read from it
 	return resp, failure
 }
 
--- a/internal/mesh/inbound/exchange_test.go
+++ b/internal/mesh/inbound/exchange_test.go
@@ -21,9 +21,9 @@
 	return "HTTP/1.1 " + status + "\r\n" + strings.ReplaceAll(headers, "|", "\r\n") + "\r\n\r\n" + body
 }
 
-// TestAnswers reads valid, damaged and foreign responses. An error here would break the rule MIXED
-// (a response goes to the wrong request), or, through a false proof that a request did not run,
-// TWICE and REFUSED.
+// TestAnswers reads valid and damaged responses, and those of other requests. An error here would
+// break the rule MIXED (a response goes to the wrong request), or, through a false proof that a
+// request did not run, TWICE and REFUSED (see meshtest.Rules).
 func TestAnswers(t *testing.T) {
 	sealed := "Try-Id: t1|Server-Seal: s"
 	valid := rawResponse("200 OK", sealed+"|Content-Length: 4", "body")
--- a/internal/mesh/inbound/figures_test.go
+++ b/internal/mesh/inbound/figures_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestColdPeak checks that the cold_peak metric is the highest number of dispatches in any window
-// of the warm-up bound, whenever the metrics are read.
+// TestColdPeak checks that the cold_peak metric is the highest number of dispatches in any span of
+// warmupWindow, even if that span is long over when the metrics are read.
 func TestColdPeak(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rules := Rules{WarmupRate: rapid.Float64Range(1, 20).Draw(t, "per_s"), WarmupExcess: 1.5, WarmupMargin: 5, Warmup: time.Hour}
--- a/internal/mesh/inbound/gate.go
+++ b/internal/mesh/inbound/gate.go
@@ -18,11 +18,11 @@
 //     this process or to an earlier one, nor while its zone is evacuated. Heartbeats that arrive
 //     late do not change this.
 //   - Warm-up: in any span of one second, a cold backend, which is still warming up, gets no more
-//     requests than the bound, even if the gate restarts.
+//     requests than the bound (see Rules.WarmupExcess), even if the gate restarts.
 //   - Concurrency: no more requests are in flight than the backend processes at once, so the
 //     backend never has to queue any.
-//   - At most once: an unsafe request is dispatched only once by a process, identified by its id,
-//     and is never reported as not run after that.
+//   - At most once: an unsafe request, identified by its id, is dispatched only once by a process.
+//     After that the gate never refuses a request with this id as not run.
 package inbound
 
 import (
@@ -40,7 +40,7 @@
 	seenIDLifetime      = 30 * time.Second        // of a generation; longer than any client waits
 	averageWeight       = 0.1                     // weight of a new sample in the moving averages
 	queuePerSlot        = 2                       // more queued requests per slot would wait too long in any case
-	uploadWaitShare     = 0.6                     // of its slack, for an upload; see docs/design/mesh.md
+	uploadWaitShare     = 0.6                     // longest wait of a body for the link, as a share of its slack; see docs/design/mesh.md
 	maxMissedHeartbeats = 3                       // in a row, before the backend counts as lost
 )
 
@@ -79,7 +79,7 @@
 	incomingBytes    int64           // total size of these bodies
 	queue            []*Ticket       // sorted by Ticket.compare
 	recentDispatches []time.Duration // dispatch times within the last warmupWindow
-	coldPeaks        [2]int          // most recentDispatches while cold, in this and the previous generation
+	coldPeaks        [2]int          // highest number of recentDispatches while cold, in this and the previous generation
 	meanLatency      float64         // moving average of the backend's response time, in seconds
 	successes        rateMeter
 	failures         rateMeter
--- a/internal/mesh/inbound/gate_test.go
+++ b/internal/mesh/inbound/gate_test.go
@@ -306,8 +306,9 @@
 	return s
 }
 
-// TestGate puts a random load on gates and checks the rules ROUTE, DRAIN, EVAC, FAILBACK, TWICE and
-// REFUSED, and that a backend never gets more requests at once than it processes.
+// TestGate puts a random load on gates and checks the rules ROUTE, DRAIN, EVAC, TWICE and REFUSED
+// (see meshtest.Rules) and FAILBACK (the bound on requests to a cold backend), and that a backend
+// never gets more requests at once than it processes.
 func TestGate(t *testing.T) {
 	counts := map[string]int{}
 	for seed := range uint64(200) {
@@ -363,7 +364,7 @@
 // TestBodyPatience checks that a long body waits for a busy link for as long as it can still be in
 // time, and no longer.
 func TestBodyPatience(t *testing.T) {
-	const mbit = 8e6 // bits per second: a megabyte takes a second
+	const megabytePerSecond = 8e6 // in bits per second
 	for _, c := range []struct {
 		name              string
 		incoming          int64 // bytes of bodies on their way
@@ -373,11 +374,11 @@
 		retryAfter        time.Duration // expected retry delay; 0 if the body is accepted
 		admitted          bool
 	}{
-		{"nothing before it", 0, 200e3, 1500 * time.Millisecond, mbit, 0, true},
-		{"most of what it can spare", 779e3, 200e3, 1500 * time.Millisecond, mbit, 0, true},
-		{"more than that", 880e3, 200e3, 1500 * time.Millisecond, mbit, 100 * time.Millisecond, false},
-		{"late anyway: as long as any request", 374e3, 200e3, -time.Second, mbit, 0, true},
-		{"late, and longer", 475e3, 200e3, -time.Second, mbit, 100 * time.Millisecond, false},
+		{"nothing before it", 0, 200e3, 1500 * time.Millisecond, megabytePerSecond, 0, true},
+		{"most of what it can spare", 779e3, 200e3, 1500 * time.Millisecond, megabytePerSecond, 0, true},
+		{"more than that", 880e3, 200e3, 1500 * time.Millisecond, megabytePerSecond, 100 * time.Millisecond, false},
+		{"late anyway: as long as any request", 374e3, 200e3, -time.Second, megabytePerSecond, 0, true},
+		{"late, and longer", 475e3, 200e3, -time.Second, megabytePerSecond, 100 * time.Millisecond, false},
 		{"a link of unknown width", 1e9, 200e3, 1500 * time.Millisecond, 0, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/mesh/outbound/answers_test.go
+++ b/internal/mesh/outbound/answers_test.go
@@ -281,8 +281,8 @@
 	}
 }
 
-// allowsDuplicates reports whether duplicated bytes on the hop leave the request what it was. In a
-// client's long body they would make it another request.
+// allowsDuplicates reports whether bytes may be duplicated on the hop without changing the request.
+// In a client's long body they would make it another request.
 func (h *hop) allowsDuplicates(p *requestPath, kind clientRequest) bool {
 	return h.injectDuplicates && (h.links[0] != p.clientLink || len(kind.body) <= maxImmediateBody)
 }
--- a/internal/mesh/outbound/attempt.go
+++ b/internal/mesh/outbound/attempt.go
@@ -145,7 +145,8 @@
 }
 
 // recordAttempt keeps an attempt that has ended: for the trace, and as the fallback if it is the
-// best failure so far. A failure is better if it may have run.
+// best failure so far. A backend's response is the best. An attempt without one is only replaced by
+// such a response, or, if it did not run, by any later attempt.
 func (p *pendingRequest) recordAttempt(attempt *backendAttempt, outcome policy.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/mesh/outbound/chooser_test.go
+++ b/internal/mesh/outbound/chooser_test.go
@@ -47,7 +47,7 @@
 }
 
 // checkSend checks an action to send, which is the only way for a request to leave. The retry
-// budget is computed as RULES.md words it.
+// budget is computed as the rule BUDGET words it.
 func (l *loadModel) checkSend(request *modelRequest, action policy.Action, target *backendTarget) {
 	l.counts["sent"]++
 	l.True(target != nil && l.targets[target.id], "ROUTE, DRAIN: sent to a backend that is unknown or no longer ready")
@@ -129,7 +129,8 @@
 	l.balancer.setTargets(targets)
 }
 
-// TestChooser checks the rules TWICE, REFUSED, BUDGET and DRAIN at the balancer, in virtual time.
+// TestChooser checks the rules TWICE, REFUSED, BUDGET and DRAIN (see meshtest.Rules) at the
+// balancer, in virtual time.
 func TestChooser(t *testing.T) {
 	counts := map[string]int{}
 	for seed := range uint64(60) {
--- a/internal/mesh/outbound/departure.go
+++ b/internal/mesh/outbound/departure.go
@@ -12,7 +12,7 @@
 	// may be cut off in the first five sixths.
 	maxAnswerReserve     = 900 * time.Millisecond
 	answerReserveDivisor = 6.5
-	// backendTransitTime is how much earlier than that backends must have finished, for their
+	// backendTransitTime is how long before AnswerBy backends must have finished, for their
 	// responses to get here.
 	backendTransitTime = 150 * time.Millisecond
 )
--- a/internal/mesh/outbound/exchange_test.go
+++ b/internal/mesh/outbound/exchange_test.go
@@ -57,8 +57,8 @@
 }
 
 // TestReplyOfAnotherExchange checks the rule MIXED: a reply that is repeated on a reused connection
-// must not be taken for the reply to the next request, and a connection that has lost its order
-// must not be reused.
+// must not be taken for the reply to the next request, and a connection that is out of sync must
+// not be reused.
 func TestReplyOfAnotherExchange(t *testing.T) {
 	s := newTestSender(t, startStaleGate(t))
 	for _, try := range []string{"a", "b", "c", "d"} {
@@ -72,7 +72,7 @@
 		}
 	}
 	_, opened := s.gateConns.Counts()
-	require.Greater(t, opened, uint64(2), "connections that have lost their order are reused")
+	require.Greater(t, opened, uint64(2), "connections that are out of sync are reused")
 }
 
 func (s *Sender) withView(v *View) *Sender {
--- a/internal/mesh/outbound/job.go
+++ b/internal/mesh/outbound/job.go
@@ -17,7 +17,7 @@
 	request         transport.Request
 	body            []byte
 	deadline        time.Time
-	answerTarget    time.Time // until when a response earns its full worth
+	answerTarget    time.Time // when the target latency is over: a later response is worth less
 	backendDeadline time.Time // no backend works on the request beyond this; zero: no shutdown limits it
 	balancer        *serviceBalancer
 	balanced        *balancedRequest // nil until runRequest has begun it
--- a/internal/mesh/outbound/order_test.go
+++ b/internal/mesh/outbound/order_test.go
@@ -48,7 +48,7 @@
 		if request.Aim < 100*time.Millisecond {
 			return
 		}
-		// Worth 2 for 210 ms of a slot, where a safe request brings worth 1 for as much.
+		// An unsafe request brings worth 2 for 210 ms of a slot, a safe one worth 1 for as much.
 		if request.Aim += 2 * distantTarget; request.Unsafe {
 			request.Aim -= distantTarget
 		}
@@ -373,7 +373,7 @@
 	}
 }
 
-// simulationResult holds the figures of one simulation. Shares are weighted by worth.
+// simulationResult holds the results of one simulation. Shares are weighted by worth.
 type simulationResult struct{ worth, onTarget, failedCalls, worthDuringLoss, delayedUnserved float64 }
 
 // simulateOrder runs a simulation under a load, given as a share of what the backends of the called
--- a/internal/mesh/outbound/sender.go
+++ b/internal/mesh/outbound/sender.go
@@ -177,7 +177,8 @@
 	s.agentCount = max(agentCount, 1)
 	previous := s.view.Load()
 	configChanged := previous == nil || previous.Config != v.Config
-	// By service. Only computed when the configuration has changed: agents change far more often.
+	// By service. Only computed if a balancer may need other classes, after a change of the
+	// configuration or for a new balancer: agents change far more often.
 	var routes map[string][]*meshconfig.Route
 	if configChanged {
 		routes = routesByService(v.Config)
--- a/internal/mesh/outbound/serve.go
+++ b/internal/mesh/outbound/serve.go
@@ -16,10 +16,10 @@
 const (
 	// Part of a client's remaining time that is reserved for the response's way back to it.
 	clientTransitTime = 20 * time.Millisecond
-	// Divides the target latency: the longest that a request queues for a slot. A request that is
+	// A request queues for a slot no longer than its target latency divided by this. One that is
 	// held longer and then not served incurs a penalty.
 	queueWaitDivisor = 4
-	// Divides the remaining time: the longest that an inner request queues for a slot.
+	// An inner request queues for a slot no longer than its remaining time divided by this.
 	innerQueueWaitDivisor = 2
 	// Range of the Retry-After times that the sender sends.
 	minRetryAfter = 50 * time.Millisecond
--- a/internal/mesh/registry/table.go
+++ b/internal/mesh/registry/table.go
@@ -106,15 +106,16 @@
 	return changed || complete
 }
 
-// MarkSourceDown records that a source is disconnected. Its stations remain, but its reports that
-// an agent is lost no longer count.
+// MarkSourceDown records that a source is disconnected. Its stations remain, but its reports of
+// whether an agent is lost no longer count.
 func (t *Table) MarkSourceDown(source string) {
 	if src := t.sources[source]; src != nil {
 		src.up = false
 	}
 }
 
-// MarkLost records that a source has lost contact with one incarnation of an agent.
+// MarkLost records that a source has lost contact with one incarnation of an agent. The source
+// counts as connected from then on.
 func (t *Table) MarkLost(source, agent string, life uint64) (changed bool) {
 	entry, src := t.stations[agent], t.markSourceUp(source)
 	if entry == nil || entry.Life != life {
@@ -183,8 +184,8 @@
 }
 
 // statusAt returns the status of a station as of now. The remaining warm-up time was correct when
-// it was received, so the time since then is subtracted. Passed on unchanged, a backend would look
-// cold forever to those who receive the status late.
+// it was received, so the time since then is subtracted. If it were passed on unchanged, a backend
+// would look cold forever to those who receive the status late.
 func (t *Table) statusAt(now time.Duration, entry *stationEntry) transport.StationStatus {
 	status := transport.StationStatus{Station: entry.Station, Lost: t.isLost(entry.Agent)}
 	if backend := status.Station.Backend; backend != nil && backend.ColdLeft > 0 {
--- a/internal/mesh/registry/table_test.go
+++ b/internal/mesh/registry/table_test.go
@@ -44,8 +44,9 @@
 // agents. Tables that received the same reports must be equal, whatever the order. An agent is lost
 // only if every connected source that knows it reports so. A station is dropped after ForgetAfter,
 // no earlier, and never while no control-plane node is connected. The remaining warm-up time
-// decreases. Faults here would break the rules DRAIN and EVAC beyond the gate, FAILBACK (the pace
-// of senders), RECOVER and DENIED (backends that are no longer used).
+// decreases. Faults here would break these rules of the mesh: DRAIN and EVAC (no requests to a
+// backend that shuts down or to an evacuated zone) beyond the gate, FAILBACK (the pace at which
+// senders load a cold backend), RECOVER and DENIED (backends that are no longer used).
 func TestTable(t *testing.T) {
 	counts := map[string]int{}
 	for seed := range uint64(60) {
--- a/internal/mesh/seenids/seenids.go
+++ b/internal/mesh/seenids/seenids.go
@@ -2,8 +2,8 @@
 //
 // A Set has two generations. An id is added to the younger one. When the lifetime of a generation
 // is over, the older one is discarded and the younger one takes its place. An id is therefore
-// remembered for at least one lifetime and at most two, and the size of a Set is bounded by its
-// time and its maximum number of ids.
+// remembered for at least one lifetime and at most two, and the size of a Set is bounded by the
+// lifetime and by the maximum number of ids of a generation.
 //
 // A Set has no I/O, clock or goroutines, and is not safe for concurrent use.
 package seenids
--- a/internal/mesh/transport/conn.go
+++ b/internal/mesh/transport/conn.go
@@ -34,7 +34,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Uses of a connection. They are part of the protocol.
+// Uses of a connection; see also UseStats. They are part of the protocol.
 const (
 	UseExchange = "exchange"
 	UseFeed     = "feed"
--- a/internal/mesh/transport/message.go
+++ b/internal/mesh/transport/message.go
@@ -29,7 +29,7 @@
 	Repeat         bool          // a retry, or called by the run of a retry
 	Left           time.Duration // time limit, counted from now
 	Aim            time.Duration // target latency, counted from now: a later answer is worth less
-	Rank           int           // importance of the request
+	Rank           int           // priority of the request; 0 is the highest
 	Customer       string        // tenant on whose behalf it runs; empty if none
 	Header         []string      // alternating names and values
 	Body           int64         // length in bytes
@@ -103,7 +103,7 @@
 	Want    uint64        // if not 0: requests the complete configuration of this index or a later one
 	Since   uint64        // with Want, if not 0: the steps from this index are sufficient
 	Deflate bool          // with Want: the agent accepts a compressed configuration
-	Fresh   uint64        // if not 0: asks for a CoreUpdate with this Fresh once all sent before it is current
+	Fresh   uint64        // if not 0: repeated in CoreUpdate.Fresh once what was sent is proven current
 	Handed  uint64        // number of the latest CoreUpdate.Beat that was handled
 	Status  int           // HTTP status of the answer to it
 	Resume  ResumePoint   // in the first message of a feed: what the agent has already received
@@ -154,8 +154,8 @@
 	RawSteps bool         // the raw bytes are from EncodeSteps rather than the complete configuration
 	Deflated bool         // the raw bytes are compressed with Compress
 	Stations []StationStatus
-	Whole    bool              // discard earlier stations: this message and the next have the complete list
-	Fresh    uint64            // answers AgentUpdate.Fresh
+	Whole    bool              // discard earlier stations: the complete list follows, from this message on
+	Fresh    uint64            // if not 0: what was sent is current; repeats AgentUpdate.Fresh
 	Cores    []string          // control addresses of the consensus members
 	MinLife  uint64            // the agent needs a higher Life, because an earlier process has used this one
 	Beat     *RelayedHeartbeat // nil if there is none
--- a/internal/mesh/transport/trace.go
+++ b/internal/mesh/transport/trace.go
@@ -12,9 +12,9 @@
 // side.
 type RequestTrace struct {
 	Side    string
-	Agent   string // IP address of its machine; set when the trace is queried
-	Try     string // the first bytes of the Try-Id
-	Age     time.Duration
+	Agent   string        // IP address of its machine; set when the trace is queried
+	Try     string        // the first bytes of the Try-Id
+	Age     time.Duration // since the trace was recorded; set when the trace is queried
 	Took    time.Duration // until the final answer
 	Route   string
 	Version uint64 // of the route
@@ -23,7 +23,7 @@
 	Service string
 	Unsafe  bool // must not run twice
 	Inner   bool // called by a request that runs at a backend
-	Repeat  bool // called by the run of a retry
+	Repeat  bool // called by the run of a retry; at a gate also: a retry itself
 	Open    int  // available backends when the request arrived
 	Steps   []Attempt
 	Started int           // number of attempts; some are not in Steps, which is limited and has ended ones only
