--- a/internal/mesh/consensus/api.go
+++ b/internal/mesh/consensus/api.go
@@ -8,8 +8,8 @@
 )
 
 var (
-	// ErrNoLeader is returned if no leader is known. The command was not appended and never will
-	// be, so it is safe to retry it at this node or another one.
+	// ErrNoLeader is returned if no leader could be reached. The command was not appended and never
+	// will be, so it is safe to retry it at this node or another one.
 	ErrNoLeader = errors.New("consensus: no leader; the command was not appended")
 	// ErrUnknown is returned if the command may be committed, now or later.
 	ErrUnknown = errors.New("consensus: unknown whether the command is committed")
@@ -29,8 +29,12 @@
 // Table is the replicated state machine to which a Node applies committed commands. A Node calls it
 // from one goroutine at a time, in log order.
 type Table interface {
+	// Apply applies a committed command. The reply is passed to the caller of Propose if the
+	// command was proposed at this node.
 	Apply(index uint64, command []byte) (reply []byte)
+	// Snapshot returns an encoding of the current state.
 	Snapshot() []byte
+	// Restore replaces the state by a snapshot that was taken after the entry at index was applied.
 	Restore(index uint64, snapshot []byte) error
 }
 
@@ -75,11 +79,13 @@
 	Role                  string
 	Leader                string // empty: unknown
 	Term, Commit, Applied uint64
-	Members, Learners     []string          // voters (incoming ones during a change); only a leader knows learners
-	Outgoing              []string          // voters that a change in progress removes
-	Unreachable           []string          // silent voters; set only by a leader
-	Zones                 map[string]string // by node address; set only by a leader
-	LeaderChanges, Syncs  uint64            // LeaderChanges restarts at 0 after a disk failure
-	ForeignMessages       uint64            // dropped messages of other meshes
-	LongestSync           time.Duration
+	// Members are the voters, during a configuration change the incoming ones. Learners is set only
+	// by a leader.
+	Members, Learners    []string
+	Outgoing             []string          // voters that a change in progress removes
+	Unreachable          []string          // silent for peerTimeout; set only by a leader
+	Zones                map[string]string // by node address; set only by a leader
+	LeaderChanges, Syncs uint64            // LeaderChanges restarts at 0 after a disk failure
+	ForeignMessages      uint64            // dropped messages of other meshes
+	LongestSync          time.Duration
 }
--- a/internal/mesh/consensus/backup_test.go
+++ b/internal/mesh/consensus/backup_test.go
@@ -14,24 +14,24 @@
 // backup. The nodes of the previous mesh continue on their own, and the two meshes exchange
 // nothing. Nodes of the previous mesh can join the new one with empty disks.
 func TestNewMesh(t *testing.T) {
-	withTestCluster(t, func(m *testCluster) {
-		m.waitForLeader()
+	withTestCluster(t, func(c *testCluster) {
+		c.waitForLeader()
 		var want []string
 		for i := range 3 {
 			want = append(want, fmt.Sprint("before ", i))
-			require.NoError(t, m.propose("b", want[i], time.Second))
+			require.NoError(t, c.propose("b", want[i], time.Second))
 		}
-		b, err := m.nodes["a"].Backup(m.Context())
+		b, err := c.nodes["a"].Backup(c.Context())
 		require.NoError(t, err)
 		file, err := b.Encode()
 		require.NoError(t, err)
-		require.NoError(t, m.propose("b", "after", time.Second))
+		require.NoError(t, c.propose("b", "after", time.Second))
 		stop := func(name string) {
-			m.net.setNode(name, nil)
-			require.NoError(t, m.nodes[name].Close())
+			c.net.setNode(name, nil)
+			require.NoError(t, c.nodes[name].Close())
 		}
 		stop("a")
-		fromFolder, err := BackupFromDir(m.dirs["a"])
+		fromFolder, err := BackupFromDir(c.dirs["a"])
 		require.NoError(t, err)
 		require.NotEmpty(t, fromFolder.Entries)
 		folderTable := &lineTable{}
@@ -42,40 +42,41 @@
 		require.NoError(t, err)
 		table := &lineTable{}
 		require.NoError(t, b.Replay(table))
-		_, err = b.NewMesh(m.dirs["a"], "a", 3, table)
+		_, err = b.NewMesh(c.dirs["a"], "a", 3, table)
 		require.ErrorContains(t, err, "empty folder alone")
-		m.dirs["a"] = t.TempDir()
-		_, err = b.NewMesh(m.dirs["a"], "a", 3, table)
+		c.dirs["a"] = t.TempDir()
+		_, err = b.NewMesh(c.dirs["a"], "a", 3, table)
 		require.NoError(t, err)
-		m.start("a")
+		c.start("a")
 		<-time.After(5 * time.Second)
-		require.NoError(t, m.propose("a", "new", time.Second))
-		require.NoError(t, m.propose("b", "old", time.Second))
-		require.Equal(t, append(want, "new"), m.tables["a"].appliedLines())
-		require.Equal(t, append(want, "after", "old"), m.tables["b"].appliedLines())
-		require.NotZero(t, m.nodes["a"].Status().ForeignMessages)
+		require.NoError(t, c.propose("a", "new", time.Second))
+		require.NoError(t, c.propose("b", "old", time.Second))
+		require.Equal(t, append(want, "new"), c.tables["a"].appliedLines())
+		require.Equal(t, append(want, "after", "old"), c.tables["b"].appliedLines())
+		require.NotZero(t, c.nodes["a"].Status().ForeignMessages)
 		stop("b")
 		stop("c")
 		for _, name := range []string{"b", "c"} {
-			m.dirs[name] = t.TempDir()
-			m.start(name)
+			c.dirs[name] = t.TempDir()
+			c.start(name)
 		}
-		require.NoError(t, m.propose("a", "all", time.Second))
+		require.NoError(t, c.propose("a", "all", time.Second))
 		<-time.After(5 * time.Second)
-		require.Equal(t, "a", m.waitForLeader())
-		require.Len(t, m.nodes["c"].Status().Members, 3)
-		require.Equal(t, append(want, "new", "all"), m.tables["c"].appliedLines())
+		require.Equal(t, "a", c.waitForLeader())
+		require.Len(t, c.nodes["c"].Status().Members, 3)
+		require.Equal(t, append(want, "new", "all"), c.tables["c"].appliedLines())
 		stop("a") // the number of the mesh must survive the stop of its first node and a restart
 		stop("b")
-		m.start("b")
+		c.start("b")
 		<-time.After(5 * time.Second)
-		require.NoError(t, m.propose("c", "two", time.Second))
-		m.start("a")
-		m.waitForLeader()
-		require.NoError(t, m.propose("a", "three", time.Second))
+		require.NoError(t, c.propose("c", "two", time.Second))
+		c.start("a")
+		c.waitForLeader()
+		require.NoError(t, c.propose("a", "three", time.Second))
 	})
 }
 
+// Backups that are corrupted, truncated or inconsistent are rejected.
 func TestBackupRefusesDamage(t *testing.T) {
 	members := &Members{Target: 1, Voters: []Member{{"a", 1}}}
 	valid := Backup{By: "a", Snapshot: &Snapshot{Index: 4, Term: 2, Members: *members, Data: []byte("x")}, Entries: []Entry{{Index: 5, Term: 2}}}
--- a/internal/mesh/consensus/losses_test.go
+++ b/internal/mesh/consensus/losses_test.go
@@ -33,7 +33,8 @@
 type loss struct {
 	kind string
 	at   time.Duration
-	// longestDelay is that of the commands during the loss and within lossAttributionWindow after it.
+	// longestDelay is that of the commands during the loss and within lossAttributionWindow after
+	// it.
 	longestDelay time.Duration
 }
 
@@ -157,16 +158,16 @@
 }
 
 // awaitOutcome waits until an attempt has an outcome or times out, and starts the next one.
-func (l *lossSimulation) awaitOutcome(value uint64, until time.Duration) {
+func (l *lossSimulation) awaitOutcome(value uint64, deadline time.Duration) {
 	w := l.world
-	switch fate := w.outcomes[value]; {
-	case fate == "acked":
+	switch outcome := w.outcomes[value]; {
+	case outcome == "acked":
 		l.recordAck()
 		w.schedule(commandPause, l.startCommand)
-	case fate != "" || w.now >= until:
+	case outcome != "" || w.now >= deadline:
 		w.schedule(commandPause, l.attemptCommand)
 	default:
-		w.schedule(5*time.Millisecond, func() { l.awaitOutcome(value, until) })
+		w.schedule(5*time.Millisecond, func() { l.awaitOutcome(value, deadline) })
 	}
 }
 
@@ -196,10 +197,10 @@
 }
 
 // recordLoss records a loss, and when its machine no longer counts as lost.
-func (l *lossSimulation) recordLoss(kind string, until time.Duration) {
+func (l *lossSimulation) recordLoss(kind string, recoveredAt time.Duration) {
 	l.world.trace("loss: %s", kind)
 	l.recentLosses = append(l.recentLosses, loss{kind: kind, at: l.world.now})
-	l.recoveredAt = until
+	l.recoveredAt = recoveredAt
 }
 
 // pickTarget returns a random host to lose, the leader half of the time, and a word for its role.
@@ -307,6 +308,9 @@
 	l.world.wipe(h)
 }
 
+// deployments are the deployments that are simulated: the number of core machines, the time that a
+// lost or new machine has to catch up, and the longest time in which a command has to be
+// acknowledged.
 var deployments = []struct {
 	name                 string
 	cores                int
--- a/internal/mesh/consensus/node.go
+++ b/internal/mesh/consensus/node.go
@@ -43,11 +43,12 @@
 
 // pendingCall is a call that waits for its result.
 type pendingCall struct {
-	id            uint64 // used only by the node's goroutine
-	unansweredErr error  // the error of the call if it ends without a result
-	result        chan callResult
+	id            uint64          // used only by the node's goroutine
+	unansweredErr error           // the error of the call if it ends without a result
+	result        chan callResult // buffered, so that the node's goroutine never blocks on it
 }
 
+// callResult is the result of a pendingCall.
 type callResult struct {
 	result   Result
 	err      error
@@ -65,10 +66,10 @@
 type Node struct {
 	options                  Options
 	requests                 chan request
-	proposalSlots, readSlots chan struct{}
+	proposalSlots, readSlots chan struct{} // semaphores of maxConcurrentCalls
 	status                   atomic.Pointer[Status]
-	stopping                 chan struct{}
-	stopped                  chan struct{}
+	stopping                 chan struct{} // closed to stop the node
+	stopped                  chan struct{} // closed once the node has stopped
 	stopOnce                 sync.Once
 	closeErr                 error // why the node stopped on its own; set before stopped is closed
 
@@ -102,6 +103,7 @@
 	save *Save
 }
 
+// saveResult is the result of a save.
 type saveResult struct {
 	duration time.Duration
 	err      error
@@ -261,6 +263,7 @@
 	return n.closeErr
 }
 
+// run is the main loop of the node's goroutine.
 func (n *Node) run() {
 	defer close(n.stopped)
 	for moreToApply, err := n.processOutput(); ; moreToApply, err = n.processOutput() {
@@ -331,6 +334,7 @@
 	}
 }
 
+// recordSync records the duration of a sync, and logs when the disk becomes slow or normal again.
 func (n *Node) recordSync(duration time.Duration) {
 	n.syncCount++
 	n.longestSync = max(n.longestSync, duration)
@@ -398,6 +402,8 @@
 	n.leaveCalls = nil
 }
 
+// publishStatus updates the status. If the role, the leader or the members have changed, it logs
+// that and calls OnChange.
 func (n *Node) publishStatus() {
 	previous := n.status.Load()
 	current := Status{Role: suspendedRole, Applied: n.tableIndex, Members: previous.Members, LeaderChanges: previous.LeaderChanges}
--- a/internal/mesh/consensus/node_apply.go
+++ b/internal/mesh/consensus/node_apply.go
@@ -83,6 +83,7 @@
 	return true
 }
 
+// applyEntries applies entries to the table, and stores the replies for callers at this node.
 func (n *Node) applyEntries(entries []Entry) {
 	for _, e := range entries {
 		if e.Index <= n.tableIndex {
--- a/internal/mesh/consensus/node_test.go
+++ b/internal/mesh/consensus/node_test.go
@@ -122,6 +122,8 @@
 	}
 }
 
+// Three nodes and a learner replicate commands while the leader leaves, a node is lost and
+// replaced, the lost node returns, and all nodes restart.
 func TestNodes(t *testing.T) {
 	dirs := map[string]string{}
 	for _, name := range []string{"a", "b", "c", "d"} {
--- a/internal/mesh/consensus/reopen.go
+++ b/internal/mesh/consensus/reopen.go
@@ -78,16 +78,16 @@
 // reopenStore closes a failed store and opens it again. It retries until that succeeds, fails with
 // an error that retries can't fix, or the node stops. A nil failedDisk means that the node is
 // starting. It runs in its own goroutine because a disk may block for any time.
-func (n *Node) reopenStore(failedDisk disk, pause time.Duration) {
+func (n *Node) reopenStore(failedDisk disk, backoff time.Duration) {
 	if failedDisk == nil {
-		pause = 0
+		backoff = 0
 	}
 	for {
 		select {
 		case <-n.stopping:
 			n.openResults <- openResult{err: ErrClosed}
 			return
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
 		opened, err := n.closeAndOpenStore(failedDisk)
 		if err == nil || isUnusable(err) || failedDisk == nil && isAccessDenied(err) {
@@ -95,11 +95,12 @@
 			n.openResults <- opened
 			return
 		}
-		pause = min(max(2*pause, minReopenBackoff), maxReopenBackoff)
-		n.options.Log.WithError(err).WithField("again_in", pause).Warn("the store can't be opened")
+		backoff = min(max(2*backoff, minReopenBackoff), maxReopenBackoff)
+		n.options.Log.WithError(err).WithField("again_in", backoff).Warn("the store can't be opened")
 	}
 }
 
+// closeAndOpenStore closes a failed store, if there is one, and tries once to open it again.
 func (n *Node) closeAndOpenStore(failedDisk disk) (openResult, error) {
 	if failedDisk != nil {
 		if err := failedDisk.close(); err != nil {
--- a/internal/mesh/consensus/sim_judge_test.go
+++ b/internal/mesh/consensus/sim_judge_test.go
@@ -73,7 +73,7 @@
 // recordCompletion records the result of a request. It fails if a read observed too little, if a
 // proposal is acknowledged with a wrong index, or if a rejected value is committed.
 func (w *world) recordCompletion(h *host, completion Completion) {
-	valueOrFloor, ok := h.pendingRequests[completion.ID]
+	valueOrIndex, ok := h.pendingRequests[completion.ID]
 	if !ok {
 		return
 	}
@@ -83,22 +83,22 @@
 	case h.isReadRequest[completion.ID]:
 		if completion.Err == nil {
 			w.readCount++
-			if h.appliedIndex < valueOrFloor {
-				w.fail("%s answers a read at %d, but %d was committed before", h.address, h.appliedIndex, valueOrFloor)
+			if h.appliedIndex < valueOrIndex {
+				w.fail("%s answers a read at %d, but %d was committed before", h.address, h.appliedIndex, valueOrIndex)
 			}
 		}
 	case completion.Err == nil:
 		w.ackCount++
-		w.outcomes[valueOrFloor], w.ackedAt[valueOrFloor] = "acked", completion.Index
-		if index := w.committedAt[valueOrFloor]; index != 0 && index != completion.Index {
-			w.fail("value %d is acknowledged at %d, but is committed at %d", valueOrFloor, completion.Index, index)
+		w.outcomes[valueOrIndex], w.ackedAt[valueOrIndex] = "acked", completion.Index
+		if index := w.committedAt[valueOrIndex]; index != 0 && index != completion.Index {
+			w.fail("value %d is acknowledged at %d, but is committed at %d", valueOrIndex, completion.Index, index)
 		}
 	case errors.Is(completion.Err, ErrUnknown):
-		w.outcomes[valueOrFloor] = "unknown"
+		w.outcomes[valueOrIndex] = "unknown"
 	default:
-		w.outcomes[valueOrFloor] = "refused"
-		if index := w.committedAt[valueOrFloor]; index != 0 {
-			w.fail("value %d is rejected, but is committed at %d", valueOrFloor, index)
+		w.outcomes[valueOrIndex] = "refused"
+		if index := w.committedAt[valueOrIndex]; index != 0 {
+			w.fail("value %d is rejected, but is committed at %d", valueOrIndex, index)
 		}
 	}
 }
--- a/internal/mesh/consensus/sim_test.go
+++ b/internal/mesh/consensus/sim_test.go
@@ -311,7 +311,8 @@
 			}
 			w.schedule(syncTime, func() {
 				w.runOn(h, incarnation, func(m *Machine) {
-					// The crash happens before the messages that depend on the sync are sent, or right after.
+					// The crash happens before the messages that depend on the sync are sent, or
+					// right after.
 					if w.rng.Float64() < w.crashRate {
 						crash := func() {
 							if h.incarnation == incarnation {
--- a/internal/mesh/consensus/store.go
+++ b/internal/mesh/consensus/store.go
@@ -222,6 +222,8 @@
 	return err
 }
 
+// write writes a save as part of a transaction. Records that have not changed are not written
+// again.
 func (s *store) write(tx *bbolt.Tx, save *Save) error {
 	meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 	if save.Hard != s.hard || meta.Get(hardKey) == nil {
@@ -267,6 +269,7 @@
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 }
 
+// putRecord stores a value under a key, with a checksum of both.
 func putRecord(b *bbolt.Bucket, key, value []byte) error {
 	record := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(value)), checksum(key, value))
 	return b.Put(key, append(record, value...))
--- a/internal/mesh/consensus/store_test.go
+++ b/internal/mesh/consensus/store_test.go
@@ -12,6 +12,8 @@
 	"go.etcd.io/bbolt"
 )
 
+// A reopened store has the content that was saved: entries that were overwritten or compacted away
+// are gone.
 func TestStoreComesBack(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new", "folder")
 	s, first, err := openStore(dir, "a", true, []string{"a", "b"})
@@ -37,6 +39,7 @@
 	require.NoError(t, s.close())
 }
 
+// Damaged and foreign files are reported as errors with advice for the operator.
 func TestStoreRefusesDamage(t *testing.T) {
 	for name, c := range map[string]struct {
 		damage func(meta, log *bbolt.Bucket) error
--- a/internal/mesh/consensus/whole_members_test.go
+++ b/internal/mesh/consensus/whole_members_test.go
@@ -26,6 +26,7 @@
 	}
 }
 
+// appendEarlyFinal appends the final configuration although the joint one is not committed.
 func (b modelBugs) appendEarlyFinal(m *Machine) {
 	members := m.log.latestConfiguration().members
 	if m.role == leader && m.commitIndex >= m.termStartIndex && members.isJoint() {
@@ -35,6 +36,7 @@
 	}
 }
 
+// commitByUnion commits what a majority of the union of both voter sets has synced.
 func (b modelBugs) commitByUnion(_ *modelState, m *Machine) {
 	members := m.log.latestConfiguration().members
 	if m.role != leader || !members.isJoint() {
@@ -125,11 +127,11 @@
 				s, progressed = s.afterSync(i), true
 			}
 			for to := range s.hosts {
-				for link := s.link(i, to); len(s.links[link]) > 0 && !isDone(s); {
-					message := s.links[link][0]
+				for index := s.linkIndex(i, to); len(s.links[index]) > 0 && !isDone(s); {
+					inFlight := s.links[index][0]
 					s, progressed = s.afterAction(to, func(n *modelState, h *modelHost) {
-						n.links[link] = n.links[link][1:]
-						h.machine.HandleMessage(message.msg)
+						n.links[index] = n.links[index][1:]
+						h.machine.HandleMessage(inFlight.msg)
 					}), true
 				}
 			}
@@ -180,13 +182,13 @@
 
 // possibleLosses returns the sets of hosts whose simultaneous loss the mesh has to tolerate.
 func (s *modelState) possibleLosses() [][]string {
-	sets := [][]string{{s.remaining.Down}}
+	lossSets := [][]string{{s.remaining.Down}}
 	for i := range s.hosts {
 		if s.canLoseHost(i) {
-			sets = append(sets, []string{modelHostNames[i], s.remaining.Down})
+			lossSets = append(lossSets, []string{modelHostNames[i], s.remaining.Down})
 		}
 	}
-	return sets
+	return lossSets
 }
 
 // checkSurvivors assumes that each of the possible losses happens and that all other hosts lose
@@ -229,12 +231,12 @@
 // A learner replaces a voter, while one machine loses its disk or all lose power, before or after
 // each message and each sync.
 func TestWholeReplacement(t *testing.T) {
-	most := 60_000
-	if testing.Short() { // the race detector is too slow for all states
-		most = 5_000
+	maxStates := 60_000
+	if testing.Short() { // short runs use the race detector, which is too slow for all states
+		maxStates = 5_000
 	}
 	if *maxModelStates > 0 {
-		most = *maxModelStates
+		maxStates = *maxModelStates
 	}
 	for i, limits := range []explorationLimits{
 		{MaxTerm: 2, LinkCapacity: 1, Down: "c", OnlyLeaderProposes: true, Proposals: 2},
@@ -250,7 +252,7 @@
 			startedAt := time.Now()
 			initial := newReplacementState(limits, modelBugs{}, "c")
 			initial.check = checkSurvivors
-			stateCount, complete, acked, failure := exploreAllStates(t, initial, most)
+			stateCount, complete, acked, failure := exploreAllStates(t, initial, maxStates)
 			t.Logf("%+v: %d states in %v, all of them: %v, %d acknowledged", limits, stateCount, time.Since(startedAt), complete, acked)
 			require.Nil(t, failure)
 		})
--- a/internal/mesh/consensus/whole_test.go
+++ b/internal/mesh/consensus/whole_test.go
@@ -34,11 +34,11 @@
 }
 
 // mayCampaign reports whether the i-th host may campaign.
-func (b *explorationLimits) mayCampaign(i int) bool {
-	if b.CandidateNames != "" {
-		return strings.Contains(b.CandidateNames, modelHostNames[i])
+func (limits *explorationLimits) mayCampaign(i int) bool {
+	if limits.CandidateNames != "" {
+		return strings.Contains(limits.CandidateNames, modelHostNames[i])
 	}
-	return i < b.CandidateCount
+	return i < limits.CandidateCount
 }
 
 // modelHostNames are the names of the hosts of a model. The first three are the seeds.
@@ -62,20 +62,21 @@
 // modelState is one state of a model. The messages on a link may be delivered in any order, or
 // never. A message that exceeds the capacity of a link displaces the oldest one.
 type modelState struct {
-	hosts              []*modelHost
-	links              [][]inFlightMessage // by sender and receiver: see link
-	committed          []Entry
-	rejectedIDs        []uint64
-	remaining          explorationLimits
-	ackedIndexes       []uint64
-	bugs               modelBugs
-	check              func(*modelState) // panics if the state is wrong; nil: no check
-	hasLostDisk        bool              // a host lost its disk in the course of events
-	startsWithLostHost bool              // until the successor of that host is a voter
+	hosts        []*modelHost
+	links        [][]inFlightMessage // by sender and receiver: see linkIndex
+	committed    []Entry             // entries that some host has applied, from index 2 on
+	rejectedIDs  []uint64            // rejected proposals, as incarnation<<8 | ID
+	remaining    explorationLimits   // events that may still happen
+	ackedIndexes []uint64            // of acknowledged proposals
+	bugs         modelBugs
+	check        func(*modelState) // panics if the state is wrong; nil: no check
+	hasLostDisk  bool              // a host lost its disk in the course of events
+	// startsWithLostHost means that one host counts as lost until its successor is a voter.
+	startsWithLostHost bool
 }
 
-// link returns the index in links of the messages from one host to another.
-func (s *modelState) link(from, to int) int { return from*len(s.hosts) + to }
+// linkIndex returns the index in links of the messages from one host to another.
+func (s *modelState) linkIndex(from, to int) int { return from*len(s.hosts) + to }
 
 // copyState returns a copy of which hosts and links can be replaced.
 func (s *modelState) copyState() *modelState {
@@ -89,55 +90,55 @@
 // stateHasher collects the data of which a hash is computed.
 type stateHasher []byte
 
-func (k *stateHasher) addNumbers(values ...uint64) {
+func (hasher *stateHasher) addNumbers(values ...uint64) {
 	for _, v := range values {
-		*k = binary.AppendUvarint(*k, v)
+		*hasher = binary.AppendUvarint(*hasher, v)
 	}
 }
 
-func (k *stateHasher) addBools(values ...bool) {
+func (hasher *stateHasher) addBools(values ...bool) {
 	for _, v := range values {
-		*k = strconv.AppendBool(*k, v)
+		*hasher = strconv.AppendBool(*hasher, v)
 	}
 }
 
-func (k *stateHasher) addMembers(values ...Member) {
-	k.addNumbers(uint64(len(values)))
+func (hasher *stateHasher) addMembers(values ...Member) {
+	hasher.addNumbers(uint64(len(values)))
 	for _, v := range values {
-		*k = append(*k, v.Address...)
-		k.addNumbers(v.Disk)
+		*hasher = append(*hasher, v.Address...)
+		hasher.addNumbers(v.Disk)
 	}
 }
 
-func (k *stateHasher) addEntries(values []Entry) {
-	k.addNumbers(uint64(len(values)))
+func (hasher *stateHasher) addEntries(values []Entry) {
+	hasher.addNumbers(uint64(len(values)))
 	for _, e := range values {
-		k.addNumbers(e.Index, e.Term, e.Origin, e.ID)
-		if k.addBools(e.Members != nil); e.Members != nil {
-			k.addMembers(e.Members.Voters...)
-			k.addMembers(e.Members.Old...)
+		hasher.addNumbers(e.Index, e.Term, e.Origin, e.ID)
+		if hasher.addBools(e.Members != nil); e.Members != nil {
+			hasher.addMembers(e.Members.Voters...)
+			hasher.addMembers(e.Members.Old...)
 		}
 	}
 }
 
-func (k *stateHasher) addMessages(values ...Message) {
-	k.addNumbers(uint64(len(values)))
+func (hasher *stateHasher) addMessages(values ...Message) {
+	hasher.addNumbers(uint64(len(values)))
 	for _, m := range values {
-		k.addMembers(Member{m.From, m.Disk}, Member{m.To, m.ToDisk}, Member{Address: m.Leader})
-		k.addNumbers(uint64(m.Kind), m.Term, m.Index, m.LogTerm, m.Commit, m.Sequence, m.About, m.MembersAt.Term, m.MembersAt.Index, m.Origin, m.ID)
-		k.addBools(m.Founder, m.Quiet, m.Reject)
-		k.addEntries(m.Entries)
+		hasher.addMembers(Member{m.From, m.Disk}, Member{m.To, m.ToDisk}, Member{Address: m.Leader})
+		hasher.addNumbers(uint64(m.Kind), m.Term, m.Index, m.LogTerm, m.Commit, m.Sequence, m.About, m.MembersAt.Term, m.MembersAt.Index, m.Origin, m.ID)
+		hasher.addBools(m.Founder, m.Quiet, m.Reject)
+		hasher.addEntries(m.Entries)
 		if m.Snapshot != nil {
-			k.addNumbers(m.Snapshot.Index)
+			hasher.addNumbers(m.Snapshot.Index)
 		}
 		if m.Members != nil {
-			k.addMembers(m.Members.Voters...)
-			k.addMembers(m.Members.Old...)
+			hasher.addMembers(m.Members.Voters...)
+			hasher.addMembers(m.Members.Old...)
 		}
 	}
 }
 
-func (k *stateHasher) sum() uint64 { return maphash.Bytes(keySeed, *k) }
+func (hasher *stateHasher) sum() uint64 { return maphash.Bytes(keySeed, *hasher) }
 
 // key returns a hash that identifies the state.
 func (s *modelState) key() uint64 {
@@ -147,8 +148,8 @@
 	}
 	for _, link := range s.links {
 		hasher.addNumbers(uint64(len(link)))
-		for _, message := range link {
-			hasher.addNumbers(message.key)
+		for _, inFlight := range link {
+			hasher.addNumbers(inFlight.key)
 		}
 	}
 	hasher.addNumbers(uint64(len(s.committed)))
@@ -236,14 +237,14 @@
 			if msg.To == s.remaining.Down {
 				continue
 			}
-			link := s.link(i, slices.Index(modelHostNames, msg.To))
+			index := s.linkIndex(i, slices.Index(modelHostNames, msg.To))
 			var hasher stateHasher
 			hasher.addMessages(msg)
-			queued := append(slices.Clone(s.links[link]), inFlightMessage{msg, hasher.sum()})
-			if slices.ContainsFunc(s.links[link], func(other inFlightMessage) bool { return other.key == queued[len(queued)-1].key }) {
+			queued := append(slices.Clone(s.links[index]), inFlightMessage{msg, hasher.sum()})
+			if slices.ContainsFunc(s.links[index], func(other inFlightMessage) bool { return other.key == queued[len(queued)-1].key }) {
 				continue
 			}
-			s.links[link] = queued[max(0, len(queued)-s.remaining.LinkCapacity):]
+			s.links[index] = queued[max(0, len(queued)-s.remaining.LinkCapacity):]
 		}
 		if output.Restore != nil {
 			h.appliedIndex = output.Restore.Index
@@ -306,13 +307,13 @@
 			continue
 		}
 		for to := range s.hosts {
-			link := s.links[s.link(i, to)]
-			for position, message := range link {
+			link := s.links[s.linkIndex(i, to)]
+			for position, inFlight := range link {
 				n := s.afterAction(to, func(n *modelState, h *modelHost) {
-					n.links[n.link(i, to)] = slices.Delete(slices.Clone(link), position, position+1)
-					h.machine.HandleMessage(message.msg)
+					n.links[n.linkIndex(i, to)] = slices.Delete(slices.Clone(link), position, position+1)
+					h.machine.HandleMessage(inFlight.msg)
 				})
-				visit(fmt.Sprintf("%s receives a message of kind %d from %s, term %d, index %d", message.msg.To, message.msg.Kind, message.msg.From, message.msg.Term, message.msg.Index), n)
+				visit(fmt.Sprintf("%s receives a message of kind %d from %s, term %d, index %d", inFlight.msg.To, inFlight.msg.Kind, inFlight.msg.From, inFlight.msg.Term, inFlight.msg.Index), n)
 			}
 		}
 		m := h.machine
