--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -21,22 +21,22 @@
 	f := &admin.Figures{Attempts: l.backends.written.Load(), InFlight: a.server.held.Load() - a.server.coming.Load()}
 	err := l.do(ctx, func() {
 		for i, c := range l.counts.classes {
-			f.Classes = append(f.Classes, admin.Class{Name: l.set.Classes[i], Served: c.served, Refused: c.refused, Failed: c.failed})
+			f.Classes = append(f.Classes, admin.Class{Name: l.settings.Classes[i], Served: c.served, Refused: c.refused, Failed: c.failed})
 		}
-		f.Known = len(l.listed)
+		f.Known = len(l.listedServers)
 		avoided := map[policy.ServerID]bool{}
-		for id, e := range l.listed {
-			avoided[id] = l.held(e).State != policy.Ready
+		for id, e := range l.listedServers {
+			avoided[id] = l.effectiveEntry(e).State != policy.Ready
 		}
 		if v, ok := l.current.Decider.(viewer); ok {
 			for _, s := range v.View(l.clock.now()) {
-				if len(s.Ejected) == len(l.set.Classes) {
+				if len(s.Ejected) == len(l.settings.Classes) {
 					avoided[s.ID] = true
 				}
 			}
 		}
 		for id, out := range avoided {
-			if _, listed := l.listed[id]; listed && out {
+			if _, listed := l.listedServers[id]; listed && out {
 				f.Excluded++
 			}
 		}
@@ -69,7 +69,7 @@
 	s := a.leave.ModeAt(a.loop.clock.now())
 	a.server.stance.Store(&s)
 	if s.CloseIdle {
-		a.clients.endIdle()
+		a.clients.closeIdle()
 	}
 	switch {
 	case !s.CloseAfterAnswer || a.following:
--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -43,7 +43,7 @@
 	if err != nil || f.Known != 3 || f.Excluded != 2 || f.Attempts != 30 || f.Classes[2].Served != 30 {
 		t.Errorf("figures %+v, %v", f, err)
 	}
-	if s := look(t, a).Backends[0]; len(x.Got) > 0 || s.HeldBy != byOperator {
+	if s := look(t, a).Backends[0]; len(x.Got) > 0 || s.HeldBy != heldByOperator {
 		t.Errorf("%d sent to who is out; shown as %+v", len(x.Got), s)
 	}
 	ban("x", false, true)
@@ -128,7 +128,7 @@
 	l.send(input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{
 		{ID: "x", HostPort: x.Addr, Phase: "Ready"}, {ID: "y", HostPort: y.Addr, Phase: "Ready"},
 	}})
-	c := &call{callID: "c", class: 2, deadline: l.clock.now() + wait, answered: make(chan answer, 1)}
+	c := &call{callID: "c", class: 2, deadline: l.clock.now() + wait, answers: make(chan answer, 1)}
 	c.message = newMessage(http.MethodPost, "/unsafe/1", "x", http.Header{callIDHeader: {"c"}}, nil, nil)
 	l.send(input{event: policy.Event{Kind: policy.EventRequest}, call: c})
 	first, other := x, y
@@ -136,10 +136,10 @@
 	if receive(t, "choice", net.dialing) == y.Addr {
 		first, other, out = y, x, "y"
 	}
-	l.locked(func() { l.hold(t.Context(), out, forGood, byOperator) })
+	l.withLock(func() { l.setHold(t.Context(), out, indefiniteHold, heldByOperator) })
 	net.let <- struct{}{}
 	net.let <- struct{}{}
-	if a := receive(t, "answer", c.answered); a.status != http.StatusOK || len(first.Got) != 0 || len(other.Got) != 1 {
+	if a := receive(t, "answer", c.answers); a.status != http.StatusOK || len(first.Got) != 0 || len(other.Got) != 1 {
 		t.Errorf("answered %d, %d sent to who is out, %d to the other", a.status, len(first.Got), len(other.Got))
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -49,9 +49,9 @@
 	log       *slog.Logger
 	loop      *loop
 	discovery *discovery
-	clients   *admission
+	clients   *connLimiter
 	server    *server
-	peers     *chatter     // nil: there is no talk among agents
+	peers     *peerLink    // nil: there is no talk among agents
 	moves     chan *Config // to another discovery, by operators
 	followed  string       // the discovery that they have moved to last
 
@@ -83,19 +83,19 @@
 	if cfg.known.Complete && len(cfg.known.Members) > 0 {
 		d.revision = cfg.known.Revision
 	}
-	l.follow = d.asked
-	talk, err := openPeers(&cfg.Peers, network)
+	l.subscribe = d.asked
+	talk, err := openPeerLink(&cfg.Peers, network)
 	if err != nil {
 		return nil, err
 	}
 	if talk != nil {
-		l.tell = talk.tell
+		l.broadcast = talk.broadcast
 	}
 	// Danger: the application holds a third of the sockets at most for its requests. Were there room for more, those
 	// that it has used once and keeps would leave it none for the next request.
 	room := min(half, cfg.Sockets*3/10)
 	a := &Agent{
-		cfg: cfg, log: log, loop: l, discovery: d, clients: &admission{Listener: listener, most: room},
+		cfg: cfg, log: log, loop: l, discovery: d, clients: &connLimiter{Listener: listener, maxConns: room},
 		server: &server{loop: l, usual: int64(room - room/8)}, moves: make(chan *Config),
 		followed: cfg.Discovery, peers: talk, leave: leave.Controller{SharedSocket: cfg.Inherited},
 	}
@@ -104,8 +104,8 @@
 	a.server.stance.Store(&leave.Mode{Ready: true, Accept: true})
 	a.half, a.room = half, room
 	if cfg.Beside != nil {
-		a.handover = handover.New(cfg.Beside, side{a}, log)
-		l.said = a.handover.Tell
+		a.handover = handover.New(cfg.Beside, handoverSide{a}, log)
+		l.onHoldChange = a.handover.Tell
 	}
 	return a, nil
 }
@@ -127,7 +127,7 @@
 	a.discovery.tell(policy.ListCached, cfg.known.Members)
 	workers.Go(func() { a.discovery.run(work, reloads, a.moves) })
 	if a.peers != nil {
-		workers.Go(func() { a.peers.hear(work, l) })
+		workers.Go(func() { a.peers.receiveLoop(work, l) })
 	}
 	defer func() {
 		stop()
@@ -142,7 +142,7 @@
 	}()
 	srv := &http.Server{
 		Handler: handler, ReadHeaderTimeout: requestTimeout, IdleTimeout: idleClients, MaxHeaderBytes: maxHeader,
-		ConnContext: withConn, ConnState: a.clients.noteState,
+		ConnContext: withConn, ConnState: a.clients.trackState,
 		ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelWarn),
 	}
 	defer srv.Close() // what outlasts Shutdown
@@ -165,7 +165,7 @@
 		return fmt.Errorf("serving: %w", err)
 	case <-time.After(leave.AcceptGrace + sweepIdle):
 	}
-	a.clients.endIdle()
+	a.clients.closeIdle()
 	longest := leaveSlack
 	for _, c := range cfg.Settings.Module.Classes {
 		longest = max(longest, c.Deadline+leaveSlack)
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -40,7 +40,7 @@
 	*connpool.Pool
 	room    atomic.Int64 // bytes left for streams
 	written atomic.Int64 // attempts whose last byte went out
-	late    *lateness    // the agent's own
+	late    *lagMonitor  // the agent's own
 	log     *slog.Logger
 }
 
@@ -48,7 +48,7 @@
 func newBackends(net Network, s *settings.Settings, most int, room int64, log *slog.Logger) *backends {
 	b := &backends{
 		Pool: connpool.New(connpool.Options{Network: net, ConnectTimeout: s.ConnectTimeout, BackendIdleTimeout: s.Module.IdleClose, MaxConns: most}),
-		late: newLateness(s, net), log: log,
+		late: newLagMonitor(s, net), log: log,
 	}
 	b.room.Store(room)
 	return b
@@ -126,10 +126,10 @@
 func (b *backends) exchange(ctx context.Context, t *connpool.Target, m *message, sendBy time.Time, fields []string) result {
 	r := result{load: settings.NoLoad()}
 	var a life.Attempt
-	wrote := b.late.time.now()
+	wrote := b.late.timeSource.now()
 	resp, body, rest, err := b.roundTrip(ctx, t, m, sendBy, &a, &wrote)
-	r.seen = b.late.time.now()
-	r.took = max(0, r.seen-b.late.own()-wrote)
+	r.seen = b.late.timeSource.now()
+	r.took = max(0, r.seen-b.late.ownDelay()-wrote)
 	if err == nil {
 		r.load = parseLoad(resp.Header.Get(loadHeader), fields)
 		b.on(&a, meaning(resp))
@@ -138,7 +138,7 @@
 	}
 	r.outcome = a.State().Outcome()
 	if r.outcome == policy.OK {
-		r.answer = answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), body: body, rest: rest}
+		r.answer = answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), body: body, bodyStream: rest}
 	}
 	return r
 }
@@ -165,7 +165,7 @@
 	case overdue, errors.Is(err, errOverdue):
 		b.on(a, life.Deadline)
 		b.on(a, life.IOReturned)
-	case a.State() == life.Connecting && errors.Is(err, os.ErrDeadlineExceeded) && b.late.own() > 0:
+	case a.State() == life.Connecting && errors.Is(err, os.ErrDeadlineExceeded) && b.late.ownDelay() > 0:
 		b.on(a, life.NoSocket) // it may have come up in time while the agent was late
 	case a.State() == life.Connecting:
 		b.on(a, life.ConnectFailed)
@@ -248,7 +248,7 @@
 		if !m.probe {
 			b.written.Add(1)
 		}
-		*wrote = b.late.time.now()
+		*wrote = b.late.timeSource.now()
 		if m.rest != nil {
 			overdue := time.AfterFunc(m.rest.arrived(), c.Expire)
 			defer overdue.Stop()
--- a/internal/agent/backends_test.go
+++ b/internal/agent/backends_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	list := func(mode policy.ListMode, members ...member) {
-		l.take(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: mode}, members: members})
+		l.processInput(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: mode}, members: members})
 	}
 	old, next := member{ID: "old", HostPort: b.Addr, Phase: "Ready"}, member{ID: "next", HostPort: b.Addr, Phase: "Ready"}
 	list(policy.ListFull, old)
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -34,7 +34,7 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if !l.locked(f) {
+	if !l.withLock(f) {
 		return errEnded
 	}
 	return nil
@@ -102,16 +102,16 @@
 // replace lets another module decide from now on. The one before finishes what it has.
 func (l *loop) replace(ctx context.Context, d Decider, s policy.Settings) {
 	old := l.current
-	if old.retired = true; old.open == 0 {
+	if old.retired = true; old.openRequests == 0 {
 		l.modules = slices.DeleteFunc(l.modules, func(m *module) bool { return m == old })
 	}
 	l.current = &module{Decider: d}
 	l.modules = append(l.modules, l.current)
-	l.decisions = s
-	l.allow()
+	l.moduleSettings = s
+	l.applyLevelLimits()
 	var entries []policy.ServerEntry
-	for _, e := range l.listed {
-		entries = append(entries, l.held(e))
+	for _, e := range l.listedServers {
+		entries = append(entries, l.effectiveEntry(e))
 	}
 	slices.SortFunc(entries, func(a, b policy.ServerEntry) int { return cmp.Compare(a.ID, b.ID) })
 	l.handle(ctx, l.current, policy.Event{Kind: policy.EventList, ListMode: policy.ListFull, Servers: entries})
@@ -133,9 +133,9 @@
 	now := l.clock.now()
 	s := &control.State{Taking: !a.server.closed.Load(), Held: len(l.requests), Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}}
 	s.Service = control.Service{
-		Requests: l.counts.requests, InAim: l.counts.inAim, Served: l.counts.served, Refused: l.counts.refused, Failed: l.counts.failed, Left: l.counts.left,
+		Requests: l.counts.requests, InAim: l.counts.inAim, Served: l.counts.served, Refused: l.counts.refused, Failed: l.counts.failed, Left: l.counts.clientGone,
 	}
-	own, part := l.late.figures()
+	own, part := l.lagMonitor.stats()
 	s.Own = control.Own{Late: round(own.MeanDelay.Seconds()), Part: round(part), Worst: round(own.MaxDelay.Seconds()), Times: own.LateTicks}
 	if b, ok := l.current.Decider.(viewer); ok {
 		s.Pressure = b.Pressure()
@@ -143,13 +143,13 @@
 			s.Backends = append(s.Backends, a.backend(&v, now))
 		}
 	}
-	s.Classes, s.Accounts = make([]control.Class, len(l.set.Classes)), make([]control.Account, len(l.set.Tenants))
-	for i, name := range l.set.Classes {
-		c := &l.decisions.Classes[i]
+	s.Classes, s.Accounts = make([]control.Class, len(l.settings.Classes)), make([]control.Account, len(l.settings.Tenants))
+	for i, name := range l.settings.Classes {
+		c := &l.moduleSettings.Classes[i]
 		s.Classes[i] = control.Class{Name: name, Effect: effectNames[c.Effect], Aim: c.Aim.Seconds(), Deadline: c.Deadline.Seconds(), Worth: c.Worth}
 	}
-	for i, name := range l.set.Tenants {
-		s.Accounts[i] = control.Account{Name: name, Portion: l.decisions.Tenants[i].Portion}
+	for i, name := range l.settings.Tenants {
+		s.Accounts[i] = control.Account{Name: name, Portion: l.moduleSettings.Tenants[i].Portion}
 	}
 	slices.SortFunc(s.Backends, func(x, y control.Backend) int { return cmp.Compare(x.Name, y.Name) })
 	for _, r := range l.requests {
@@ -158,11 +158,11 @@
 		}
 		s.Classes[r.class].Open++
 		shown := control.Request{
-			Call: r.callID, Class: l.set.Classes[r.class], Age: (now - r.begun).Seconds(), Left: (r.deadline - now).Seconds(),
-			Attempts: len(r.attempts), Out: r.out,
+			Call: r.callID, Class: l.settings.Classes[r.class], Age: (now - r.startedAt).Seconds(), Left: (r.deadline - now).Seconds(),
+			Attempts: len(r.attemptCancels), Out: r.inFlight,
 		}
-		if r.tenant < len(l.set.Tenants) {
-			shown.Account = l.set.Tenants[r.tenant]
+		if r.tenant < len(l.settings.Tenants) {
+			shown.Account = l.settings.Tenants[r.tenant]
 			s.Accounts[r.tenant].Open++
 		}
 		s.Requests = append(s.Requests, shown)
@@ -174,7 +174,7 @@
 		if c.refused {
 			answer = "refused"
 		}
-		s.Causes = append(s.Causes, control.Cause{Answer: answer, Class: l.set.Classes[c.class], Cause: c.why, Count: n})
+		s.Causes = append(s.Causes, control.Cause{Answer: answer, Class: l.settings.Classes[c.class], Cause: c.reason, Count: n})
 	}
 	slices.SortFunc(s.Causes, func(x, y control.Cause) int {
 		return cmp.Or(cmp.Compare(x.Answer, y.Answer), cmp.Compare(x.Class, y.Class), cmp.Compare(x.Cause, y.Cause))
@@ -186,7 +186,7 @@
 func (a *Agent) backend(v *policy.ServerView, now time.Duration) control.Backend {
 	l := a.loop
 	b := control.Backend{
-		Name: l.servers.names[v.ID], Phase: phaseNames[l.listed[v.ID].State], Speed: round(v.Speed), Warmth: round(v.WarmFraction),
+		Name: l.servers.names[v.ID], Phase: phaseNames[l.listedServers[v.ID].State], Speed: round(v.Speed), Warmth: round(v.WarmFraction),
 		InFlight: v.InFlight, Silent: v.Overdue, Load: round(v.Outstanding), Full: round(v.AvoidedFor.Seconds()),
 	}
 	if t := l.targets[v.ID]; t != nil {
@@ -200,7 +200,7 @@
 		b.ReportAge = &age
 	}
 	for _, e := range v.Ejected {
-		b.Ejected = append(b.Ejected, control.Ejection{Class: l.set.Classes[e.Class], For: round(e.Remaining.Seconds()), Times: e.Consecutive})
+		b.Ejected = append(b.Ejected, control.Ejection{Class: l.settings.Classes[e.Class], For: round(e.Remaining.Seconds()), Times: e.Consecutive})
 	}
 	return b
 }
--- a/internal/agent/control_test.go
+++ b/internal/agent/control_test.go
@@ -136,7 +136,7 @@
 	a.apply(t, `{"decisions":{"max_attempts":7,"classes":{"unsafe":{"worth":9}}}}`)
 	a.serve(t, 10)
 	modules := func() (n, most int) {
-		if err := a.agent.loop.do(t.Context(), func() { n, most = len(a.agent.loop.modules), a.agent.loop.decisions.MaxAttempts }); err != nil {
+		if err := a.agent.loop.do(t.Context(), func() { n, most = len(a.agent.loop.modules), a.agent.loop.moduleSettings.MaxAttempts }); err != nil {
 			t.Fatal(err)
 		}
 		return n, most
@@ -243,7 +243,7 @@
 		t.Fatal(err)
 	}
 	heard := 0
-	old := &module{retired: true, open: 1, Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
+	old := &module{retired: true, openRequests: 1, Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
 		return append(out, policy.Action{Kind: policy.ActRefuse, Request: 7})
 	})}
 	l.current = &module{Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
@@ -251,9 +251,9 @@
 		return out
 	})}
 	l.modules = []*module{old, l.current}
-	r := &request{module: old, call: &call{id: 7, answered: make(chan answer, 1)}}
+	r := &request{module: old, call: &call{id: 7, answers: make(chan answer, 1)}}
 	l.requests[r.id] = r
-	l.take(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
+	l.processInput(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
 	if heard != 1 || len(l.modules) != 1 || l.modules[0] != l.current || len(l.requests) != 0 {
 		t.Errorf("heard %d times, %d modules and %d requests are left", heard, len(l.modules), len(l.requests))
 	}
--- a/internal/agent/replace.go
+++ b/internal/agent/replace.go
@@ -52,7 +52,7 @@
 		most = min(most, wanted)
 	}
 	a.server.most.Store(most)
-	a.clients.resize(a.room / int(of))
+	a.clients.setMaxConns(a.room / int(of))
 	a.loop.backends.SetMaxConns(a.half / int(of))
 	if limit := debug.SetMemoryLimit(-1); beside && !was {
 		debug.SetMemoryLimit(limit / 2)
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -47,7 +47,7 @@
 // server is the client's side: it turns requests into calls for the loop, and its answers into responses.
 type server struct {
 	loop    *loop
-	clients *admission
+	clients *connLimiter
 	usual   int64 // requests held at once, if operators say nothing
 
 	most   atomic.Int64 // requests held at once
@@ -95,7 +95,7 @@
 	case errors.As(err, &b):
 		s.respond(w, b.answer())
 		return
-	case err != nil, !s.clients.take(connOf(r)): // the connection is gone
+	case err != nil, !s.clients.beginRequest(connOf(r)): // the connection is gone
 		panic(http.ErrAbortHandler)
 	}
 	rest := c.message.rest
@@ -104,7 +104,7 @@
 		// What is left of it when there is an answer is not waited for.
 		w.Header().Set("Connection", "close")
 		if !s.loop.backends.reserve(streamRoom) {
-			s.loop.locked(func() { s.loop.counts.turnAway(c.class) })
+			s.loop.withLock(func() { s.loop.counts.recordOverloadRefusal(c.class) })
 			s.respond(w, answer{status: statusRefused, retryAfter: fullAdvice})
 			return
 		}
@@ -118,26 +118,26 @@
 	}
 	defer s.held.Add(-1)
 	if s.held.Add(1) > s.most.Load() || s.closed.Load() {
-		s.loop.locked(func() { s.loop.counts.turnAway(c.class) })
+		s.loop.withLock(func() { s.loop.counts.recordOverloadRefusal(c.class) })
 		s.respond(w, answer{status: statusRefused, retryAfter: fullAdvice})
 		return
 	}
 	hangup := input{event: policy.Event{Kind: policy.EventClientGone}, call: c}
 	left := make(chan struct{}) // closed if the client leaves behind the first bytes of its next request
 	if rest == nil {
-		c.client = connOf(r).watch
-		defer c.client.NotifyOnClose(func() { s.loop.send(hangup); close(left) })()
+		c.hangupWatcher = connOf(r).hangupWatcher
+		defer c.hangupWatcher.NotifyOnClose(func() { s.loop.send(hangup); close(left) })()
 	}
-	s.loop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: c, by: c})
-	if c.attempt != nil {
+	s.loop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: c, deliveringCall: c})
+	if c.inlineAttempt != nil {
 		stop := context.AfterFunc(r.Context(), func() {
 			if rest == nil || rest.ended.Load() {
 				s.loop.send(hangup)
 			}
 		})
-		for c.attempt != nil {
-			carryOut := c.attempt
-			c.attempt = nil
+		for c.inlineAttempt != nil {
+			carryOut := c.inlineAttempt
+			c.inlineAttempt = nil
 			carryOut()
 		}
 		stop()
@@ -150,11 +150,11 @@
 		}
 	}
 	select {
-	case a := <-c.answered:
+	case a := <-c.answers:
 		if rest != nil {
 			rest.stop() // danger: net/http bears no reader of the body beside an answer
 		}
-		if a.rest == nil {
+		if a.bodyStream == nil {
 			s.respond(w, a)
 		} else {
 			s.pass(w, c, a)
@@ -181,17 +181,17 @@
 
 // pass writes an answer whose body passes through. Danger: one that breaks must not look whole.
 func (s *server) pass(w http.ResponseWriter, c *call, a answer) {
-	s.head(w, &a, a.rest.size)
+	s.head(w, &a, a.bodyStream.size)
 	whole, client := false, true
 	if _, err := w.Write(a.body); err == nil {
-		whole, client = a.rest.pass(w)
+		whole, client = a.bodyStream.pass(w)
 	}
-	a.rest.end(whole)
+	a.bodyStream.end(whole)
 	if whole {
 		return
 	}
 	if !client {
-		s.loop.locked(func() { s.loop.counts.broke(c.class) })
+		s.loop.withLock(func() { s.loop.counts.recordBrokenAnswer(c.class) })
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -223,7 +223,7 @@
 		// Danger: net/http drops the length that stands beside it, and one of both hides a request in the body
 		// from whoever goes by the other. Where that can't be told nothing else is read from the connection (RFC 9112,
 		// section 6.1).
-		says, known := connOf(r).saysLength()
+		says, known := connOf(r).namesContentLength()
 		if says {
 			return &badRequest{http.StatusBadRequest, "both Transfer-Encoding and Content-Length"}
 		}
@@ -242,7 +242,7 @@
 // read checks a request's head, and then reads it to its last byte, from which its budget counts; or as much as is kept of one
 // that is longer.
 func (s *server) read(w http.ResponseWriter, r *http.Request) (*call, error) {
-	set := s.loop.set
+	set := s.loop.settings
 	// What concerns this connection only goes before anything is checked: it may name what is needed.
 	for _, name := range r.Header["Connection"] {
 		for field := range strings.SplitSeq(name, ",") {
@@ -258,9 +258,9 @@
 		}
 	}
 	c := &call{
-		class:    slices.Index(set.Classes, r.Header.Get(classHeader)),
-		retry:    r.Header.Get(retryHeader) == "1",
-		answered: make(chan answer, 1),
+		class:   slices.Index(set.Classes, r.Header.Get(classHeader)),
+		retry:   r.Header.Get(retryHeader) == "1",
+		answers: make(chan answer, 1),
 	}
 	if c.class < 0 {
 		return nil, bad("%s is unknown", classHeader)
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -263,7 +263,7 @@
 
 // drop lets go of an answer that nobody gets.
 func (a *answer) drop() {
-	if a.rest != nil {
-		a.rest.end(false)
+	if a.bodyStream != nil {
+		a.bodyStream.end(false)
 	}
 }
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -73,7 +73,7 @@
 		if what == "bare line feeds" {
 			text = strings.ReplaceAll(text, "\r", "")
 		}
-		got := a.talk(t, text)
+		got := a.exchangeRaw(t, text)
 		if strings.Contains(got, "100 Continue") {
 			_, got, _ = strings.Cut(got, "\r\n\r\n")
 		}
@@ -267,14 +267,14 @@
 			t.Fatal("idle connections stay")
 		}
 	}
-	a.agent.clients.endIdle()
+	a.agent.clients.closeIdle()
 	close(let)
 	if n, err := io.Copy(io.Discard, resp.Body); n != keep || err != nil {
 		t.Errorf("%d more bytes, %v", n, err)
 	}
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
 		a.agent.clients.mu.Lock()
-		open := a.agent.clients.open
+		open := a.agent.clients.openConns
 		a.agent.clients.mu.Unlock()
 		if open == 0 {
 			break
