--- a/internal/mesh/controlplane/core.go
+++ b/internal/mesh/controlplane/core.go
@@ -44,7 +44,6 @@
 	heartbeatInterval = 500 * time.Millisecond
 	feedTimeout       = 1700 * time.Millisecond // closes a silent feed: a bit more than three heartbeats
 	settleDelay       = 2 * time.Second         // after a pause; agents reconnect within 1.5 s
-
 )
 
 // Core is the control-plane process. Its fields from registry on belong to the goroutine of
@@ -74,15 +73,17 @@
 	members        []string
 	formerBackends formerBackends
 
-	clock       *meshtime.Clock
-	collector   *usage.Collector
-	firstWindow int64 // usage window of the first check, while none was final; 0 before
+	clock     *meshtime.Clock
+	collector *usage.Collector
+	// firstWindow is the usage window that was current at the first call of usageView, if no window
+	// was final then. It is 0 before that.
+	firstWindow int64
 
 	processID   uint64             // random, not 0
 	revisions   registry.Revisions // of registry
 	lastActive  time.Duration      // when the loop last handled something
 	settledAt   time.Duration      // end of the settle time after a pause; 0 if not settling
-	lostInStall map[string]uint64  // agents that disconnected during it, and their lives
+	lostInStall map[string]uint64  // agents that disconnected while settling, with their Station.Life
 }
 
 // New returns a process that is not started yet.
--- a/internal/mesh/controlplane/duty_orders.go
+++ b/internal/mesh/controlplane/duty_orders.go
@@ -49,7 +49,7 @@
 func (o *dutyOrder) validate(kind lease.Kind) string {
 	switch {
 	case o.Fence == 0:
-		return "fence: missing, give that of the grant to move"
+		return "fence: missing, give the fencing token of the grant to move"
 	case kind == lease.Hand && o.To == "":
 		return "to: missing, give the name of a core machine"
 	case kind == lease.Revoke && o.Why == "":
--- a/internal/mesh/controlplane/feed_send.go
+++ b/internal/mesh/controlplane/feed_send.go
@@ -8,12 +8,15 @@
 )
 
 const (
-	batchInterval         = 50 * time.Millisecond // minimum time between messages with stations
-	maxStationsPerMessage = 64                    // limits the buffers, which stay with each connection
+	// batchInterval is the minimum time between messages with stations, and between notifications of
+	// configuration changes.
+	batchInterval         = 50 * time.Millisecond
+	maxStationsPerMessage = 64 // limits the buffers, which stay with each connection
 )
 
-// sendUpdates sends an agent all news, and heartbeats if there is none. News within batchInterval
-// is combined: when a zone fails, each of its agents is news to all other agents.
+// sendUpdates sends an agent all changes, and heartbeats while there are none. Changes within
+// batchInterval are combined: when a zone fails, the loss of each of its agents has to be sent to
+// all other agents.
 func (c *Core) sendUpdates(f *feed, ended chan struct{}) {
 	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
--- a/internal/mesh/controlplane/peers.go
+++ b/internal/mesh/controlplane/peers.go
@@ -13,7 +13,7 @@
 
 // peers sends messages to other control-plane nodes, over one connection each, which is opened when
 // there is a message to send. If there are more than maxPeers, the least recently used connection
-// is closed, because replaced machines have new addresses.
+// is closed. Otherwise connections would accumulate, because replaced machines have new addresses.
 type peers struct {
 	settings  *bootstrap.Settings
 	mu        sync.Mutex
--- a/internal/mesh/controlplane/steps_test.go
+++ b/internal/mesh/controlplane/steps_test.go
@@ -75,7 +75,8 @@
 }
 
 // After a large change in a large deployment, each agent requests the steps that it lacks and is
-// not sent the complete configuration, unless it does not trust its own (rule CONFIG).
+// not sent the complete configuration, unless it does not trust its own (rule CONFIG of package
+// meshtest).
 func TestLargeChangeIsSentAsSteps(t *testing.T) {
 	table := tableWithRoutes(t, 2000)
 	before := table.published.Load()
--- a/internal/mesh/controlplane/table.go
+++ b/internal/mesh/controlplane/table.go
@@ -77,7 +77,8 @@
 }
 
 // encodedStepsFrom returns the encoded steps from an index to this state. It returns nil if they
-// are not kept or not smaller than the configuration. It must be called from one goroutine only.
+// are not kept, or if they are neither smaller than the configuration nor than maxPushedBytes. It
+// must be called from one goroutine only.
 func (s *configState) encodedStepsFrom(from uint64) []byte {
 	if from != 0 && s.lastEncodedSteps.since == from {
 		return s.lastEncodedSteps.raw
--- a/internal/mesh/controlplane/table_test.go
+++ b/internal/mesh/controlplane/table_test.go
@@ -42,9 +42,10 @@
 	return orders
 }
 
-// Checks the rule CONFIG with the order of all calls known: an invalid call has no effect, members
-// agree whether they applied the orders one by one or restored a snapshot, a repeated order changes
-// nothing more, and an order without effect notifies no agents.
+// Checks the rule CONFIG of package meshtest on the table alone, where the order of all calls is
+// known: an invalid call has no effect, members agree whether they applied the orders one by one or
+// restored a snapshot, a repeated order changes nothing more, and an order without effect notifies
+// no agents.
 func TestTable(t *testing.T) {
 	outcomes := map[string]int{}
 	for seed := range uint64(100) {
--- a/internal/mesh/controlplane/usage.go
+++ b/internal/mesh/controlplane/usage.go
@@ -25,8 +25,8 @@
 	c.collector.RetainAgents(func(agent string) bool { return c.registry.Station(agent) != nil })
 }
 
-// usageView returns the current information about the next window to make final. It runs in the
-// loop.
+// usageView returns the current information about the next window to make final, given the last
+// window that is final. It runs in the loop.
 func (c *Core) usageView(through int64) *duties.View {
 	view := &duties.View{Time: c.clock.Now(), Cordoned: c.windowDriver.cordoned.Load()}
 	var connected, lost []string
--- a/internal/mesh/controlplane/window_driver.go
+++ b/internal/mesh/controlplane/window_driver.go
@@ -29,12 +29,12 @@
 type windowDriver struct {
 	core           *Core
 	leaderSince    time.Duration // 0 if this node does not lead
-	remaining      int           // number of remaining items
+	remaining      int           // number of agents and roles still active on the window's machines
 	remainingSince time.Duration // when remaining last changed
 	zones          map[string]*zoneAgents
 	zonesCountedAt time.Duration // time of the latest countZones
 	checkedAt      time.Duration // time of the latest check of the window
-	cordoned       atomic.Bool   // this node's machine is cordoned
+	cordoned       atomic.Bool   // this node's machine is cordoned at StageCalls or beyond
 	leaving        atomic.Bool   // a call of node.Leave is in progress
 	proposing      atomic.Bool   // a proposal is in progress
 	view           atomic.Pointer[windowView]
@@ -162,8 +162,9 @@
 	}
 }
 
-// leaveIfCordoned gives up leadership, vote and duties while this node's machine is cordoned.
-// Giving them up lasts only for about two seconds, so it is repeated.
+// leaveIfCordoned gives up leadership, vote and duties while this node's machine is cordoned at
+// StageCalls or beyond. Consensus forgets a call of Leave after about two seconds, so it is
+// repeated. The duty holder reads the field cordoned.
 func (d *windowDriver) leaveIfCordoned() {
 	c := d.core
 	stage := c.table.published.Load().config.Stage(c.settings.Zone, c.settings.IP)
--- a/internal/mesh/duties/duties.go
+++ b/internal/mesh/duties/duties.go
@@ -46,8 +46,8 @@
 
 // Reply is the result of a Command.
 type Reply struct {
-	Lease   lease.Answer
-	Refused string // the reason for a refusal; empty if the command was applied
+	Lease   lease.Answer // result of a lease command, including the reason for its refusal
+	Refused string       // the reason for refusing another command; empty if it was applied
 }
 
 // Table is the replicated state. It is not safe for concurrent use.
--- a/internal/mesh/duties/duties_test.go
+++ b/internal/mesh/duties/duties_test.go
@@ -49,7 +49,7 @@
 	return time.Duration(float64(t-m.startedAt) * m.clockRate)
 }
 
-// platformCall is a call that the platform received.
+// platformCall is a call that the platform accepted.
 type platformCall struct {
 	at          time.Duration
 	holder      string
--- a/internal/mesh/duties/holder.go
+++ b/internal/mesh/duties/holder.go
@@ -12,7 +12,8 @@
 const (
 	// AcquireStagger is the period over which the nodes spread their requests for a free part.
 	AcquireStagger = 600 * time.Millisecond
-	// quietMargin is added to the lease duration during which a previous holder makes no calls.
+	// quietMargin is added to the lease duration for which a node makes no calls after its start, or
+	// after its last call under an earlier fencing token.
 	quietMargin = 500 * time.Millisecond
 	// sendReserve is the time before a report is due at which it is made final at the latest, even
 	// if counts are missing. An agent that is cut off gets as much time as possible to deliver its
@@ -75,9 +76,9 @@
 	Call     *Call // nil if there is none
 }
 
-// Holder is a node's part in the usage report. It requests the lease, and while it holds the lease
-// it makes the report of each ended window final and has it sent until the platform accepts it. It
-// does no I/O. Its clock is monotonic, starts with the process and may drift.
+// Holder decides on one node about the duty UsageReport. It requests the lease, and while it holds
+// the lease it makes the report of each ended window final and has it sent until the platform
+// accepts it. It does no I/O. Its clock is monotonic, starts with the process and may drift.
 //
 // It calls the platform only while its lease is valid by its own clock, and never with a fencing
 // token that the platform has refused. It also makes no call within a lease duration of its last
@@ -93,7 +94,7 @@
 	leaseTurn         uint64         // lease.Ask.Turn of that request
 	finalizeRequest   uint64         // number of the pending FinalizeReport request; 0 if there is none
 	inFlight          *Call          // nil if there is none
-	accepted          map[int64]bool // accepted, but open in the table; true: ReportAccepted is requested
+	accepted          map[int64]bool // accepted windows, open in the table; true: ReportAccepted is requested
 	lastCallEpoch     uint64         // token of the latest call to the platform
 	lastCallAt        time.Duration  // time of that call
 	quietUntil        time.Duration  // no calls before this time
--- a/internal/mesh/maintenance/decide.go
+++ b/internal/mesh/maintenance/decide.go
@@ -37,7 +37,7 @@
 	Service string  `json:"service"`
 	Load    float64 `json:"load"`  // requests in progress
 	Room    int     `json:"room"`  // requests that the remaining backends handle at once
-	After   float64 `json:"after"` // Load divided by Room; beyond 1 the remaining backends are overloaded
+	After   float64 `json:"after"` // Load divided by Room, beyond 1: overloaded; 2 if Room is 0
 }
 
 // Forecast returns the utilization of each service's backends without the machines of a window, the
--- a/internal/mesh/maintenance/document.go
+++ b/internal/mesh/maintenance/document.go
@@ -29,7 +29,7 @@
 	Clear    bool     `json:"clear"`
 	Waits    string   `json:"waits,omitempty"`
 	Ended    string   `json:"ended,omitempty"`
-	Left     []string `json:"left,omitempty"`     // in progress on its machines
+	Left     []string `json:"left,omitempty"`     // what is still active on its machines
 	Forecast []Share  `json:"forecast,omitempty"` // utilization without its machines, the highest first
 }
 
--- a/internal/mesh/maintenance/maintenance.go
+++ b/internal/mesh/maintenance/maintenance.go
@@ -74,7 +74,7 @@
 	Ended   string        `json:"ended,omitempty"`  // why it is over or returns to service
 	Changed uint64        `json:"changed"`          // log index of the last change
 	Begun   bool          `json:"begun,omitempty"`  // started by an operator, before its time
-	Forced  bool          `json:"forced,omitempty"` // planned although the forecast was too high
+	Forced  bool          `json:"forced,omitempty"` // the forecast is ignored, as requested
 }
 
 // step is one of the states between fully in service and out of service.
@@ -99,7 +99,7 @@
 // stepDuration returns how long a step lasts. The time of one step is left before the start.
 func (w *Window) stepDuration() time.Duration { return w.Lead / time.Duration(LastStep+1) }
 
-// sameRequest reports whether both windows were requested with the same content.
+// sameRequest reports whether both windows were requested for the same machines and times.
 func (w *Window) sameRequest(other *Window) bool {
 	return slices.Equal(w.Zones, other.Zones) && slices.Equal(w.Nodes, other.Nodes) && w.Start == other.Start && w.End == other.End && w.Lead == other.Lead
 }
@@ -140,7 +140,7 @@
 	case w.Start <= now:
 		return invalid("start", "%v in the past", (now - w.Start).Round(time.Second))
 	case w.Start-w.Lead < now:
-		return invalid("start", "it is in %v, but lead needs %v before it", (w.Start - now).Round(time.Millisecond), w.Lead)
+		return invalid("start", "in %v, which is less than the lead time of %v", (w.Start - now).Round(time.Millisecond), w.Lead)
 	case w.End <= w.Start:
 		return invalid("end", "must be after start")
 	case w.End-w.Start > MaxDuration:
--- a/internal/mesh/maintenance/region.go
+++ b/internal/mesh/maintenance/region.go
@@ -21,7 +21,7 @@
 	To      []ZoneCapacity `json:"to"`                // zones that would take over the load
 	Refused float64        `json:"refused"`           // fraction of requests that exceed the capacity
 	First   []RankedRoute  `json:"first,omitempty"`   // routes in the order of refusal, if any
-	Unready int            `json:"unready,omitempty"` // remaining backends that are lost or draining
+	Unready int            `json:"unready,omitempty"` // remaining backends that add no capacity: lost or draining
 }
 
 // ZoneCapacity is the capacity for a service in a remaining zone.
--- a/internal/mesh/maintenance/table.go
+++ b/internal/mesh/maintenance/table.go
@@ -21,8 +21,8 @@
 	Advance *Advance
 }
 
-// Advance sets the fields from Phase on to new values. It is refused if the window has changed in
-// the meantime.
+// Advance sets the window's fields Phase, Step, Clear, Waits and Ended to the values given here. It
+// is refused if the window has changed since the decision.
 type Advance struct {
 	Name    string
 	Changed uint64 // Window.Changed when this was decided
--- a/internal/mesh/meshtime/meshtime.go
+++ b/internal/mesh/meshtime/meshtime.go
@@ -32,8 +32,8 @@
 // Now returns the agreed time since the Unix epoch, as far as this process knows it.
 func (c *Clock) Now() time.Duration { return c.Local() + time.Duration(c.offset.Load()) }
 
-// Correct sets the agreed time from the differences between other processes' times and Local. If
-// there are none, the previous correction stays in effect.
+// Correct sets the agreed time to Local plus the median of the given differences between other
+// processes' times and Local. If there are none, the previous correction stays in effect.
 func (c *Clock) Correct(offsets []time.Duration) {
 	if len(offsets) == 0 {
 		return
--- a/internal/mesh/usage/collector.go
+++ b/internal/mesh/usage/collector.go
@@ -15,7 +15,9 @@
 	return &Collector{windows: map[int64]map[uint64]map[string]uint64{}, lastClosed: map[string]int64{}}
 }
 
-// Merge merges an update from an agent's Counter. It ignores invalid parts of the update.
+// Merge merges an update from an agent's Counter. It ignores parts that are malformed, that are
+// about final windows, or that are about windows in the future. The current window is Closed+1, or
+// Closed+2 in the first closeDelay of a window.
 func (c *Collector) Merge(agent string, update *Update) {
 	c.lastClosed[agent] = update.Closed
 	for i := range update.Parts {
--- a/internal/mesh/usage/counter.go
+++ b/internal/mesh/usage/counter.go
@@ -48,8 +48,8 @@
 
 // CountID identifies a count, so that it can be undone. The zero value identifies no count.
 type CountID struct {
-	window   int64
-	customer string
+	window int64
+	tenant string
 }
 
 // Counter counts the requests of one gate. It is safe for concurrent use. A nil Counter counts
@@ -60,9 +60,9 @@
 	clock        *meshtime.Clock
 
 	mu               sync.Mutex
-	revision         uint64 // increases with each change
-	windows          map[int64]map[string]*count
-	finalizedThrough int64 // the last window that is final
+	revision         uint64                      // increases with each change
+	windows          map[int64]map[string]*count // by window and tenant
+	finalizedThrough int64                       // the last window that is final
 	// dropped is the number of requests that were not counted.
 	dropped uint64
 }
@@ -77,12 +77,13 @@
 	return &Counter{process: process, windowLength: windowLength, clock: clock, windows: map[int64]map[string]*count{}}
 }
 
-// Add counts a request of a tenant that the backend starts now.
-func (c *Counter) Add(customer string) CountID {
-	if c == nil || customer == "" {
+// Add counts a request that the backend starts now for a tenant. It returns the zero CountID if the
+// request is not counted.
+func (c *Counter) Add(tenant string) CountID {
+	if c == nil || tenant == "" {
 		return CountID{}
 	}
-	id := CountID{meshtime.WindowAt(c.clock.Now(), c.windowLength), customer}
+	id := CountID{meshtime.WindowAt(c.clock.Now(), c.windowLength), tenant}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.adjust(id, 1) {
@@ -92,14 +93,14 @@
 	return id
 }
 
-// Undo undoes a count.
+// Undo undoes a count, unless its window is final or no longer kept.
 func (c *Counter) Undo(id CountID) {
-	if c == nil || id.customer == "" {
+	if c == nil || id.tenant == "" {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if tenants := c.windows[id.window]; tenants[id.customer] != nil {
+	if tenants := c.windows[id.window]; tenants[id.tenant] != nil {
 		c.adjust(id, -1)
 	}
 }
@@ -115,13 +116,13 @@
 		c.windows[id.window] = tenants
 		c.dropWindows(id.window - MaxPendingWindows)
 	}
-	entry := tenants[id.customer]
+	entry := tenants[id.tenant]
 	if entry == nil {
 		if len(tenants) >= MaxTenants {
 			return false
 		}
 		entry = &count{}
-		tenants[id.customer] = entry
+		tenants[id.tenant] = entry
 	}
 	c.revision++
 	entry.value += uint64(delta)
--- a/internal/mesh/usage/ledger.go
+++ b/internal/mesh/usage/ledger.go
@@ -22,7 +22,7 @@
 	Open    []*Report `json:"open,omitempty"`   // not accepted by the platform yet; ordered by window
 	Taken   uint64    `json:"taken,omitempty"`  // number of accepted reports
 	GaveUp  uint64    `json:"gave_up"`          // number of reports discarded, as too many were open
-	Missed  uint64    `json:"missed,omitempty"` // number of windows whose counts were lost
+	Missed  uint64    `json:"missed,omitempty"` // windows without a report, as their counts were lost
 }
 
 // Finalize makes a report final. It fails if the window or a later one is final already, so a
