--- a/internal/mesh/consensus/api.go
+++ b/internal/mesh/consensus/api.go
@@ -83,7 +83,7 @@
 	// by a leader.
 	Members, Learners    []string
 	Outgoing             []string          // voters that a change in progress removes
-	Unreachable          []string          // silent for peerTimeout; set only by a leader
+	Unreachable          []string          // voters silent for peerTimeout; set only by a leader
 	Zones                map[string]string // by node address; set only by a leader
 	LeaderChanges, Syncs uint64            // LeaderChanges restarts at 0 after a disk failure
 	ForeignMessages      uint64            // dropped messages of other meshes
--- a/internal/mesh/consensus/backup.go
+++ b/internal/mesh/consensus/backup.go
@@ -117,7 +117,7 @@
 	}
 	last, members := b.lastConfiguration()
 	if last.Index == 0 || len(members.Voters) == 0 {
-		return oops.Errorf("it holds nothing: its node had not yet heard from any other node")
+		return oops.Errorf("the backup holds nothing: its node had not yet heard from any other node")
 	}
 	state.Hard.Term = last.Term
 	return state.validate()
--- a/internal/mesh/consensus/disk_test.go
+++ b/internal/mesh/consensus/disk_test.go
@@ -119,7 +119,7 @@
 	require.Fail(c, "timeout while waiting for: "+description)
 }
 
-// blockStore prevents that a store is created in a node's folder until unblock is called.
+// blockStore prevents a store from being created in a node's folder until unblock is called.
 func (c *testCluster) blockStore(name string) (unblock func()) {
 	obstacle := filepath.Join(c.dirs[name], storeName+".new")
 	require.NoError(c, os.MkdirAll(filepath.Join(obstacle, "full"), 0o755))
--- a/internal/mesh/consensus/history_test.go
+++ b/internal/mesh/consensus/history_test.go
@@ -69,6 +69,7 @@
 	}
 }
 
+// beginGet records the start of a get. It reports whether a history is recorded at all.
 func (hist *history) beginGet(h *host) bool {
 	if hist != nil {
 		hist.beginCall(h, input{item: item{number: h.lastRequestID % itemCount}, isGet: true})
--- a/internal/mesh/consensus/join.go
+++ b/internal/mesh/consensus/join.go
@@ -9,7 +9,8 @@
 	return slices.Compact(values)
 }
 
-// hasLostDisk reports whether this node's address belongs to a voter with a different disk.
+// hasLostDisk reports whether this node's address belongs to a voter with a different disk. While
+// no members are known, every seed counts as such a voter.
 func (m *Machine) hasLostDisk() bool {
 	members := m.log.latestConfiguration().members
 	if len(members.Voters) == 0 {
--- a/internal/mesh/consensus/leave.go
+++ b/internal/mesh/consensus/leave.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// After this time a node leaves even if nobody has taken over its vote.
+	// After this time a node leaves even if no learner has taken over its vote.
 	leaveTimeout = 3 * time.Second
-	// After this time a leader stops waiting until its vote is taken over, and only transfers
-	// leadership.
+	// After this time a leader no longer waits for a learner to take over its vote, and only
+	// transfers leadership.
 	voteTransferTimeout = 900 * time.Millisecond
 	leaveRetryInterval  = 100 * time.Millisecond // between two Leave messages to the leader
 	// Without another Leave message for this long, a node counts as staying.
 	leavingExpiry = 2 * peerTimeout
 
 	// learnerJoinTimeout is the time in which all learners have found a new leader. Until then the
-	// leader can't know that nobody is able to take over a vote.
+	// leader can't know that no learner is able to take over a vote.
 	learnerJoinTimeout = maxElectionTimeout + maxJoinBackoff/2
 )
 
@@ -31,8 +31,8 @@
 }
 
 // Leave starts to hand over this node's vote, if a learner can take it, and its leadership.
-// HasLeft reports when the node may end. Until then the node continues to respond, so that nobody
-// has to wait for it.
+// HasLeft reports when the node may be stopped. Until then it continues to respond, so that no other
+// node has to wait for it.
 func (m *Machine) Leave() {
 	if m.isDeparting() {
 		return
@@ -41,8 +41,8 @@
 	m.advanceDeparture()
 }
 
-// HasLeft reports whether this node may end: the committed configuration gives it no vote, or no
-// learner can take its vote.
+// HasLeft reports whether this node may be stopped: the committed configuration gives it no vote, no
+// other node can take over what it holds, or leaveTimeout has passed.
 func (m *Machine) HasLeft() bool { return m.departure.requested && m.departure.finished }
 
 func (m *Machine) isDeparting() bool { return m.departure.requested && !m.departure.finished }
@@ -93,7 +93,8 @@
 // hasSuccessor reports whether a learner is available that can take over a vote.
 func (m *Machine) hasSuccessor() bool { return slices.ContainsFunc(m.peers, m.isActiveLearner) }
 
-// isRemoved reports whether the latest configuration is committed and does not include this node.
+// isRemoved reports whether the latest configuration in the log is committed, and it or a newer one
+// that this node was told of excludes this node.
 func (m *Machine) isRemoved() bool {
 	current := m.log.latestConfiguration()
 	return current.place.Index != 0 && current.place.Index <= m.commitIndex && !m.canCampaign()
@@ -121,8 +122,8 @@
 	m.reconcileMembers()
 }
 
-// handleLeaveReply ends the wait of a departing node: it is no longer a voter, or nobody can take
-// over its vote.
+// handleLeaveReply ends the wait of a departing node: it is no longer a voter, or no learner
+// can take over its vote.
 func (m *Machine) handleLeaveReply(msg Message) {
 	if msg.Term == m.hardState.Term && m.role != leader {
 		m.departure.finished = m.departure.requested
--- a/internal/mesh/consensus/leave_test.go
+++ b/internal/mesh/consensus/leave_test.go
@@ -45,8 +45,9 @@
 	delete(nodes, name)
 }
 
-// A leader that is told to leave hands over its vote and its leadership before it ends, so that the
-// loss of one more node can be tolerated. If no node can take over its vote, it ends soon anyway.
+// A leader that is told to leave hands over its vote and its leadership before Leave returns, so
+// that the loss of one more node can be tolerated. If no node can take over its vote, Leave returns
+// soon anyway.
 func TestNodesLeave(t *testing.T) {
 	dirs := testNodeDirs(t)
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/mesh/consensus/machine.go
+++ b/internal/mesh/consensus/machine.go
@@ -76,8 +76,8 @@
 	// each time, up to maxJoinBackoff.
 	minJoinBackoff  = 125 * time.Millisecond
 	maxJoinBackoff  = time.Second
-	resendTimeout   = 500 * time.Millisecond
-	chunkAckTimeout = time.Second // until a snapshot chunk that was not acknowledged is sent again
+	resendTimeout   = 500 * time.Millisecond // until an unanswered request to the leader is repeated
+	chunkAckTimeout = time.Second            // until a snapshot chunk that was not acknowledged is sent again
 	// A follower whose sync takes longer than this no longer replies to the leader and counts as
 	// unreachable: see acknowledgesEarly.
 	syncStallTimeout = 4 * time.Second
@@ -100,7 +100,8 @@
 	// Learners that are silent for this many times ReplaceAfter are dropped.
 	learnerTimeoutFactor = 4
 
-	// Half of the time that a repaired machine has to catch up.
+	// Default of Config.ReplaceAfter: half of the time within which a repaired machine has to catch
+	// up.
 	defaultReplaceAfter = 2 * time.Second
 	// Without a leader for this long, a voter sends Join messages to all known addresses.
 	joinBroadcastDelay = 2 * maxElectionTimeout
@@ -135,7 +136,7 @@
 type Config struct {
 	Self         string
 	Seeds        []string      // addresses of the first members, or of nodes that know the members
-	Incarnation  uint64        // unique number of this process
+	Incarnation  uint64        // unique number; new after each restart and each reopening of the store
 	ReplaceAfter time.Duration // silence after which a voter is replaced; 0: 2 s
 	TargetVoters int           // intended number of voters; the number of seeds if that is higher
 	Zone         string        // zone of this node; empty: unknown
@@ -189,13 +190,13 @@
 type Machine struct {
 	self         string // address of this node
 	seeds        []string
-	incarnation  uint64        // unique number of this process
+	incarnation  uint64        // see Config.Incarnation
 	replaceAfter time.Duration // how long a voter is silent before it is replaced
 	rng          *rand.Rand
 	diskID       uint64
 	founder      bool // the disk was created at the first start of the mesh
 
-	now          time.Duration
+	now          time.Duration // since any fixed instant, as are all other points in time
 	hardState    Hard
 	log          entryLog
 	snapshot     *Snapshot
@@ -214,7 +215,7 @@
 	electionDeadline  time.Duration // when the next election starts
 	timeoutDoublings  int           // how often the first election timeouts were doubled
 	votes             []Member
-	initialTerm       uint64 // the term when this process started
+	initialTerm       uint64 // the term when this machine was created
 	leaderChanges     uint64 // number of times that the known leader changed
 	foreignMessages   uint64 // messages of another mesh that were dropped
 	provisionalMesh   uint64 // the mesh that was last heard while this node belongs to none
@@ -248,7 +249,7 @@
 	nextJoin         time.Duration
 	joinBackoff      time.Duration
 	lastJoinSent     time.Duration
-	lastReplicatedTo time.Duration // when a leader last sent entries to exactly this disk
+	lastReplicatedTo time.Duration // when a leader last sent a message to exactly this disk
 
 	departure        departure
 	incomingSnapshot *incomingSnapshot // the snapshot that is being received
@@ -299,7 +300,7 @@
 }
 
 // BootstrapEntries returns the log of a first member. Its only entry is the configuration of the
-// seeds, which lists addresses alone because no disk numbers are known yet.
+// seeds, which lists only addresses because no disk numbers are known yet.
 func BootstrapEntries(seeds []string) []Entry {
 	members := &Members{Target: len(seeds)}
 	for _, seed := range sortedUnique(seeds) {
@@ -308,7 +309,7 @@
 	return []Entry{{Index: 1, Term: 1, Members: members}}
 }
 
-// SetClock sets the current time. The clock never goes back.
+// SetClock sets the current time, counted from any fixed instant. An earlier time is ignored.
 func (m *Machine) SetClock(now time.Duration) { m.now = max(m.now, now) }
 
 // Advance sets the current time and runs the timers that are due.
--- a/internal/mesh/consensus/message.go
+++ b/internal/mesh/consensus/message.go
@@ -22,7 +22,7 @@
 	ReadIndex          // asks for the index that has to be applied before a read is answered
 	ReadIndexReply
 	Leave                // announces that the sender is about to leave
-	LeaveReply           // the receiver has no vote, or with Reject: nobody can take it over
+	LeaveReply           // the receiver has no vote, or with Reject: no learner can take it over
 	InstallSnapshotReply // conveys the offset of the next chunk; promises nothing
 )
 
@@ -81,8 +81,9 @@
 	Mesh     uint64 // mesh of the sender; 0 if it knows no members
 	Zone     string // zone of the sender; empty: unknown
 
-	// Index is the index before Entries, the last index of the sender's log, the index up to which
-	// a follower's log matches, or the index to be applied before a read, depending on Kind.
+	// Index depends on Kind: the index before Entries, the last index of the sender's log, the index
+	// up to which a follower's log matches, or with Reject the index to probe next, the index of the
+	// snapshot that is being received, or the index to be applied before a read.
 	Index   uint64
 	LogTerm uint64 // term of the entry at Index
 	Commit  uint64
--- a/internal/mesh/consensus/node.go
+++ b/internal/mesh/consensus/node.go
@@ -44,7 +44,7 @@
 // pendingCall is a call that waits for its result.
 type pendingCall struct {
 	id            uint64          // used only by the node's goroutine
-	unansweredErr error           // the error of the call if it ends without a result
+	unansweredErr error           // returned if the call is abandoned before it has a result
 	result        chan callResult // buffered, so that the node's goroutine never blocks on it
 }
 
@@ -172,8 +172,9 @@
 	return err
 }
 
-// submit queues a request and waits for its result. If it ends without a result, the error is
-// unansweredErr, which wraps the context's error too if the context ended first.
+// submit queues a request and waits for its result. If the context ends first, the error wraps
+// unansweredErr and the context's error. If the node is suspended or stopped while the call is in
+// flight, the error is unansweredErr.
 func (n *Node) submit(ctx context.Context, r request, unansweredErr error) (Result, error) {
 	r.call = &pendingCall{unansweredErr: unansweredErr, result: make(chan callResult, 1)}
 	select {
@@ -437,7 +438,7 @@
 	}
 	n.timer.Stop()
 	close(n.saveJobs)
-	if err := n.closeDisk(); err != nil { // the next start reads the store and rewrites it
+	if err := n.closeDisk(); err != nil { // the next start checks the whole store, as after a crash
 		n.options.Log.WithError(err).Warn("disk")
 	}
 	if reason != nil {
--- a/internal/mesh/consensus/propose.go
+++ b/internal/mesh/consensus/propose.go
@@ -106,7 +106,7 @@
 	m.log.append(Entry{Index: m.log.lastIndex() + 1, Term: m.hardState.Term, Origin: origin, ID: id, Command: command})
 }
 
-// isUncommittedFull reports whether the uncommitted entries have reached their size limit.
+// isUncommittedLimitReached reports whether the uncommitted entries have reached their size limit.
 func (m *Machine) isUncommittedLimitReached() bool {
 	return m.log.bytesBetween(m.commitIndex, m.log.lastIndex()) >= maxUncommittedBytes
 }
@@ -120,9 +120,9 @@
 // handleForward appends the proposal of another node, if it is for the current term and not stale.
 //
 // A rejection is sent only if no message with this proposal can have been accepted or ever will be.
-// That is certain for this process, which remembers all proposals that it has handled, and an
-// earlier process on this disk can't have led in a term after the one in which this process
-// started. In all other cases no reply is sent, and the proposing node learns the outcome from the
+// That is certain for this machine, which remembers all proposals that it has handled, and an
+// earlier machine on this disk can't have led in a term after the one in which this machine was
+// created. In all other cases no reply is sent, and the proposing node learns the outcome from the
 // log.
 func (m *Machine) handleForward(msg Message) {
 	if msg.Term > m.hardState.Term || !m.recordProposal(msg.Origin, msg.ID) {
--- a/internal/mesh/consensus/read.go
+++ b/internal/mesh/consensus/read.go
@@ -34,8 +34,8 @@
 // and trusts its content, so truncated or corrupted pages end in a memory fault or a panic, which
 // this function turns into an error. When bbolt opens a file for writing, it walks the pages in a
 // separate goroutine, where such a panic could not be recovered. One kind of damage goes unnoticed:
-// if the newer of the two meta pages rots after its sync, it looks like an interrupted write, and
-// bbolt falls back to the older one.
+// if the newer of the two meta pages is corrupted after its sync, it looks like an interrupted
+// write, and bbolt falls back to the older one.
 func readStore(path string) (c *storeContent, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -134,7 +134,7 @@
 		return oops.Errorf("the log from %d to %d doesn't fit its snapshot: %s", s.BaseIndex, last, damagedAdvice)
 	}
 	if term > s.Hard.Term {
-		return oops.Errorf("the log has an entry of term %d, but the node has promised %d alone: %s", term, s.Hard.Term, damagedAdvice)
+		return oops.Errorf("the log has an entry of term %d, but the node has stored %d as its current term: %s", term, s.Hard.Term, damagedAdvice)
 	}
 	return nil
 }
--- a/internal/mesh/consensus/replacement_test.go
+++ b/internal/mesh/consensus/replacement_test.go
@@ -60,9 +60,9 @@
 	require.Equal(t, l.leaderHost().appliedIndex, frozen.appliedIndex)
 }
 
-// A lost machine must be replaced within catchUp after its successor has started. The configuration
-// change must be committed by then, also if the lost machine was the leader or if a learner was
-// already available.
+// A lost machine must be replaced within catchUp after its successor has started, or after the loss
+// if a learner was already available. The configuration change must be committed by then, also if
+// the lost machine was the leader. The test leaves a quarter of catchUp as a margin.
 func TestReplacedInTime(t *testing.T) {
 	const catchUp = 4 * time.Second
 	for _, hasLearner := range []bool{false, true} {
--- a/internal/mesh/consensus/replicate.go
+++ b/internal/mesh/consensus/replicate.go
@@ -93,7 +93,7 @@
 }
 
 // startHeartbeatRound runs at each heartbeat interval. A leader that has not heard from a majority
-// for a long time steps down, so that its clients turn to another node.
+// for maxElectionTimeout steps down, so that its clients turn to another node.
 func (m *Machine) startHeartbeatRound() {
 	stalled := m.now - m.nextHeartbeat
 	m.nextHeartbeat = m.now + heartbeatInterval
--- a/internal/mesh/consensus/stale.go
+++ b/internal/mesh/consensus/stale.go
@@ -17,8 +17,8 @@
 // second before.
 const maxProposalAge = 2 * peerTimeout
 
-// ownTenure returns how long this node has led. It is never 0, which stands for the unknown value
-// of an older program version.
+// ownTenure returns how long this node has led. It is never 0, because 0 means that the tenure is
+// unknown, as in messages of an older program version.
 func (m *Machine) ownTenure() time.Duration { return m.now - m.leaderSince + 1 }
 
 // recordLeaderTenure records how long the leader says it has led. Messages may arrive out of order,
--- a/internal/mesh/consensus/store_test.go
+++ b/internal/mesh/consensus/store_test.go
@@ -63,7 +63,7 @@
 		}, "stands behind"},
 		"the vote is older than the log": {func(_, log *bbolt.Bucket) error {
 			return putRecord(log, indexKey(2), encodeEntry(Entry{Term: 2}))
-		}, "promised 1 alone"},
+		}, "stored 1 as its current term"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
--- a/internal/mesh/consensus/whole_members_test.go
+++ b/internal/mesh/consensus/whole_members_test.go
@@ -81,7 +81,7 @@
 			case !slices.Contains(replaced, p.member.Address):
 			case len(replaced) == 1:
 				p.lastContact -= h.machine.replaceAfter
-			default: // they announce to leave: two unreachable voters of three would be no quorum
+			default: // they count as leaving: if two of three voters were unreachable, there would be no quorum
 				p.leavingUntil = leavingExpiry
 			}
 		}
