--- a/internal/mesh/meshconfig/cordon.go
+++ b/internal/mesh/meshconfig/cordon.go
@@ -50,21 +50,21 @@
 
 // of is the stage of a machine that is meant. Which ones are ahead hangs on their names alone, so
 // that all nodes agree on it.
-func (c *Cordon) of(node string) Stage {
-	if c.Stage == StageOpen || share(node) <= c.Part {
+func (c *Cordon) stageOf(node string) Stage {
+	if c.Stage == StageOpen || hashFraction(node) <= c.Part {
 		return c.Stage
 	}
 	return c.Stage - 1
 }
 
 // share is a number above 0 and up to 1 that a name always has.
-func share(name string) float64 {
+func hashFraction(name string) float64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
-	return (float64(mix(h.Sum64())>>11) + 1) / (1 << 53)
+	return (float64(mixBits(h.Sum64())>>11) + 1) / (1 << 53)
 }
 
-func (c *Cordon) check(field string) error {
+func (c *Cordon) validate(field string) error {
 	switch {
 	case len(c.Zones) == 0 && len(c.Nodes) == 0:
 		return invalid(field, "it names neither zones nor nodes")
@@ -80,12 +80,12 @@
 	return nil
 }
 
-func checkCordons(list []Cordon) error {
+func validateCordons(list []Cordon) error {
 	if len(list) > MaxCordons {
 		return invalid("cordons", "there are %d, at most %d", len(list), MaxCordons)
 	}
 	for i := range list {
-		if err := list[i].check(fmt.Sprintf("cordons[%d]", i)); err != nil {
+		if err := list[i].validate(fmt.Sprintf("cordons[%d]", i)); err != nil {
 			return err
 		}
 	}
@@ -114,32 +114,32 @@
 // Stage is how far a machine has been taken out of use by cordons.
 func (c *Config) Stage(zone, node string) (stage Stage) {
 	for i := range c.cordons {
-		if one := &c.cordons[i]; one.Covers(zone, node) {
-			stage = max(stage, one.of(node))
+		if cordon := &c.cordons[i]; cordon.Covers(zone, node) {
+			stage = max(stage, cordon.stageOf(node))
 		}
 	}
 	return stage
 }
 
 // carryCordons carries an OpCordons out.
-func (c *Config) carryCordons(body []byte) (*Config, error) {
+func (c *Config) applyCordons(body []byte) (*Config, error) {
 	var list []Cordon
 	if err := json.Unmarshal(body, &list); err != nil {
 		return c, invalid("cordons", "%v", err)
 	}
-	if err := checkCordons(list); err != nil {
+	if err := validateCordons(list); err != nil {
 		return c, err
 	}
 	return c.WithCordons(list), nil
 }
 
 // digestCordons adds to a digest; nothing where there are none, as of programs that knew none.
-func (c *Config) digestCordons(h hash.Hash64) {
+func (c *Config) hashCordons(h hash.Hash64) {
 	for i := range c.cordons {
-		one := &c.cordons[i]
-		putTexts(h, one.Zones)
-		putTexts(h, one.Nodes)
-		putNumber(h, uint64(one.Stage))
-		putNumber(h, math.Float64bits(one.Part))
+		cordon := &c.cordons[i]
+		hashTexts(h, cordon.Zones)
+		hashTexts(h, cordon.Nodes)
+		hashNumber(h, uint64(cordon.Stage))
+		hashNumber(h, math.Float64bits(cordon.Part))
 	}
 }
--- a/internal/mesh/meshconfig/customer.go
+++ b/internal/mesh/meshconfig/customer.go
@@ -15,19 +15,19 @@
 }
 
 // mostKeyBytes bounds a key: a longer one could not be sent in a request's head.
-const mostKeyBytes = 4096
+const maxKeyBytes = 4096
 
 // readCustomer reads a tenant. Danger: keys are secrets, so no error may quote one.
 func (i *item) readCustomer(body []byte) error {
 	var d CustomerDocument
-	if err := lenient.Unmarshal(body, &d); err != nil {
+	if err := unmarshalOptions.Unmarshal(body, &d); err != nil {
 		return invalid(i.key.String(), "can't be read, send it whole and as described: api_keys is a list of strings, rank a number")
 	}
-	f := &fields{item: i}
-	c := &Customer{Name: i.name, Version: i.version, keys: d.ApiKeys, HasRank: d.Rank != nil, Rank: int(f.whole("rank", d.GetRank()))}
+	f := &fieldReader{item: i}
+	c := &Customer{Name: i.name, Version: i.version, keys: d.ApiKeys, HasRank: d.Rank != nil, Rank: int(f.integer("rank", d.GetRank()))}
 	for n, key := range c.keys {
-		if key == "" || len(key) > mostKeyBytes {
-			f.wrong("api_keys", "the key at place %d has %d bytes: give each 1 to %d", n, len(key), mostKeyBytes)
+		if key == "" || len(key) > maxKeyBytes {
+			f.fail("api_keys", "the key at place %d has %d bytes: give each 1 to %d", n, len(key), maxKeyBytes)
 		}
 	}
 	i.customer = c
@@ -36,29 +36,29 @@
 
 // indexKeys finds out whose each key is. Of several customers that share keys it names the first by
 // name, as every node must.
-func (c *Config) indexKeys() error {
-	var all []*Customer
+func (c *Config) indexCustomerKeys() error {
+	var customerList []*Customer
 	for _, i := range c.items {
 		if i.customer != nil {
-			all = append(all, i.customer)
+			customerList = append(customerList, i.customer)
 		}
 	}
-	slices.SortFunc(all, func(a, b *Customer) int { return key{customers, a.Name}.compare(key{customers, b.Name}) })
-	c.tenants, c.keys = len(all), make(map[string]*Customer, len(all))
-	for _, one := range all {
-		for _, k := range one.keys {
-			if other := c.keys[k]; other != nil && other != one {
-				return invalid(key{customers, one.Name}.String()+" api_keys", "a key of it is one of customer %s as well: "+
+	slices.SortFunc(customerList, func(a, b *Customer) int { return key{customers, a.Name}.compare(key{customers, b.Name}) })
+	c.customerCount, c.customersByKey = len(customerList), make(map[string]*Customer, len(customerList))
+	for _, owner := range customerList {
+		for _, k := range owner.keys {
+			if other := c.customersByKey[k]; other != nil && other != owner {
+				return invalid(key{customers, owner.Name}.String()+" api_keys", "a key of it is one of customer %s as well: "+
 					"take it away from one of them", other.Name)
 			}
-			c.keys[k] = one
+			c.customersByKey[k] = owner
 		}
 	}
 	return nil
 }
 
 // HasCustomers says whether there are tenants, so that requests need a key.
-func (c *Config) HasCustomers() bool { return c.tenants > 0 }
+func (c *Config) HasCustomers() bool { return c.customerCount > 0 }
 
 // CustomerOf is the tenant whose key this is, nil if there is none.
-func (c *Config) CustomerByKey(key string) *Customer { return c.keys[key] }
+func (c *Config) CustomerByKey(key string) *Customer { return c.customersByKey[key] }
--- a/internal/mesh/meshconfig/digest.go
+++ b/internal/mesh/meshconfig/digest.go
@@ -12,58 +12,58 @@
 // every agent more the more items there are.
 func (c *Config) Digest() uint64 {
 	h := fnv.New64a()
-	putNumber(h, c.sum)
-	putNumber(h, c.drops)
-	for _, zone := range c.zones {
-		putText(h, zone)
+	hashNumber(h, c.digestSum)
+	hashNumber(h, c.dropCount)
+	for _, zone := range c.evacuatedZones {
+		hashText(h, zone)
 	}
-	c.digestCordons(h)
+	c.hashCordons(h)
 	return max(1, h.Sum64())
 }
 
 // put sets an item, in place of the one of its name.
-func (c *Config) put(i *item) {
+func (c *Config) putItem(i *item) {
 	if old := c.items[i.key]; old != nil {
-		c.sum -= old.digest()
-		c.size -= len(old.raw)
+		c.digestSum -= old.digest()
+		c.textSize -= len(old.raw)
 	}
 	c.items[i.key] = i
-	c.sum += i.digest()
-	c.size += len(i.raw)
+	c.digestSum += i.digest()
+	c.textSize += len(i.raw)
 }
 
 // digest is of what Encode gives of an item.
 func (i *item) digest() uint64 {
 	h := fnv.New64a()
 	if i.dropped() {
-		putText(h, i.kind)
-		putText(h, i.name)
-		putText(h, i.text)
-		putNumber(h, i.drop)
+		hashText(h, i.kind)
+		hashText(h, i.name)
+		hashText(h, i.versionText)
+		hashNumber(h, i.dropNumber)
 	} else {
 		h.Write(i.raw)
 	}
-	return mix(h.Sum64())
+	return mixBits(h.Sum64())
 }
 
 // mix spreads a digest over all bits, as sums of FNV's would show that their items are alike. It is
 // the finalizer of SplitMix64.
-func mix(x uint64) uint64 {
+func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-func putText(h hash.Hash64, text string) {
-	putNumber(h, uint64(len(text)))
+func hashText(h hash.Hash64, text string) {
+	hashNumber(h, uint64(len(text)))
 	h.Write([]byte(text))
 }
 
-func putTexts(h hash.Hash64, list []string) {
-	putNumber(h, uint64(len(list)))
+func hashTexts(h hash.Hash64, list []string) {
+	hashNumber(h, uint64(len(list)))
 	for _, text := range list {
-		putText(h, text)
+		hashText(h, text)
 	}
 }
 
-func putNumber(h hash.Hash64, n uint64) { h.Write(binary.BigEndian.AppendUint64(nil, n)) }
+func hashNumber(h hash.Hash64, n uint64) { h.Write(binary.BigEndian.AppendUint64(nil, n)) }
--- a/internal/mesh/meshconfig/history.go
+++ b/internal/mesh/meshconfig/history.go
@@ -24,17 +24,17 @@
 // A History is changed in place and belongs to one goroutine. Like the configuration it is a
 // function of the orders and their indexes alone.
 type History struct {
-	items map[key]*pastItem
-	count int    // versions that are remembered
-	age   uint64 // versions that ever were
-	from  uint64 // of items that are forgotten altogether, versions below this one can't be told
-	zones map[string]zoneTurns
+	items        map[key]*itemHistory
+	versionCount int    // versions that are remembered
+	lastAge      uint64 // versions that ever were
+	oldestKnown  uint64 // of items that are forgotten altogether, versions below this one can't be told
+	zones        map[string]zoneTurns
 }
 
 // pastItem is what is remembered of an item: nothing of versions below from.
-type pastItem struct {
-	from     uint64
-	versions []pastVersion // ascending
+type itemHistory struct {
+	oldestKnown uint64
+	versions    []pastVersion // ascending
 }
 
 type pastVersion struct {
@@ -81,7 +81,7 @@
 
 // NewHistory is the history before any order.
 func NewHistory() *History {
-	return &History{items: make(map[key]*pastItem), zones: make(map[string]zoneTurns)}
+	return &History{items: make(map[key]*itemHistory), zones: make(map[string]zoneTurns)}
 }
 
 // HistoryOf is the history where only the configuration is known: of the versions below those that
@@ -89,7 +89,7 @@
 func HistoryFromConfig(c *Config) *History {
 	h := NewHistory()
 	for _, i := range c.items {
-		h.items[i.key] = &pastItem{from: i.version}
+		h.items[i.key] = &itemHistory{oldestKnown: i.version}
 	}
 	return h
 }
@@ -102,7 +102,7 @@
 	case OpCordons:
 		return c.ApplyOrder(o)
 	default:
-		return h.carryZone(index, c, o)
+		return h.applyZoneOrder(index, c, o)
 	}
 	p, err := ParsePatch(o.Body)
 	if err != nil {
@@ -113,28 +113,28 @@
 			return c, err
 		}
 	}
-	made, err := c.apply(p)
+	result, err := c.apply(p)
 	if err != nil {
 		return c, err
 	}
-	h.record(c, p, made)
-	return made.next, nil
+	h.record(c, p, result)
+	return result.next, nil
 }
 
-func (h *History) carryZone(index uint64, c *Config, o *Order) (*Config, error) {
-	turns := h.zones[o.Zone]
-	opposite := &turns.Returned
-	own := &turns.Evacuated
+func (h *History) applyZoneOrder(index uint64, c *Config, o *Order) (*Config, error) {
+	lastOrders := h.zones[o.Zone]
+	oppositeIndex := &lastOrders.Returned
+	ownIndex := &lastOrders.Evacuated
 	if o.Op == OpReturn {
-		opposite, own = own, opposite
+		oppositeIndex, ownIndex = ownIndex, oppositeIndex
 	}
-	if o.Strict && *opposite > o.Since {
+	if o.Strict && *oppositeIndex > o.Since {
 		return c, &StaleOrderError{o.Zone}
 	}
 	next, err := c.ApplyOrder(o)
-	if err == nil && (len(h.zones) < MaxZones || turns != zoneTurns{}) {
-		*own = index
-		h.zones[o.Zone] = turns
+	if err == nil && (len(h.zones) < MaxZones || lastOrders != zoneTurns{}) {
+		*ownIndex = index
+		h.zones[o.Zone] = lastOrders
 	}
 	return next, err
 }
@@ -145,30 +145,30 @@
 	if err := p.Contradiction(); err != nil {
 		return err
 	}
-	var forgotten error
-	for _, i := range p.all() {
+	var firstForgotten error
+	for _, i := range p.allItems() {
 		err := h.checkItem(c, i)
 		if _, unknown := err.(*ForgottenVersionError); unknown {
-			forgotten = cmp.Or(forgotten, err)
+			firstForgotten = cmp.Or(firstForgotten, err)
 		} else if err != nil {
 			return err
 		}
 	}
-	return forgotten
+	return firstForgotten
 }
 
 func (h *History) checkItem(c *Config, i *item) error {
-	held := c.items[i.key]
+	current := c.items[i.key]
 	switch {
-	case held == nil && i.version < h.from:
-		return &ForgottenVersionError{i.key.String(), i.text, h.from}
-	case held == nil || i.version > held.version:
+	case current == nil && i.version < h.oldestKnown:
+		return &ForgottenVersionError{i.key.String(), i.versionText, h.oldestKnown}
+	case current == nil || i.version > current.version:
 		return nil
-	case i.version == held.version:
-		if i.same(held) {
+	case i.version == current.version:
+		if i.sameChange(current) {
 			return nil
 		}
-		return &ConflictError{i.key.String(), i.text, differences(i, held)}
+		return &ConflictError{i.key.String(), i.versionText, differingFields(i, current)}
 	}
 	past := h.items[i.key]
 	if past == nil {
@@ -178,15 +178,15 @@
 		if past.versions[at].Identity == i.identity() {
 			return nil
 		}
-		return &ConflictError{Item: i.key.String(), Version: i.text}
+		return &ConflictError{Item: i.key.String(), Version: i.versionText}
 	}
-	if i.version < past.from {
-		return &ForgottenVersionError{i.key.String(), i.text, held.version + 1}
+	if i.version < past.oldestKnown {
+		return &ForgottenVersionError{i.key.String(), i.versionText, current.version + 1}
 	}
 	return nil
 }
 
-func (p *pastItem) find(version uint64) (int, bool) {
+func (p *itemHistory) find(version uint64) (int, bool) {
 	return slices.BinarySearchFunc(p.versions, version, func(v pastVersion, version uint64) int {
 		return cmp.Compare(v.Version, version)
 	})
@@ -194,57 +194,57 @@
 
 // record remembers what a confirmed call says under versions that are not the newest, and what it
 // overtook.
-func (h *History) record(before *Config, p *Patch, made outcome) {
-	for _, i := range made.moved {
+func (h *History) record(before *Config, p *Patch, result patchResult) {
+	for _, i := range result.changedItems {
 		if old := before.items[i.key]; old != nil {
 			h.remember(old)
-		} else if h.from > 0 { // it may be one that was forgotten
-			h.items[i.key] = &pastItem{from: min(h.from, i.version)}
+		} else if h.oldestKnown > 0 { // it may be one that was forgotten
+			h.items[i.key] = &itemHistory{oldestKnown: min(h.oldestKnown, i.version)}
 		}
 	}
-	for _, i := range p.all() {
-		if now := made.next.items[i.key]; now != nil && i.version < now.version {
+	for _, i := range p.allItems() {
+		if current := result.next.items[i.key]; current != nil && i.version < current.version {
 			h.remember(i)
 		}
 	}
-	for _, i := range made.forgotten {
-		h.forgetItem(i)
+	for _, i := range result.expiredTombstones {
+		h.expireItem(i)
 	}
-	h.bound()
+	h.evictOldest()
 }
 
 // remember keeps the first content of a version.
 func (h *History) remember(i *item) {
 	past := h.items[i.key]
 	if past == nil {
-		past = new(pastItem)
+		past = new(itemHistory)
 		h.items[i.key] = past
 	}
 	at, found := past.find(i.version)
-	if found || i.version < past.from {
+	if found || i.version < past.oldestKnown {
 		return
 	}
-	h.age++
-	h.count++
-	entry := pastVersion{Version: i.version, Age: h.age, Identity: i.identity()}
+	h.lastAge++
+	h.versionCount++
+	entry := pastVersion{Version: i.version, Age: h.lastAge, Identity: i.identity()}
 	past.versions = slices.Insert(past.versions, at, entry)
 }
 
 // forgetItem is for an item whose tombstone is forgotten: a change of it that comes late would
 // bring it back, so none up to its version may be carried out again, whatever its name.
-func (h *History) forgetItem(i *item) {
-	h.from = max(h.from, following(i.version))
+func (h *History) expireItem(i *item) {
+	h.oldestKnown = max(h.oldestKnown, nextVersion(i.version))
 	if past := h.items[i.key]; past != nil {
-		h.count -= len(past.versions)
+		h.versionCount -= len(past.versions)
 		delete(h.items, i.key)
 	}
 }
 
-func following(version uint64) uint64 { return max(version, min(version, math.MaxUint64-1)+1) }
+func nextVersion(version uint64) uint64 { return max(version, min(version, math.MaxUint64-1)+1) }
 
 // bound forgets the oldest quarter once there is too much, so that it is seldom at work.
-func (h *History) bound() {
-	if h.count <= MaxPastVersions {
+func (h *History) evictOldest() {
+	if h.versionCount <= MaxPastVersions {
 		return
 	}
 	var ages []uint64
@@ -254,14 +254,14 @@
 		}
 	}
 	slices.Sort(ages)
-	oldest := ages[len(ages)-MaxPastVersions*3/4]
+	oldestKept := ages[len(ages)-MaxPastVersions*3/4]
 	for _, past := range h.items {
 		past.versions = slices.DeleteFunc(past.versions, func(v pastVersion) bool {
-			if v.Age < oldest {
-				past.from = max(past.from, following(v.Version))
-				h.count--
+			if v.Age < oldestKept {
+				past.oldestKnown = max(past.oldestKnown, nextVersion(v.Version))
+				h.versionCount--
 			}
-			return v.Age < oldest
+			return v.Age < oldestKept
 		})
 	}
 	// A version that is younger but lower than a forgotten one is still remembered by itself.
--- a/internal/mesh/meshconfig/history_encode.go
+++ b/internal/mesh/meshconfig/history_encode.go
@@ -29,10 +29,10 @@
 
 // Encode gives the history for snapshots.
 func (h *History) Encode() []byte {
-	s := historyState{Age: h.age, From: h.from}
+	s := historyState{Age: h.lastAge, From: h.oldestKnown}
 	for _, k := range slices.SortedFunc(maps.Keys(h.items), key.compare) {
 		past := h.items[k]
-		s.Items = append(s.Items, historyItem{k.kind, k.name, past.from, past.versions})
+		s.Items = append(s.Items, historyItem{k.kind, k.name, past.oldestKnown, past.versions})
 	}
 	for _, zone := range slices.Sorted(maps.Keys(h.zones)) {
 		s.Zones = append(s.Zones, historyZone{zone, h.zones[zone]})
@@ -51,13 +51,13 @@
 		return nil, fmt.Errorf("a history that can't be read: %w", err)
 	}
 	h := NewHistory()
-	h.age, h.from = s.Age, s.From
+	h.lastAge, h.oldestKnown = s.Age, s.From
 	for _, i := range s.Items {
-		if !slices.IsSortedFunc(i.Versions, byVersion) {
+		if !slices.IsSortedFunc(i.Versions, compareVersions) {
 			return nil, fmt.Errorf("a history with the versions of %s %s out of order", i.Kind, i.Name)
 		}
-		h.items[key{i.Kind, i.Name}] = &pastItem{i.From, i.Versions}
-		h.count += len(i.Versions)
+		h.items[key{i.Kind, i.Name}] = &itemHistory{i.From, i.Versions}
+		h.versionCount += len(i.Versions)
 	}
 	for _, z := range s.Zones {
 		h.zones[z.Zone] = z.Turns
@@ -65,4 +65,4 @@
 	return h, nil
 }
 
-func byVersion(a, b pastVersion) int { return cmp.Compare(a.Version, b.Version) }
+func compareVersions(a, b pastVersion) int { return cmp.Compare(a.Version, b.Version) }
--- a/internal/mesh/meshconfig/history_test.go
+++ b/internal/mesh/meshconfig/history_test.go
@@ -12,32 +12,32 @@
 )
 
 // member is what one core machine holds.
-type member struct {
+type simulatedNode struct {
 	config  *Config
 	history *History
 	index   uint64
 }
 
-func newMember() *member { return &member{config: New(), history: NewHistory()} }
+func newSimulatedNode() *simulatedNode { return &simulatedNode{config: New(), history: NewHistory()} }
 
-func (m *member) carry(o *Order) (err error) {
+func (m *simulatedNode) applyOrder(o *Order) (err error) {
 	m.index++
 	m.config, err = m.history.ApplyOrder(m.index, m.config, o)
 	return err
 }
 
 // restart puts what Encode gave in the place of what is held.
-func (m *member) restart(t require.TestingT) {
+func (m *simulatedNode) restoreFromEncoding(t require.TestingT) {
 	config, err := Decode(m.config.Encode())
 	require.NoError(t, err)
 	history, err := DecodeHistory(m.history.Encode())
 	require.NoError(t, err)
-	require.Equal(t, m.history.count, history.count)
+	require.Equal(t, m.history.versionCount, history.versionCount)
 	m.config, m.history = config, history
 }
 
 // patchOf reads the lines of a call: "KIND NAME VERSION BODY" or "drop KIND NAME VERSION".
-func patchOf(lines string) []byte {
+func patchBody(lines string) []byte {
 	var add []string
 	drops := make(map[string][]string)
 	for line := range strings.Lines(lines) {
@@ -54,7 +54,7 @@
 }
 
 // told is how an order ended, as an operator is told.
-func told(err error) string {
+func describeResult(err error) string {
 	var (
 		conflict  *ConflictError
 		forgotten *ForgottenVersionError
@@ -75,24 +75,24 @@
 
 func TestOrderStories(t *testing.T) {
 	datadriven.Walk(t, "testdata/history", func(t *testing.T, path string) {
-		m := newMember()
+		m := newSimulatedNode()
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			before := m.config
 			order := Order{Op: d.Cmd, Strict: !d.HasArg("before")}
 			switch d.Cmd {
 			case "restart":
-				if m.restart(t); d.HasArg("history") {
+				if m.restoreFromEncoding(t); d.HasArg("history") {
 					m.history = HistoryFromConfig(m.config)
 				}
 				return "ok"
 			case OpPatch:
-				order.Body = patchOf(d.Input)
+				order.Body = patchBody(d.Input)
 			default:
 				order.Zone = d.CmdArgs[0].Key
 				d.ScanArgs(t, "since", &order.Since)
 				m.index = max(m.index, order.Since)
 			}
-			return strings.Join(append([]string{told(m.carry(&order))}, Diff(before, m.config)...), "\n")
+			return strings.Join(append([]string{describeResult(m.applyOrder(&order))}, Diff(before, m.config)...), "\n")
 		})
 	})
 }
@@ -107,31 +107,31 @@
 }
 
 // claims is the plainly correct history: the content of every version that was ever confirmed.
-type claims map[string]string
+type confirmedContents map[string]string
 
-func (c claims) contradicted(d drawn) bool {
-	within := claims{}
+func (c confirmedContents) contradictedBy(d modelPatch) bool {
+	inPatch := confirmedContents{}
 	for _, i := range d {
-		name, content := i.claim()
-		for _, known := range []claims{c, within} {
-			if first, there := known[name]; there && first != content {
+		name, content := i.versionAndContent()
+		for _, known := range []confirmedContents{c, inPatch} {
+			if first, found := known[name]; found && first != content {
 				return true
 			}
 		}
-		within[name] = content
+		inPatch[name] = content
 	}
 	return false
 }
 
-func (c claims) add(d drawn) {
+func (c confirmedContents) add(d modelPatch) {
 	for _, i := range d {
-		name, content := i.claim()
+		name, content := i.versionAndContent()
 		c[name] = content
 	}
 }
 
 // claim is an item's name and version, and what is said of it.
-func (i change) claim() (name, content string) {
+func (i modelItem) versionAndContent() (name, content string) {
 	name = fmt.Sprint(i.route, i.name, i.version)
 	if i.drop {
 		return name, "dropped"
@@ -144,22 +144,22 @@
 
 // checkHistory draws calls with few names and versions, so that most contradict or repeat others,
 // and compares each answer with the model's. Between is what befalls the member after a call.
-func checkHistory(t *rapid.T, between func(m *member)) {
-	m, model, all := newMember(), model{}, claims{}
+func checkHistory(t *rapid.T, between func(m *simulatedNode)) {
+	m, model, all := newSimulatedNode(), model{}, confirmedContents{}
 	names := strings.Split("abc", "")
 	for range rapid.IntRange(1, 40).Draw(t, "calls") {
-		d := make(drawn, rapid.IntRange(1, 3).Draw(t, "items"))
+		d := make(modelPatch, rapid.IntRange(1, 3).Draw(t, "items"))
 		for n := range d {
-			d[n] = change{
+			d[n] = modelItem{
 				route: rapid.Bool().Draw(t, "route"), drop: rapid.IntRange(0, 4).Draw(t, "drop") == 0,
 				name: rapid.SampledFrom(names).Draw(t, "name"), path: rapid.SampledFrom([]string{"/", "/a/"}).Draw(t, "path"),
 				service: rapid.SampledFrom(names).Draw(t, "service"), version: rapid.IntRange(1, 6).Draw(t, "version"),
 			}
 		}
-		err := m.carry(&Order{Op: OpPatch, Body: []byte(d.String()), Strict: true})
+		err := m.applyOrder(&Order{Op: OpPatch, Body: []byte(d.String()), Strict: true})
 		next, valid := model.apply(d)
 		switch {
-		case all.contradicted(d):
+		case all.contradictedBy(d):
 			require.Error(t, err, "another content was confirmed: %v", d)
 		case !valid:
 			var wrong *InvalidError
@@ -176,9 +176,9 @@
 
 func TestHistoryAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		checkHistory(t, func(m *member) {
+		checkHistory(t, func(m *simulatedNode) {
 			if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
-				m.restart(t)
+				m.restoreFromEncoding(t)
 			}
 		})
 	})
@@ -187,14 +187,14 @@
 // Versions that were overtaken by thousands of others are neither confirmed nor refused; those that
 // are remembered are confirmed again. A dropped item never comes back.
 func TestHistoryIsBounded(t *testing.T) {
-	m := newMember()
+	m := newSimulatedNode()
 	set := func(name string, version int) error {
-		return m.carry(&Order{Op: OpPatch, Body: patchOf(fmt.Sprintf(`services %s %x {"max_conns":%d}`, name, version, version)), Strict: true})
+		return m.applyOrder(&Order{Op: OpPatch, Body: patchBody(fmt.Sprintf(`services %s %x {"max_conns":%d}`, name, version, version)), Strict: true})
 	}
 	var forgotten *ForgottenVersionError
 	for version := 1; version <= MaxPastVersions+MaxPastVersions/2; version++ {
 		require.NoError(t, set(fmt.Sprint("s", version%7), version))
-		require.LessOrEqual(t, m.history.count, MaxPastVersions)
+		require.LessOrEqual(t, m.history.versionCount, MaxPastVersions)
 	}
 	require.ErrorAs(t, set("s1", 1), &forgotten)
 	remembered := MaxPastVersions // halfway: the younger half of what there were
@@ -205,11 +205,11 @@
 	for n := range MaxTombstones + 10 {
 		fmt.Fprintf(&drops, "drop services d%d %x\n", n, n+10)
 		if n%100 == 0 || n == MaxTombstones+9 {
-			require.NoError(t, m.carry(&Order{Op: OpPatch, Body: patchOf(drops.String()), Strict: true}))
+			require.NoError(t, m.applyOrder(&Order{Op: OpPatch, Body: patchBody(drops.String()), Strict: true}))
 			drops.Reset()
 		}
 	}
-	m.restart(t)
+	m.restoreFromEncoding(t)
 	require.ErrorAs(t, set("d0", 9), &forgotten)
 	require.ErrorAs(t, set("d0", 10), &forgotten)
 	require.Nil(t, m.config.Service("d0"), "a dropped item stands again")
--- a/internal/mesh/meshconfig/identity.go
+++ b/internal/mesh/meshconfig/identity.go
@@ -25,12 +25,12 @@
 	if i.dropped() {
 		return droppedIdentity
 	}
-	sum := sha256.Sum256(canonical(i.content()))
+	sum := sha256.Sum256(canonicalEncoding(i.decodedContent()))
 	return Identity(sum[:])
 }
 
 // same says whether two items of one name and version are the same change.
-func (i *item) same(other *item) bool {
+func (i *item) sameChange(other *item) bool {
 	if i.dropped() || other.dropped() {
 		return i.dropped() == other.dropped()
 	}
@@ -38,7 +38,7 @@
 }
 
 // content is the item as it was sent, decoded, without its version: that has a spelling of its own.
-func (i *item) content() map[string]any {
+func (i *item) decodedContent() map[string]any {
 	decoder := json.NewDecoder(bytes.NewReader(i.raw))
 	decoder.UseNumber()
 	var content map[string]any
@@ -52,7 +52,7 @@
 }
 
 // canonical writes a decoded value in the one way that all spellings of it share.
-func canonical(value any) []byte {
+func canonicalEncoding(value any) []byte {
 	var b bytes.Buffer
 	writeCanonical(&b, value)
 	return b.Bytes()
@@ -85,13 +85,13 @@
 
 // mostExponent is the number of digits up to which an exponent is computed with. A longer one stays
 // as it is spelt: no figure of a configuration has such, and the work stays bounded.
-const mostExponent = 18
+const maxExponentDigits = 18
 
 // canonicalNumber writes a number of JSON as its digits without zeros at either end, and the power
 // of ten of the last digit. It is exact, and never longer than the number by more than an exponent.
 func canonicalNumber(number string) string {
 	mantissa, exponent, _ := strings.Cut(strings.ToLower(number), "e")
-	if len(exponent) > mostExponent {
+	if len(exponent) > maxExponentDigits {
 		return number
 	}
 	power := new(big.Int)
@@ -114,41 +114,41 @@
 
 // What a refusal names: so many fields, and so many bytes of the name of each.
 const (
-	mostDifferences = 5
-	mostFieldName   = 64
+	maxListedFields   = 5
+	maxFieldNameBytes = 64
 )
 
 // differences names the fields in which two items differ, sorted: metadata and body field by field.
-func differences(a, b *item) []string {
+func differingFields(a, b *item) []string {
 	if a.dropped() || b.dropped() {
 		return []string{"one sets the item, the other drops it"}
 	}
-	ours, theirs := fieldsOf(a.content()), fieldsOf(b.content())
-	names := maps.Clone(ours)
-	maps.Copy(names, theirs)
-	var differ []string
+	fieldsA, fieldsB := flattenFields(a.decodedContent()), flattenFields(b.decodedContent())
+	names := maps.Clone(fieldsA)
+	maps.Copy(names, fieldsB)
+	var differing []string
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		if ours[name] != theirs[name] {
-			differ = append(differ, name[:min(len(name), mostFieldName)])
+		if fieldsA[name] != fieldsB[name] {
+			differing = append(differing, name[:min(len(name), maxFieldNameBytes)])
 		}
 	}
-	if len(differ) > mostDifferences {
-		differ = append(differ[:mostDifferences], "more")
+	if len(differing) > maxListedFields {
+		differing = append(differing[:maxListedFields], "more")
 	}
-	return differ
+	return differing
 }
 
 // fieldsOf lists the fields of an item with their canonical values.
-func fieldsOf(content map[string]any) map[string]string {
+func flattenFields(content map[string]any) map[string]string {
 	fields := make(map[string]string)
 	for name, value := range content {
 		parts, nested := value.(map[string]any)
 		if !nested {
-			fields[name] = string(canonical(value))
+			fields[name] = string(canonicalEncoding(value))
 			continue
 		}
 		for part, inner := range parts {
-			fields[name+"."+part] = string(canonical(inner))
+			fields[name+"."+part] = string(canonicalEncoding(inner))
 		}
 	}
 	return fields
--- a/internal/mesh/meshconfig/item.go
+++ b/internal/mesh/meshconfig/item.go
@@ -30,7 +30,7 @@
 	Upload                 // likewise, with a large body
 )
 
-var kinds = map[string]Kind{"safe": Safe, "unsafe": Unsafe, "upload": Upload}
+var kindsByName = map[string]Kind{"safe": Safe, "unsafe": Unsafe, "upload": Upload}
 
 func (k Kind) String() string { return [...]string{"", "safe", "unsafe", "upload"}[k] }
 
@@ -55,18 +55,18 @@
 var defaultLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 64 << 20, HeaderWait: 3 * time.Second, Idle: 15 * time.Second}
 
 const (
-	defaultTries = 2           // where a route gives none: one more than the first
-	overGiveUp   = time.Minute // from which on a target time is a mistake
-	most         = 1 << 52     // of any number: beyond it whole ones are no longer exact
+	defaultAttempts     = 2           // where a route gives none: one more than the first
+	maxTargetTimeExcess = time.Minute // from which on a target time is a mistake
+	maxExactInteger     = 1 << 52     // of any number: beyond it whole ones are no longer exact
 )
 
 // item is an item that stands, or the tombstone of one. It never changes.
 type item struct {
 	key
-	version uint64
-	text    string // the version as sent
-	raw     []byte // the whole item as sent; nil in a tombstone
-	drop    uint64 // of a tombstone: its place in the order of drops
+	version     uint64
+	versionText string // the version as sent
+	raw         []byte // the whole item as sent; nil in a tombstone
+	dropNumber  uint64 // of a tombstone: its place in the order of drops
 
 	route    *Route
 	service  *Service
@@ -76,22 +76,22 @@
 
 func (i *item) dropped() bool { return i.raw == nil }
 
-var lenient = protojson.UnmarshalOptions{DiscardUnknown: true}
+var unmarshalOptions = protojson.UnmarshalOptions{DiscardUnknown: true}
 
 // decode reads JSON into a protobuf type. What protojson says begins with its own name, and has
 // spaces that differ from build to build; people read it, and stories compare it.
-func decode(field string, data []byte, into proto.Message) error {
-	err := lenient.Unmarshal(data, into)
+func unmarshalProto(field string, data []byte, target proto.Message) error {
+	err := unmarshalOptions.Unmarshal(data, target)
 	if err == nil {
 		return nil
 	}
-	said := strings.ReplaceAll(err.Error(), "\u00a0", " ")
-	return invalid(field, "can't be read, send it whole and as described: %s", strings.TrimPrefix(said, "proto: "))
+	message := strings.ReplaceAll(err.Error(), "\u00a0", " ")
+	return invalid(field, "can't be read, send it whole and as described: %s", strings.TrimPrefix(message, "proto: "))
 }
 
 // identify checks what every item has.
-func identify(kind string, m *Metadata, field string) (*item, error) {
-	i := &item{key: key{kind: kind, name: m.GetName()}, text: m.GetVersion()}
+func parseMetadata(kind string, m *Metadata, field string) (*item, error) {
+	i := &item{key: key{kind: kind, name: m.GetName()}, versionText: m.GetVersion()}
 	switch {
 	case kind == limits:
 		i.name = "" // there is only one, whatever it is called
@@ -99,8 +99,8 @@
 		return nil, invalid(field+".name", "is missing: give the item its name")
 	}
 	var err error
-	if i.version, err = strconv.ParseUint(i.text, 16, 64); err != nil {
-		return nil, invalid(i.key.String()+" version", "%q is no version: write eight hexadecimal digits", i.text)
+	if i.version, err = strconv.ParseUint(i.versionText, 16, 64); err != nil {
+		return nil, invalid(i.key.String()+" version", "%q is no version: write eight hexadecimal digits", i.versionText)
 	}
 	return i, nil
 }
@@ -112,7 +112,7 @@
 	default:
 		return nil, invalid(field+".item_kind", "%q is none of routes, services, limits, customers", head.ItemKind)
 	}
-	i, err := identify(head.ItemKind, head.Metadata, field+".metadata")
+	i, err := parseMetadata(head.ItemKind, head.Metadata, field+".metadata")
 	if err != nil {
 		return nil, err
 	}
@@ -121,8 +121,8 @@
 	if err := json.Unmarshal(raw, &parts); err != nil {
 		return nil, invalid(field, "can't be read: %v", err)
 	}
-	body, there := parts["body"]
-	if !there {
+	body, present := parts["body"]
+	if !present {
 		body = []byte("{}")
 	}
 	switch i.kind {
@@ -142,76 +142,76 @@
 }
 
 // fields reads the fields of one item and keeps the first error.
-type fields struct {
+type fieldReader struct {
 	item *item
 	err  error
 }
 
-func (f *fields) wrong(field, problem string, args ...any) {
+func (f *fieldReader) fail(field, problem string, args ...any) {
 	if f.err == nil {
 		f.err = invalid(f.item.key.String()+" "+field, problem, args...)
 	}
 }
 
 // time is 0 for a field that is absent.
-func (f *fields) time(field, text string) time.Duration {
+func (f *fieldReader) duration(field, text string) time.Duration {
 	if text == "" {
 		return 0
 	}
 	t, err := bootstrap.ParseTime(text)
 	if err != nil {
-		f.wrong(field, "%v", err)
+		f.fail(field, "%v", err)
 	}
 	return t
 }
 
 // number refuses what is a number for protojson and for nobody else.
-func (f *fields) number(field string, n float64) float64 {
+func (f *fieldReader) finiteNumber(field string, n float64) float64 {
 	if math.IsNaN(n) || math.IsInf(n, 0) {
-		f.wrong(field, "%v is no figure: write a plain number", n)
+		f.fail(field, "%v is no figure: write a plain number", n)
 		return 0
 	}
 	return n
 }
 
 // whole keeps to what is exact in both types.
-func (f *fields) whole(field string, n float64) int64 {
-	return int64(min(most, max(-most, f.number(field, n))))
+func (f *fieldReader) integer(field string, n float64) int64 {
+	return int64(min(maxExactInteger, max(-maxExactInteger, f.finiteNumber(field, n))))
 }
 
 func (i *item) readRoute(body []byte) error {
 	var d RouteDocument
-	if err := decode(i.key.String(), body, &d); err != nil {
+	if err := unmarshalProto(i.key.String(), body, &d); err != nil {
 		return err
 	}
-	f := &fields{item: i}
+	f := &fieldReader{item: i}
 	r := &Route{
 		Name:       i.name,
 		Version:    i.version,
-		Domain:     hostOf(d.Domain),
+		Domain:     hostname(d.Domain),
 		PathStart:  d.PathStart,
-		Kind:       kinds[d.Kind],
-		GiveUp:     f.time("give_up", d.GiveUp),
-		TargetTime: f.time("target_time", d.TargetTime),
-		Rank:       int(f.whole("rank", d.Rank)),
-		Tries:      defaultTries,
+		Kind:       kindsByName[d.Kind],
+		GiveUp:     f.duration("give_up", d.GiveUp),
+		TargetTime: f.duration("target_time", d.TargetTime),
+		Rank:       int(f.integer("rank", d.Rank)),
+		Tries:      defaultAttempts,
 		Public:     d.Public,
 	}
 	if d.Tries != nil {
-		r.Tries = int(max(1, f.whole("tries", *d.Tries)))
+		r.Tries = int(max(1, f.integer("tries", *d.Tries)))
 	}
 	if r.Domain == "" {
-		f.wrong("domain", "is missing: name the host that the route is for")
+		f.fail("domain", "is missing: name the host that the route is for")
 	}
 	if !strings.HasPrefix(r.PathStart, "/") {
-		f.wrong("path_start", "%q doesn't begin with a slash: put one in front", r.PathStart)
+		f.fail("path_start", "%q doesn't begin with a slash: put one in front", r.PathStart)
 	}
 	if r.Kind == 0 {
-		f.wrong("kind", "%q is none of safe, unsafe, upload", d.Kind)
+		f.fail("kind", "%q is none of safe, unsafe, upload", d.Kind)
 	}
 	// Without a give_up there is nothing that the target time could be over.
-	if d.GiveUp != "" && r.TargetTime-r.GiveUp >= overGiveUp {
-		f.wrong("target_time", "%s is a minute or more over give_up %s: lower it", d.TargetTime, d.GiveUp)
+	if d.GiveUp != "" && r.TargetTime-r.GiveUp >= maxTargetTimeExcess {
+		f.fail("target_time", "%s is a minute or more over give_up %s: lower it", d.TargetTime, d.GiveUp)
 	}
 	r.Shares = f.shares(&d)
 	for _, s := range r.Shares {
@@ -222,56 +222,56 @@
 }
 
 // shares are those that the route lists; a service by itself is the only one.
-func (f *fields) shares(d *RouteDocument) []Share {
+func (f *fieldReader) shares(d *RouteDocument) []Share {
 	if len(d.Shares) == 0 {
 		if d.Service == "" {
-			f.wrong("service", "is missing, and so are shares: name where requests go")
+			f.fail("service", "is missing, and so are shares: name where requests go")
 		}
 		return []Share{{d.Service, 1}}
 	}
 	all := make([]Share, 0, len(d.Shares))
 	total := 0.0
 	for _, s := range d.Shares {
-		weight := min(most, max(0, f.number("shares", s.Weight))) // so that the sum is finite
+		weight := min(maxExactInteger, max(0, f.finiteNumber("shares", s.Weight))) // so that the sum is finite
 		total += weight
 		all = append(all, Share{s.Service, weight})
 	}
 	if total == 0 {
-		f.wrong("shares", "no weight is over 0: give one to each service that requests go to")
+		f.fail("shares", "no weight is over 0: give one to each service that requests go to")
 	}
 	return all
 }
 
 func (i *item) readService(body []byte) error {
 	var d ServiceDocument
-	if err := decode(i.key.String(), body, &d); err != nil {
+	if err := unmarshalProto(i.key.String(), body, &d); err != nil {
 		return err
 	}
-	f := &fields{item: i}
+	f := &fieldReader{item: i}
 	i.service = &Service{
 		Name:       i.name,
 		Version:    i.version,
 		HealthPath: d.HealthPath,
-		MaxConns:   int(max(0, f.whole("max_conns", d.MaxConns))),
-		Warmup:     f.time("warmup", d.Warmup),
-		WarmupRate: max(0, f.number("warmup_per_s", d.WarmupPerS)),
+		MaxConns:   int(max(0, f.integer("max_conns", d.MaxConns))),
+		Warmup:     f.duration("warmup", d.Warmup),
+		WarmupRate: max(0, f.finiteNumber("warmup_per_s", d.WarmupPerS)),
 	}
 	return f.err
 }
 
 func (i *item) readLimits(body []byte) error {
 	var d LimitsDocument
-	if err := decode(i.key.String(), body, &d); err != nil {
+	if err := unmarshalProto(i.key.String(), body, &d); err != nil {
 		return err
 	}
-	f := &fields{item: i}
+	f := &fieldReader{item: i}
 	l := defaultLimits
 	for _, b := range []struct {
 		field string
 		given float64
 		into  *int64
 	}{{"header_bytes", d.HeaderBytes, &l.HeaderBytes}, {"body_bytes", d.BodyBytes, &l.BodyBytes}} {
-		if n := f.whole(b.field, b.given); n > 0 {
+		if n := f.integer(b.field, b.given); n > 0 {
 			*b.into = n
 		}
 	}
@@ -279,7 +279,7 @@
 		field, given string
 		into         *time.Duration
 	}{{"header_wait", d.HeaderWait, &l.HeaderWait}, {"idle", d.Idle, &l.Idle}} {
-		if t := f.time(w.field, w.given); t > 0 {
+		if t := f.duration(w.field, w.given); t > 0 {
 			*w.into = t
 		}
 	}
--- a/internal/mesh/meshconfig/meshconfig.go
+++ b/internal/mesh/meshconfig/meshconfig.go
@@ -46,17 +46,17 @@
 
 // Config is the configuration at one moment. It never changes.
 type Config struct {
-	items   map[key]*item // with tombstones
-	drops   uint64        // tombstones ever made, which puts them in order
-	zones   []string      // evacuated, sorted
-	cordons []Cordon
-	sum     uint64 // of the items' digests: see Digest
-	size    int    // of the items' text
+	items          map[key]*item // with tombstones
+	dropCount      uint64        // tombstones ever made, which puts them in order
+	evacuatedZones []string      // evacuated, sorted
+	cordons        []Cordon
+	digestSum      uint64 // of the items' digests: see Digest
+	textSize       int    // of the items' text
 
-	hosts map[string]*prefixes // of the routes that stand, by domain
-	keys  map[string]*Customer // of the customers that stand, by key
+	routesByDomain map[string]*prefixIndex // of the routes that stand, by domain
+	customersByKey map[string]*Customer    // of the customers that stand, by key
 	// tenants is how many customers stand: one that has lost all its keys stands all the same.
-	tenants int
+	customerCount int
 }
 
 // key is what an item is known by.
@@ -86,159 +86,159 @@
 }
 
 // outcome is what a patch made of a configuration.
-type outcome struct {
-	next      *Config
-	moved     []*item // that took the place of what stood
-	forgotten []*item // tombstones
+type patchResult struct {
+	next              *Config
+	changedItems      []*item // that took the place of what stood
+	expiredTombstones []*item // tombstones
 }
 
 // Apply returns the configuration after the patch, and whether anything changed. The error is an
 // *Invalid; then, and where nothing changes, next is c.
 func (c *Config) Apply(p *Patch) (next *Config, changed bool, err error) {
-	made, err := c.apply(p)
-	return made.next, len(made.moved) > 0 && err == nil, err
+	result, err := c.apply(p)
+	return result.next, len(result.changedItems) > 0 && err == nil, err
 }
 
-func (c *Config) apply(p *Patch) (outcome, error) {
-	made := outcome{next: c, moved: c.moves(p)}
-	if len(made.moved) == 0 {
-		return made, nil
+func (c *Config) apply(p *Patch) (patchResult, error) {
+	result := patchResult{next: c, changedItems: c.newerItems(p)}
+	if len(result.changedItems) == 0 {
+		return result, nil
 	}
-	next := &Config{items: maps.Clone(c.items), drops: c.drops, zones: c.zones, cordons: c.cordons, sum: c.sum, size: c.size, keys: c.keys, tenants: c.tenants}
+	next := &Config{items: maps.Clone(c.items), dropCount: c.dropCount, evacuatedZones: c.evacuatedZones, cordons: c.cordons, digestSum: c.digestSum, textSize: c.textSize, customersByKey: c.customersByKey, customerCount: c.customerCount}
 	if next.items == nil {
-		next.items = make(map[key]*item, len(made.moved))
+		next.items = make(map[key]*item, len(result.changedItems))
 	}
-	domains := make(map[string]bool) // whose routes move
-	for _, i := range made.moved {
+	changedDomains := make(map[string]bool) // whose routes move
+	for _, i := range result.changedItems {
 		if old := c.items[i.key]; old != nil && old.route != nil {
-			domains[old.route.Domain] = true
+			changedDomains[old.route.Domain] = true
 		}
 		if i.route != nil {
-			domains[i.route.Domain] = true
+			changedDomains[i.route.Domain] = true
 		}
-		next.set(i)
+		next.replaceItem(i)
 	}
-	if slices.ContainsFunc(made.moved, func(i *item) bool { return i.kind == customers }) {
-		if err := next.indexKeys(); err != nil {
-			return made, err
+	if slices.ContainsFunc(result.changedItems, func(i *item) bool { return i.kind == customers }) {
+		if err := next.indexCustomerKeys(); err != nil {
+			return result, err
 		}
 	}
-	if err := next.check(); err != nil {
-		return made, err
+	if err := next.validate(); err != nil {
+		return result, err
 	}
-	made.forgotten = next.forget()
-	next.index(c.hosts, domains)
-	made.next = next
-	return made, nil
+	result.expiredTombstones = next.expireTombstones()
+	next.indexRoutes(c.routesByDomain, changedDomains)
+	result.next = next
+	return result, nil
 }
 
 // moves are the items of a patch that are newer than what is held.
-func (c *Config) moves(p *Patch) (moved []*item) {
+func (c *Config) newerItems(p *Patch) (newer []*item) {
 	for _, i := range p.items {
 		if old := c.items[i.key]; old == nil || i.version > old.version {
-			moved = append(moved, i)
+			newer = append(newer, i)
 		}
 	}
-	return moved
+	return newer
 }
 
 // set is for a configuration that is being made.
-func (c *Config) set(i *item) {
+func (c *Config) replaceItem(i *item) {
 	if i.dropped() {
-		c.drops++
+		c.dropCount++
 		tombstone := *i // the patch may be applied elsewhere as well
-		tombstone.drop = c.drops
+		tombstone.dropNumber = c.dropCount
 		i = &tombstone
 	}
-	c.put(i)
+	c.putItem(i)
 }
 
 // check sees to it that the configuration is whole. Of several faults it tells the first by name,
 // as every node must.
-func (c *Config) check() error {
-	var first *item
-	var unknown string
-	standing := 0
+func (c *Config) validate() error {
+	var firstInvalid *item
+	var unknownService string
+	itemCount := 0
 	for _, i := range c.items {
 		if i.dropped() {
 			continue
 		}
-		standing++
-		if i.route == nil || first != nil && first.key.compare(i.key) < 0 {
+		itemCount++
+		if i.route == nil || firstInvalid != nil && firstInvalid.key.compare(i.key) < 0 {
 			continue
 		}
 		for _, share := range i.route.Shares {
 			if c.Service(share.Service) == nil {
-				first, unknown = i, share.Service
+				firstInvalid, unknownService = i, share.Service
 				break
 			}
 		}
 	}
-	if first != nil {
-		return invalid(first.key.String(), "names the unknown service %q: add the service in the same call "+
-			"or before, or move the route away before the service is dropped", unknown)
+	if firstInvalid != nil {
+		return invalid(firstInvalid.key.String(), "names the unknown service %q: add the service in the same call "+
+			"or before, or move the route away before the service is dropped", unknownService)
 	}
-	if standing > MaxItems {
-		return invalid("add", "there would be %d items: drop some, up to %d may stand", standing, MaxItems)
+	if itemCount > MaxItems {
+		return invalid("add", "there would be %d items: drop some, up to %d may stand", itemCount, MaxItems)
 	}
 	return nil
 }
 
 // forget drops the oldest tombstones beyond the limit, and returns them.
-func (c *Config) forget() []*item {
-	var dropped []*item
+func (c *Config) expireTombstones() []*item {
+	var tombstones []*item
 	for _, i := range c.items {
 		if i.dropped() {
-			dropped = append(dropped, i)
+			tombstones = append(tombstones, i)
 		}
 	}
-	if len(dropped) <= MaxTombstones {
+	if len(tombstones) <= MaxTombstones {
 		return nil
 	}
-	slices.SortFunc(dropped, func(a, b *item) int { return cmp.Compare(a.drop, b.drop) })
-	forgotten := dropped[:len(dropped)-MaxTombstones]
-	for _, i := range forgotten {
-		c.sum -= i.digest()
-		c.size -= len(i.raw)
+	slices.SortFunc(tombstones, func(a, b *item) int { return cmp.Compare(a.dropNumber, b.dropNumber) })
+	expired := tombstones[:len(tombstones)-MaxTombstones]
+	for _, i := range expired {
+		c.digestSum -= i.digest()
+		c.textSize -= len(i.raw)
 		delete(c.items, i.key)
 	}
-	return forgotten
+	return expired
 }
 
 // Size is how many bytes of text the items have that stand: a little less than Encode gives.
-func (c *Config) TextSize() int { return c.size }
+func (c *Config) TextSize() int { return c.textSize }
 
 // Evacuate returns the configuration in which the zone is evacuated. Beyond MostZones it is c: ask
 // Evacuated before you acknowledge.
 func (c *Config) Evacuate(zone string) *Config {
-	at, found := slices.BinarySearch(c.zones, zone)
-	if found || len(c.zones) >= MaxZones {
+	at, found := slices.BinarySearch(c.evacuatedZones, zone)
+	if found || len(c.evacuatedZones) >= MaxZones {
 		return c
 	}
 	next := *c
-	next.zones = slices.Insert(slices.Clone(c.zones), at, zone)
+	next.evacuatedZones = slices.Insert(slices.Clone(c.evacuatedZones), at, zone)
 	return &next
 }
 
 // Return returns the configuration in which the zone's evacuation is taken back.
 func (c *Config) EndEvacuation(zone string) *Config {
-	at, found := slices.BinarySearch(c.zones, zone)
+	at, found := slices.BinarySearch(c.evacuatedZones, zone)
 	if !found {
 		return c
 	}
 	next := *c
-	next.zones = slices.Delete(slices.Clone(c.zones), at, at+1)
+	next.evacuatedZones = slices.Delete(slices.Clone(c.evacuatedZones), at, at+1)
 	return &next
 }
 
 // Evacuated says whether nothing may be sent to the backends of the zone.
 func (c *Config) Evacuated(zone string) bool {
-	_, found := slices.BinarySearch(c.zones, zone)
+	_, found := slices.BinarySearch(c.evacuatedZones, zone)
 	return found
 }
 
 // EvacuatedZones are sorted.
-func (c *Config) EvacuatedZones() []string { return slices.Clone(c.zones) }
+func (c *Config) EvacuatedZones() []string { return slices.Clone(c.evacuatedZones) }
 
 // Service is the service of that name, nil if none stands.
 func (c *Config) Service(name string) *Service {
@@ -269,6 +269,6 @@
 }
 
 // sorted are the items, tombstones included, in an order that is the same on every node.
-func (c *Config) sorted() []*item {
+func (c *Config) sortedItems() []*item {
 	return slices.SortedFunc(maps.Values(c.items), func(a, b *item) int { return a.key.compare(b.key) })
 }
--- a/internal/mesh/meshconfig/meshconfig_test.go
+++ b/internal/mesh/meshconfig/meshconfig_test.go
@@ -33,14 +33,14 @@
 			case "return":
 				c = c.EndEvacuation(d.CmdArgs[0].Key)
 			case "look":
-				again, err := Decode(c.Encode())
+				decoded, err := Decode(c.Encode())
 				require.NoError(t, err)
-				require.Equal(t, c.Encode(), again.Encode())
-				return fmt.Sprintf("%s\n%s\n%+v\n%v", again.Summary(), again.ItemsJSON(), again.Limits(), again.Services())
+				require.Equal(t, c.Encode(), decoded.Encode())
+				return fmt.Sprintf("%s\n%s\n%+v\n%v", decoded.Summary(), decoded.ItemsJSON(), decoded.Limits(), decoded.Services())
 			case "key":
-				again, err := Decode(c.Encode())
+				decoded, err := Decode(c.Encode())
 				require.NoError(t, err)
-				switch owner := again.CustomerByKey(d.CmdArgs[0].Key); {
+				switch owner := decoded.CustomerByKey(d.CmdArgs[0].Key); {
 				case owner == nil:
 					return "nobody's"
 				case owner.HasRank:
@@ -116,11 +116,11 @@
 func TestTombstonesAreBounded(t *testing.T) {
 	c := New()
 	drop := func(from, to int) {
-		var d drawn
+		var d modelPatch
 		for n := from; n < to; n++ {
-			d = append(d, change{route: true, drop: true, name: fmt.Sprint("r", n), version: 1})
+			d = append(d, modelItem{route: true, drop: true, name: fmt.Sprint("r", n), version: 1})
 		}
-		c = applied(t, c, d)
+		c = mustApply(t, c, d)
 	}
 	drop(MaxTombstones, MaxTombstones+1)
 	drop(0, MaxTombstones-1)
@@ -132,7 +132,7 @@
 }
 
 func TestRouteDoesNotAllocate(t *testing.T) {
-	c := applied(t, New(), drawn{{route: true, name: "r", version: 1, path: "/a/", service: "s"}, {name: "s", version: 1}})
+	c := mustApply(t, New(), modelPatch{{route: true, name: "r", version: 1, path: "/a/", service: "s"}, {name: "s", version: 1}})
 	require.Zero(t, testing.AllocsPerRun(100, func() {
 		if c.Route("d.example:80", "/a/b").PickService(0.5) != "s" {
 			panic("another service")
@@ -141,15 +141,15 @@
 }
 
 // change is an item as the slow model keeps it, and drawn is a patch of such.
-type change struct {
+type modelItem struct {
 	route, drop         bool
 	name, path, service string
 	version             int
 }
 
-type drawn []change
+type modelPatch []modelItem
 
-func (d drawn) String() string {
+func (d modelPatch) String() string {
 	var set, routes, services []string
 	for _, c := range d {
 		head := fmt.Sprintf(`"name":"%s","version":"%08x"`, c.name, c.version)
@@ -169,28 +169,28 @@
 		strings.Join(set, ","), strings.Join(routes, ","), strings.Join(services, ","))
 }
 
-func applied(t require.TestingT, c *Config, d drawn) *Config {
-	c, valid := try(t, c, d)
+func mustApply(t require.TestingT, c *Config, d modelPatch) *Config {
+	c, valid := applyAll(t, c, d)
 	require.True(t, valid)
 	return c
 }
 
 // model is the configuration as a plain map by kind and name.
-type model map[string]change
+type model map[string]modelItem
 
-func (m model) apply(d drawn) (model, bool) {
+func (m model) apply(d modelPatch) (model, bool) {
 	next := model{}
 	for k, c := range m {
 		next[k] = c
 	}
 	for _, c := range d {
 		k := fmt.Sprint(c.route, c.name)
-		if old, there := next[k]; !there || c.version > old.version {
+		if old, found := next[k]; !found || c.version > old.version {
 			next[k] = c
 		}
 	}
 	for _, c := range next {
-		if s, there := next[fmt.Sprint(false, c.service)]; c.route && !c.drop && (!there || s.drop) {
+		if s, found := next[fmt.Sprint(false, c.service)]; c.route && !c.drop && (!found || s.drop) {
 			return m, false
 		}
 	}
@@ -198,7 +198,7 @@
 }
 
 func (m model) route(path string) string {
-	best := change{}
+	best := modelItem{}
 	for _, c := range m {
 		if c.route && !c.drop && strings.HasPrefix(path, c.path) && (len(c.path) > len(best.path) ||
 			c.path == best.path && (c.version > best.version || c.version == best.version && c.name < best.name)) {
@@ -213,11 +213,11 @@
 	names := strings.Split("abcdef", "")
 	rapid.Check(t, func(t *rapid.T) {
 		draws := 0
-		patch := rapid.Custom(func(t *rapid.T) drawn {
-			d := make(drawn, rapid.IntRange(0, 5).Draw(t, "changes"))
+		patch := rapid.Custom(func(t *rapid.T) modelPatch {
+			d := make(modelPatch, rapid.IntRange(0, 5).Draw(t, "changes"))
 			for n := range d {
 				draws++
-				d[n] = change{
+				d[n] = modelItem{
 					route: rapid.Bool().Draw(t, "route"), drop: rapid.IntRange(0, 3).Draw(t, "drop") == 0,
 					name: rapid.SampledFrom(names).Draw(t, "name"), path: rapid.SampledFrom(paths).Draw(t, "path"),
 					service: rapid.SampledFrom(names).Draw(t, "service"),
@@ -229,14 +229,14 @@
 		})
 		c, m := New(), model{}
 		for _, s := range names {
-			d := drawn{{name: s, version: 1}}
-			c = applied(t, c, d)
+			d := modelPatch{{name: s, version: 1}}
+			c = mustApply(t, c, d)
 			m, _ = m.apply(d)
 		}
 		for range 15 {
 			d, other := patch.Draw(t, "patch"), patch.Draw(t, "other")
-			one, valid1 := try(t, c, d, other)
-			two, valid2 := try(t, c, other, d)
+			one, valid1 := applyAll(t, c, d, other)
+			two, valid2 := applyAll(t, c, other, d)
 			if valid1 && valid2 {
 				require.Equal(t, one.ItemsJSON(), two.ItemsJSON())
 			}
@@ -271,7 +271,7 @@
 }
 
 // try applies both in turn, if both are valid.
-func try(t require.TestingT, c *Config, patches ...drawn) (*Config, bool) {
+func applyAll(t require.TestingT, c *Config, patches ...modelPatch) (*Config, bool) {
 	for _, d := range patches {
 		p, err := ParsePatch([]byte(d.String()))
 		require.NoError(t, err)
--- a/internal/mesh/meshconfig/order.go
+++ b/internal/mesh/meshconfig/order.go
@@ -41,7 +41,7 @@
 	case OpReturn:
 		return c.EndEvacuation(o.Zone), nil
 	case OpCordons:
-		return c.carryCordons(o.Body)
+		return c.applyCordons(o.Body)
 	}
 	return c, fmt.Errorf("op: %s is not known", o.Op)
 }
--- a/internal/mesh/meshconfig/route.go
+++ b/internal/mesh/meshconfig/route.go
@@ -31,23 +31,23 @@
 
 // Pick returns a service, by weight, for a u drawn from [0, 1).
 func (r *Route) PickService(u float64) string {
-	left := u * r.total
-	last := 0
+	remaining := u * r.total
+	lastWeighted := 0
 	for n, s := range r.Shares {
 		if s.Weight == 0 {
 			continue
 		}
-		if left < s.Weight {
+		if remaining < s.Weight {
 			return s.Service
 		}
-		left -= s.Weight
-		last = n
+		remaining -= s.Weight
+		lastWeighted = n
 	}
-	return r.Shares[last].Service // by rounding only
+	return r.Shares[lastWeighted].Service // by rounding only
 }
 
 // hostOf is a host without its port, in small letters.
-func hostOf(host string) string {
+func hostname(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon > strings.LastIndexByte(host, ']') {
 		host = host[:colon]
 	}
@@ -55,7 +55,7 @@
 }
 
 // prefixes are the routes of a domain, sorted by PathStart, each of which they have once.
-type prefixes struct {
+type prefixIndex struct {
 	routes []*Route
 	parent []int // the longest of the others that begins this one, -1 if none
 }
@@ -63,74 +63,74 @@
 // find returns the route with the longest prefix that begins the path. That is the last one that
 // sorts before the path or is equal to it, or one of those that begin it: whatever sorts between a
 // prefix of the path and the path has that prefix too.
-func (p *prefixes) find(path string) *Route {
-	at, found := slices.BinarySearchFunc(p.routes, path, byPath)
+func (p *prefixIndex) longestMatch(path string) *Route {
+	pos, found := slices.BinarySearchFunc(p.routes, path, comparePathPrefix)
 	if !found {
-		at--
+		pos--
 	}
-	for at >= 0 && !strings.HasPrefix(path, p.routes[at].PathStart) {
-		at = p.parent[at]
+	for pos >= 0 && !strings.HasPrefix(path, p.routes[pos].PathStart) {
+		pos = p.parent[pos]
 	}
-	if at < 0 {
+	if pos < 0 {
 		return nil
 	}
-	return p.routes[at]
+	return p.routes[pos]
 }
 
-func byPath(r *Route, path string) int { return cmp.Compare(r.PathStart, path) }
+func comparePathPrefix(r *Route, path string) int { return cmp.Compare(r.PathStart, path) }
 
 // Route returns the route for a request, nil if there is none.
 func (c *Config) Route(host, path string) *Route {
-	p := c.hosts[hostOf(host)]
+	p := c.routesByDomain[hostname(host)]
 	if p == nil {
 		return nil
 	}
-	return p.find(path)
+	return p.longestMatch(path)
 }
 
 // index builds what Route looks up: as before, but for the domains whose routes moved.
-func (c *Config) index(before map[string]*prefixes, moved map[string]bool) {
-	if len(moved) == 0 {
-		c.hosts = before
+func (c *Config) indexRoutes(previous map[string]*prefixIndex, changedDomains map[string]bool) {
+	if len(changedDomains) == 0 {
+		c.routesByDomain = previous
 		return
 	}
-	c.hosts = maps.Clone(before)
-	if c.hosts == nil {
-		c.hosts = make(map[string]*prefixes)
+	c.routesByDomain = maps.Clone(previous)
+	if c.routesByDomain == nil {
+		c.routesByDomain = make(map[string]*prefixIndex)
 	}
-	for domain := range moved {
-		delete(c.hosts, domain)
+	for domain := range changedDomains {
+		delete(c.routesByDomain, domain)
 	}
 	for _, i := range c.items {
-		if r := i.route; r != nil && moved[r.Domain] {
-			p := c.hosts[r.Domain]
+		if r := i.route; r != nil && changedDomains[r.Domain] {
+			p := c.routesByDomain[r.Domain]
 			if p == nil {
-				p = new(prefixes)
-				c.hosts[r.Domain] = p
+				p = new(prefixIndex)
+				c.routesByDomain[r.Domain] = p
 			}
 			p.routes = append(p.routes, r)
 		}
 	}
-	for domain := range moved {
-		if p := c.hosts[domain]; p != nil {
-			p.link()
+	for domain := range changedDomains {
+		if p := c.routesByDomain[domain]; p != nil {
+			p.build()
 		}
 	}
 }
 
 // link sorts the routes and finds the parents. Of routes with the same prefix the newest version
 // holds, which is what the operator said last, then the first by name.
-func (p *prefixes) link() {
+func (p *prefixIndex) build() {
 	slices.SortFunc(p.routes, func(a, b *Route) int {
 		return cmp.Or(cmp.Compare(a.PathStart, b.PathStart), cmp.Compare(b.Version, a.Version), cmp.Compare(a.Name, b.Name))
 	})
 	p.routes = slices.CompactFunc(p.routes, func(a, b *Route) bool { return a.PathStart == b.PathStart })
 	p.parent = make([]int, len(p.routes))
 	for n, r := range p.routes {
-		at := n - 1
-		for at >= 0 && !strings.HasPrefix(r.PathStart, p.routes[at].PathStart) {
-			at = p.parent[at]
+		parent := n - 1
+		for parent >= 0 && !strings.HasPrefix(r.PathStart, p.routes[parent].PathStart) {
+			parent = p.parent[parent]
 		}
-		p.parent[n] = at
+		p.parent[n] = parent
 	}
 }
--- a/internal/mesh/sidecar/agent.go
+++ b/internal/mesh/sidecar/agent.go
@@ -1,11 +1,14 @@
-// Package sidecar is the agent: the process beside an application backend.
+// Package sidecar implements the agent, which is the mesh process beside an application backend.
 //
-// It joins the parts that stand on such a machine: the sender (package outbound) for what begins there, the gate (package inbound) for
-// what the backend is sent, and a feed to each core machine, over which it tells of itself and hears the configuration and all other
-// agents. One goroutine owns what is known and works through a queue of commands; the sender reads a view that never changes.
+// An agent connects three parts: the sender (package outbound) for requests that start on its
+// machine, the gate (package inbound) for requests to its backend, and a feed to each control-plane
+// node. Over a feed it reports its own station, which is its address, state and backend, and
+// receives the configuration and the stations of all other agents. One goroutine, the owner, holds
+// the state and executes a queue of commands. The sender reads immutable views of the state.
 //
-// What it promises: it is ready only once it has a configuration that was known to be current after it had started; it never goes
-// back to an older one; cut off, it goes on with what it has.
+// Guarantees: the agent becomes ready only once it has a configuration that was proven current after
+// the agent started. It never returns to an older configuration. Without contact to the control
+// plane it continues with the state it has.
 package sidecar
 
 import (
@@ -34,99 +37,102 @@
 )
 
 const (
-	tick     = time.Second
-	queue    = 256 // commands that wait for the owner
-	mostBody = 64 << 20
-	bodyPart = 4 // of the memory is for bodies: the collector needs as much again, and sockets hold some
+	tickInterval     = time.Second
+	commandQueueSize = 256 // commands that can be queued for the owner
+	maxBodyBytes     = 64 << 20
+	// bodyMemoryDivisor is the memory limit divided by the memory for request bodies. The garbage
+	// collector needs as much again, and sockets buffer some.
+	bodyMemoryDivisor = 4
 )
 
-// Agent is the process. Its fields from table on belong to the goroutine of own.
+// Agent is the agent process. The fields from table on belong to the goroutine of runOwner.
 type Agent struct {
-	path   string // of the settings
-	set    *bootstrap.Settings
-	log    log.Interface
-	host   *inbound.Host
-	sender *outbound.Sender
-	links  *transport.Pool
-	ready  atomic.Bool
-	stats  transport.StatsServer
-	went   atomic.Bool // told to end
+	settingsPath string
+	settings     *bootstrap.Settings
+	log          log.Interface
+	host         *inbound.Host
+	sender       *outbound.Sender
+	links        *transport.Pool
+	ready        atomic.Bool
+	stats        transport.StatsServer
+	stopping     atomic.Bool // shutdown has begun
 
-	clock    *meshtime.Clock
-	meanWork atomic.Uint64 // bits of a float64: requests that the backend works on
-	cordoned atomic.Uint32 // meshconfig.Stage of this machine
+	clock        *meshtime.Clock
+	meanWorkload atomic.Uint64 // bits of a float64: moving average of outstanding requests
+	maintenance  atomic.Uint32 // meshconfig.Stage of this machine
 
-	usage   *usage.Counter // nil: these settings have no usage reported
-	refused refusals
+	usageCounter *usage.Counter // nil if the settings disable usage reports
+	refusals     refusalTracker
 
-	healthPath atomic.Pointer[string] // of the backend's service; nil: not known
+	healthPath atomic.Pointer[string] // of the backend's service; nil if not known
 	probing    atomic.Bool
 
-	commands chan func()
-	publish  atomic.Bool // a command to publish is queued
+	commands      chan func()
+	publishQueued atomic.Bool // a command to publish is queued
 
-	table   *registry.Table
-	began   time.Time
-	config  *meshconfig.Config
-	index   uint64
-	have    atomic.Uint64 // index, for the feeds
-	newest  uint64        // index that a core machine has told of
-	asking  *feed         // for the whole configuration
-	asked   time.Time
-	odd     bool   // what came last did not lead to what was agreed on: only the whole will do
-	current bool   // a core machine has proven that
-	least   uint64 // this index was current after the start
-	proven  bool   // and the configuration is of it or a later one
-	fresh   bool   // proven, and there is a configuration
-	dirty   bool
-	feeds   map[string]*feed
-	members [][]string // lists of the agreement's members that hold
-	station atomic.Pointer[transport.Station]
-	life    uint64
-	seq     uint64
-	changed time.Time // of the settings file
-	shown   time.Time // when the configuration was last known to be current
-	heard   time.Time // when a core machine last said anything
+	table             *registry.Table
+	startedAt         time.Time
+	config            *meshconfig.Config
+	configIndex       uint64
+	sharedConfigIndex atomic.Uint64 // copy of configIndex for the feed goroutines
+	newestIndex       uint64        // highest index that a control-plane node has reported
+	configSource      *feed         // feed over which a configuration is requested; nil if none
+	configRequestedAt time.Time
+	needsFullConfig   bool   // the last update failed, so the next request is for a complete one
+	minIndexKnown     bool   // a node has proven which index was current after the start
+	minIndex          uint64 // that index, if minIndexKnown
+	configProven      bool   // the configuration has reached minIndex
+	configReady       bool   // configProven, and there is a configuration
+	viewChanged       bool   // the owner has to call publishView
+	feeds             map[string]*feed
+	memberLists       [][]string // last known consensus members, one list for each node that sent one
+	station           atomic.Pointer[transport.Station]
+	life              uint64 // incarnation number of this process, sent as Station.Life
+	stationSeq        uint64
+	settingsModified  time.Time // modification time of the settings file when it was last read
+	lastProven        time.Time // when the configuration was last proven current
+	lastContact       time.Time // when the last message from any control-plane node arrived
 }
 
 // New returns an agent that has not started.
-func New(path string, set *bootstrap.Settings, l log.Interface) *Agent {
-	a := &Agent{path: path, set: set, log: l, commands: make(chan func(), queue), table: registry.New(), began: time.Now(),
+func New(path string, settings *bootstrap.Settings, logger log.Interface) *Agent {
+	a := &Agent{settingsPath: path, settings: settings, log: logger, commands: make(chan func(), commandQueueSize), table: registry.New(), startedAt: time.Now(),
 		config: meshconfig.New(), feeds: map[string]*feed{}, life: uint64(time.Now().UnixNano())}
-	a.links = &transport.Pool{ControlAddress: set.Control, ConnectTimeout: time.Second, IdleTimeout: 30 * time.Second, MaxIdlePerGate: 64}
-	budget := transport.NewByteBudget(mostBody)
-	if set.MemoryMB > 0 {
-		budget = transport.NewByteBudget(int64(set.MemoryMB) << 20 / bodyPart)
+	a.links = &transport.Pool{ControlAddress: settings.Control, ConnectTimeout: time.Second, IdleTimeout: 30 * time.Second, MaxIdlePerGate: 64}
+	budget := transport.NewByteBudget(maxBodyBytes)
+	if settings.MemoryMB > 0 {
+		budget = transport.NewByteBudget(int64(settings.MemoryMB) << 20 / bodyMemoryDivisor)
 	}
-	a.host = inbound.NewHost(a.rules(), mostBody, budget, a.news)
+	a.host = inbound.NewHost(a.gateRules(), maxBodyBytes, budget, a.queuePublish)
 	a.host.ObserveBackend(a.backendChanged)
 	a.clock = meshtime.New()
-	if set.Platform.Has(duties.UsageReport) {
-		a.usage = usage.NewCounter(rand.Uint64(), set.Bounds.ReportWindow, a.clock)
-		a.host.CountUsage(a.usage)
+	if settings.Platform.Has(duties.UsageReport) {
+		a.usageCounter = usage.NewCounter(rand.Uint64(), settings.Bounds.ReportWindow, a.clock)
+		a.host.CountUsage(a.usageCounter)
 	}
-	a.named()
-	a.sender = outbound.New(set, a.host, a.links, budget, l)
+	a.setGateLife()
+	a.sender = outbound.New(settings, a.host, a.links, budget, logger)
 	return a
 }
 
-// Inner is the address at which the process of a machine hears the others: its first spare port.
-func InternalAddress(set *bootstrap.Settings, control string) string {
-	host, _, err := net.SplitHostPort(control)
+// InternalAddress returns the address at which the process at a control address accepts connections
+// of other mesh processes. It uses the first spare port.
+func InternalAddress(settings *bootstrap.Settings, controlAddress string) string {
+	host, _, err := net.SplitHostPort(controlAddress)
 	if err != nil {
-		return control
+		return controlAddress
 	}
-	return net.JoinHostPort(host, strconv.Itoa(set.SparePorts[0]))
+	return net.JoinHostPort(host, strconv.Itoa(settings.SparePorts[0]))
 }
 
-// Run serves until the context ends, and then leaves in order within the bound.
+// Run serves until the context ends, and then shuts down gracefully within the grace period.
 func (a *Agent) Run(ctx context.Context) error {
-	inner, err := net.Listen("tcp4", InternalAddress(a.set, a.set.Control))
+	internalListener, err := net.Listen("tcp4", InternalAddress(a.settings, a.settings.Control))
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	defer inner.Close()
-	go (&transport.Server{Handlers: a.uses()}).Serve(inner)
+	defer internalListener.Close()
+	go (&transport.Server{Handlers: a.connectionHandlers()}).Serve(internalListener)
 	serve := func(addr string, h http.Handler) (*http.Server, error) {
 		l, err := net.Listen("tcp4", addr)
 		if err != nil {
@@ -136,195 +142,203 @@
 		go s.Serve(l)
 		return s, nil
 	}
-	clients, err := net.Listen("tcp4", a.set.Outbound)
+	clientListener, err := net.Listen("tcp4", a.settings.Outbound)
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
-	out := outbound.NewServer(a.sender)
-	go out.Serve(clients)
-	ready, err := serve(a.set.Ready, http.HandlerFunc(a.readiness))
+	clientServer := outbound.NewServer(a.sender)
+	go clientServer.Serve(clientListener)
+	readinessServer, err := serve(a.settings.Ready, http.HandlerFunc(a.readiness))
 	if err != nil {
 		return err
 	}
-	control, err := serve(a.set.Control, a.control())
+	controlServer, err := serve(a.settings.Control, a.controlHandler())
 	if err != nil {
 		return err
 	}
-	owner, stop := context.WithCancel(context.Background())
-	defer stop()
-	go a.own(owner)
-	a.log.WithField("zone", a.set.Zone).WithField("service", a.set.Service).Info("agent started")
+	ownerCtx, stopOwner := context.WithCancel(context.Background())
+	defer stopOwner()
+	go a.runOwner(ownerCtx)
+	a.log.WithField("zone", a.settings.Zone).WithField("service", a.settings.Service).Info("agent started")
 	<-ctx.Done()
-	a.leave(&out.Server)
-	ready.Close()
-	control.Close()
+	a.shutDown(&clientServer.Server)
+	readinessServer.Close()
+	controlServer.Close()
 	return nil
 }
 
-// uses are what other processes connect for.
-func (a *Agent) uses() map[string]func(transport.Hello, *transport.Conn) {
+// connectionHandlers returns the handlers of the connections that other mesh processes open.
+func (a *Agent) connectionHandlers() map[string]func(transport.Hello, *transport.Conn) {
 	return map[string]func(transport.Hello, *transport.Conn){
 		transport.UseExchange: func(_ transport.Hello, c *transport.Conn) { a.host.Serve(c) },
-		transport.UseStats:    func(_ transport.Hello, c *transport.Conn) { a.stats.Serve(c, a.figures) },
+		transport.UseStats:    func(_ transport.Hello, c *transport.Conn) { a.stats.Serve(c, a.queryStats) },
 	}
 }
 
+// readiness answers the platform's readiness checks.
 func (a *Agent) readiness(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path != "/api/readiness":
 		http.NotFound(w, r)
-	case !a.ready.Load() || a.went.Load() || a.stage() >= meshconfig.StageClients:
-		if a.went.Load() {
-			a.refused.note(time.Now())
+	case !a.ready.Load() || a.stopping.Load() || a.maintenanceStage() >= meshconfig.StageClients:
+		if a.stopping.Load() {
+			a.refusals.record(time.Now())
 		}
-		http.Error(w, "no current configuration yet, leaving, or taken out of use", http.StatusServiceUnavailable)
+		http.Error(w, "not ready: no current configuration yet, shutting down, or out of use for maintenance", http.StatusServiceUnavailable)
 	}
 }
 
-// do queues a command for the owner.
-func (a *Agent) do(f func()) { a.commands <- f }
+// enqueue queues a command for the owner.
+func (a *Agent) enqueue(command func()) { a.commands <- command }
 
-// news has the station said anew.
-func (a *Agent) news() {
-	if a.publish.CompareAndSwap(false, true) {
-		go a.do(a.say)
+// queuePublish queues the publication of the station, unless it is queued already.
+func (a *Agent) queuePublish() {
+	if a.publishQueued.CompareAndSwap(false, true) {
+		go a.enqueue(a.publishStation)
 	}
 }
 
-// backendChanged writes down a change of the backend. Each decides what may reach it.
+// backendChanged logs a change of the backend, because each one determines which requests reach it.
 func (a *Agent) backendChanged(c inbound.BackendChange) {
 	a.log.WithField("id", c.Backend).WithField("state", c.State).WithField("cause", c.Cause.String()).
 		WithField("call", c.HeartbeatNumber).Info("backend")
 }
 
-// own works through the commands.
-func (a *Agent) own(ctx context.Context) {
-	a.say()
-	a.follow()
-	timer := time.NewTicker(tick)
-	defer timer.Stop()
+// runOwner executes commands and periodic work until the context ends.
+func (a *Agent) runOwner(ctx context.Context) {
+	a.publishStation()
+	a.updateFeeds()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-a.commands:
-			f()
-		case <-timer.C:
+		case command := <-a.commands:
+			command()
+		case <-ticker.C:
 			a.tick()
 		}
-		for more := true; more; { // what has come together is shown together
+		for more := true; more; { // publishes the effect of all queued commands at once
 			select {
-			case f := <-a.commands:
-				f()
+			case command := <-a.commands:
+				command()
 			default:
 				more = false
 			}
 		}
-		if a.dirty {
-			a.dirty = false
-			a.show()
+		if a.viewChanged {
+			a.viewChanged = false
+			a.publishView()
 		}
 	}
 }
 
-func (a *Agent) now() time.Duration { return time.Since(a.began) }
+// uptime is the clock of the station table.
+func (a *Agent) uptime() time.Duration { return time.Since(a.startedAt) }
 
+// tick does the periodic work of the owner.
 func (a *Agent) tick() {
 	a.host.Tick()
-	a.measureWork()
-	if a.table.Expire(a.now()) {
-		a.dirty = true
-		// Danger: a core machine that is away now would not tell again of what is forgotten here.
+	a.sampleWorkload()
+	if a.table.Expire(a.uptime()) {
+		a.viewChanged = true
+		// A disconnected node would resume after the expired stations and not send them again, so its
+		// feed has to start over.
 		for _, f := range a.feeds {
-			if !f.alive {
-				f.resume.Store(nil)
+			if !f.connected {
+				f.resumePoint.Store(nil)
 			}
 		}
 	}
 	a.correctClock()
 	a.links.Sweep(time.Now())
-	a.reread()
+	a.reloadIfModified()
 }
 
-// reread takes in a settings file that has changed, with or without a signal.
-func (a *Agent) reread() {
-	info, err := os.Stat(a.path)
-	if err != nil || info.ModTime().Equal(a.changed) {
+// reloadIfModified loads the settings file if it was modified, even without a signal. Only changes
+// of the seeds take effect.
+func (a *Agent) reloadIfModified() {
+	info, err := os.Stat(a.settingsPath)
+	if err != nil || info.ModTime().Equal(a.settingsModified) {
 		return
 	}
-	first := a.changed.IsZero()
-	a.changed = info.ModTime()
+	first := a.settingsModified.IsZero()
+	a.settingsModified = info.ModTime()
 	if first {
 		return
 	}
-	set, err := bootstrap.Load(a.path)
+	loaded, err := bootstrap.Load(a.settingsPath)
 	if err != nil {
 		a.log.WithError(err).Error("settings kept as they were")
 		return
 	}
-	if !slices.Equal(set.Seeds, a.set.Seeds) {
-		a.log.WithField("seeds", set.Seeds).Info("seeds changed")
+	if !slices.Equal(loaded.Seeds, a.settings.Seeds) {
+		a.log.WithField("seeds", loaded.Seeds).Info("seeds changed")
 	}
-	changed := *a.set
-	changed.Seeds = set.Seeds
-	a.set = &changed
-	a.follow()
+	updated := *a.settings
+	updated.Seeds = loaded.Seeds
+	a.settings = &updated
+	a.updateFeeds()
 }
 
-// Reload has the settings read again.
-func (a *Agent) Reload() { a.do(func() { a.changed = time.Unix(1, 0); a.reread() }) }
+// Reload reads the settings file again.
+func (a *Agent) Reload() {
+	a.enqueue(func() { a.settingsModified = time.Unix(1, 0); a.reloadIfModified() })
+}
 
-// named tells the gate by which life others know this process.
-func (a *Agent) named() {
+// setGateLife passes the incarnation number of this process to the gate.
+func (a *Agent) setGateLife() {
 	a.host.WithGate(func(_ time.Duration, g *inbound.Gate) bool { g.SetLife(a.life); return false })
 }
 
-// say makes the station's next word and has the feeds tell it.
-func (a *Agent) say() {
-	a.publish.Store(false)
-	a.seq++
-	s := &transport.Station{Agent: a.set.IP, Gate: cmp.Or(a.set.Gate, InternalAddress(a.set, a.set.Control)), Zone: a.set.Zone, Life: a.life, Seq: a.seq,
-		Open: a.host.Accepting() && a.fresh && !a.went.Load()}
+// publishStation creates the next version of the station and makes the feeds send it.
+func (a *Agent) publishStation() {
+	a.publishQueued.Store(false)
+	a.stationSeq++
+	s := &transport.Station{Agent: a.settings.IP, Gate: cmp.Or(a.settings.Gate, InternalAddress(a.settings, a.settings.Control)), Zone: a.settings.Zone, Life: a.life, Seq: a.stationSeq,
+		Open: a.host.Accepting() && a.configReady && !a.stopping.Load()}
 	a.host.WithGate(func(now time.Duration, g *inbound.Gate) bool { s.Backend = g.Backend(now); return false })
 	a.station.Store(s)
 	for _, f := range a.feeds {
 		f.wake()
 	}
-	// Its own backend is known at once, also to an agent that is cut off.
-	if a.table.Merge(a.now(), registry.SelfSource, false, []transport.StationStatus{{Station: *s}}) {
-		a.dirty = true
+	// The agent's own backend is usable at once, even without contact to the control plane.
+	if a.table.Merge(a.uptime(), registry.SelfSource, false, []transport.StationStatus{{Station: *s}}) {
+		a.viewChanged = true
 	}
 }
 
-// rules are what the gate goes by. Danger: until the configuration is known to be current nobody knows whether the zone is evacuated.
-func (a *Agent) rules() inbound.Rules {
-	b := &a.set.Bounds
-	stage := a.config.Stage(a.set.Zone, a.set.IP)
-	r := inbound.Rules{NoConfig: !a.fresh, WarmupExcess: b.WarmupExcess, WarmupMargin: b.WarmupMargin, HeartbeatInterval: a.set.BeatEvery, LinkBitsPerSecond: a.set.LinkMbps * 1e6,
-		Evacuated: a.config.Evacuated(a.set.Zone) || stage >= meshconfig.StageClosed, RefuseUploads: stage >= meshconfig.StageUploads}
-	if s := a.config.Service(a.set.Service); s != nil {
-		r.Warmup, r.WarmupRate = s.Warmup, s.WarmupRate
+// gateRules returns the rules of the gate. They set NoConfig until the configuration is proven
+// current, because before that it is not known whether the zone is evacuated.
+func (a *Agent) gateRules() inbound.Rules {
+	bounds := &a.settings.Bounds
+	stage := a.config.Stage(a.settings.Zone, a.settings.IP)
+	rules := inbound.Rules{NoConfig: !a.configReady, WarmupExcess: bounds.WarmupExcess, WarmupMargin: bounds.WarmupMargin, HeartbeatInterval: a.settings.BeatEvery, LinkBitsPerSecond: a.settings.LinkMbps * 1e6,
+		Evacuated: a.config.Evacuated(a.settings.Zone) || stage >= meshconfig.StageClosed, RefuseUploads: stage >= meshconfig.StageUploads}
+	if s := a.config.Service(a.settings.Service); s != nil {
+		rules.Warmup, rules.WarmupRate = s.Warmup, s.WarmupRate
 	}
-	return r
+	return rules
 }
 
-// show gives the sender and the gate what is known now.
-func (a *Agent) show() {
-	if a.proven && a.index > 0 && !a.fresh {
-		a.fresh = true
-		defer a.say()
+// publishView passes the current state to the sender and the gate.
+func (a *Agent) publishView() {
+	if a.configProven && a.configIndex > 0 && !a.configReady {
+		a.configReady = true
+		defer a.publishStation()
 	}
-	if s := a.config.Service(a.set.Service); s != nil {
+	if s := a.config.Service(a.settings.Service); s != nil {
 		a.healthPath.Store(&s.HealthPath)
 	}
-	a.host.WithGate(func(now time.Duration, g *inbound.Gate) bool { g.Configure(now, a.rules()); return false })
-	a.setStage()
-	if !a.fresh && a.index == 0 {
+	a.host.WithGate(func(now time.Duration, g *inbound.Gate) bool { g.Configure(now, a.gateRules()); return false })
+	a.updateMaintenanceStage()
+	if !a.configReady && a.configIndex == 0 {
 		return
 	}
-	a.sender.SetView(&outbound.View{Config: a.config, ConfigIndex: a.index, Agents: a.table.All(a.now())})
-	if a.fresh && !a.ready.Swap(true) {
-		a.probeIfUnproven()
-		a.log.WithField("index", a.index).Info("ready")
+	a.sender.SetView(&outbound.View{Config: a.config, ConfigIndex: a.configIndex, Agents: a.table.All(a.uptime())})
+	if a.configReady && !a.ready.Swap(true) {
+		a.probeIfNeeded()
+		a.log.WithField("index", a.configIndex).Info("ready")
 	}
 }
--- a/internal/mesh/sidecar/beats.go
+++ b/internal/mesh/sidecar/beats.go
@@ -14,10 +14,11 @@
 
 type gate = inbound.Gate
 
-const mostBeat = 16 << 10 // bytes
+// maxHeartbeatBytes bounds the body of a heartbeat.
+const maxHeartbeatBytes = 16 << 10
 
-// beat is the body of a backend's call.
-type beat struct {
+// heartbeatBody is the body of a backend's heartbeat, PUT /api/servers/{id}.
+type heartbeatBody struct {
 	Service    string `json:"service"`
 	Address    string `json:"address"`
 	Zone       string `json:"zone"`
@@ -28,55 +29,56 @@
 	CallCount  uint64 `json:"call_count"`
 }
 
-// control serves the calls of the backend on this machine.
-func (a *Agent) control() http.Handler {
+// controlHandler serves heartbeats and deregistrations of the backend on this machine.
+func (a *Agent) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /api/servers/{id}", func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(io.LimitReader(r.Body, mostBeat+1))
-		if err != nil || len(body) > mostBeat {
-			http.Error(w, "the body can't be read whole", http.StatusBadRequest)
+		body, err := io.ReadAll(io.LimitReader(r.Body, maxHeartbeatBytes+1))
+		if err != nil || len(body) > maxHeartbeatBytes {
+			http.Error(w, "the body is too large or could not be read completely", http.StatusBadRequest)
 			return
 		}
-		reply(w, a.beat(r.PathValue("id"), inbound.LocalHeartbeat, body))
+		writeReply(w, a.handleHeartbeat(r.PathValue("id"), inbound.LocalHeartbeat, body))
 	})
 	mux.HandleFunc("DELETE /api/servers/{id}", func(w http.ResponseWriter, r *http.Request) {
-		reply(w, a.beat(r.PathValue("id"), inbound.LocalDeregistration, nil))
+		writeReply(w, a.handleHeartbeat(r.PathValue("id"), inbound.LocalDeregistration, nil))
 	})
 	return mux
 }
 
-func reply(w http.ResponseWriter, status int) {
+func writeReply(w http.ResponseWriter, status int) {
 	h := w.Header()
 	h["Date"] = nil
 	if status != http.StatusOK {
-		http.Error(w, "the call names no backend of this machine, or a field is wrong", status)
+		http.Error(w, "the request names no backend of this machine, or a field is invalid", status)
 		return
 	}
 	h.Set("Content-Type", "application/json")
 	io.WriteString(w, "{}")
 }
 
-// beat takes in a backend's call. What it says holds at the gate before it is acknowledged.
-func (a *Agent) beat(id string, call inbound.Cause, body []byte) int {
-	if call == inbound.LocalDeregistration || call == inbound.RelayedDeregistration {
-		a.host.WithGate(func(now time.Duration, g *gate) bool { return g.Deregister(now, id, call) })
+// handleHeartbeat passes a backend's heartbeat or deregistration to the gate, where it takes effect
+// before it is acknowledged. It returns the HTTP status of the response.
+func (a *Agent) handleHeartbeat(id string, cause inbound.Cause, body []byte) int {
+	if cause == inbound.LocalDeregistration || cause == inbound.RelayedDeregistration {
+		a.host.WithGate(func(now time.Duration, g *gate) bool { return g.Deregister(now, id, cause) })
 		return http.StatusOK
 	}
-	var b beat
+	var b heartbeatBody
 	if json.Unmarshal(body, &b) != nil || b.Service == "" || b.Address == "" || strings.TrimSpace(id) == "" {
 		return http.StatusBadRequest
 	}
-	cold, err := bootstrap.ParseTime(b.WarmupLeft)
+	warmupLeft, err := bootstrap.ParseTime(b.WarmupLeft)
 	if err != nil && b.WarmupLeft != "" {
 		return http.StatusBadRequest
 	}
 	if b.Zone == "" {
-		b.Zone = a.set.Zone
+		b.Zone = a.settings.Zone
 	}
 	a.host.WithGate(func(now time.Duration, g *gate) bool {
 		return g.Heartbeat(now, transport.Backend{ID: id, Service: b.Service, Address: b.Address, Zone: b.Zone, Version: b.Version,
-			Capacity: b.Capacity, Draining: b.State != "ready", ColdLeft: max(0, cold), Calls: b.CallCount}, call)
+			Capacity: b.Capacity, Draining: b.State != "ready", ColdLeft: max(0, warmupLeft), Calls: b.CallCount}, cause)
 	})
-	a.probeIfUnproven()
+	a.probeIfNeeded()
 	return http.StatusOK
 }
--- a/internal/mesh/sidecar/beats_test.go
+++ b/internal/mesh/sidecar/beats_test.go
@@ -17,70 +17,73 @@
 	"github.com/stretchr/testify/require"
 )
 
-// application is a backend that answers health probes, and the agents that stand beside it one after
-// the other.
-type application struct {
+// testBackend is a backend that answers health probes, together with the agent process beside it,
+// which may be restarted.
+type testBackend struct {
 	t       *testing.T
 	server  *httptest.Server
 	healthy atomic.Bool
 	agent   *Agent
 }
 
-const applicationID = "b1"
+const testBackendID = "b1"
 
-var healthPath = "/health"
+var testHealthPath = "/health"
 
-func newApplication(t *testing.T) *application {
-	app := &application{t: t}
-	app.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(inbound.ServerIDHeader, applicationID)
-		if !app.healthy.Load() {
+func newTestBackend(t *testing.T) *testBackend {
+	backend := &testBackend{t: t}
+	backend.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set(inbound.ServerIDHeader, testBackendID)
+		if !backend.healthy.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}))
-	t.Cleanup(app.server.Close)
-	app.restart()
-	return app
+	t.Cleanup(backend.server.Close)
+	backend.restartAgent()
+	return backend
 }
 
-// restart puts a new process in the agent's place, which has a current configuration.
-func (app *application) restart() {
-	set := &bootstrap.Settings{SparePorts: [2]int{7600, 7615}, BeatEvery: time.Second, Service: "s", AppAddress: app.server.Listener.Addr().String()}
-	app.agent = New("", set, &log.Logger{Handler: discard.New()})
-	app.agent.fresh = true
-	app.agent.healthPath.Store(&healthPath)
-	app.agent.show()
+// restartAgent replaces the agent by a new process that has a current configuration.
+func (backend *testBackend) restartAgent() {
+	set := &bootstrap.Settings{SparePorts: [2]int{7600, 7615}, BeatEvery: time.Second, Service: "s", AppAddress: backend.server.Listener.Addr().String()}
+	backend.agent = New("", set, &log.Logger{Handler: discard.New()})
+	backend.agent.configReady = true
+	backend.agent.healthPath.Store(&testHealthPath)
+	backend.agent.publishView()
 }
 
-// call makes a call of the backend, which must be acknowledged: "put 5 ready" or "delete".
-func (app *application) call(what string) {
+// sendCall sends a heartbeat or a deregistration of the backend, which must be acknowledged. The
+// format is "put NUMBER STATE", such as "put 5 ready", or "delete".
+func (backend *testBackend) sendCall(what string) {
 	var count, state string
 	method, body := http.MethodDelete, ""
 	if n, _ := fmt.Sscanf(what, "put %s %s", &count, &state); n == 2 {
 		method = http.MethodPut
 		body = fmt.Sprintf(`{"service":"s","address":%q,"zone":"z","capacity":4,"state":%q,"warmup_left":"0ms","call_count":%s}`,
-			app.server.Listener.Addr(), state, count)
+			backend.server.Listener.Addr(), state, count)
 	}
 	w := httptest.NewRecorder()
-	app.agent.control().ServeHTTP(w, httptest.NewRequest(method, "/api/servers/"+applicationID, strings.NewReader(body)))
-	require.Equal(app.t, http.StatusOK, w.Code, what)
+	backend.agent.controlHandler().ServeHTTP(w, httptest.NewRequest(method, "/api/servers/"+testBackendID, strings.NewReader(body)))
+	require.Equal(backend.t, http.StatusOK, w.Code, what)
 }
 
-// open says whether a request would reach the backend.
-func (app *application) open() bool {
-	ask := &transport.Request{Try: "t", Target: applicationID, Life: app.agent.life, Patient: time.Second}
+// admitsRequests reports whether a request would reach the backend.
+func (backend *testBackend) admitsRequests() bool {
+	request := &transport.Request{Try: "t", Target: testBackendID, Life: backend.agent.life, Patient: time.Second}
 	admitted := false
-	app.agent.host.WithGate(func(now time.Duration, g *inbound.Gate) bool {
-		ticket, failure := g.Admit(now, ask)
+	backend.agent.host.WithGate(func(now time.Duration, g *inbound.Gate) bool {
+		ticket, failure := g.Admit(now, request)
 		if admitted = ticket == nil && failure == nil; admitted {
-			g.Cancel(now, ask, false)
+			g.Cancel(now, request, false)
 		}
 		return false
 	})
 	return admitted
 }
 
-// TestLateCallsReviveNothing provokes DRAIN: a call of before the end of a life comes after it.
+// TestLateCallsReviveNothing checks that a delayed heartbeat does not reactivate a backend instance
+// that has drained or deregistered since. Such a backend would get requests, which violates the rule
+// DRAIN.
 func TestLateCallsReviveNothing(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -96,36 +99,37 @@
 		{"behind its sign-off, at the next process", []string{"put 5 ready", "delete", "restart", "put 6 ready"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			app := newApplication(t)
+			backend := newTestBackend(t)
 			for _, call := range c.calls {
 				if call == "restart" {
-					app.restart()
+					backend.restartAgent()
 				} else {
-					app.call(call)
+					backend.sendCall(call)
 				}
 			}
-			require.False(t, app.open())
+			require.False(t, backend.admitsRequests())
 		})
 	}
 }
 
-// TestNextProcessAsksBackend: what calls don't prove, the backend itself does, and a backend that is
-// taken to be ill is used once no call of before can come.
+// TestNextProcessAsksBackend checks that a restarted agent admits requests once the backend answers
+// a health probe, and not merely because of a heartbeat that may be outdated. A backend that fails
+// its health probe stays unused as long as an outdated heartbeat may arrive.
 func TestNextProcessAsksBackend(t *testing.T) {
-	opens := func(app *application) {
-		require.Eventually(t, app.open, 5*time.Second, time.Millisecond)
+	requireAdmitted := func(backend *testBackend) {
+		require.Eventually(t, backend.admitsRequests, 5*time.Second, time.Millisecond)
 	}
-	app := newApplication(t)
-	app.healthy.Store(true)
-	app.restart()
-	opens(app) // without a call
-	app.restart()
-	app.call("put 5 ready")
-	opens(app)
-	app.call("put 6 draining")
-	require.False(t, app.open())
-	app.healthy.Store(false)
-	app.restart()
-	app.call("put 5 ready")
-	require.False(t, app.open(), "nothing but a call of before says that it is ready")
+	backend := newTestBackend(t)
+	backend.healthy.Store(true)
+	backend.restartAgent()
+	requireAdmitted(backend) // without a heartbeat
+	backend.restartAgent()
+	backend.sendCall("put 5 ready")
+	requireAdmitted(backend)
+	backend.sendCall("put 6 draining")
+	require.False(t, backend.admitsRequests())
+	backend.healthy.Store(false)
+	backend.restartAgent()
+	backend.sendCall("put 5 ready")
+	require.False(t, backend.admitsRequests(), "only a heartbeat that may be outdated says that the backend is ready")
 }
--- a/internal/mesh/sidecar/config.go
+++ b/internal/mesh/sidecar/config.go
@@ -9,46 +9,49 @@
 	"example.org/micaline/internal/mesh/transport"
 )
 
-// errBehind says that steps begin after what the agent has.
-var errBehind = errors.New("the steps begin later")
+// errStepsGap reports that the received steps do not connect to the agent's configuration.
+var errStepsGap = errors.New("the steps do not start at the agent's configuration")
 
-// take brings the configuration forward by what a core machine sent: steps from one that the agent has, or the whole, which it has
-// to ask for. Danger: what does not have the digest of what was agreed on is never shown to sender and gate.
-func (a *Agent) take(f *feed, d *transport.CoreUpdate, whole []byte) {
-	if len(whole) > 0 && a.asking == f {
-		a.asking = nil
+// applyConfigUpdate updates the configuration from a control-plane node's message, which contains
+// either steps from an earlier configuration or the complete one that the agent requested. A
+// configuration whose digest differs from the agreed one is discarded, because the sender and the
+// gate would otherwise act on a configuration that was never agreed on.
+func (a *Agent) applyConfigUpdate(f *feed, update *transport.CoreUpdate, payload []byte) {
+	if len(payload) > 0 && a.configSource == f {
+		a.configSource = nil
 	}
-	a.newest = max(a.newest, d.Index)
-	if d.Index <= a.index {
+	a.newestIndex = max(a.newestIndex, update.Index)
+	if update.Index <= a.configIndex {
 		return
 	}
-	config, err := forward(a.config, a.index, d, whole)
+	config, err := updatedConfig(a.config, a.configIndex, update, payload)
 	switch {
 	case err == nil:
-		a.config, a.index, a.dirty = config, d.Index, true
-		a.have.Store(a.index)
-		a.log.WithField("index", a.index).WithField("items", config.Summary()).Info("configuration")
-		a.odd = false
-	case err != errBehind:
-		a.odd = true
-		a.log.WithError(err).WithField("core", f.core).Error("configuration kept as it was")
+		a.config, a.configIndex, a.viewChanged = config, update.Index, true
+		a.sharedConfigIndex.Store(a.configIndex)
+		a.log.WithField("index", a.configIndex).WithField("items", config.Summary()).Info("configuration")
+		a.needsFullConfig = false
+	case err != errStepsGap:
+		a.needsFullConfig = true
+		a.log.WithError(err).WithField("core", f.address).Error("configuration kept as it was")
 	}
-	a.askWhole()
+	a.requestConfig()
 }
 
-// forward returns the configuration at the index that a message tells.
-func forward(config *meshconfig.Config, index uint64, d *transport.CoreUpdate, whole []byte) (*meshconfig.Config, error) {
-	steps := d.Steps
+// updatedConfig returns the configuration at the index of the message. It starts from config, which
+// has the given index.
+func updatedConfig(config *meshconfig.Config, index uint64, update *transport.CoreUpdate, payload []byte) (*meshconfig.Config, error) {
+	steps := update.Steps
 	switch {
-	case d.RawSteps:
+	case update.RawSteps:
 		var err error
-		if steps, err = transport.DecodeSteps(whole); err != nil {
+		if steps, err = transport.DecodeSteps(payload); err != nil {
 			return nil, err
 		}
-	case len(whole) > 0:
-		config, err := meshconfig.Decode(whole)
-		if err == nil && config.Digest() != d.Digest {
-			err = errors.New("the whole configuration has another digest")
+	case len(payload) > 0:
+		config, err := meshconfig.Decode(payload)
+		if err == nil && config.Digest() != update.Digest {
+			err = errors.New("the digest of the complete configuration does not match")
 		}
 		return config, err
 	}
@@ -58,7 +61,7 @@
 			continue
 		}
 		if s.Before != index {
-			return nil, errBehind
+			return nil, errStepsGap
 		}
 		var err error
 		if config, err = config.ApplyOrder(&s.Order); err != nil {
@@ -66,59 +69,61 @@
 		}
 		index = s.Index
 	}
-	if index != d.Index {
-		return nil, errBehind
+	if index != update.Index {
+		return nil, errStepsGap
 	}
-	if config.Digest() != d.Digest {
-		return nil, errors.New("the configuration has another digest after the steps")
+	if config.Digest() != update.Digest {
+		return nil, errors.New("the digest of the configuration does not match after the steps")
 	}
 	return config, nil
 }
 
-// askWhole asks one core machine for the whole configuration if there is a later one than the agent has; another one if no answer comes.
-func (a *Agent) askWhole() {
-	if a.newest <= a.index || a.awaits() {
+// requestConfig requests the configuration from one control-plane node if a later one exists than
+// the agent has. If that node does not answer in time, another one is asked.
+func (a *Agent) requestConfig() {
+	if a.newestIndex <= a.configIndex || a.awaitingConfig() {
 		return
 	}
-	var able []*feed // those that have it: one that is cut off from the others would not answer
+	var candidates []*feed // nodes that have it: a partitioned node would not answer
 	for _, f := range a.feeds {
-		if f.alive && f != a.asking && f.index >= a.newest {
-			able = append(able, f)
+		if f.connected && f != a.configSource && f.configIndex >= a.newestIndex {
+			candidates = append(candidates, f)
 		}
 	}
-	if len(able) == 0 && a.asking != nil && a.asking.alive {
-		able = append(able, a.asking)
+	if len(candidates) == 0 && a.configSource != nil && a.configSource.connected {
+		candidates = append(candidates, a.configSource)
 	}
-	if len(able) == 0 {
-		return // the next that is heard is asked
+	if len(candidates) == 0 {
+		return // retried when the next update from a node arrives
 	}
-	a.asking, a.asked = able[rand.N(len(able))], time.Now()
-	if a.odd {
-		a.asking.since.Store(0)
+	a.configSource, a.configRequestedAt = candidates[rand.N(len(candidates))], time.Now()
+	if a.needsFullConfig {
+		a.configSource.requestSince.Store(0)
 	} else {
-		a.asking.since.Store(a.index)
+		a.configSource.requestSince.Store(a.configIndex)
 	}
-	a.asking.want.Store(a.newest)
-	a.asking.wake()
-	a.askLater(askAgain)
+	a.configSource.requestIndex.Store(a.newestIndex)
+	a.configSource.wake()
+	a.scheduleConfigRetry(configRetryInterval)
 }
 
-// awaits says whether what was asked for last may still come.
-func (a *Agent) awaits() bool {
-	if a.asking == nil {
+// awaitingConfig reports whether the answer to the last request may still arrive.
+func (a *Agent) awaitingConfig() bool {
+	if a.configSource == nil {
 		return false
 	}
-	asked := time.Since(a.asked)
-	return asked < askAgain || asked < arriveWithin && a.asking.arriving.Load()
+	elapsed := time.Since(a.configRequestedAt)
+	return elapsed < configRetryInterval || elapsed < configTransferTimeout && a.configSource.receivingConfig.Load()
 }
 
-func (a *Agent) askLater(wait time.Duration) {
-	time.AfterFunc(wait, func() {
-		a.do(func() {
-			if a.asking != nil && a.asking.arriving.Load() && a.awaits() {
-				a.askLater(askAgain)
+// scheduleConfigRetry requests the configuration again after a delay, unless one is being received.
+func (a *Agent) scheduleConfigRetry(delay time.Duration) {
+	time.AfterFunc(delay, func() {
+		a.enqueue(func() {
+			if a.configSource != nil && a.configSource.receivingConfig.Load() && a.awaitingConfig() {
+				a.scheduleConfigRetry(configRetryInterval)
 			} else {
-				a.askWhole()
+				a.requestConfig()
 			}
 		})
 	})
--- a/internal/mesh/sidecar/config_test.go
+++ b/internal/mesh/sidecar/config_test.go
@@ -13,100 +13,102 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An agent has nothing that no core machine agreed on, and is proven current only with what was current.
+// TestConfigurationIsTakenByItsDigest checks that an agent applies a configuration only if its
+// digest matches the agreed one, and is proven current only with an index that was current.
 func TestConfigurationIsTakenByItsDigest(t *testing.T) {
 	a := New("", &bootstrap.Settings{SparePorts: [2]int{7600, 7615}}, &log.Logger{Handler: discard.New()})
-	f := &feed{core: "one", woken: make(chan struct{}, 1)}
-	other := &feed{core: "two", woken: make(chan struct{}, 1), alive: true}
+	f := &feed{address: "one", wakeup: make(chan struct{}, 1)}
+	other := &feed{address: "two", wakeup: make(chan struct{}, 1), connected: true}
 	a.feeds = map[string]*feed{"one": f, "two": other}
 	first := meshconfig.New().Evacuate("a")
 	second := first.Evacuate("b")
-	whole := first.Encode()
+	encoded := first.Encode()
 	step := func(before, index uint64, zone string) transport.ConfigStep {
 		return transport.ConfigStep{Before: before, Index: index, Order: meshconfig.Order{Op: meshconfig.OpEvacuate, Zone: zone}}
 	}
-	has := func(index uint64, c *meshconfig.Config) {
+	requireConfig := func(index uint64, c *meshconfig.Config) {
 		t.Helper()
-		require.Equal(t, index, a.index)
+		require.Equal(t, index, a.configIndex)
 		require.Equal(t, c.Encode(), a.config.Encode())
 	}
-	asked := func() uint64 { return max(f.want.Swap(0), other.want.Swap(0)) }
+	requestedIndex := func() uint64 { return max(f.requestIndex.Swap(0), other.requestIndex.Swap(0)) }
 
-	a.hear(f, &transport.CoreUpdate{Index: 5, Fresh: 1}, nil)
-	require.False(t, a.proven)
-	require.EqualValues(t, 5, asked())
-	a.hear(a.asking, &transport.CoreUpdate{Index: 5, Digest: first.Digest() + 1, Raw: int64(len(whole))}, whole)
-	has(0, meshconfig.New())
-	require.EqualValues(t, 5, asked(), "another one is asked for what came spoilt")
-	a.hear(a.asking, &transport.CoreUpdate{Index: 5, Digest: first.Digest(), Raw: int64(len(whole))}, whole)
-	has(5, first)
-	require.True(t, a.proven)
-	require.Zero(t, asked())
+	a.handleUpdate(f, &transport.CoreUpdate{Index: 5, Fresh: 1}, nil)
+	require.False(t, a.configProven)
+	require.EqualValues(t, 5, requestedIndex())
+	a.handleUpdate(a.configSource, &transport.CoreUpdate{Index: 5, Digest: first.Digest() + 1, Raw: int64(len(encoded))}, encoded)
+	requireConfig(0, meshconfig.New())
+	require.EqualValues(t, 5, requestedIndex(), "a corrupt configuration is requested from another node")
+	a.handleUpdate(a.configSource, &transport.CoreUpdate{Index: 5, Digest: first.Digest(), Raw: int64(len(encoded))}, encoded)
+	requireConfig(5, first)
+	require.True(t, a.configProven)
+	require.Zero(t, requestedIndex())
 
 	next := transport.CoreUpdate{Index: 9, Digest: second.Digest()}
 	for _, steps := range [][]transport.ConfigStep{{step(7, 9, "b")}, {step(5, 9, "c")}, {step(5, 7, "b")}, {{Before: 5, Index: 9}}} {
 		next.Steps = steps
-		a.hear(f, &next, nil)
-		has(5, first)
+		a.handleUpdate(f, &next, nil)
+		requireConfig(5, first)
 	}
-	require.EqualValues(t, 9, asked(), "asked for once, while the answer may come")
+	require.EqualValues(t, 9, requestedIndex(), "requested once while the answer may still arrive")
 	next.Steps = []transport.ConfigStep{step(2, 5, "a"), step(5, 9, "b")}
-	a.hear(f, &next, nil)
-	has(9, second)
-	a.hear(other, &transport.CoreUpdate{Index: 5, Digest: first.Digest(), Raw: int64(len(whole))}, whole)
-	has(9, second)
+	a.handleUpdate(f, &next, nil)
+	requireConfig(9, second)
+	a.handleUpdate(other, &transport.CoreUpdate{Index: 5, Digest: first.Digest(), Raw: int64(len(encoded))}, encoded)
+	requireConfig(9, second)
 
 	third := second.Evacuate("c")
-	a.asking = nil
-	a.hear(f, &transport.CoreUpdate{Index: 12}, nil)
-	require.EqualValues(t, 9, a.asking.since.Load(), "steps from what it has will do")
+	a.configSource = nil
+	a.handleUpdate(f, &transport.CoreUpdate{Index: 12}, nil)
+	require.EqualValues(t, 9, a.configSource.requestSince.Load(), "steps from the agent's index are sufficient")
 	raw := transport.EncodeSteps([]transport.ConfigStep{step(9, 12, "d")})
-	a.hear(a.asking, &transport.CoreUpdate{Index: 12, Digest: third.Digest(), RawSteps: true}, raw)
-	has(9, second)
-	require.Zero(t, a.asking.since.Load(), "the steps led elsewhere")
+	a.handleUpdate(a.configSource, &transport.CoreUpdate{Index: 12, Digest: third.Digest(), RawSteps: true}, raw)
+	requireConfig(9, second)
+	require.Zero(t, a.configSource.requestSince.Load(), "the steps led to another configuration")
 	raw = transport.EncodeSteps([]transport.ConfigStep{step(5, 9, "b"), step(9, 12, "c")})
-	a.hear(a.asking, &transport.CoreUpdate{Index: 12, Digest: third.Digest(), RawSteps: true}, raw)
-	has(12, third)
-	a.asking = nil
-	a.hear(f, &transport.CoreUpdate{Index: 13}, nil)
-	require.EqualValues(t, 12, a.asking.since.Load())
+	a.handleUpdate(a.configSource, &transport.CoreUpdate{Index: 12, Digest: third.Digest(), RawSteps: true}, raw)
+	requireConfig(12, third)
+	a.configSource = nil
+	a.handleUpdate(f, &transport.CoreUpdate{Index: 13}, nil)
+	require.EqualValues(t, 12, a.configSource.requestSince.Load())
 }
 
-// TestWholeIsAskedForOnce provokes CONFIG on thin links: a whole configuration that is on its way is
-// not asked for at another core machine as well.
+// TestWholeIsAskedForOnce checks that a complete configuration that is being transferred is not
+// requested from a second control-plane node. On links with little bandwidth, duplicate transfers
+// make an agent late with the configuration, which violates the rule CONFIG.
 func TestWholeIsAskedForOnce(t *testing.T) {
-	a := &Agent{feeds: map[string]*feed{}, newest: 5, commands: make(chan func(), queue)}
+	a := &Agent{feeds: map[string]*feed{}, newestIndex: 5, commands: make(chan func(), commandQueueSize)}
 	for _, core := range []string{"a", "b", "c"} {
-		a.feeds[core] = &feed{core: core, alive: true, index: 5, woken: make(chan struct{}, 1)}
+		a.feeds[core] = &feed{address: core, connected: true, configIndex: 5, wakeup: make(chan struct{}, 1)}
 	}
-	stale := &feed{core: "d", alive: true, index: 4, woken: make(chan struct{}, 1)}
+	stale := &feed{address: "d", connected: true, configIndex: 4, wakeup: make(chan struct{}, 1)}
 	a.feeds["d"] = stale
-	for range 9 { // whoever tells of the change next
-		a.askWhole()
+	for range 9 { // as each node reports the change
+		a.requestConfig()
 	}
 	asked := 0
 	for _, f := range a.feeds {
-		if f.want.Load() != 0 {
+		if f.requestIndex.Load() != 0 {
 			asked++
 		}
 	}
 	require.Equal(t, 1, asked)
 	for range 50 {
-		a.asking = nil
-		a.askWhole()
+		a.configSource = nil
+		a.requestConfig()
 	}
-	require.Zero(t, stale.want.Load(), "one that is behind is asked for what it does not have")
+	require.Zero(t, stale.requestIndex.Load(), "a node that is behind must not be asked for a configuration it does not have")
 }
 
-// TestWholeThatArrivesIsWaitedFor has a whole configuration arrive for longer than it takes until
-// another core machine is asked for one that does not.
+// TestWholeThatArrivesIsWaitedFor checks that a configuration transfer in progress may take longer
+// than configRetryInterval, after which an unanswered request is sent to another node.
 func TestWholeThatArrivesIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &Agent{feeds: map[string]*feed{}, newest: 5, commands: make(chan func(), queue)}
+		a := &Agent{feeds: map[string]*feed{}, newestIndex: 5, commands: make(chan func(), commandQueueSize)}
 		for _, core := range []string{"a", "b"} {
-			a.feeds[core] = &feed{core: core, alive: true, index: 5, woken: make(chan struct{}, 1)}
+			a.feeds[core] = &feed{address: core, connected: true, configIndex: 5, wakeup: make(chan struct{}, 1)}
 		}
-		work := func(d time.Duration) { // as the owner does
+		runOwnerFor := func(d time.Duration) { // executes commands as runOwner does
 			for end := time.After(d); ; {
 				select {
 				case command := <-a.commands:
@@ -116,18 +118,18 @@
 				}
 			}
 		}
-		a.askWhole()
-		first := a.asking
-		first.arriving.Store(true)
-		work(arriveWithin - time.Second)
-		require.Same(t, first, a.asking)
-		work(askAgain + time.Second)
-		require.NotSame(t, first, a.asking, "it arrives for too long")
-		silent := a.asking
-		work(askAgain + time.Millisecond)
-		require.Same(t, first, a.asking, "nothing arrives of what %s was asked for", silent.core)
-		first.arriving.Store(false)
-		a.index = a.newest
-		work(2 * askAgain)
+		a.requestConfig()
+		first := a.configSource
+		first.receivingConfig.Store(true)
+		runOwnerFor(configTransferTimeout - time.Second)
+		require.Same(t, first, a.configSource)
+		runOwnerFor(configRetryInterval + time.Second)
+		require.NotSame(t, first, a.configSource, "the transfer takes too long")
+		silent := a.configSource
+		runOwnerFor(configRetryInterval + time.Millisecond)
+		require.Same(t, first, a.configSource, "nothing arrives from %s", silent.address)
+		first.receivingConfig.Store(false)
+		a.configIndex = a.newestIndex
+		runOwnerFor(2 * configRetryInterval)
 	})
 }
--- a/internal/mesh/sidecar/feed.go
+++ b/internal/mesh/sidecar/feed.go
@@ -14,310 +14,316 @@
 )
 
 const (
-	heartbeat   = 500 * time.Millisecond  // of a feed on which there is nothing to say
-	feedTimeout = 1700 * time.Millisecond // of silence, until a feed is given up: three heartbeats
-	// Of the first word of a core machine. One that stands still accepts all the same: to wait costs
-	// nothing, and each connection that is given up is one more that it finds when it goes on.
-	greetTimeout = 5 * time.Second
-	dialTimeout  = 600 * time.Millisecond
-	redialMin    = 100 * time.Millisecond // until a feed is opened anew, doubling
-	redialMax    = time.Second
+	heartbeatInterval = 500 * time.Millisecond  // interval between messages on an idle feed
+	feedTimeout       = 1700 * time.Millisecond // without a message; about three heartbeats
+	// firstMessageTimeout bounds the wait for the first message of a node. The kernel accepts
+	// connections even while the node's process is stopped. Waiting is cheap, whereas each abandoned
+	// connection is one more that the node has to handle when it resumes.
+	firstMessageTimeout = 5 * time.Second
+	dialTimeout         = 600 * time.Millisecond
+	minRedialDelay      = 100 * time.Millisecond // doubles with each failed attempt
+	maxRedialDelay      = time.Second
 
-	mostFeeds = 9
-	askAgain  = 1500 * time.Millisecond // for the whole configuration, elsewhere
-	// Of one that arrives, until it is asked for elsewhere: each that is sent twice makes busy links
-	// busier, so one that passes at all is waited for.
-	arriveWithin = 8 * time.Second
-	mostWhole    = 32 << 20 // bytes of a configuration
+	maxFeeds            = 9
+	configRetryInterval = 1500 * time.Millisecond // until another node is asked
+	// configTransferTimeout bounds the wait for a configuration that is being received. Requesting
+	// it from a second node would add load to links that are already slow.
+	configTransferTimeout = 8 * time.Second
+	maxConfigBytes        = 32 << 20
 )
 
-// feed is the link to one core machine.
+// feed is the connection to one control-plane node. Fields marked "owner only" belong to the
+// goroutine that runs Agent.runOwner.
 type feed struct {
-	core     string
-	stop     context.CancelFunc
-	woken    chan struct{}
-	up       chan transport.AgentUpdate // answers to beats that came over it
-	heard    time.Time                  // when the core machine last said anything; the owner's
-	since    atomic.Uint64              // with want: what the agent has, or 0 if it does not trust it
-	want     atomic.Uint64              // to be asked for: the whole configuration, of this index or a later one
-	arriving atomic.Bool                // raw bytes of a configuration are on their way
-	alive    bool                       // the core machine has been heard over the present connection; the owner's
-	index    uint64                     // of the configuration there, as told last; the owner's
-	cores    []string                   // members of the agreement, as told last; the owner's
+	address         string
+	cancel          context.CancelFunc
+	wakeup          chan struct{}
+	replies         chan transport.AgentUpdate // to heartbeats that the node relayed over this feed
+	lastReceived    time.Time                  // time of the last message from the node; owner only
+	requestSince    atomic.Uint64              // AgentUpdate.Since of the next request
+	requestIndex    atomic.Uint64              // AgentUpdate.Want of the next request; 0 if none
+	receivingConfig atomic.Bool                // raw bytes of a configuration are being received
+	connected       bool                       // the node has sent a message; owner only
+	configIndex     uint64                     // last reported CoreUpdate.Index; owner only
+	members         []string                   // last reported CoreUpdate.Cores; owner only
 
-	offset atomic.Int64 // of the mesh's time, as it tells, from this process's own, ns
-	timed  atomic.Bool  // it has told a time
+	clockOffset atomic.Int64 // node's mesh time minus this process's clock, in ns
+	clockKnown  atomic.Bool  // clockOffset is valid
 
-	process uint64                                // number of the core process that it hears; the owner's
-	resume  atomic.Pointer[transport.ResumePoint] // what has been heard of all stations; nil: not all
+	processID uint64 // identifies the control-plane process; owner only
+	// resumePoint is the point up to which all stations have been received; nil if not all have.
+	resumePoint atomic.Pointer[transport.ResumePoint]
 }
 
+// wake makes sendUpdates send the next message without waiting for the heartbeat interval.
 func (f *feed) wake() {
 	select {
-	case f.woken <- struct{}{}:
+	case f.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// follow opens feeds to the core machines that are known and gives up those that are not any more.
-func (a *Agent) follow() {
-	want := wantedCores(a.told(), a.set.Seeds, mostFeeds)
+// updateFeeds opens feeds to control-plane nodes that have become known and closes the feeds to
+// nodes that are no longer members.
+func (a *Agent) updateFeeds() {
+	targets := selectFeedTargets(a.currentMemberLists(), a.settings.Seeds, maxFeeds)
 	for core, f := range a.feeds {
-		if !slices.Contains(want, core) {
-			f.stop()
+		if !slices.Contains(targets, core) {
+			f.cancel()
 			delete(a.feeds, core)
 			a.table.MarkSourceDown(core)
 		}
 	}
-	for _, core := range want {
+	for _, core := range targets {
 		if a.feeds[core] == nil {
 			ctx, stop := context.WithCancel(context.Background())
-			f := &feed{core: core, stop: stop, woken: make(chan struct{}, 1), up: make(chan transport.AgentUpdate, 16)}
+			f := &feed{address: core, cancel: stop, wakeup: make(chan struct{}, 1), replies: make(chan transport.AgentUpdate, 16)}
 			a.feeds[core] = f
-			go a.keep(ctx, f)
+			go a.maintainFeed(ctx, f)
 		}
 	}
 }
 
-// told are the lists of members that hold: those of the core machines that are heard, or, where
-// none is, the last ones.
-func (a *Agent) told() [][]string {
+// currentMemberLists returns the member lists of the connected control-plane nodes, or the last
+// known lists if no node is connected.
+func (a *Agent) currentMemberLists() [][]string {
 	var lists [][]string
 	for _, f := range a.feeds {
-		if f.alive && len(f.cores) > 0 {
-			lists = append(lists, f.cores)
+		if f.connected && len(f.members) > 0 {
+			lists = append(lists, f.members)
 		}
 	}
 	if len(lists) > 0 {
-		a.members = lists
+		a.memberLists = lists
 	}
-	return a.members
+	return a.memberLists
 }
 
-// hearStations takes in what a core machine says of agents.
-func (a *Agent) hearStations(f *feed, d *transport.CoreUpdate) {
-	if d.Core != 0 {
-		f.process = d.Core
+// mergeStations merges the stations of other agents that a control-plane node sent.
+func (a *Agent) mergeStations(f *feed, update *transport.CoreUpdate) {
+	if update.Core != 0 {
+		f.processID = update.Core
 	}
-	if d.Whole {
-		f.resume.Store(nil)
+	if update.Whole {
+		f.resumePoint.Store(nil)
 	}
-	if d.Stations == nil && !d.Whole && d.Revision == 0 {
+	if update.Stations == nil && !update.Whole && update.Revision == 0 {
 		return
 	}
-	if a.table.Merge(a.now(), f.core, d.Whole, d.Stations) {
-		a.dirty = true
+	if a.table.Merge(a.uptime(), f.address, update.Whole, update.Stations) {
+		a.viewChanged = true
 	}
-	if d.Revision != 0 {
-		f.resume.Store(&transport.ResumePoint{Core: f.process, Revision: d.Revision})
+	if update.Revision != 0 {
+		f.resumePoint.Store(&transport.ResumePoint{Core: f.processID, Revision: update.Revision})
 	}
 }
 
-// wantedCores returns the core machines that an agent keeps feeds to: all that any list names, those
-// named most often first, and the seeds as far as there is room.
+// selectFeedTargets returns the control-plane nodes that an agent keeps feeds to: every node in any
+// of the lists, those in most lists first, then the seeds, up to the limit.
 //
-// Danger: a core machine that is cut off from the others goes on to name the members of before the
-// cut. A rule by which one list replaces the other would let it lead the agent away from those that
-// hold the newest configuration.
-func wantedCores(lists [][]string, seeds []string, most int) []string {
-	named := map[string]int{}
+// The lists are merged because a node that is partitioned from the others continues to send the
+// members from before the partition. If its list replaced the others, the agent would disconnect
+// from the nodes that have the newest configuration.
+func selectFeedTargets(lists [][]string, seeds []string, limit int) []string {
+	mentions := map[string]int{}
 	for _, list := range lists {
 		for _, core := range list {
-			named[core]++
+			mentions[core]++
 		}
 	}
-	want := slices.SortedFunc(maps.Keys(named), func(x, y string) int {
-		return cmp.Or(cmp.Compare(named[y], named[x]), cmp.Compare(x, y))
+	selected := slices.SortedFunc(maps.Keys(mentions), func(x, y string) int {
+		return cmp.Or(cmp.Compare(mentions[y], mentions[x]), cmp.Compare(x, y))
 	})
 	for _, seed := range seeds {
-		if named[seed] == 0 && !slices.Contains(want, seed) {
-			want = append(want, seed)
+		if mentions[seed] == 0 && !slices.Contains(selected, seed) {
+			selected = append(selected, seed)
 		}
 	}
-	return want[:min(len(want), most)]
+	return selected[:min(len(selected), limit)]
 }
 
-// keep has a feed open as far as that can be had.
-func (a *Agent) keep(ctx context.Context, f *feed) {
-	wait := redialMin
+// maintainFeed connects a feed, and reconnects it with backoff, until the context ends.
+func (a *Agent) maintainFeed(ctx context.Context, f *feed) {
+	delay := minRedialDelay
 	for ctx.Err() == nil {
-		dialing, cancel := context.WithTimeout(ctx, dialTimeout)
-		c, err := transport.Dial(dialing, transport.UseFeed, a.set.Control, InternalAddress(a.set, f.core))
+		dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
+		conn, err := transport.Dial(dialCtx, transport.UseFeed, a.settings.Control, InternalAddress(a.settings, f.address))
 		cancel()
 		if err == nil {
-			if a.serve(ctx, f, c) {
-				wait = redialMin
+			if a.serveFeed(ctx, f, conn) {
+				delay = minRedialDelay
 			}
-			c.Close()
-			a.do(func() { a.broken(f) })
+			conn.Close()
+			a.enqueue(func() { a.feedDisconnected(f) })
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait/2 + rand.N(wait)):
+		case <-time.After(delay/2 + rand.N(delay)):
 		}
-		wait = min(2*wait, redialMax)
+		delay = min(2*delay, maxRedialDelay)
 	}
 }
 
-// broken takes in that the connection of a feed has ended.
-func (a *Agent) broken(f *feed) {
-	f.alive, f.index = false, 0
-	if a.feeds[f.core] != f {
+// feedDisconnected updates the state after the connection of a feed has ended.
+func (a *Agent) feedDisconnected(f *feed) {
+	f.connected, f.configIndex = false, 0
+	if a.feeds[f.address] != f {
 		return
 	}
-	a.table.MarkSourceDown(f.core)
-	a.dirty = true
-	a.follow()
-	if a.asking == f {
-		a.asking = nil
-		a.askWhole()
+	a.table.MarkSourceDown(f.address)
+	a.viewChanged = true
+	a.updateFeeds()
+	if a.configSource == f {
+		a.configSource = nil
+		a.requestConfig()
 	}
 }
 
-// serve says and hears until the feed breaks. It says whether anything was heard. The core machine
-// speaks first: who has not heard it has nothing to say, as it may be one that stands still while
-// its kernel accepts.
-func (a *Agent) serve(ctx context.Context, f *feed, c *transport.Conn) (heard bool) {
-	greeted, ended := make(chan struct{}), make(chan struct{})
+// serveFeed exchanges messages until the connection ends and reports whether it received any. The
+// agent sends nothing before the node's first message, because the node's process may be stopped
+// while its kernel still accepts connections.
+func (a *Agent) serveFeed(ctx context.Context, f *feed, conn *transport.Conn) (received bool) {
+	firstReceived, receiverDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(ended)
-		a.receive(f, c, greeted)
+		defer close(receiverDone)
+		a.receiveUpdates(f, conn, firstReceived)
 	}()
 	defer func() {
-		c.Close()
-		<-ended
+		conn.Close()
+		<-receiverDone
 		select {
-		case <-greeted:
-			heard = true
+		case <-firstReceived:
+			received = true
 		default:
 		}
 	}()
 	select {
 	case <-ctx.Done():
-	case <-ended:
-	case <-greeted:
-		a.send(ctx, f, c, ended)
+	case <-receiverDone:
+	case <-firstReceived:
+		a.sendUpdates(ctx, f, conn, receiverDone)
 	}
 	return
 }
 
-// receive takes in what the core machine says until the connection breaks or it is silent for too
-// long. Greeted is closed once it has said anything.
-func (a *Agent) receive(f *feed, c *transport.Conn, greeted chan struct{}) {
-	patience := greetTimeout
-	for first := true; ; first, patience = false, feedTimeout {
-		c.SetReadDeadline(time.Now().Add(patience))
-		var d transport.CoreUpdate
-		if c.Receive(&d) != nil {
+// receiveUpdates handles the node's messages until the connection ends or no message arrives within
+// the timeout. It closes firstReceived after the first message.
+func (a *Agent) receiveUpdates(f *feed, conn *transport.Conn, firstReceived chan struct{}) {
+	timeout := firstMessageTimeout
+	for first := true; ; first, timeout = false, feedTimeout {
+		conn.SetReadDeadline(time.Now().Add(timeout))
+		var update transport.CoreUpdate
+		if conn.Receive(&update) != nil {
 			return
 		}
-		f.arriving.Store(d.Raw > 0)
-		whole, err := c.ReceiveChunked(d.Raw, mostWhole, feedTimeout)
-		if err == nil && d.Deflated {
-			whole, err = transport.Decompress(whole, mostWhole)
+		f.receivingConfig.Store(update.Raw > 0)
+		payload, err := conn.ReceiveChunked(update.Raw, maxConfigBytes, feedTimeout)
+		if err == nil && update.Deflated {
+			payload, err = transport.Decompress(payload, maxConfigBytes)
 		}
-		f.arriving.Store(false)
+		f.receivingConfig.Store(false)
 		if err != nil {
 			return
 		}
 		if first {
-			close(greeted)
+			close(firstReceived)
 		}
-		if d.Clock != 0 {
-			f.offset.Store(int64(time.Duration(d.Clock) - a.clock.Local()))
-			f.timed.Store(true)
+		if update.Clock != 0 {
+			f.clockOffset.Store(int64(time.Duration(update.Clock) - a.clock.Local()))
+			f.clockKnown.Store(true)
 		}
-		a.usage.DiscardThrough(d.Settled)
-		a.do(func() { a.hear(f, &d, whole) })
+		a.usageCounter.DiscardThrough(update.Settled)
+		a.enqueue(func() { a.handleUpdate(f, &update, payload) })
 	}
 }
 
-// send says what the core machine has not been told yet, and a heartbeat where there is nothing.
-func (a *Agent) send(ctx context.Context, f *feed, c *transport.Conn, ended chan struct{}) {
-	said := (*transport.Station)(nil)
-	fresh := uint64(1)
-	usage, work := &usageTeller{counter: a.usage}, &workTeller{}
-	resume := f.resume.Load()
-	beat := time.NewTimer(0)
-	defer beat.Stop()
+// sendUpdates sends what the node has not received yet, and a heartbeat if there is nothing new.
+func (a *Agent) sendUpdates(ctx context.Context, f *feed, conn *transport.Conn, receiverDone chan struct{}) {
+	sentStation := (*transport.Station)(nil)
+	freshRequest := uint64(1)
+	usageUpdates, workloadUpdates := &usageReporter{counter: a.usageCounter}, &workloadReporter{}
+	resumePoint := f.resumePoint.Load()
+	heartbeatTimer := time.NewTimer(0)
+	defer heartbeatTimer.Stop()
 	for {
-		var up transport.AgentUpdate
-		if s := a.station.Load(); s != said {
-			said, up.Station = s, s
-			up.Have = a.have.Load()
+		var update transport.AgentUpdate
+		if station := a.station.Load(); station != sentStation {
+			sentStation, update.Station = station, station
+			update.Have = a.sharedConfigIndex.Load()
 		}
-		if up.Want = f.want.Swap(0); up.Want != 0 {
-			up.Since, up.Deflate = f.since.Load(), true
+		if update.Want = f.requestIndex.Swap(0); update.Want != 0 {
+			update.Since, update.Deflate = f.requestSince.Load(), true
 		}
-		if up.Fresh = fresh; fresh != 0 {
-			fresh = 0
-			if resume != nil {
-				up.Resume = *resume
+		if update.Fresh = freshRequest; freshRequest != 0 {
+			freshRequest = 0
+			if resumePoint != nil {
+				update.Resume = *resumePoint
 			}
 		}
 		select {
-		case u := <-f.up:
-			up.Handed, up.Status = u.Handed, u.Status
+		case reply := <-f.replies:
+			update.Handed, update.Status = reply.Handed, reply.Status
 		default:
 		}
-		usage.tells(a, &up)
-		up.Work = work.next(a, time.Now())
-		c.SetWriteDeadline(time.Now().Add(feedTimeout))
-		if c.Send(&up, nil) != nil {
+		usageUpdates.fillUpdate(a, &update)
+		update.Work = workloadUpdates.nextUpdate(a, time.Now())
+		conn.SetWriteDeadline(time.Now().Add(feedTimeout))
+		if conn.Send(&update, nil) != nil {
 			return
 		}
-		beat.Reset(heartbeat)
+		heartbeatTimer.Reset(heartbeatInterval)
 		select {
 		case <-ctx.Done():
 			return
-		case <-ended:
+		case <-receiverDone:
 			return
-		case <-f.woken:
-		case <-beat.C:
+		case <-f.wakeup:
+		case <-heartbeatTimer.C:
 		}
 	}
 }
 
-// hear takes in what a core machine says.
-func (a *Agent) hear(f *feed, d *transport.CoreUpdate, whole []byte) {
-	if a.feeds[f.core] != f {
+// handleUpdate processes one message from a control-plane node. It runs on the owner goroutine.
+func (a *Agent) handleUpdate(f *feed, update *transport.CoreUpdate, payload []byte) {
+	if a.feeds[f.address] != f {
 		return
 	}
-	f.heard = time.Now()
-	a.heard = f.heard
-	f.alive = true
-	f.index = max(f.index, d.Index)
-	if d.MinLife >= a.life {
-		// Danger: the time of day jumps, and who heard an earlier life of ours by a later time would take us for that one.
-		a.life = d.MinLife + 1
-		a.named()
-		a.say()
+	f.lastReceived = time.Now()
+	a.lastContact = f.lastReceived
+	f.connected = true
+	f.configIndex = max(f.configIndex, update.Index)
+	if update.MinLife >= a.life {
+		// The incarnation number is taken from the wall clock, which may jump back. Peers that know an
+		// earlier process with a higher number would otherwise mistake this process for it.
+		a.life = update.MinLife + 1
+		a.setGateLife()
+		a.publishStation()
 	}
-	a.take(f, d, whole)
-	a.hearStations(f, d)
-	if d.Fresh != 0 {
-		a.shown = f.heard
-		if !a.current {
-			a.current, a.least = true, d.Index
+	a.applyConfigUpdate(f, update, payload)
+	a.mergeStations(f, update)
+	if update.Fresh != 0 {
+		a.lastProven = f.lastReceived
+		if !a.minIndexKnown {
+			a.minIndexKnown, a.minIndex = true, update.Index
 		}
 	}
-	if a.current && !a.proven && a.index >= a.least {
-		a.proven, a.dirty = true, true
+	if a.minIndexKnown && !a.configProven && a.configIndex >= a.minIndex {
+		a.configProven, a.viewChanged = true, true
 	}
-	if len(d.Cores) > 0 {
-		f.cores = slices.Clone(d.Cores)
-		a.follow()
+	if len(update.Cores) > 0 {
+		f.members = slices.Clone(update.Cores)
+		a.updateFeeds()
 	}
-	if d.Beat != nil {
-		call := inbound.RelayedHeartbeat
-		if d.Beat.Leave {
-			call = inbound.RelayedDeregistration
+	if update.Beat != nil {
+		cause := inbound.RelayedHeartbeat
+		if update.Beat.Leave {
+			cause = inbound.RelayedDeregistration
 		}
-		status := a.beat(d.Beat.ID, call, d.Beat.Body)
+		status := a.handleHeartbeat(update.Beat.ID, cause, update.Beat.Body)
 		select {
-		case f.up <- transport.AgentUpdate{Handed: d.Number, Status: status}:
+		case f.replies <- transport.AgentUpdate{Handed: update.Number, Status: status}:
 			f.wake()
-		default: // it asks again
+		default: // the node relays the heartbeat again
 		}
 	}
 }
--- a/internal/mesh/sidecar/feed_test.go
+++ b/internal/mesh/sidecar/feed_test.go
@@ -11,57 +11,58 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReadyOnlyWithProof has an agent start that hears a configuration from a core machine that is
-// cut off, and the proof of a later one from another.
+// TestReadyOnlyWithProof starts an agent that receives a configuration from a partitioned
+// control-plane node, and the proof of a later one from another node. The older configuration must
+// not count as proven.
 func TestReadyOnlyWithProof(t *testing.T) {
 	order := meshconfig.Order{Op: meshconfig.OpEvacuate, Zone: "z"}
 	config, err := meshconfig.New().ApplyOrder(&order)
 	require.NoError(t, err)
-	down := func(index uint64) *transport.CoreUpdate {
+	update := func(index uint64) *transport.CoreUpdate {
 		return &transport.CoreUpdate{Index: index, Digest: config.Digest(), Steps: []transport.ConfigStep{{Index: index, Order: order}}}
 	}
-	a := &Agent{config: meshconfig.New(), table: registry.New(), feeds: map[string]*feed{}, commands: make(chan func(), queue), life: 1,
+	a := &Agent{config: meshconfig.New(), table: registry.New(), feeds: map[string]*feed{}, commands: make(chan func(), commandQueueSize), life: 1,
 		log: &log.Logger{Handler: discard.Default}}
-	stale, sound := &feed{core: "a", woken: make(chan struct{}, 1)}, &feed{core: "b", woken: make(chan struct{}, 1)}
-	a.feeds["a"], a.feeds["b"] = stale, sound
-	a.hear(stale, down(3), nil)
-	require.EqualValues(t, 3, a.index)
-	require.False(t, a.proven, "nobody has said that this is current")
-	a.hear(sound, &transport.CoreUpdate{Index: 5, Fresh: 1}, nil)
-	require.False(t, a.proven, "it does not have what is current")
-	a.hear(stale, &transport.CoreUpdate{Index: 3}, nil)
-	require.False(t, a.proven)
-	a.hear(sound, &transport.CoreUpdate{Index: 5, Digest: config.Digest(), Steps: []transport.ConfigStep{{Before: 3, Index: 5, Order: order}}}, nil)
-	require.True(t, a.proven)
+	stale, current := &feed{address: "a", wakeup: make(chan struct{}, 1)}, &feed{address: "b", wakeup: make(chan struct{}, 1)}
+	a.feeds["a"], a.feeds["b"] = stale, current
+	a.handleUpdate(stale, update(3), nil)
+	require.EqualValues(t, 3, a.configIndex)
+	require.False(t, a.configProven, "no node has proven that this is current")
+	a.handleUpdate(current, &transport.CoreUpdate{Index: 5, Fresh: 1}, nil)
+	require.False(t, a.configProven, "the agent does not have the current configuration")
+	a.handleUpdate(stale, &transport.CoreUpdate{Index: 3}, nil)
+	require.False(t, a.configProven)
+	a.handleUpdate(current, &transport.CoreUpdate{Index: 5, Digest: config.Digest(), Steps: []transport.ConfigStep{{Before: 3, Index: 5, Order: order}}}, nil)
+	require.True(t, a.configProven)
 }
 
-// TestFeedsFollowEveryList has an agent hear a core machine that is cut off from the others, and
-// names the members of before two replacements, behind one that names those of now.
+// TestFeedsFollowEveryList checks that an agent keeps feeds to all current members while a
+// partitioned node still sends the members from before two replacements.
 func TestFeedsFollowEveryList(t *testing.T) {
-	stale, now, seeds := []string{"a", "b", "c"}, []string{"c", "d", "e"}, []string{"a", "b", "c"}
-	for _, lists := range [][][]string{{stale, now}, {now, stale}} {
-		want := wantedCores(lists, seeds, mostFeeds)
-		for _, core := range now {
+	stale, current, seeds := []string{"a", "b", "c"}, []string{"c", "d", "e"}, []string{"a", "b", "c"}
+	for _, lists := range [][][]string{{stale, current}, {current, stale}} {
+		want := selectFeedTargets(lists, seeds, maxFeeds)
+		for _, core := range current {
 			require.Contains(t, want, core)
 		}
 	}
-	many := [][]string{now, now, {"f", "g", "h", "i", "j", "k", "l", "m"}}
-	want := wantedCores(many, seeds, mostFeeds)
-	require.Len(t, want, mostFeeds)
-	require.Equal(t, now, want[:3], "those that most name come first")
-	require.Equal(t, seeds, wantedCores(nil, seeds, mostFeeds))
+	many := [][]string{current, current, {"f", "g", "h", "i", "j", "k", "l", "m"}}
+	want := selectFeedTargets(many, seeds, maxFeeds)
+	require.Len(t, want, maxFeeds)
+	require.Equal(t, current, want[:3], "nodes in most lists come first")
+	require.Equal(t, seeds, selectFeedTargets(nil, seeds, maxFeeds))
 }
 
-// TestListsOfTheHeard has the lists hold of those core machines that are heard, and the last ones
-// where none is.
+// TestListsOfTheHeard checks that the member lists of connected nodes are used, and the last known
+// lists if no node is connected.
 func TestListsOfTheHeard(t *testing.T) {
 	a := &Agent{feeds: map[string]*feed{
-		"a": {core: "a", alive: true, cores: []string{"a", "b"}},
-		"d": {core: "d", alive: true, cores: []string{"d", "e"}},
+		"a": {address: "a", connected: true, members: []string{"a", "b"}},
+		"d": {address: "d", connected: true, members: []string{"d", "e"}},
 	}}
-	require.ElementsMatch(t, [][]string{{"a", "b"}, {"d", "e"}}, a.told())
-	a.feeds["a"].alive = false
-	require.Equal(t, [][]string{{"d", "e"}}, a.told())
-	a.feeds["d"].alive = false
-	require.Equal(t, [][]string{{"d", "e"}}, a.told(), "cut off from all, it goes on with what it has")
+	require.ElementsMatch(t, [][]string{{"a", "b"}, {"d", "e"}}, a.currentMemberLists())
+	a.feeds["a"].connected = false
+	require.Equal(t, [][]string{{"d", "e"}}, a.currentMemberLists())
+	a.feeds["d"].connected = false
+	require.Equal(t, [][]string{{"d", "e"}}, a.currentMemberLists(), "without contact to any node, the last known lists are used")
 }
--- a/internal/mesh/sidecar/leave.go
+++ b/internal/mesh/sidecar/leave.go
@@ -10,64 +10,67 @@
 )
 
 const (
-	leaveNotice   = 2200 * time.Millisecond // at most, until clients have missed two calls for readiness
-	leaveSettle   = 200 * time.Millisecond  // for what clients sent before they knew
-	readinessGap  = 500 * time.Millisecond  // least time between two calls of the platform
-	missesToLeave = 2                       // calls for readiness that keep clients away
+	maxNoticeTime    = 2200 * time.Millisecond // limit of the wait for refused checks
+	settleTime       = 200 * time.Millisecond  // for requests that are still arriving
+	minCheckInterval = 500 * time.Millisecond  // least time between checks of the platform
+	requiredRefusals = 2                       // after which the platform routes clients elsewhere
 )
 
-// refusals are the platform's calls for readiness that were refused since the process was told to
-// end. The zero value is ready.
-type refusals struct {
+// refusalTracker counts the platform's readiness checks that were refused during shutdown. The zero
+// value is ready for use.
+type refusalTracker struct {
 	mu    sync.Mutex
 	count int
 	last  time.Time
 }
 
-// note takes in a call. Calls that come close together are one: others may ask, too.
-func (r *refusals) note(now time.Time) {
+// record counts a refused check. Checks in quick succession count as one, because others than the
+// platform may check too.
+func (r *refusalTracker) record(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.count < missesToLeave && (r.count == 0 || now.Sub(r.last) >= readinessGap) {
+	if r.count < requiredRefusals && (r.count == 0 || now.Sub(r.last) >= minCheckInterval) {
 		r.count++
 		r.last = now
 	}
 }
 
-// away says whether clients have been kept away by now, and what they had sent has come.
-func (r *refusals) away(now time.Time) bool {
+// clientsAway reports whether clients are routed elsewhere and their last requests have arrived.
+func (r *refusalTracker) clientsAway(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.count >= missesToLeave && now.Sub(r.last) >= leaveSettle
+	return r.count >= requiredRefusals && now.Sub(r.last) >= settleTime
 }
 
-// leave ends the process in order: clients are told by readiness first, which takes two missed calls,
-// and other agents by the station; what comes meanwhile is served by the schedule, and what is in
-// hand is ended. It ends at once when nothing is in hand and clients have been kept away.
-func (a *Agent) leave(out *http.Server) {
-	began := time.Now()
-	a.log.Info("agent told to end")
-	a.went.Store(true)
-	a.news()
-	schedule := outbound.NewShutdownSchedule(began, a.set.Bounds.Grace)
+// shutDown performs a graceful shutdown. Clients learn of it through readiness, which takes two
+// refused checks, and other agents through the station. Requests that arrive meanwhile are served
+// according to the schedule, and requests in flight are completed. The shutdown finishes early once
+// clients are routed elsewhere and nothing is in flight.
+func (a *Agent) shutDown(clientServer *http.Server) {
+	startedAt := time.Now()
+	a.log.Info("agent shutting down")
+	a.stopping.Store(true)
+	a.queuePublish()
+	schedule := outbound.NewShutdownSchedule(startedAt, a.settings.Bounds.Grace)
 	a.sender.BeginShutdown(schedule)
-	closing := time.AfterFunc(time.Until(schedule.AcceptUntil), a.host.StopAccepting)
-	defer closing.Stop()
-	for now := began; now.Before(schedule.DrainedBy) && !a.mayEnd(now, began); now = time.Now() {
+	acceptTimer := time.AfterFunc(time.Until(schedule.AcceptUntil), a.host.StopAccepting)
+	defer acceptTimer.Stop()
+	for now := startedAt; now.Before(schedule.DrainedBy) && !a.canExit(now, startedAt); now = time.Now() {
 		time.Sleep(50 * time.Millisecond)
 	}
 	a.host.StopAccepting()
 	ctx, cancel := context.WithDeadline(context.Background(), schedule.ExitBy)
 	defer cancel()
-	out.Shutdown(ctx)
+	clientServer.Shutdown(ctx)
 	for time.Now().Before(schedule.DrainedBy) && a.host.Outstanding() > 0 {
 		time.Sleep(20 * time.Millisecond)
 	}
-	a.log.WithField("after", time.Since(began).Round(time.Millisecond).String()).Info("agent ended")
+	a.log.WithField("after", time.Since(startedAt).Round(time.Millisecond).String()).Info("agent stopped")
 }
 
-// mayEnd says whether a process that was told to end at a time has nothing to wait for any more.
-func (a *Agent) mayEnd(now, told time.Time) bool {
-	known := now.Sub(told) >= leaveNotice || a.refused.away(now)
-	return known && a.sender.InFlight() == 0 && a.host.Outstanding() == 0
+// canExit reports whether a process whose shutdown was requested at stopRequested has nothing left
+// to wait for.
+func (a *Agent) canExit(now, stopRequested time.Time) bool {
+	clientsAway := now.Sub(stopRequested) >= maxNoticeTime || a.refusals.clientsAway(now)
+	return clientsAway && a.sender.InFlight() == 0 && a.host.Outstanding() == 0
 }
--- a/internal/mesh/sidecar/leave_test.go
+++ b/internal/mesh/sidecar/leave_test.go
@@ -7,17 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestClientsAreAwayAfterTwoCalls checks that only two readiness checks with enough time between
+// them count as proof that clients are routed elsewhere.
 func TestClientsAreAwayAfterTwoCalls(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
-	var r refusals
-	require.False(t, r.away(at(0)))
-	for ms := range 400 { // somebody else asks all the time
-		r.note(at(300 + ms))
+	var r refusalTracker
+	require.False(t, r.clientsAway(at(0)))
+	for ms := range 400 { // another client checks continuously
+		r.record(at(300 + ms))
 	}
-	require.False(t, r.away(at(900)), "one call of the platform may be among these")
-	r.note(at(1300))
-	require.False(t, r.away(at(1400)))
-	require.True(t, r.away(at(1500)))
-	r.note(at(2300))
-	require.True(t, r.away(at(2300)), "a third call changes nothing")
+	require.False(t, r.clientsAway(at(900)), "only one of these may be a check of the platform")
+	r.record(at(1300))
+	require.False(t, r.clientsAway(at(1400)))
+	require.True(t, r.clientsAway(at(1500)))
+	r.record(at(2300))
+	require.True(t, r.clientsAway(at(2300)), "a third check changes nothing")
 }
--- a/internal/mesh/sidecar/probe.go
+++ b/internal/mesh/sidecar/probe.go
@@ -11,40 +11,43 @@
 )
 
 const (
-	coldHeader   = "Cold-Time"
-	probeTimeout = 500 * time.Millisecond
-	// leastCapacity is how many requests a backend is taken to work on at once before a beat says it: less than any that is run.
-	leastCapacity = 4
+	warmupLeftHeader = "Cold-Time"
+	probeTimeout     = 500 * time.Millisecond
+	// assumedCapacity is the number of concurrent requests that a backend is assumed to handle until
+	// a heartbeat states it. It is lower than the capacity of any deployed backend.
+	assumedCapacity = 4
 )
 
-// probeIfUnproven asks the backend who it is where its calls don't tell for certain: after the start of this process, which does not
-// know what the one before it acknowledged, and so that the gate need not stay shut until the next beat. A backend that leaves answers
-// 503. One probe is under way at a time.
-func (a *Agent) probeIfUnproven() {
+// probeIfNeeded probes the backend for its identity if its heartbeats do not establish it. That is
+// the case after a start of this process, which does not know what its predecessor acknowledged.
+// The gate then does not have to stay closed until the next heartbeat. A draining backend answers
+// 503. At most one probe runs at a time.
+func (a *Agent) probeIfNeeded() {
 	path := a.healthPath.Load()
 	if path == nil || !a.probing.CompareAndSwap(false, true) {
 		return
 	}
-	var changes uint64
-	ask := false
-	a.host.WithGate(func(_ time.Duration, g *gate) bool { changes, ask = g.NeedsProbe(); return false })
-	if !ask {
+	var generation uint64
+	needed := false
+	a.host.WithGate(func(_ time.Duration, g *gate) bool { generation, needed = g.NeedsProbe(); return false })
+	if !needed {
 		a.probing.Store(false)
 		return
 	}
 	go func() {
 		defer a.probing.Store(false)
 		if b := a.probe(*path); b != nil {
-			a.host.WithGate(func(now time.Duration, g *gate) bool { return g.ProbeSucceeded(now, changes, *b) })
+			a.host.WithGate(func(now time.Duration, g *gate) bool { return g.ProbeSucceeded(now, generation, *b) })
 		}
 	}()
 }
 
-// probe asks the backend who it is. It returns nil unless the backend is well and does not leave.
+// probe sends one health probe and returns the backend that answered. It returns nil unless the
+// backend is healthy and not draining.
 func (a *Agent) probe(path string) *transport.Backend {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.set.AppAddress+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.settings.AppAddress+path, nil)
 	if err != nil {
 		return nil
 	}
@@ -58,9 +61,9 @@
 	if resp.StatusCode != http.StatusOK || id == "" {
 		return nil
 	}
-	b := &transport.Backend{ID: id, Service: a.set.Service, Address: a.set.AppAddress, Zone: a.set.Zone, Capacity: leastCapacity}
-	if cold := resp.Header.Get(coldHeader); cold != "" {
-		ms, err := strconv.ParseFloat(cold, 64)
+	b := &transport.Backend{ID: id, Service: a.settings.Service, Address: a.settings.AppAddress, Zone: a.settings.Zone, Capacity: assumedCapacity}
+	if warmupLeft := resp.Header.Get(warmupLeftHeader); warmupLeft != "" {
+		ms, err := strconv.ParseFloat(warmupLeft, 64)
 		if err != nil || ms < 0 {
 			return nil
 		}
--- a/internal/mesh/sidecar/usage.go
+++ b/internal/mesh/sidecar/usage.go
@@ -7,43 +7,43 @@
 	"example.org/micaline/internal/mesh/usage"
 )
 
-// tellUsageEvery is how often counts go to a core machine while a window lasts: what a gate that dies
-// has not told is lost.
-const tellUsageEvery = time.Second
+// usageReportInterval is the interval between usage reports to a control-plane node within a window.
+// Counts that have not been reported are lost if the process crashes.
+const usageReportInterval = time.Second
 
-// usageTeller tells one core machine over one connection what has been counted.
-type usageTeller struct {
-	counter  *usage.Counter
-	revision uint64 // that has been told
-	closed   int64  // likewise
-	told     time.Time
+// usageReporter decides which usage counts one feed connection reports.
+type usageReporter struct {
+	counter      *usage.Counter
+	sentRevision uint64 // last counter revision that was sent
+	sentClosed   int64  // last closed window that was sent
+	sentAt       time.Time
 }
 
-// next is what is to be told now; nil: nothing.
-func (t *usageTeller) next(now time.Time) *usage.Update {
-	if t.counter == nil || now.Sub(t.told) < tellUsageEvery && t.counter.LastClosed() == t.closed {
+// nextUpdate returns the usage counts to send now, nil if there is nothing to report.
+func (t *usageReporter) nextUpdate(now time.Time) *usage.Update {
+	if t.counter == nil || now.Sub(t.sentAt) < usageReportInterval && t.counter.LastClosed() == t.sentClosed {
 		return nil
 	}
-	u, revision := t.counter.ChangesSince(t.revision)
-	if revision == t.revision && u.Closed == t.closed {
+	u, revision := t.counter.ChangesSince(t.sentRevision)
+	if revision == t.sentRevision && u.Closed == t.sentClosed {
 		return nil
 	}
-	t.revision, t.closed, t.told = revision, u.Closed, now
+	t.sentRevision, t.sentClosed, t.sentAt = revision, u.Closed, now
 	return &u
 }
 
-// tells fills in what counts by the mesh's time need.
-func (t *usageTeller) tells(a *Agent, up *transport.AgentUpdate) {
-	up.Clock = int64(a.clock.Local())
-	up.Usage = t.next(time.Now())
+// fillUpdate adds the agent's clock and its usage counts to a message.
+func (t *usageReporter) fillUpdate(a *Agent, update *transport.AgentUpdate) {
+	update.Clock = int64(a.clock.Local())
+	update.Usage = t.nextUpdate(time.Now())
 }
 
-// correctClock goes by the time that the core machines tell.
+// correctClock adjusts the mesh clock to the times that the connected control-plane nodes send.
 func (a *Agent) correctClock() {
 	var offsets []time.Duration
 	for _, f := range a.feeds {
-		if f.alive && f.timed.Load() {
-			offsets = append(offsets, time.Duration(f.offset.Load()))
+		if f.connected && f.clockKnown.Load() {
+			offsets = append(offsets, time.Duration(f.clockOffset.Load()))
 		}
 	}
 	a.clock.Correct(offsets)
--- a/internal/mesh/sidecar/work.go
+++ b/internal/mesh/sidecar/work.go
@@ -9,50 +9,52 @@
 )
 
 const (
-	workGain      = 0.2 // weight of a second in the mean of what is in work: some five seconds
-	tellWorkEvery = 5 * time.Second
-	// A mean is told if it has moved by this part, and by a request at least: with hundreds of agents
-	// each word counts.
-	workMoved = 0.25
+	workloadSmoothing      = 0.2 // weight of a one-second sample: averages about five seconds
+	workloadReportInterval = 5 * time.Second
+	// workloadMinChange is the relative change of the mean from which it is sent again, if it also
+	// changed by at least one request. This limits the messages of hundreds of agents.
+	workloadMinChange = 0.25
 )
 
-// measureWork takes in what the backend works on, once a second.
-func (a *Agent) measureWork() {
-	mean := math.Float64frombits(a.meanWork.Load())
-	a.meanWork.Store(math.Float64bits(mean + workGain*(float64(a.host.Outstanding())-mean)))
+// sampleWorkload adds the backend's outstanding requests to the moving average, once a second.
+func (a *Agent) sampleWorkload() {
+	mean := math.Float64frombits(a.meanWorkload.Load())
+	a.meanWorkload.Store(math.Float64bits(mean + workloadSmoothing*(float64(a.host.Outstanding())-mean)))
 }
 
-// workTeller tells one core machine over one connection what the agent has in hand: seldom, or
-// exactly and at once while planned work takes this machine out of use.
-type workTeller struct {
-	told *transport.Workload
-	at   time.Time
+// workloadReporter decides what one feed connection reports of the agent's workload. It reports
+// rarely, but every change at once while this machine is out of use for planned maintenance.
+type workloadReporter struct {
+	lastSent *transport.Workload
+	sentAt   time.Time
 }
 
-func (t *workTeller) next(a *Agent, now time.Time) *transport.Workload {
-	work := transport.Workload{Stage: a.stage()} // first: what is counted after it is of a machine at that stage
-	work.Mean, work.Gate, work.Sender = math.Float64frombits(a.meanWork.Load()), a.host.Load().InFlight, a.sender.InFlight()
+// nextUpdate returns the workload to send now, nil if there is nothing to report.
+func (t *workloadReporter) nextUpdate(a *Agent, now time.Time) *transport.Workload {
+	// The stage is read first, so that the counts are not from before it.
+	workload := transport.Workload{Stage: a.maintenanceStage()}
+	workload.Mean, workload.Gate, workload.Sender = math.Float64frombits(a.meanWorkload.Load()), a.host.Load().InFlight, a.sender.InFlight()
 	switch {
-	case t.told == nil:
-	case work.Stage != t.told.Stage || work.Stage >= meshconfig.StageClients:
-		if work == *t.told {
+	case t.lastSent == nil:
+	case workload.Stage != t.lastSent.Stage || workload.Stage >= meshconfig.StageClients:
+		if workload == *t.lastSent {
 			return nil
 		}
-	case now.Sub(t.at) < tellWorkEvery || math.Abs(work.Mean-t.told.Mean) < max(1, workMoved*t.told.Mean):
+	case now.Sub(t.sentAt) < workloadReportInterval || math.Abs(workload.Mean-t.lastSent.Mean) < max(1, workloadMinChange*t.lastSent.Mean):
 		return nil
 	}
-	t.told, t.at = &work, now
-	return &work
+	t.lastSent, t.sentAt = &workload, now
+	return &workload
 }
 
-// stage is how far this machine is taken out of use for planned work.
-func (a *Agent) stage() meshconfig.Stage { return meshconfig.Stage(a.cordoned.Load()) }
+// maintenanceStage returns how far this machine is taken out of use for planned maintenance.
+func (a *Agent) maintenanceStage() meshconfig.Stage { return meshconfig.Stage(a.maintenance.Load()) }
 
-// setStage takes in the stage of the configuration that is shown now.
-func (a *Agent) setStage() {
-	stage := a.config.Stage(a.set.Zone, a.set.IP)
-	if before := meshconfig.Stage(a.cordoned.Swap(uint32(stage))); before != stage {
-		a.log.WithField("stage", stage.String()).WithField("before", before.String()).Info("taken out of use for planned work")
+// updateMaintenanceStage applies this machine's stage from the current configuration.
+func (a *Agent) updateMaintenanceStage() {
+	stage := a.config.Stage(a.settings.Zone, a.settings.IP)
+	if previous := meshconfig.Stage(a.maintenance.Swap(uint32(stage))); previous != stage {
+		a.log.WithField("stage", stage.String()).WithField("before", previous.String()).Info("maintenance stage changed")
 	}
 	a.sender.SetDraining(stage >= meshconfig.StageClients)
 }
