--- a/internal/mesh/meshconfig/customer.go
+++ b/internal/mesh/meshconfig/customer.go
@@ -20,12 +20,12 @@
 // readCustomer parses a customer. Keys are secrets, so no error may quote one. For this reason the
 // message of protojson is not passed on.
 func (i *item) readCustomer(body []byte) error {
-	var d CustomerDocument
-	if err := unmarshalOptions.Unmarshal(body, &d); err != nil {
+	var document CustomerDocument
+	if err := unmarshalOptions.Unmarshal(body, &document); err != nil {
 		return invalid(i.key.String(), "can't be read, send it whole and as described: api_keys is a list of strings, rank a number")
 	}
 	f := &fieldReader{item: i}
-	c := &Customer{Name: i.name, Version: i.version, keys: d.ApiKeys, HasRank: d.Rank != nil, Rank: int(f.integer("rank", d.GetRank()))}
+	c := &Customer{Name: i.name, Version: i.version, keys: document.ApiKeys, HasRank: document.Rank != nil, Rank: int(f.integer("rank", document.GetRank()))}
 	for n, key := range c.keys {
 		if key == "" || len(key) > maxKeyBytes {
 			f.fail("api_keys", "the key at place %d has %d bytes: give each 1 to %d", n, len(key), maxKeyBytes)
--- a/internal/mesh/meshconfig/encode.go
+++ b/internal/mesh/meshconfig/encode.go
@@ -78,8 +78,8 @@
 	}
 	c := &Config{items: make(map[key]*item, len(s.Items)), dropCount: s.Drops, evacuatedZones: s.Zones, cordons: s.Cordons}
 	domains := make(map[string]bool)
-	for n, encoded := range s.Items {
-		i, err := encoded.item(n)
+	for index, encoded := range s.Items {
+		i, err := encoded.item(index)
 		if err != nil {
 			return nil, fmt.Errorf("configuration has an invalid item: %w", err)
 		}
--- a/internal/mesh/meshconfig/history.go
+++ b/internal/mesh/meshconfig/history.go
@@ -175,17 +175,17 @@
 		}
 		return &ConflictError{i.key.String(), i.versionText, differingFields(i, current)}
 	}
-	past := h.items[i.key]
-	if past == nil {
+	known := h.items[i.key]
+	if known == nil {
 		return nil
 	}
-	if at, found := past.find(i.version); found {
-		if past.versions[at].Identity == i.identity() {
+	if pos, found := known.find(i.version); found {
+		if known.versions[pos].Identity == i.identity() {
 			return nil
 		}
 		return &ConflictError{Item: i.key.String(), Version: i.versionText}
 	}
-	if i.version < past.oldestKnown {
+	if i.version < known.oldestKnown {
 		return &ForgottenVersionError{i.key.String(), i.versionText, current.version + 1}
 	}
 	return nil
@@ -220,27 +220,27 @@
 
 // remember records the identity of a version, unless one is recorded already.
 func (h *History) remember(i *item) {
-	past := h.items[i.key]
-	if past == nil {
-		past = new(itemHistory)
-		h.items[i.key] = past
+	known := h.items[i.key]
+	if known == nil {
+		known = new(itemHistory)
+		h.items[i.key] = known
 	}
-	at, found := past.find(i.version)
-	if found || i.version < past.oldestKnown {
+	pos, found := known.find(i.version)
+	if found || i.version < known.oldestKnown {
 		return
 	}
 	h.lastAge++
 	h.versionCount++
 	entry := pastVersion{Version: i.version, Age: h.lastAge, Identity: i.identity()}
-	past.versions = slices.Insert(past.versions, at, entry)
+	known.versions = slices.Insert(known.versions, pos, entry)
 }
 
 // expireItem handles an item whose tombstone has expired. A delayed change could restore the dropped
 // item, so from now on versions up to its version are unknown for every item without a tombstone.
 func (h *History) expireItem(i *item) {
 	h.oldestKnown = max(h.oldestKnown, nextVersion(i.version))
-	if past := h.items[i.key]; past != nil {
-		h.versionCount -= len(past.versions)
+	if known := h.items[i.key]; known != nil {
+		h.versionCount -= len(known.versions)
 		delete(h.items, i.key)
 	}
 }
@@ -255,17 +255,17 @@
 		return
 	}
 	var ages []uint64
-	for _, past := range h.items {
-		for _, v := range past.versions {
+	for _, history := range h.items {
+		for _, v := range history.versions {
 			ages = append(ages, v.Age)
 		}
 	}
 	slices.Sort(ages)
 	oldestKept := ages[len(ages)-MaxPastVersions*3/4]
-	for _, past := range h.items {
-		past.versions = slices.DeleteFunc(past.versions, func(v pastVersion) bool {
+	for _, history := range h.items {
+		history.versions = slices.DeleteFunc(history.versions, func(v pastVersion) bool {
 			if v.Age < oldestKept {
-				past.oldestKnown = max(past.oldestKnown, nextVersion(v.Version))
+				history.oldestKnown = max(history.oldestKnown, nextVersion(v.Version))
 				h.versionCount--
 			}
 			return v.Age < oldestKept
--- a/internal/mesh/meshconfig/history_encode.go
+++ b/internal/mesh/meshconfig/history_encode.go
@@ -32,8 +32,8 @@
 func (h *History) Encode() []byte {
 	s := historyState{Age: h.lastAge, From: h.oldestKnown}
 	for _, k := range slices.SortedFunc(maps.Keys(h.items), key.compare) {
-		past := h.items[k]
-		s.Items = append(s.Items, historyItem{k.kind, k.name, past.oldestKnown, past.versions})
+		history := h.items[k]
+		s.Items = append(s.Items, historyItem{k.kind, k.name, history.oldestKnown, history.versions})
 	}
 	for _, zone := range slices.Sorted(maps.Keys(h.zones)) {
 		s.Zones = append(s.Zones, historyZone{zone, h.zones[zone]})
--- a/internal/mesh/meshconfig/history_test.go
+++ b/internal/mesh/meshconfig/history_test.go
@@ -20,20 +20,20 @@
 
 func newSimulatedNode() *simulatedNode { return &simulatedNode{config: New(), history: NewHistory()} }
 
-func (m *simulatedNode) applyOrder(o *Order) (err error) {
-	m.index++
-	m.config, err = m.history.ApplyOrder(m.index, m.config, o)
+func (node *simulatedNode) applyOrder(o *Order) (err error) {
+	node.index++
+	node.config, err = node.history.ApplyOrder(node.index, node.config, o)
 	return err
 }
 
 // restoreFromEncoding replaces the state by its encoded and decoded copy.
-func (m *simulatedNode) restoreFromEncoding(t require.TestingT) {
-	config, err := Decode(m.config.Encode())
+func (node *simulatedNode) restoreFromEncoding(t require.TestingT) {
+	config, err := Decode(node.config.Encode())
 	require.NoError(t, err)
-	history, err := DecodeHistory(m.history.Encode())
+	history, err := DecodeHistory(node.history.Encode())
 	require.NoError(t, err)
-	require.Equal(t, m.history.versionCount, history.versionCount)
-	m.config, m.history = config, history
+	require.Equal(t, node.history.versionCount, history.versionCount)
+	node.config, node.history = config, history
 }
 
 // patchBody builds the body of a patch from lines "KIND NAME VERSION BODY" or
@@ -77,24 +77,24 @@
 // TestOrderStories runs the sequences of orders in testdata/history.
 func TestOrderStories(t *testing.T) {
 	datadriven.Walk(t, "testdata/history", func(t *testing.T, path string) {
-		m := newSimulatedNode()
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			before := m.config
-			order := Order{Op: d.Cmd, Strict: !d.HasArg("before")}
-			switch d.Cmd {
+		node := newSimulatedNode()
+		datadriven.RunTest(t, path, func(t *testing.T, command *datadriven.TestData) string {
+			before := node.config
+			order := Order{Op: command.Cmd, Strict: !command.HasArg("before")}
+			switch command.Cmd {
 			case "restart":
-				if m.restoreFromEncoding(t); d.HasArg("history") {
-					m.history = HistoryFromConfig(m.config)
+				if node.restoreFromEncoding(t); command.HasArg("history") {
+					node.history = HistoryFromConfig(node.config)
 				}
 				return "ok"
 			case OpPatch:
-				order.Body = patchBody(d.Input)
+				order.Body = patchBody(command.Input)
 			default:
-				order.Zone = d.CmdArgs[0].Key
-				d.ScanArgs(t, "since", &order.Since)
-				m.index = max(m.index, order.Since)
+				order.Zone = command.CmdArgs[0].Key
+				command.ScanArgs(t, "since", &order.Since)
+				node.index = max(node.index, order.Since)
 			}
-			return strings.Join(append([]string{describeResult(m.applyOrder(&order))}, Diff(before, m.config)...), "\n")
+			return strings.Join(append([]string{describeResult(node.applyOrder(&order))}, Diff(before, node.config)...), "\n")
 		})
 	})
 }
@@ -112,9 +112,9 @@
 // version that was ever confirmed.
 type confirmedContents map[string]string
 
-func (c confirmedContents) contradictedBy(d modelPatch) bool {
+func (c confirmedContents) contradictedBy(patch modelPatch) bool {
 	inPatch := confirmedContents{}
-	for _, i := range d {
+	for _, i := range patch {
 		name, content := i.versionAndContent()
 		for _, known := range []confirmedContents{c, inPatch} {
 			if first, found := known[name]; found && first != content {
@@ -126,8 +126,8 @@
 	return false
 }
 
-func (c confirmedContents) add(d modelPatch) {
-	for _, i := range d {
+func (c confirmedContents) add(patch modelPatch) {
+	for _, i := range patch {
 		name, content := i.versionAndContent()
 		c[name] = content
 	}
@@ -147,42 +147,42 @@
 
 // checkHistory generates patches with few names and versions, so that most conflict with others or
 // repeat them, and compares each result with the models. It calls between after each patch.
-func checkHistory(t *rapid.T, between func(m *simulatedNode)) {
-	m, model, all := newSimulatedNode(), model{}, confirmedContents{}
+func checkHistory(t *rapid.T, between func(node *simulatedNode)) {
+	node, model, confirmed := newSimulatedNode(), model{}, confirmedContents{}
 	names := strings.Split("abc", "")
 	for range rapid.IntRange(1, 40).Draw(t, "calls") {
-		d := make(modelPatch, rapid.IntRange(1, 3).Draw(t, "items"))
-		for n := range d {
-			d[n] = modelItem{
+		patch := make(modelPatch, rapid.IntRange(1, 3).Draw(t, "items"))
+		for n := range patch {
+			patch[n] = modelItem{
 				route: rapid.Bool().Draw(t, "route"), drop: rapid.IntRange(0, 4).Draw(t, "drop") == 0,
 				name: rapid.SampledFrom(names).Draw(t, "name"), path: rapid.SampledFrom([]string{"/", "/a/"}).Draw(t, "path"),
 				service: rapid.SampledFrom(names).Draw(t, "service"), version: rapid.IntRange(1, 6).Draw(t, "version"),
 			}
 		}
-		err := m.applyOrder(&Order{Op: OpPatch, Body: []byte(d.String()), Strict: true})
-		next, valid := model.apply(d)
+		err := node.applyOrder(&Order{Op: OpPatch, Body: []byte(patch.String()), Strict: true})
+		next, valid := model.apply(patch)
 		switch {
-		case all.contradictedBy(d):
-			require.Error(t, err, "other content was confirmed: %v", d)
+		case confirmed.contradictedBy(patch):
+			require.Error(t, err, "other content was confirmed: %v", patch)
 		case !valid:
 			var wrong *InvalidError
 			require.ErrorAs(t, err, &wrong)
 		default:
 			require.NoError(t, err)
 			model = next
-			all.add(d)
+			confirmed.add(patch)
 		}
-		require.Len(t, m.config.items, len(model))
-		between(m)
+		require.Len(t, node.config.items, len(model))
+		between(node)
 	}
 }
 
 // TestHistoryAgainstModel compares a node that is restored at random times with the models.
 func TestHistoryAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		checkHistory(t, func(m *simulatedNode) {
+		checkHistory(t, func(node *simulatedNode) {
 			if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
-				m.restoreFromEncoding(t)
+				node.restoreFromEncoding(t)
 			}
 		})
 	})
@@ -191,33 +191,33 @@
 // TestHistoryIsBounded checks that versions replaced by thousands of others are reported as unknown,
 // that remembered versions are confirmed again, and that a dropped item is never restored.
 func TestHistoryIsBounded(t *testing.T) {
-	m := newSimulatedNode()
+	node := newSimulatedNode()
 	set := func(name string, version int) error {
-		return m.applyOrder(&Order{Op: OpPatch, Body: patchBody(fmt.Sprintf(`services %s %x {"max_conns":%d}`, name, version, version)), Strict: true})
+		return node.applyOrder(&Order{Op: OpPatch, Body: patchBody(fmt.Sprintf(`services %s %x {"max_conns":%d}`, name, version, version)), Strict: true})
 	}
 	var forgotten *ForgottenVersionError
 	for version := 1; version <= MaxPastVersions+MaxPastVersions/2; version++ {
 		require.NoError(t, set(fmt.Sprint("s", version%7), version))
-		require.LessOrEqual(t, m.history.versionCount, MaxPastVersions)
+		require.LessOrEqual(t, node.history.versionCount, MaxPastVersions)
 	}
 	require.ErrorAs(t, set("s1", 1), &forgotten)
 	remembered := MaxPastVersions // recent enough to be remembered
 	require.NoError(t, set(fmt.Sprint("s", remembered%7), remembered))
-	require.Less(t, len(m.history.Encode()), 512<<10)
+	require.Less(t, len(node.history.Encode()), 512<<10)
 
 	var drops strings.Builder
 	for n := range MaxTombstones + 10 {
 		fmt.Fprintf(&drops, "drop services d%d %x\n", n, n+10)
 		if n%100 == 0 || n == MaxTombstones+9 {
-			require.NoError(t, m.applyOrder(&Order{Op: OpPatch, Body: patchBody(drops.String()), Strict: true}))
+			require.NoError(t, node.applyOrder(&Order{Op: OpPatch, Body: patchBody(drops.String()), Strict: true}))
 			drops.Reset()
 		}
 	}
-	m.restoreFromEncoding(t)
+	node.restoreFromEncoding(t)
 	require.ErrorAs(t, set("d0", 9), &forgotten)
 	require.ErrorAs(t, set("d0", 10), &forgotten)
-	require.Nil(t, m.config.Service("d0"), "a dropped item was restored")
+	require.Nil(t, node.config.Service("d0"), "a dropped item was restored")
 	require.NoError(t, set("d0", 1000))
 	require.ErrorAs(t, set("d0", 12), &forgotten)
-	require.Less(t, len(m.history.items), MaxTombstones+100)
+	require.Less(t, len(node.history.items), MaxTombstones+100)
 }
--- a/internal/mesh/meshconfig/item.go
+++ b/internal/mesh/meshconfig/item.go
@@ -182,25 +182,25 @@
 }
 
 func (i *item) readRoute(body []byte) error {
-	var d RouteDocument
-	if err := unmarshalProto(i.key.String(), body, &d); err != nil {
+	var document RouteDocument
+	if err := unmarshalProto(i.key.String(), body, &document); err != nil {
 		return err
 	}
 	f := &fieldReader{item: i}
 	r := &Route{
 		Name:       i.name,
 		Version:    i.version,
-		Domain:     hostname(d.Domain),
-		PathStart:  d.PathStart,
-		Kind:       kindsByName[d.Kind],
-		GiveUp:     f.duration("give_up", d.GiveUp),
-		TargetTime: f.duration("target_time", d.TargetTime),
-		Rank:       int(f.integer("rank", d.Rank)),
+		Domain:     hostname(document.Domain),
+		PathStart:  document.PathStart,
+		Kind:       kindsByName[document.Kind],
+		GiveUp:     f.duration("give_up", document.GiveUp),
+		TargetTime: f.duration("target_time", document.TargetTime),
+		Rank:       int(f.integer("rank", document.Rank)),
 		Tries:      defaultAttempts,
-		Public:     d.Public,
+		Public:     document.Public,
 	}
-	if d.Tries != nil {
-		r.Tries = int(max(1, f.integer("tries", *d.Tries)))
+	if document.Tries != nil {
+		r.Tries = int(max(1, f.integer("tries", *document.Tries)))
 	}
 	if r.Domain == "" {
 		f.fail("domain", "is missing: name the host that the route is for")
@@ -209,13 +209,13 @@
 		f.fail("path_start", "%q doesn't begin with a slash: put one in front", r.PathStart)
 	}
 	if r.Kind == 0 {
-		f.fail("kind", "%q is none of safe, unsafe, upload", d.Kind)
+		f.fail("kind", "%q is none of safe, unsafe, upload", document.Kind)
 	}
 	// Without a give_up there is no limit that the target time could exceed.
-	if d.GiveUp != "" && r.TargetTime-r.GiveUp >= maxTargetTimeExcess {
-		f.fail("target_time", "%s is a minute or more over give_up %s: lower it", d.TargetTime, d.GiveUp)
+	if document.GiveUp != "" && r.TargetTime-r.GiveUp >= maxTargetTimeExcess {
+		f.fail("target_time", "%s is a minute or more over give_up %s: lower it", document.TargetTime, document.GiveUp)
 	}
-	r.Shares = f.shares(&d)
+	r.Shares = f.shares(&document)
 	for _, s := range r.Shares {
 		r.total += s.Weight
 	}
@@ -224,16 +224,16 @@
 }
 
 // shares returns the shares of a route. A single service becomes the only share.
-func (f *fieldReader) shares(d *RouteDocument) []Share {
-	if len(d.Shares) == 0 {
-		if d.Service == "" {
+func (f *fieldReader) shares(document *RouteDocument) []Share {
+	if len(document.Shares) == 0 {
+		if document.Service == "" {
 			f.fail("service", "is missing, and so are shares: name where requests go")
 		}
-		return []Share{{d.Service, 1}}
+		return []Share{{document.Service, 1}}
 	}
-	all := make([]Share, 0, len(d.Shares))
+	all := make([]Share, 0, len(document.Shares))
 	total := 0.0
-	for _, s := range d.Shares {
+	for _, s := range document.Shares {
 		// The weight is clamped, so that the sum is finite.
 		weight := min(maxExactInteger, max(0, f.finiteNumber("shares", s.Weight)))
 		total += weight
@@ -246,25 +246,25 @@
 }
 
 func (i *item) readService(body []byte) error {
-	var d ServiceDocument
-	if err := unmarshalProto(i.key.String(), body, &d); err != nil {
+	var document ServiceDocument
+	if err := unmarshalProto(i.key.String(), body, &document); err != nil {
 		return err
 	}
 	f := &fieldReader{item: i}
 	i.service = &Service{
 		Name:       i.name,
 		Version:    i.version,
-		HealthPath: d.HealthPath,
-		MaxConns:   int(max(0, f.integer("max_conns", d.MaxConns))),
-		Warmup:     f.duration("warmup", d.Warmup),
-		WarmupRate: max(0, f.finiteNumber("warmup_per_s", d.WarmupPerS)),
+		HealthPath: document.HealthPath,
+		MaxConns:   int(max(0, f.integer("max_conns", document.MaxConns))),
+		Warmup:     f.duration("warmup", document.Warmup),
+		WarmupRate: max(0, f.finiteNumber("warmup_per_s", document.WarmupPerS)),
 	}
 	return f.err
 }
 
 func (i *item) readLimits(body []byte) error {
-	var d LimitsDocument
-	if err := unmarshalProto(i.key.String(), body, &d); err != nil {
+	var document LimitsDocument
+	if err := unmarshalProto(i.key.String(), body, &document); err != nil {
 		return err
 	}
 	f := &fieldReader{item: i}
@@ -273,7 +273,7 @@
 		field string
 		given float64
 		into  *int64
-	}{{"header_bytes", d.HeaderBytes, &l.HeaderBytes}, {"body_bytes", d.BodyBytes, &l.BodyBytes}} {
+	}{{"header_bytes", document.HeaderBytes, &l.HeaderBytes}, {"body_bytes", document.BodyBytes, &l.BodyBytes}} {
 		if n := f.integer(b.field, b.given); n > 0 {
 			*b.into = n
 		}
@@ -281,7 +281,7 @@
 	for _, w := range []struct {
 		field, given string
 		into         *time.Duration
-	}{{"header_wait", d.HeaderWait, &l.HeaderWait}, {"idle", d.Idle, &l.Idle}} {
+	}{{"header_wait", document.HeaderWait, &l.HeaderWait}, {"idle", document.Idle, &l.Idle}} {
 		if t := f.duration(w.field, w.given); t > 0 {
 			*w.into = t
 		}
--- a/internal/mesh/meshconfig/meshconfig.go
+++ b/internal/mesh/meshconfig/meshconfig.go
@@ -216,23 +216,23 @@
 // Evacuate returns the configuration with the zone evacuated. If MaxZones are evacuated already, it
 // returns c, so callers have to check Evacuated before they acknowledge the order.
 func (c *Config) Evacuate(zone string) *Config {
-	at, found := slices.BinarySearch(c.evacuatedZones, zone)
+	pos, found := slices.BinarySearch(c.evacuatedZones, zone)
 	if found || len(c.evacuatedZones) >= MaxZones {
 		return c
 	}
 	next := *c
-	next.evacuatedZones = slices.Insert(slices.Clone(c.evacuatedZones), at, zone)
+	next.evacuatedZones = slices.Insert(slices.Clone(c.evacuatedZones), pos, zone)
 	return &next
 }
 
 // EndEvacuation returns the configuration in which the zone is in use again.
 func (c *Config) EndEvacuation(zone string) *Config {
-	at, found := slices.BinarySearch(c.evacuatedZones, zone)
+	pos, found := slices.BinarySearch(c.evacuatedZones, zone)
 	if !found {
 		return c
 	}
 	next := *c
-	next.evacuatedZones = slices.Delete(slices.Clone(c.evacuatedZones), at, at+1)
+	next.evacuatedZones = slices.Delete(slices.Clone(c.evacuatedZones), pos, pos+1)
 	return &next
 }
 
--- a/internal/mesh/meshconfig/meshconfig_test.go
+++ b/internal/mesh/meshconfig/meshconfig_test.go
@@ -14,15 +14,15 @@
 // TestStories runs the sequences of patches and evacuations in testdata/config.
 func TestStories(t *testing.T) {
 	datadriven.Walk(t, "testdata/config", func(t *testing.T, path string) {
-		c, last := New(), ""
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
+		c, lastPatch := New(), ""
+		datadriven.RunTest(t, path, func(t *testing.T, command *datadriven.TestData) string {
 			before := c
-			switch d.Cmd {
+			switch command.Cmd {
 			case "patch":
-				if !d.HasArg("again") {
-					last = d.Input
+				if !command.HasArg("again") {
+					lastPatch = command.Input
 				}
-				p, err := ParsePatch([]byte(last))
+				p, err := ParsePatch([]byte(lastPatch))
 				if err == nil {
 					c, _, err = c.Apply(p)
 				}
@@ -30,9 +30,9 @@
 					return "invalid: " + err.Error()
 				}
 			case "evacuate":
-				c = c.Evacuate(d.CmdArgs[0].Key)
+				c = c.Evacuate(command.CmdArgs[0].Key)
 			case "return":
-				c = c.EndEvacuation(d.CmdArgs[0].Key)
+				c = c.EndEvacuation(command.CmdArgs[0].Key)
 			case "look":
 				decoded, err := Decode(c.Encode())
 				require.NoError(t, err)
@@ -41,7 +41,7 @@
 			case "key":
 				decoded, err := Decode(c.Encode())
 				require.NoError(t, err)
-				switch owner := decoded.CustomerByKey(d.CmdArgs[0].Key); {
+				switch owner := decoded.CustomerByKey(command.CmdArgs[0].Key); {
 				case owner == nil:
 					return "nobody's"
 				case owner.HasRank:
@@ -51,8 +51,8 @@
 				}
 			case "route":
 				var host, path string
-				d.ScanArgs(t, "host", &host)
-				d.ScanArgs(t, "path", &path)
+				command.ScanArgs(t, "host", &host)
+				command.ScanArgs(t, "path", &path)
 				if r := c.Route(host, path); r != nil {
 					return fmt.Sprintf("%+v", *r)
 				}
@@ -117,11 +117,11 @@
 func TestTombstonesAreBounded(t *testing.T) {
 	c := New()
 	drop := func(from, to int) {
-		var d modelPatch
+		var patch modelPatch
 		for n := from; n < to; n++ {
-			d = append(d, modelItem{route: true, drop: true, name: fmt.Sprint("r", n), version: 1})
+			patch = append(patch, modelItem{route: true, drop: true, name: fmt.Sprint("r", n), version: 1})
 		}
-		c = mustApply(t, c, d)
+		c = mustApply(t, c, patch)
 	}
 	drop(MaxTombstones, MaxTombstones+1)
 	drop(0, MaxTombstones-1)
@@ -151,9 +151,9 @@
 // modelPatch is a generated patch.
 type modelPatch []modelItem
 
-func (d modelPatch) String() string {
+func (patch modelPatch) String() string {
 	var set, routes, services []string
-	for _, c := range d {
+	for _, c := range patch {
 		head := fmt.Sprintf(`"name":"%s","version":"%08x"`, c.name, c.version)
 		switch {
 		case c.route && c.drop:
@@ -171,8 +171,8 @@
 		strings.Join(set, ","), strings.Join(routes, ","), strings.Join(services, ","))
 }
 
-func mustApply(t require.TestingT, c *Config, d modelPatch) *Config {
-	c, valid := applyAll(t, c, d)
+func mustApply(t require.TestingT, c *Config, patch modelPatch) *Config {
+	c, valid := applyAll(t, c, patch)
 	require.True(t, valid)
 	return c
 }
@@ -180,12 +180,12 @@
 // model is the reference model of a configuration: a map by kind and name.
 type model map[string]modelItem
 
-func (m model) apply(d modelPatch) (model, bool) {
+func (m model) apply(patch modelPatch) (model, bool) {
 	next := model{}
 	for k, c := range m {
 		next[k] = c
 	}
-	for _, c := range d {
+	for _, c := range patch {
 		k := fmt.Sprint(c.route, c.name)
 		if old, found := next[k]; !found || c.version > old.version {
 			next[k] = c
@@ -216,10 +216,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		draws := 0
 		patch := rapid.Custom(func(t *rapid.T) modelPatch {
-			d := make(modelPatch, rapid.IntRange(0, 5).Draw(t, "changes"))
-			for n := range d {
+			items := make(modelPatch, rapid.IntRange(0, 5).Draw(t, "changes"))
+			for n := range items {
 				draws++
-				d[n] = modelItem{
+				items[n] = modelItem{
 					route: rapid.Bool().Draw(t, "route"), drop: rapid.IntRange(0, 3).Draw(t, "drop") == 0,
 					name: rapid.SampledFrom(names).Draw(t, "name"), path: rapid.SampledFrom(paths).Draw(t, "path"),
 					service: rapid.SampledFrom(names).Draw(t, "service"),
@@ -227,46 +227,46 @@
 					version: (draws+rapid.IntRange(0, 12).Draw(t, "later"))<<8 | draws&0xff,
 				}
 			}
-			return d
+			return items
 		})
-		c, m := New(), model{}
+		c, reference := New(), model{}
 		for _, s := range names {
-			d := modelPatch{{name: s, version: 1}}
-			c = mustApply(t, c, d)
-			m, _ = m.apply(d)
+			patch := modelPatch{{name: s, version: 1}}
+			c = mustApply(t, c, patch)
+			reference, _ = reference.apply(patch)
 		}
 		for range 15 {
 			d, other := patch.Draw(t, "patch"), patch.Draw(t, "other")
-			one, valid1 := applyAll(t, c, d, other)
-			two, valid2 := applyAll(t, c, other, d)
+			inOrder, valid1 := applyAll(t, c, d, other)
+			reversed, valid2 := applyAll(t, c, other, d)
 			if valid1 && valid2 {
-				require.Equal(t, one.ItemsJSON(), two.ItemsJSON())
+				require.Equal(t, inOrder.ItemsJSON(), reversed.ItemsJSON())
 			}
 
 			p, err := ParsePatch([]byte(d.String()))
 			require.NoError(t, err)
 			next, changed, err := c.Apply(p)
-			want, valid := m.apply(d)
+			want, valid := reference.apply(d)
 			require.Equal(t, valid, err == nil, "%v", err)
 			require.Equal(t, changed, next != c)
-			c, m = next, want
+			c, reference = next, want
 
-			require.Len(t, c.items, len(m))
+			require.Len(t, c.items, len(reference))
 			for _, i := range c.items {
-				w := m[fmt.Sprint(i.kind == routes, i.name)]
-				require.Equal(t, uint64(w.version), i.version)
-				require.Equal(t, w.drop, i.dropped())
+				want := reference[fmt.Sprint(i.kind == routes, i.name)]
+				require.Equal(t, uint64(want.version), i.version)
+				require.Equal(t, want.drop, i.dropped())
 			}
-			again, err := Decode(c.Encode())
+			decoded, err := Decode(c.Encode())
 			require.NoError(t, err)
-			require.Equal(t, c.Encode(), again.Encode())
+			require.Equal(t, c.Encode(), decoded.Encode())
 			path := rapid.StringMatching("(/[abcd]){0,5}/?").Draw(t, "path")
-			for _, from := range []*Config{c, again} {
+			for _, from := range []*Config{c, decoded} {
 				name := ""
 				if r := from.Route("D.example", path); r != nil {
 					name = r.Name
 				}
-				require.Equal(t, m.route(path), name, path)
+				require.Equal(t, reference.route(path), name, path)
 			}
 		}
 	})
@@ -274,8 +274,8 @@
 
 // applyAll applies the patches in order. It reports false if one of them is invalid.
 func applyAll(t require.TestingT, c *Config, patches ...modelPatch) (*Config, bool) {
-	for _, d := range patches {
-		p, err := ParsePatch([]byte(d.String()))
+	for _, patch := range patches {
+		p, err := ParsePatch([]byte(patch.String()))
 		require.NoError(t, err)
 		if c, _, err = c.Apply(p); err != nil {
 			return nil, false
@@ -305,11 +305,11 @@
 			c = c.EndEvacuation(zone)
 		}
 		text := c.Encode()
-		whole, err := Decode(text)
+		decoded, err := Decode(text)
 		require.NoError(t, err)
-		require.Equal(t, whole.Digest(), c.Digest())
-		if was, ok := seen[c.Digest()]; ok {
-			require.Equal(t, was, string(text))
+		require.Equal(t, decoded.Digest(), c.Digest())
+		if previous, ok := seen[c.Digest()]; ok {
+			require.Equal(t, previous, string(text))
 		}
 		seen[c.Digest()] = string(text)
 	}
--- a/internal/mesh/meshconfig/patch.go
+++ b/internal/mesh/meshconfig/patch.go
@@ -58,23 +58,23 @@
 // ParsePatch parses the body of PATCH /api/config and validates what does not depend on the current
 // configuration. The error is an *InvalidError.
 func ParsePatch(body []byte) (*Patch, error) {
-	var d PatchDocument
-	if err := unmarshalProto("body", body, &d); err != nil {
+	var document PatchDocument
+	if err := unmarshalProto("body", body, &document); err != nil {
 		return nil, err
 	}
 	raws, err := splitItems(body)
-	if err != nil || len(raws) != len(d.GetAdd().GetItems()) {
+	if err != nil || len(raws) != len(document.GetAdd().GetItems()) {
 		return nil, invalid("body", "can't be read: its items are not one plain list")
 	}
 	var all []*item
-	for n, header := range d.GetAdd().GetItems() {
+	for n, header := range document.GetAdd().GetItems() {
 		i, err := newItem(header, raws[n], fmt.Sprintf("add.items[%d]", n))
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, i)
 	}
-	r := d.GetRemove()
+	r := document.GetRemove()
 	for _, list := range []struct {
 		kind    string
 		removed []*Metadata
--- a/internal/mesh/sidecar/agent.go
+++ b/internal/mesh/sidecar/agent.go
@@ -52,7 +52,7 @@
 	log          log.Interface
 	host         *inbound.Host
 	sender       *outbound.Sender
-	links        *transport.Pool
+	links        *transport.Pool // connections to the gates of other agents
 	ready        atomic.Bool
 	stats        transport.StatsServer
 	stopping     atomic.Bool // shutdown has begun
@@ -67,10 +67,10 @@
 	healthPath atomic.Pointer[string] // of the backend's service; nil if not known
 	probing    atomic.Bool
 
-	commands      chan func()
+	commands      chan func() // executed by the owner
 	publishQueued atomic.Bool // a command to publish is queued
 
-	table             *registry.Table
+	table             *registry.Table // stations of all agents
 	startedAt         time.Time
 	config            *meshconfig.Config
 	configIndex       uint64
@@ -184,7 +184,7 @@
 		if a.stopping.Load() {
 			a.refusals.record(time.Now())
 		}
-		http.Error(w, "not ready: no current configuration yet, shutting down, or out of use for maintenance", http.StatusServiceUnavailable)
+		http.Error(w, "no current configuration yet, leaving, or taken out of use", http.StatusServiceUnavailable)
 	}
 }
 
--- a/internal/mesh/sidecar/beats.go
+++ b/internal/mesh/sidecar/beats.go
@@ -35,7 +35,7 @@
 	mux.HandleFunc("PUT /api/servers/{id}", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(io.LimitReader(r.Body, maxHeartbeatBytes+1))
 		if err != nil || len(body) > maxHeartbeatBytes {
-			http.Error(w, "the body is too large or could not be read completely", http.StatusBadRequest)
+			http.Error(w, "the body can't be read whole", http.StatusBadRequest)
 			return
 		}
 		writeReply(w, a.handleHeartbeat(r.PathValue("id"), inbound.LocalHeartbeat, body))
@@ -50,7 +50,7 @@
 	h := w.Header()
 	h["Date"] = nil
 	if status != http.StatusOK {
-		http.Error(w, "the request names no backend of this machine, or a field is invalid", status)
+		http.Error(w, "the call names no backend of this machine, or a field is wrong", status)
 		return
 	}
 	h.Set("Content-Type", "application/json")
--- a/internal/mesh/sidecar/beats_test.go
+++ b/internal/mesh/sidecar/beats_test.go
@@ -54,17 +54,17 @@
 
 // sendCall sends a heartbeat or a deregistration of the backend, which must be acknowledged. The
 // format is "put NUMBER STATE", such as "put 5 ready", or "delete".
-func (backend *testBackend) sendCall(what string) {
+func (backend *testBackend) sendCall(call string) {
 	var count, state string
 	method, body := http.MethodDelete, ""
-	if n, _ := fmt.Sscanf(what, "put %s %s", &count, &state); n == 2 {
+	if n, _ := fmt.Sscanf(call, "put %s %s", &count, &state); n == 2 {
 		method = http.MethodPut
 		body = fmt.Sprintf(`{"service":"s","address":%q,"zone":"z","capacity":4,"state":%q,"warmup_left":"0ms","call_count":%s}`,
 			backend.server.Listener.Addr(), state, count)
 	}
 	w := httptest.NewRecorder()
 	backend.agent.controlHandler().ServeHTTP(w, httptest.NewRequest(method, "/api/servers/"+testBackendID, strings.NewReader(body)))
-	require.Equal(backend.t, http.StatusOK, w.Code, what)
+	require.Equal(backend.t, http.StatusOK, w.Code, call)
 }
 
 // admitsRequests reports whether a request would reach the backend.
--- a/internal/mesh/sidecar/config_test.go
+++ b/internal/mesh/sidecar/config_test.go
@@ -17,12 +17,12 @@
 // digest matches the agreed one, and is proven current only with an index that was current.
 func TestConfigurationIsTakenByItsDigest(t *testing.T) {
 	a := New("", &bootstrap.Settings{SparePorts: [2]int{7600, 7615}}, &log.Logger{Handler: discard.New()})
-	f := &feed{address: "one", wakeup: make(chan struct{}, 1)}
+	first := &feed{address: "one", wakeup: make(chan struct{}, 1)}
 	other := &feed{address: "two", wakeup: make(chan struct{}, 1), connected: true}
-	a.feeds = map[string]*feed{"one": f, "two": other}
-	first := meshconfig.New().Evacuate("a")
-	second := first.Evacuate("b")
-	encoded := first.Encode()
+	a.feeds = map[string]*feed{"one": first, "two": other}
+	firstConfig := meshconfig.New().Evacuate("a")
+	secondConfig := firstConfig.Evacuate("b")
+	encoded := firstConfig.Encode()
 	step := func(before, index uint64, zone string) transport.ConfigStep {
 		return transport.ConfigStep{Before: before, Index: index, Order: meshconfig.Order{Op: meshconfig.OpEvacuate, Zone: zone}}
 	}
@@ -31,45 +31,45 @@
 		require.Equal(t, index, a.configIndex)
 		require.Equal(t, c.Encode(), a.config.Encode())
 	}
-	requestedIndex := func() uint64 { return max(f.requestIndex.Swap(0), other.requestIndex.Swap(0)) }
+	requestedIndex := func() uint64 { return max(first.requestIndex.Swap(0), other.requestIndex.Swap(0)) }
 
-	a.handleUpdate(f, &transport.CoreUpdate{Index: 5, Fresh: 1}, nil)
+	a.handleUpdate(first, &transport.CoreUpdate{Index: 5, Fresh: 1}, nil)
 	require.False(t, a.configProven)
 	require.EqualValues(t, 5, requestedIndex())
-	a.handleUpdate(a.configSource, &transport.CoreUpdate{Index: 5, Digest: first.Digest() + 1, Raw: int64(len(encoded))}, encoded)
+	a.handleUpdate(a.configSource, &transport.CoreUpdate{Index: 5, Digest: firstConfig.Digest() + 1, Raw: int64(len(encoded))}, encoded)
 	requireConfig(0, meshconfig.New())
 	require.EqualValues(t, 5, requestedIndex(), "a corrupt configuration is requested from another node")
-	a.handleUpdate(a.configSource, &transport.CoreUpdate{Index: 5, Digest: first.Digest(), Raw: int64(len(encoded))}, encoded)
-	requireConfig(5, first)
+	a.handleUpdate(a.configSource, &transport.CoreUpdate{Index: 5, Digest: firstConfig.Digest(), Raw: int64(len(encoded))}, encoded)
+	requireConfig(5, firstConfig)
 	require.True(t, a.configProven)
 	require.Zero(t, requestedIndex())
 
-	next := transport.CoreUpdate{Index: 9, Digest: second.Digest()}
+	update := transport.CoreUpdate{Index: 9, Digest: secondConfig.Digest()}
 	for _, steps := range [][]transport.ConfigStep{{step(7, 9, "b")}, {step(5, 9, "c")}, {step(5, 7, "b")}, {{Before: 5, Index: 9}}} {
-		next.Steps = steps
-		a.handleUpdate(f, &next, nil)
-		requireConfig(5, first)
+		update.Steps = steps
+		a.handleUpdate(first, &update, nil)
+		requireConfig(5, firstConfig)
 	}
 	require.EqualValues(t, 9, requestedIndex(), "requested once while the answer may still arrive")
-	next.Steps = []transport.ConfigStep{step(2, 5, "a"), step(5, 9, "b")}
-	a.handleUpdate(f, &next, nil)
-	requireConfig(9, second)
-	a.handleUpdate(other, &transport.CoreUpdate{Index: 5, Digest: first.Digest(), Raw: int64(len(encoded))}, encoded)
-	requireConfig(9, second)
+	update.Steps = []transport.ConfigStep{step(2, 5, "a"), step(5, 9, "b")}
+	a.handleUpdate(first, &update, nil)
+	requireConfig(9, secondConfig)
+	a.handleUpdate(other, &transport.CoreUpdate{Index: 5, Digest: firstConfig.Digest(), Raw: int64(len(encoded))}, encoded)
+	requireConfig(9, secondConfig)
 
-	third := second.Evacuate("c")
+	thirdConfig := secondConfig.Evacuate("c")
 	a.configSource = nil
-	a.handleUpdate(f, &transport.CoreUpdate{Index: 12}, nil)
+	a.handleUpdate(first, &transport.CoreUpdate{Index: 12}, nil)
 	require.EqualValues(t, 9, a.configSource.requestSince.Load(), "steps from the agent's index are sufficient")
 	raw := transport.EncodeSteps([]transport.ConfigStep{step(9, 12, "d")})
-	a.handleUpdate(a.configSource, &transport.CoreUpdate{Index: 12, Digest: third.Digest(), RawSteps: true}, raw)
-	requireConfig(9, second)
+	a.handleUpdate(a.configSource, &transport.CoreUpdate{Index: 12, Digest: thirdConfig.Digest(), RawSteps: true}, raw)
+	requireConfig(9, secondConfig)
 	require.Zero(t, a.configSource.requestSince.Load(), "the steps led to another configuration")
 	raw = transport.EncodeSteps([]transport.ConfigStep{step(5, 9, "b"), step(9, 12, "c")})
-	a.handleUpdate(a.configSource, &transport.CoreUpdate{Index: 12, Digest: third.Digest(), RawSteps: true}, raw)
-	requireConfig(12, third)
+	a.handleUpdate(a.configSource, &transport.CoreUpdate{Index: 12, Digest: thirdConfig.Digest(), RawSteps: true}, raw)
+	requireConfig(12, thirdConfig)
 	a.configSource = nil
-	a.handleUpdate(f, &transport.CoreUpdate{Index: 13}, nil)
+	a.handleUpdate(first, &transport.CoreUpdate{Index: 13}, nil)
 	require.EqualValues(t, 12, a.configSource.requestSince.Load())
 }
 
@@ -86,13 +86,13 @@
 	for range 9 { // as each node reports the change
 		a.requestConfig()
 	}
-	asked := 0
+	requests := 0
 	for _, f := range a.feeds {
 		if f.requestIndex.Load() != 0 {
-			asked++
+			requests++
 		}
 	}
-	require.Equal(t, 1, asked)
+	require.Equal(t, 1, requests)
 	for range 50 {
 		a.configSource = nil
 		a.requestConfig()
--- a/internal/mesh/sidecar/feed.go
+++ b/internal/mesh/sidecar/feed.go
@@ -76,8 +76,8 @@
 	}
 	for _, core := range targets {
 		if a.feeds[core] == nil {
-			ctx, stop := context.WithCancel(context.Background())
-			f := &feed{address: core, cancel: stop, wakeup: make(chan struct{}, 1), replies: make(chan transport.AgentUpdate, 16)}
+			ctx, cancel := context.WithCancel(context.Background())
+			f := &feed{address: core, cancel: cancel, wakeup: make(chan struct{}, 1), replies: make(chan transport.AgentUpdate, 16)}
 			a.feeds[core] = f
 			go a.maintainFeed(ctx, f)
 		}
