--- a/internal/mesh/meshconfig/customer.go
+++ b/internal/mesh/meshconfig/customer.go
@@ -4,61 +4,62 @@
 	"slices"
 )
 
-// Customer is a tenant: whoever sends one of its keys.
+// Customer is a tenant. Its requests carry one of its API keys.
 type Customer struct {
 	Name    string
 	Version uint64
 	Rank    int  // 0 is the highest
-	Ranked  bool // Rank is given, and goes before the routes'
+	HasRank bool // Rank is given and overrides the rank of routes
 
 	keys []string
 }
 
-// mostKeyBytes bounds a key: a longer one could not be sent in a request's head.
-const mostKeyBytes = 4096
+// maxKeyBytes bounds a key. A longer one would not fit into a request's header.
+const maxKeyBytes = 4096
 
-// readCustomer reads a tenant. Danger: keys are secrets, so no error may quote one.
+// readCustomer parses a customer. Keys are secrets, so no error may quote one. For this reason the
+// message of protojson is not passed on.
 func (i *item) readCustomer(body []byte) error {
-	var d CustomerDocument
-	if err := lenient.Unmarshal(body, &d); err != nil {
+	var document CustomerDocument
+	if err := unmarshalOptions.Unmarshal(body, &document); err != nil {
 		return invalid(i.key.String(), "can't be read, send it whole and as described: api_keys is a list of strings, rank a number")
 	}
-	f := &fields{item: i}
-	c := &Customer{Name: i.name, Version: i.version, keys: d.ApiKeys, Ranked: d.Rank != nil, Rank: int(f.whole("rank", d.GetRank()))}
+	f := &fieldReader{item: i}
+	c := &Customer{Name: i.name, Version: i.version, keys: document.ApiKeys, HasRank: document.Rank != nil, Rank: int(f.integer("rank", document.GetRank()))}
 	for n, key := range c.keys {
-		if key == "" || len(key) > mostKeyBytes {
-			f.wrong("api_keys", "the key at place %d has %d bytes: give each 1 to %d", n, len(key), mostKeyBytes)
+		if key == "" || len(key) > maxKeyBytes {
+			f.fail("api_keys", "the key at place %d has %d bytes: give each 1 to %d", n, len(key), maxKeyBytes)
 		}
 	}
 	i.customer = c
 	return f.err
 }
 
-// indexKeys finds out whose each key is. Of several customers that share keys it names the first by
-// name, as every node must.
-func (c *Config) indexKeys() error {
-	var all []*Customer
+// indexCustomerKeys maps each key to its customer. Of several customers that share keys it reports
+// the first by name, so that every node returns the same error.
+func (c *Config) indexCustomerKeys() error {
+	var customerList []*Customer
 	for _, i := range c.items {
 		if i.customer != nil {
-			all = append(all, i.customer)
+			customerList = append(customerList, i.customer)
 		}
 	}
-	slices.SortFunc(all, func(a, b *Customer) int { return key{customers, a.Name}.compare(key{customers, b.Name}) })
-	c.tenants, c.keys = len(all), make(map[string]*Customer, len(all))
-	for _, one := range all {
-		for _, k := range one.keys {
-			if other := c.keys[k]; other != nil && other != one {
-				return invalid(key{customers, one.Name}.String()+" api_keys", "a key of it is one of customer %s as well: "+
+	slices.SortFunc(customerList, func(a, b *Customer) int { return key{customers, a.Name}.compare(key{customers, b.Name}) })
+	c.customerCount, c.customersByKey = len(customerList), make(map[string]*Customer, len(customerList))
+	for _, owner := range customerList {
+		for _, k := range owner.keys {
+			if other := c.customersByKey[k]; other != nil && other != owner {
+				return invalid(key{customers, owner.Name}.String()+" api_keys", "a key of it is one of customer %s as well: "+
 					"take it away from one of them", other.Name)
 			}
-			c.keys[k] = one
+			c.customersByKey[k] = owner
 		}
 	}
 	return nil
 }
 
-// HasCustomers says whether there are tenants, so that requests need a key.
-func (c *Config) HasCustomers() bool { return c.tenants > 0 }
+// HasCustomers reports whether there are customers, so that requests need a key.
+func (c *Config) HasCustomers() bool { return c.customerCount > 0 }
 
-// CustomerOf is the tenant whose key this is, nil if there is none.
-func (c *Config) CustomerOf(key string) *Customer { return c.keys[key] }
+// CustomerByKey returns the customer that has the key, nil if there is none.
+func (c *Config) CustomerByKey(key string) *Customer { return c.customersByKey[key] }
--- a/internal/mesh/meshconfig/encode.go
+++ b/internal/mesh/meshconfig/encode.go
@@ -8,108 +8,109 @@
 	"slices"
 )
 
-// format is the first byte of what Encode gives.
-const format = 1
+// encodingFormat is the first byte of the output of Encode.
+const encodingFormat = 1
 
-// state is the whole configuration as JSON. Gob would number its types by the order in which a
-// process first uses them, so equal configurations would differ in bytes from process to process.
-type state struct {
-	Items []stateItem `json:"items"`
-	Drops uint64      `json:"drops"`
-	Zones []string    `json:"zones"`
+// encodedConfig is the complete configuration as JSON. Gob numbers types in the order in which a
+// process first uses them, so equal configurations would encode to different bytes in different
+// processes.
+type encodedConfig struct {
+	Items []encodedItem `json:"items"`
+	Drops uint64        `json:"drops"`
+	Zones []string      `json:"zones"`
 
 	Cordons []Cordon `json:"cordons,omitempty"`
 }
 
-type stateItem struct {
-	Kind    string `json:"kind,omitempty"` // of a tombstone, as are the next three
+type encodedItem struct {
+	Kind    string `json:"kind,omitempty"` // this and the next three fields are set for a tombstone
 	Name    string `json:"name,omitempty"`
 	Version string `json:"version,omitempty"`
 	Drop    uint64 `json:"drop,omitempty"`
-	Raw     string `json:"raw,omitempty"` // of an item that stands; a string keeps it to the byte
+	Raw     string `json:"raw,omitempty"` // JSON of an item, as a string to preserve every byte
 }
 
-// Items is the body of GET /api/config: every item that stands, as it was sent.
-func (c *Config) Items() []byte {
+// ItemsJSON returns the body of GET /api/config: every item except tombstones, as it was sent.
+func (c *Config) ItemsJSON() []byte {
 	var b bytes.Buffer
 	b.WriteString(`{"items":[`)
-	comma := ""
-	for _, i := range c.sorted() {
+	separator := ""
+	for _, i := range c.sortedItems() {
 		if !i.dropped() {
-			b.WriteString(comma)
+			b.WriteString(separator)
 			b.Write(i.raw)
-			comma = ","
+			separator = ","
 		}
 	}
 	b.WriteString(`]}`)
 	return b.Bytes()
 }
 
-// Encode gives the whole state, tombstones and evacuations included, for snapshots and agents.
-// Equal configurations give equal bytes.
+// Encode returns the complete configuration, including tombstones, evacuations and cordons, for
+// snapshots and agents. Equal configurations encode to equal bytes.
 func (c *Config) Encode() []byte {
-	s := state{Drops: c.drops, Zones: c.zones, Cordons: c.cordons}
-	for _, i := range c.sorted() {
+	s := encodedConfig{Drops: c.dropCount, Zones: c.evacuatedZones, Cordons: c.cordons}
+	for _, i := range c.sortedItems() {
 		if i.dropped() {
-			s.Items = append(s.Items, stateItem{Kind: i.kind, Name: i.name, Version: i.text, Drop: i.drop})
+			s.Items = append(s.Items, encodedItem{Kind: i.kind, Name: i.name, Version: i.versionText, Drop: i.dropNumber})
 		} else {
-			s.Items = append(s.Items, stateItem{Raw: string(i.raw)})
+			s.Items = append(s.Items, encodedItem{Raw: string(i.raw)})
 		}
 	}
 	var b bytes.Buffer
-	b.WriteByte(format)
-	e := json.NewEncoder(&b)
-	e.SetEscapeHTML(false)
-	if err := e.Encode(s); err != nil {
-		panic(fmt.Sprintf("meshconfig: strings and numbers can't fail to encode: %v", err))
+	b.WriteByte(encodingFormat)
+	encoder := json.NewEncoder(&b)
+	encoder.SetEscapeHTML(false)
+	if err := encoder.Encode(s); err != nil {
+		panic(fmt.Sprintf("meshconfig: encoding the configuration failed: %v", err))
 	}
 	return b.Bytes()
 }
 
-// Decode reads what Encode gave.
+// Decode decodes the output of Encode.
 func Decode(data []byte) (*Config, error) {
-	if len(data) == 0 || data[0] != format {
-		return nil, fmt.Errorf("no configuration of format %d: was it written by another version of the program?", format)
+	if len(data) == 0 || data[0] != encodingFormat {
+		return nil, fmt.Errorf("not a configuration of format %d; another program version may have written it", encodingFormat)
 	}
-	var s state
+	var s encodedConfig
 	if err := json.Unmarshal(data[1:], &s); err != nil {
-		return nil, fmt.Errorf("a configuration that can't be read: %w", err)
+		return nil, fmt.Errorf("configuration can't be read: %w", err)
 	}
-	c := &Config{items: make(map[key]*item, len(s.Items)), drops: s.Drops, zones: s.Zones, cordons: s.Cordons}
+	c := &Config{items: make(map[key]*item, len(s.Items)), dropCount: s.Drops, evacuatedZones: s.Zones, cordons: s.Cordons}
 	domains := make(map[string]bool)
-	for n, e := range s.Items {
-		i, err := e.item(n)
+	for index, encoded := range s.Items {
+		i, err := encoded.item(index)
 		if err != nil {
-			return nil, fmt.Errorf("a configuration with an odd item: %w", err)
+			return nil, fmt.Errorf("configuration has an invalid item: %w", err)
 		}
 		if i.route != nil {
 			domains[i.route.Domain] = true
 		}
-		c.put(i)
+		c.putItem(i)
 	}
-	if err := cmp.Or(c.check(), c.indexKeys(), checkCordons(c.cordons)); err != nil {
-		return nil, fmt.Errorf("a configuration that isn't whole: %w", err)
+	if err := cmp.Or(c.validate(), c.indexCustomerKeys(), validateCordons(c.cordons)); err != nil {
+		return nil, fmt.Errorf("configuration is inconsistent: %w", err)
 	}
-	if len(c.items) != len(s.Items) || !slices.IsSorted(c.zones) {
-		return nil, fmt.Errorf("a configuration with an item twice or zones out of order")
+	if len(c.items) != len(s.Items) || !slices.IsSorted(c.evacuatedZones) {
+		return nil, fmt.Errorf("configuration has duplicate items or unsorted zones")
 	}
-	c.index(nil, domains)
+	c.indexRoutes(nil, domains)
 	return c, nil
 }
 
-func (e stateItem) item(n int) (*item, error) {
+func (e encodedItem) item(n int) (*item, error) {
 	field := fmt.Sprintf("items[%d]", n)
 	if e.Raw == "" {
-		i, err := identify(e.Kind, &Metadata{Name: e.Name, Version: e.Version}, field)
+		i, err := parseMetadata(e.Kind, &Metadata{Name: e.Name, Version: e.Version}, field)
 		if err != nil {
 			return nil, err
 		}
-		i.drop = e.Drop
+		i.dropNumber = e.Drop
 		return i, nil
 	}
-	var head ItemDocument
-	if err := decode(field, []byte(e.Raw), &head); err != nil {
+	var header ItemDocument
+	if err := unmarshalProto(field, []byte(e.Raw), &header); err != nil {
 		return nil, err
 	}
-	return newItem(&head, []byte(e.Raw), field)
+	return newItem(&header, []byte(e.Raw), field)
 }
--- a/internal/mesh/meshconfig/history.go
+++ b/internal/mesh/meshconfig/history.go
@@ -8,101 +8,105 @@
 	"strings"
 )
 
-// MostPast is how many confirmed versions are remembered beside those that the configuration holds.
-const MostPast = 8192
+// MaxPastVersions is the number of confirmed versions that a History remembers in addition to the
+// current ones in the configuration.
+const MaxPastVersions = 8192
 
-// History is what the core machines remember of confirmed orders beside the configuration: the
-// identity of each version that was confirmed and has been overtaken, and for each zone when it was
-// evacuated and returned last. The configuration itself tells the identity of the version that it
-// holds. So under each version of an item one content is ever confirmed, the first that was carried
-// out, and the same change is confirmed again at any time.
+// History is what control-plane nodes remember of confirmed orders in addition to the configuration:
+// the identity of each confirmed version that has been replaced, and for each zone the indexes of
+// its last evacuation and its last return. The identities of current versions come from the
+// configuration. With it, only one content is ever confirmed for each version of an item, which is
+// the first that was applied, and the same change is confirmed again at any time.
 //
-// What can't be told any more, because MostPast versions were overtaken since, because the item's
-// tombstone was forgotten, or because a program without a history had confirmed it, is neither
-// confirmed nor refused: the error is a *Forgotten.
+// A version is unknown if more than MaxPastVersions were replaced since, if the item's tombstone has
+// expired, or if a program version without a History confirmed it. Requests with unknown versions
+// are neither confirmed nor refused for good: they get a *ForgottenVersionError.
 //
-// A History is changed in place and belongs to one goroutine. Like the configuration it is a
-// function of the orders and their indexes alone.
+// A History is mutable and belongs to one goroutine. Like the configuration it depends only on the
+// orders and their indexes.
 type History struct {
-	items map[key]*pastItem
-	count int    // versions that are remembered
-	age   uint64 // versions that ever were
-	from  uint64 // of items that are forgotten altogether, versions below this one can't be told
-	zones map[string]zoneTurns
+	items        map[key]*itemHistory
+	versionCount int    // number of remembered versions
+	lastAge      uint64 // number of versions that were ever remembered
+	oldestKnown  uint64 // versions below this one are unknown for items without a tombstone
+	zones        map[string]zoneTurns
 }
 
-// pastItem is what is remembered of an item: nothing of versions below from.
-type pastItem struct {
-	from     uint64
-	versions []pastVersion // ascending
+// itemHistory contains the remembered versions of an item. Other versions below oldestKnown are
+// unknown.
+type itemHistory struct {
+	oldestKnown uint64
+	versions    []pastVersion // in ascending order
 }
 
+// pastVersion is a confirmed version that has been replaced.
 type pastVersion struct {
 	Version  uint64
-	Age      uint64
+	Age      uint64 // History.lastAge when it was recorded
 	Identity Identity
 }
 
-// zoneTurns are the indexes of the last orders for a zone.
+// zoneTurns contains the indexes of the last orders for a zone; 0 if there was none.
 type zoneTurns struct{ Evacuated, Returned uint64 }
 
-// Conflict says that a call can't be confirmed, as another content was under the same version.
-type Conflict struct {
-	Item, Version string
-	Differs       []string // fields, where the confirmed content is still held
+// ConflictError reports that a request can't be confirmed, because other content was confirmed under
+// the same version.
+type ConflictError struct {
+	Item, Version   string
+	DifferingFields []string // empty if the confirmed content is no longer available
 }
 
-func (e *Conflict) Error() string {
+func (e *ConflictError) Error() string {
 	differs := ""
-	if len(e.Differs) > 0 {
-		differs = " (differs: " + strings.Join(e.Differs, ", ") + ")"
+	if len(e.DifferingFields) > 0 {
+		differs = " (differs: " + strings.Join(e.DifferingFields, ", ") + ")"
 	}
 	return fmt.Sprintf("%s: version %s was confirmed with other content%s: read the configuration, "+
 		"and send this under a higher version", e.Item, e.Version, differs)
 }
 
-// Forgotten says that it can't be told whether a call was confirmed before.
-type Forgotten struct {
+// ForgottenVersionError reports that it is unknown whether a request was confirmed before.
+type ForgottenVersionError struct {
 	Item, Version string
-	From          uint64 // the lowest version that can be told
+	OldestKnown   uint64 // lowest version that is not unknown
 }
 
-func (e *Forgotten) Error() string {
+func (e *ForgottenVersionError) Error() string {
 	return fmt.Sprintf("%s: version %s is older than what is remembered: read the configuration, "+
-		"and send what is still wanted under %08x or higher", e.Item, e.Version, e.From)
+		"and send what is still wanted under %08x or higher", e.Item, e.Version, e.OldestKnown)
 }
 
-// Stale says that the opposite order for the zone was carried out since this one arrived.
-type Stale struct{ Zone string }
+// StaleOrderError reports that the opposite order for the zone was applied since this one arrived.
+type StaleOrderError struct{ Zone string }
 
-func (e *Stale) Error() string {
+func (e *StaleOrderError) Error() string {
 	return "zone " + e.Zone + ": evacuated or returned by another order since this one arrived"
 }
 
-// NewHistory is the history before any order.
+// NewHistory returns the history before any order.
 func NewHistory() *History {
-	return &History{items: make(map[key]*pastItem), zones: make(map[string]zoneTurns)}
+	return &History{items: make(map[key]*itemHistory), zones: make(map[string]zoneTurns)}
 }
 
-// HistoryOf is the history where only the configuration is known: of the versions below those that
-// it holds nothing can be told.
-func HistoryOf(c *Config) *History {
+// HistoryFromConfig returns a history for a configuration whose orders are not known. All versions
+// below the current ones are unknown.
+func HistoryFromConfig(c *Config) *History {
 	h := NewHistory()
 	for _, i := range c.items {
-		h.items[i.key] = &pastItem{from: i.version}
+		h.items[i.key] = &itemHistory{oldestKnown: i.version}
 	}
 	return h
 }
 
-// Carry returns the configuration after the order that is at the index, as core machines carry it
-// out. It is c itself where the order changes nothing or can't be carried out.
-func (h *History) Carry(index uint64, c *Config, o *Order) (*Config, error) {
+// ApplyOrder checks the order at the index against the history, records it, and returns the
+// resulting configuration. It returns c if the order changes nothing or can't be applied.
+func (h *History) ApplyOrder(index uint64, c *Config, o *Order) (*Config, error) {
 	switch o.Op {
 	case OpPatch:
 	case OpCordons:
-		return c.Carry(o)
+		return c.ApplyOrder(o)
 	default:
-		return h.carryZone(index, c, o)
+		return h.applyZoneOrder(index, c, o)
 	}
 	p, err := ParsePatch(o.Body)
 	if err != nil {
@@ -113,156 +117,159 @@
 			return c, err
 		}
 	}
-	made, err := c.apply(p)
+	result, err := c.apply(p)
 	if err != nil {
 		return c, err
 	}
-	h.record(c, p, made)
-	return made.next, nil
+	h.record(c, p, result)
+	return result.next, nil
 }
 
-func (h *History) carryZone(index uint64, c *Config, o *Order) (*Config, error) {
-	turns := h.zones[o.Zone]
-	opposite := &turns.Returned
-	own := &turns.Evacuated
+// applyZoneOrder applies an order that evacuates a zone or returns it to use.
+func (h *History) applyZoneOrder(index uint64, c *Config, o *Order) (*Config, error) {
+	lastOrders := h.zones[o.Zone]
+	oppositeIndex := &lastOrders.Returned
+	ownIndex := &lastOrders.Evacuated
 	if o.Op == OpReturn {
-		opposite, own = own, opposite
+		oppositeIndex, ownIndex = ownIndex, oppositeIndex
 	}
-	if o.Strict && *opposite > o.Since {
-		return c, &Stale{o.Zone}
+	if o.Strict && *oppositeIndex > o.Since {
+		return c, &StaleOrderError{o.Zone}
 	}
-	next, err := c.Carry(o)
-	if err == nil && (len(h.zones) < MostZones || turns != zoneTurns{}) {
-		*own = index
-		h.zones[o.Zone] = turns
+	next, err := c.ApplyOrder(o)
+	if err == nil && (len(h.zones) < MaxZones || lastOrders != zoneTurns{}) {
+		*ownIndex = index
+		h.zones[o.Zone] = lastOrders
 	}
 	return next, err
 }
 
-// check says whether the call contradicts what was confirmed. A contradiction comes before what
-// can't be told: a call that was confirmed once contradicts nothing.
+// check returns an error if the request conflicts with confirmed versions, or if that is unknown.
+// Conflicts are reported first, because a request that was confirmed once has no conflict.
 func (h *History) check(c *Config, p *Patch) error {
 	if err := p.Contradiction(); err != nil {
 		return err
 	}
-	var forgotten error
-	for _, i := range p.all() {
+	var firstForgotten error
+	for _, i := range p.allItems() {
 		err := h.checkItem(c, i)
-		if _, unknown := err.(*Forgotten); unknown {
-			forgotten = cmp.Or(forgotten, err)
+		if _, unknown := err.(*ForgottenVersionError); unknown {
+			firstForgotten = cmp.Or(firstForgotten, err)
 		} else if err != nil {
 			return err
 		}
 	}
-	return forgotten
+	return firstForgotten
 }
 
 func (h *History) checkItem(c *Config, i *item) error {
-	held := c.items[i.key]
+	current := c.items[i.key]
 	switch {
-	case held == nil && i.version < h.from:
-		return &Forgotten{i.key.String(), i.text, h.from}
-	case held == nil || i.version > held.version:
+	case current == nil && i.version < h.oldestKnown:
+		return &ForgottenVersionError{i.key.String(), i.versionText, h.oldestKnown}
+	case current == nil || i.version > current.version:
 		return nil
-	case i.version == held.version:
-		if i.same(held) {
+	case i.version == current.version:
+		if i.sameChange(current) {
 			return nil
 		}
-		return &Conflict{i.key.String(), i.text, differences(i, held)}
+		return &ConflictError{i.key.String(), i.versionText, differingFields(i, current)}
 	}
-	past := h.items[i.key]
-	if past == nil {
+	known := h.items[i.key]
+	if known == nil {
 		return nil
 	}
-	if at, found := past.find(i.version); found {
-		if past.versions[at].Identity == i.identity() {
+	if pos, found := known.find(i.version); found {
+		if known.versions[pos].Identity == i.identity() {
 			return nil
 		}
-		return &Conflict{Item: i.key.String(), Version: i.text}
+		return &ConflictError{Item: i.key.String(), Version: i.versionText}
 	}
-	if i.version < past.from {
-		return &Forgotten{i.key.String(), i.text, held.version + 1}
+	if i.version < known.oldestKnown {
+		return &ForgottenVersionError{i.key.String(), i.versionText, current.version + 1}
 	}
 	return nil
 }
 
-func (p *pastItem) find(version uint64) (int, bool) {
+func (p *itemHistory) find(version uint64) (int, bool) {
 	return slices.BinarySearchFunc(p.versions, version, func(v pastVersion, version uint64) int {
 		return cmp.Compare(v.Version, version)
 	})
 }
 
-// record remembers what a confirmed call says under versions that are not the newest, and what it
-// overtook.
-func (h *History) record(before *Config, p *Patch, made outcome) {
-	for _, i := range made.moved {
+// record remembers the versions that a confirmed request replaced, and those of its own versions
+// that are not current.
+func (h *History) record(before *Config, p *Patch, result patchResult) {
+	for _, i := range result.changedItems {
 		if old := before.items[i.key]; old != nil {
 			h.remember(old)
-		} else if h.from > 0 { // it may be one that was forgotten
-			h.items[i.key] = &pastItem{from: min(h.from, i.version)}
+		} else if h.oldestKnown > 0 { // its tombstone may have expired
+			h.items[i.key] = &itemHistory{oldestKnown: min(h.oldestKnown, i.version)}
 		}
 	}
-	for _, i := range p.all() {
-		if now := made.next.items[i.key]; now != nil && i.version < now.version {
+	for _, i := range p.allItems() {
+		if current := result.next.items[i.key]; current != nil && i.version < current.version {
 			h.remember(i)
 		}
 	}
-	for _, i := range made.forgotten {
-		h.forgetItem(i)
+	for _, i := range result.expiredTombstones {
+		h.expireItem(i)
 	}
-	h.bound()
+	h.evictOldest()
 }
 
-// remember keeps the first content of a version.
+// remember records the identity of a version, unless one is recorded already.
 func (h *History) remember(i *item) {
-	past := h.items[i.key]
-	if past == nil {
-		past = new(pastItem)
-		h.items[i.key] = past
+	known := h.items[i.key]
+	if known == nil {
+		known = new(itemHistory)
+		h.items[i.key] = known
 	}
-	at, found := past.find(i.version)
-	if found || i.version < past.from {
+	pos, found := known.find(i.version)
+	if found || i.version < known.oldestKnown {
 		return
 	}
-	h.age++
-	h.count++
-	entry := pastVersion{Version: i.version, Age: h.age, Identity: i.identity()}
-	past.versions = slices.Insert(past.versions, at, entry)
+	h.lastAge++
+	h.versionCount++
+	entry := pastVersion{Version: i.version, Age: h.lastAge, Identity: i.identity()}
+	known.versions = slices.Insert(known.versions, pos, entry)
 }
 
-// forgetItem is for an item whose tombstone is forgotten: a change of it that comes late would
-// bring it back, so none up to its version may be carried out again, whatever its name.
-func (h *History) forgetItem(i *item) {
-	h.from = max(h.from, following(i.version))
-	if past := h.items[i.key]; past != nil {
-		h.count -= len(past.versions)
+// expireItem handles an item whose tombstone has expired. A delayed change could restore the dropped
+// item, so from now on versions up to its version are unknown for every item without a tombstone.
+func (h *History) expireItem(i *item) {
+	h.oldestKnown = max(h.oldestKnown, nextVersion(i.version))
+	if known := h.items[i.key]; known != nil {
+		h.versionCount -= len(known.versions)
 		delete(h.items, i.key)
 	}
 }
 
-func following(version uint64) uint64 { return max(version, min(version, math.MaxUint64-1)+1) }
+// nextVersion returns version+1, or version if it is the highest possible.
+func nextVersion(version uint64) uint64 { return max(version, min(version, math.MaxUint64-1)+1) }
 
-// bound forgets the oldest quarter once there is too much, so that it is seldom at work.
-func (h *History) bound() {
-	if h.count <= MostPast {
+// evictOldest removes the oldest quarter of the versions once there are more than MaxPastVersions,
+// so that it rarely has work to do.
+func (h *History) evictOldest() {
+	if h.versionCount <= MaxPastVersions {
 		return
 	}
 	var ages []uint64
-	for _, past := range h.items {
-		for _, v := range past.versions {
+	for _, history := range h.items {
+		for _, v := range history.versions {
 			ages = append(ages, v.Age)
 		}
 	}
 	slices.Sort(ages)
-	oldest := ages[len(ages)-MostPast*3/4]
-	for _, past := range h.items {
-		past.versions = slices.DeleteFunc(past.versions, func(v pastVersion) bool {
-			if v.Age < oldest {
-				past.from = max(past.from, following(v.Version))
-				h.count--
+	oldestKept := ages[len(ages)-MaxPastVersions*3/4]
+	for _, history := range h.items {
+		history.versions = slices.DeleteFunc(history.versions, func(v pastVersion) bool {
+			if v.Age < oldestKept {
+				history.oldestKnown = max(history.oldestKnown, nextVersion(v.Version))
+				h.versionCount--
 			}
-			return v.Age < oldest
+			return v.Age < oldestKept
 		})
 	}
-	// A version that is younger but lower than a forgotten one is still remembered by itself.
+	// A version that is lower but was recorded later than a removed one is still remembered.
 }
--- a/internal/mesh/meshconfig/history_encode.go
+++ b/internal/mesh/meshconfig/history_encode.go
@@ -9,7 +9,8 @@
 	"slices"
 )
 
-// historyState is a History as it is stored; lists are sorted, so that equal ones give equal bytes.
+// historyState is the stored form of a History. Its lists are sorted, so that equal histories encode
+// to equal bytes.
 type historyState struct {
 	Items     []historyItem
 	Age, From uint64
@@ -27,37 +28,37 @@
 	Turns zoneTurns
 }
 
-// Encode gives the history for snapshots.
+// Encode returns the history for snapshots.
 func (h *History) Encode() []byte {
-	s := historyState{Age: h.age, From: h.from}
+	s := historyState{Age: h.lastAge, From: h.oldestKnown}
 	for _, k := range slices.SortedFunc(maps.Keys(h.items), key.compare) {
-		past := h.items[k]
-		s.Items = append(s.Items, historyItem{k.kind, k.name, past.from, past.versions})
+		history := h.items[k]
+		s.Items = append(s.Items, historyItem{k.kind, k.name, history.oldestKnown, history.versions})
 	}
 	for _, zone := range slices.Sorted(maps.Keys(h.zones)) {
 		s.Zones = append(s.Zones, historyZone{zone, h.zones[zone]})
 	}
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(s); err != nil {
-		panic(fmt.Sprintf("meshconfig: plain fields can't fail to encode: %v", err))
+		panic(fmt.Sprintf("meshconfig: encoding the history failed: %v", err))
 	}
 	return b.Bytes()
 }
 
-// DecodeHistory reads what Encode gave.
+// DecodeHistory decodes the output of History.Encode.
 func DecodeHistory(data []byte) (*History, error) {
 	var s historyState
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&s); err != nil {
-		return nil, fmt.Errorf("a history that can't be read: %w", err)
+		return nil, fmt.Errorf("history can't be read: %w", err)
 	}
 	h := NewHistory()
-	h.age, h.from = s.Age, s.From
+	h.lastAge, h.oldestKnown = s.Age, s.From
 	for _, i := range s.Items {
-		if !slices.IsSortedFunc(i.Versions, byVersion) {
-			return nil, fmt.Errorf("a history with the versions of %s %s out of order", i.Kind, i.Name)
+		if !slices.IsSortedFunc(i.Versions, compareVersions) {
+			return nil, fmt.Errorf("history has unsorted versions of %s %s", i.Kind, i.Name)
 		}
-		h.items[key{i.Kind, i.Name}] = &pastItem{i.From, i.Versions}
-		h.count += len(i.Versions)
+		h.items[key{i.Kind, i.Name}] = &itemHistory{i.From, i.Versions}
+		h.versionCount += len(i.Versions)
 	}
 	for _, z := range s.Zones {
 		h.zones[z.Zone] = z.Turns
@@ -65,4 +66,4 @@
 	return h, nil
 }
 
-func byVersion(a, b pastVersion) int { return cmp.Compare(a.Version, b.Version) }
+func compareVersions(a, b pastVersion) int { return cmp.Compare(a.Version, b.Version) }
--- a/internal/mesh/meshconfig/history_test.go
+++ b/internal/mesh/meshconfig/history_test.go
@@ -11,33 +11,34 @@
 	"pgregory.net/rapid"
 )
 
-// member is what one core machine holds.
-type member struct {
+// simulatedNode is the replicated state of one control-plane node.
+type simulatedNode struct {
 	config  *Config
 	history *History
 	index   uint64
 }
 
-func newMember() *member { return &member{config: New(), history: NewHistory()} }
+func newSimulatedNode() *simulatedNode { return &simulatedNode{config: New(), history: NewHistory()} }
 
-func (m *member) carry(o *Order) (err error) {
-	m.index++
-	m.config, err = m.history.Carry(m.index, m.config, o)
+func (node *simulatedNode) applyOrder(o *Order) (err error) {
+	node.index++
+	node.config, err = node.history.ApplyOrder(node.index, node.config, o)
 	return err
 }
 
-// restart puts what Encode gave in the place of what is held.
-func (m *member) restart(t require.TestingT) {
-	config, err := Decode(m.config.Encode())
+// restoreFromEncoding replaces the state by its encoded and decoded copy.
+func (node *simulatedNode) restoreFromEncoding(t require.TestingT) {
+	config, err := Decode(node.config.Encode())
 	require.NoError(t, err)
-	history, err := DecodeHistory(m.history.Encode())
+	history, err := DecodeHistory(node.history.Encode())
 	require.NoError(t, err)
-	require.Equal(t, m.history.count, history.count)
-	m.config, m.history = config, history
+	require.Equal(t, node.history.versionCount, history.versionCount)
+	node.config, node.history = config, history
 }
 
-// patchOf reads the lines of a call: "KIND NAME VERSION BODY" or "drop KIND NAME VERSION".
-func patchOf(lines string) []byte {
+// patchBody builds the body of a patch from lines "KIND NAME VERSION BODY" or
+// "drop KIND NAME VERSION".
+func patchBody(lines string) []byte {
 	var add []string
 	drops := make(map[string][]string)
 	for line := range strings.Lines(lines) {
@@ -53,12 +54,12 @@
 		strings.Join(add, ","), strings.Join(drops[routes], ","), strings.Join(drops[services], ","))
 }
 
-// told is how an order ended, as an operator is told.
-func told(err error) string {
+// describeResult returns the result of an order as the operator gets it.
+func describeResult(err error) string {
 	var (
-		conflict  *Conflict
-		forgotten *Forgotten
-		stale     *Stale
+		conflict  *ConflictError
+		forgotten *ForgottenVersionError
+		stale     *StaleOrderError
 	)
 	switch {
 	case err == nil:
@@ -73,26 +74,27 @@
 	return "400: " + err.Error()
 }
 
+// TestOrderStories runs the sequences of orders in testdata/history.
 func TestOrderStories(t *testing.T) {
 	datadriven.Walk(t, "testdata/history", func(t *testing.T, path string) {
-		m := newMember()
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			before := m.config
-			order := Order{Op: d.Cmd, Strict: !d.HasArg("before")}
-			switch d.Cmd {
+		node := newSimulatedNode()
+		datadriven.RunTest(t, path, func(t *testing.T, command *datadriven.TestData) string {
+			before := node.config
+			order := Order{Op: command.Cmd, Strict: !command.HasArg("before")}
+			switch command.Cmd {
 			case "restart":
-				if m.restart(t); d.HasArg("history") {
-					m.history = HistoryOf(m.config)
+				if node.restoreFromEncoding(t); command.HasArg("history") {
+					node.history = HistoryFromConfig(node.config)
 				}
 				return "ok"
 			case OpPatch:
-				order.Body = patchOf(d.Input)
+				order.Body = patchBody(command.Input)
 			default:
-				order.Zone = d.CmdArgs[0].Key
-				d.ScanArgs(t, "since", &order.Since)
-				m.index = max(m.index, order.Since)
+				order.Zone = command.CmdArgs[0].Key
+				command.ScanArgs(t, "since", &order.Since)
+				node.index = max(node.index, order.Since)
 			}
-			return strings.Join(append([]string{told(m.carry(&order))}, Diff(before, m.config)...), "\n")
+			return strings.Join(append([]string{describeResult(node.applyOrder(&order))}, Diff(before, node.config)...), "\n")
 		})
 	})
 }
@@ -106,32 +108,33 @@
 	}
 }
 
-// claims is the plainly correct history: the content of every version that was ever confirmed.
-type claims map[string]string
+// confirmedContents is the reference model of a History without a size limit: the content of every
+// version that was ever confirmed.
+type confirmedContents map[string]string
 
-func (c claims) contradicted(d drawn) bool {
-	within := claims{}
-	for _, i := range d {
-		name, content := i.claim()
-		for _, known := range []claims{c, within} {
-			if first, there := known[name]; there && first != content {
+func (c confirmedContents) contradictedBy(patch modelPatch) bool {
+	inPatch := confirmedContents{}
+	for _, i := range patch {
+		name, content := i.versionAndContent()
+		for _, known := range []confirmedContents{c, inPatch} {
+			if first, found := known[name]; found && first != content {
 				return true
 			}
 		}
-		within[name] = content
+		inPatch[name] = content
 	}
 	return false
 }
 
-func (c claims) add(d drawn) {
-	for _, i := range d {
-		name, content := i.claim()
+func (c confirmedContents) add(patch modelPatch) {
+	for _, i := range patch {
+		name, content := i.versionAndContent()
 		c[name] = content
 	}
 }
 
-// claim is an item's name and version, and what is said of it.
-func (i change) claim() (name, content string) {
+// versionAndContent returns a key for the item and its version, and a text for its content.
+func (i modelItem) versionAndContent() (name, content string) {
 	name = fmt.Sprint(i.route, i.name, i.version)
 	if i.drop {
 		return name, "dropped"
@@ -142,78 +145,79 @@
 	return name, "set"
 }
 
-// checkHistory draws calls with few names and versions, so that most contradict or repeat others,
-// and compares each answer with the model's. Between is what befalls the member after a call.
-func checkHistory(t *rapid.T, between func(m *member)) {
-	m, model, all := newMember(), model{}, claims{}
+// checkHistory generates patches with few names and versions, so that most conflict with others or
+// repeat them, and compares each result with the models. It calls between after each patch.
+func checkHistory(t *rapid.T, between func(node *simulatedNode)) {
+	node, model, confirmed := newSimulatedNode(), model{}, confirmedContents{}
 	names := strings.Split("abc", "")
 	for range rapid.IntRange(1, 40).Draw(t, "calls") {
-		d := make(drawn, rapid.IntRange(1, 3).Draw(t, "items"))
-		for n := range d {
-			d[n] = change{
+		patch := make(modelPatch, rapid.IntRange(1, 3).Draw(t, "items"))
+		for n := range patch {
+			patch[n] = modelItem{
 				route: rapid.Bool().Draw(t, "route"), drop: rapid.IntRange(0, 4).Draw(t, "drop") == 0,
 				name: rapid.SampledFrom(names).Draw(t, "name"), path: rapid.SampledFrom([]string{"/", "/a/"}).Draw(t, "path"),
 				service: rapid.SampledFrom(names).Draw(t, "service"), version: rapid.IntRange(1, 6).Draw(t, "version"),
 			}
 		}
-		err := m.carry(&Order{Op: OpPatch, Body: []byte(d.String()), Strict: true})
-		next, valid := model.apply(d)
+		err := node.applyOrder(&Order{Op: OpPatch, Body: []byte(patch.String()), Strict: true})
+		next, valid := model.apply(patch)
 		switch {
-		case all.contradicted(d):
-			require.Error(t, err, "another content was confirmed: %v", d)
+		case confirmed.contradictedBy(patch):
+			require.Error(t, err, "other content was confirmed: %v", patch)
 		case !valid:
-			var wrong *Invalid
+			var wrong *InvalidError
 			require.ErrorAs(t, err, &wrong)
 		default:
 			require.NoError(t, err)
 			model = next
-			all.add(d)
+			confirmed.add(patch)
 		}
-		require.Len(t, m.config.items, len(model))
-		between(m)
+		require.Len(t, node.config.items, len(model))
+		between(node)
 	}
 }
 
+// TestHistoryAgainstModel compares a node that is restored at random times with the models.
 func TestHistoryAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		checkHistory(t, func(m *member) {
+		checkHistory(t, func(node *simulatedNode) {
 			if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
-				m.restart(t)
+				node.restoreFromEncoding(t)
 			}
 		})
 	})
 }
 
-// Versions that were overtaken by thousands of others are neither confirmed nor refused; those that
-// are remembered are confirmed again. A dropped item never comes back.
+// TestHistoryIsBounded checks that versions replaced by thousands of others are reported as unknown,
+// that remembered versions are confirmed again, and that a dropped item is never restored.
 func TestHistoryIsBounded(t *testing.T) {
-	m := newMember()
+	node := newSimulatedNode()
 	set := func(name string, version int) error {
-		return m.carry(&Order{Op: OpPatch, Body: patchOf(fmt.Sprintf(`services %s %x {"max_conns":%d}`, name, version, version)), Strict: true})
+		return node.applyOrder(&Order{Op: OpPatch, Body: patchBody(fmt.Sprintf(`services %s %x {"max_conns":%d}`, name, version, version)), Strict: true})
 	}
-	var forgotten *Forgotten
-	for version := 1; version <= MostPast+MostPast/2; version++ {
+	var forgotten *ForgottenVersionError
+	for version := 1; version <= MaxPastVersions+MaxPastVersions/2; version++ {
 		require.NoError(t, set(fmt.Sprint("s", version%7), version))
-		require.LessOrEqual(t, m.history.count, MostPast)
+		require.LessOrEqual(t, node.history.versionCount, MaxPastVersions)
 	}
 	require.ErrorAs(t, set("s1", 1), &forgotten)
-	remembered := MostPast // halfway: the younger half of what there were
+	remembered := MaxPastVersions // recent enough to be remembered
 	require.NoError(t, set(fmt.Sprint("s", remembered%7), remembered))
-	require.Less(t, len(m.history.Encode()), 512<<10)
+	require.Less(t, len(node.history.Encode()), 512<<10)
 
 	var drops strings.Builder
-	for n := range MostTombstones + 10 {
+	for n := range MaxTombstones + 10 {
 		fmt.Fprintf(&drops, "drop services d%d %x\n", n, n+10)
-		if n%100 == 0 || n == MostTombstones+9 {
-			require.NoError(t, m.carry(&Order{Op: OpPatch, Body: patchOf(drops.String()), Strict: true}))
+		if n%100 == 0 || n == MaxTombstones+9 {
+			require.NoError(t, node.applyOrder(&Order{Op: OpPatch, Body: patchBody(drops.String()), Strict: true}))
 			drops.Reset()
 		}
 	}
-	m.restart(t)
+	node.restoreFromEncoding(t)
 	require.ErrorAs(t, set("d0", 9), &forgotten)
 	require.ErrorAs(t, set("d0", 10), &forgotten)
-	require.Nil(t, m.config.Service("d0"), "a dropped item stands again")
+	require.Nil(t, node.config.Service("d0"), "a dropped item was restored")
 	require.NoError(t, set("d0", 1000))
 	require.ErrorAs(t, set("d0", 12), &forgotten)
-	require.Less(t, len(m.history.items), MostTombstones+100)
+	require.Less(t, len(node.history.items), MaxTombstones+100)
 }
--- a/internal/mesh/meshconfig/meshconfig_test.go
+++ b/internal/mesh/meshconfig/meshconfig_test.go
@@ -11,17 +11,18 @@
 	"pgregory.net/rapid"
 )
 
+// TestStories runs the sequences of patches and evacuations in testdata/config.
 func TestStories(t *testing.T) {
 	datadriven.Walk(t, "testdata/config", func(t *testing.T, path string) {
-		c, last := New(), ""
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
+		c, lastPatch := New(), ""
+		datadriven.RunTest(t, path, func(t *testing.T, command *datadriven.TestData) string {
 			before := c
-			switch d.Cmd {
+			switch command.Cmd {
 			case "patch":
-				if !d.HasArg("again") {
-					last = d.Input
+				if !command.HasArg("again") {
+					lastPatch = command.Input
 				}
-				p, err := ParsePatch([]byte(last))
+				p, err := ParsePatch([]byte(lastPatch))
 				if err == nil {
 					c, _, err = c.Apply(p)
 				}
@@ -29,29 +30,29 @@
 					return "invalid: " + err.Error()
 				}
 			case "evacuate":
-				c = c.Evacuate(d.CmdArgs[0].Key)
+				c = c.Evacuate(command.CmdArgs[0].Key)
 			case "return":
-				c = c.Return(d.CmdArgs[0].Key)
+				c = c.EndEvacuation(command.CmdArgs[0].Key)
 			case "look":
-				again, err := Decode(c.Encode())
+				decoded, err := Decode(c.Encode())
 				require.NoError(t, err)
-				require.Equal(t, c.Encode(), again.Encode())
-				return fmt.Sprintf("%s\n%s\n%+v\n%v", again.Summary(), again.Items(), again.Limits(), again.Services())
+				require.Equal(t, c.Encode(), decoded.Encode())
+				return fmt.Sprintf("%s\n%s\n%+v\n%v", decoded.Summary(), decoded.ItemsJSON(), decoded.Limits(), decoded.Services())
 			case "key":
-				again, err := Decode(c.Encode())
+				decoded, err := Decode(c.Encode())
 				require.NoError(t, err)
-				switch owner := again.CustomerOf(d.CmdArgs[0].Key); {
+				switch owner := decoded.CustomerByKey(command.CmdArgs[0].Key); {
 				case owner == nil:
 					return "nobody's"
-				case owner.Ranked:
+				case owner.HasRank:
 					return fmt.Sprintf("%s, rank %d", owner.Name, owner.Rank)
 				default:
 					return owner.Name
 				}
 			case "route":
 				var host, path string
-				d.ScanArgs(t, "host", &host)
-				d.ScanArgs(t, "path", &path)
+				command.ScanArgs(t, "host", &host)
+				command.ScanArgs(t, "path", &path)
 				if r := c.Route(host, path); r != nil {
 					return fmt.Sprintf("%+v", *r)
 				}
@@ -92,7 +93,7 @@
 		strings.Replace(route(`"kind":"safe","service":"s"`), `"d"`, `""`, 1):                       "routes r domain: is missing",
 	} {
 		_, err := ParsePatch([]byte(body))
-		var wrong *Invalid
+		var wrong *InvalidError
 		require.ErrorAs(t, err, &wrong, body)
 		require.ErrorContains(t, err, want, body)
 	}
@@ -109,49 +110,50 @@
 func TestPick(t *testing.T) {
 	r := &Route{Shares: []Share{{"a", 0}, {"b", 1}, {"c", 3}, {"d", 0}}, total: 4}
 	for u, want := range map[float64]string{0: "b", 0.24: "b", 0.25: "c", 0.999: "c", 1: "c"} {
-		require.Equal(t, want, r.Pick(u), u)
+		require.Equal(t, want, r.PickService(u), u)
 	}
 }
 
 func TestTombstonesAreBounded(t *testing.T) {
 	c := New()
 	drop := func(from, to int) {
-		var d drawn
+		var patch modelPatch
 		for n := from; n < to; n++ {
-			d = append(d, change{route: true, drop: true, name: fmt.Sprint("r", n), version: 1})
+			patch = append(patch, modelItem{route: true, drop: true, name: fmt.Sprint("r", n), version: 1})
 		}
-		c = applied(t, c, d)
+		c = mustApply(t, c, patch)
 	}
-	drop(MostTombstones, MostTombstones+1)
-	drop(0, MostTombstones-1)
-	require.Len(t, c.items, MostTombstones)
-	drop(MostTombstones+1, MostTombstones+2)
-	require.Len(t, c.items, MostTombstones)
-	require.Nil(t, c.items[key{routes, fmt.Sprint("r", MostTombstones)}], "the oldest went")
+	drop(MaxTombstones, MaxTombstones+1)
+	drop(0, MaxTombstones-1)
+	require.Len(t, c.items, MaxTombstones)
+	drop(MaxTombstones+1, MaxTombstones+2)
+	require.Len(t, c.items, MaxTombstones)
+	require.Nil(t, c.items[key{routes, fmt.Sprint("r", MaxTombstones)}], "the oldest tombstone is removed")
 	require.NotNil(t, c.items[key{routes, "r0"}])
 }
 
 func TestRouteDoesNotAllocate(t *testing.T) {
-	c := applied(t, New(), drawn{{route: true, name: "r", version: 1, path: "/a/", service: "s"}, {name: "s", version: 1}})
+	c := mustApply(t, New(), modelPatch{{route: true, name: "r", version: 1, path: "/a/", service: "s"}, {name: "s", version: 1}})
 	require.Zero(t, testing.AllocsPerRun(100, func() {
-		if c.Route("d.example:80", "/a/b").Pick(0.5) != "s" {
+		if c.Route("d.example:80", "/a/b").PickService(0.5) != "s" {
 			panic("another service")
 		}
 	}))
 }
 
-// change is an item as the slow model keeps it, and drawn is a patch of such.
-type change struct {
+// modelItem is an item of the reference model.
+type modelItem struct {
 	route, drop         bool
 	name, path, service string
 	version             int
 }
 
-type drawn []change
+// modelPatch is a generated patch.
+type modelPatch []modelItem
 
-func (d drawn) String() string {
+func (patch modelPatch) String() string {
 	var set, routes, services []string
-	for _, c := range d {
+	for _, c := range patch {
 		head := fmt.Sprintf(`"name":"%s","version":"%08x"`, c.name, c.version)
 		switch {
 		case c.route && c.drop:
@@ -169,28 +171,28 @@
 		strings.Join(set, ","), strings.Join(routes, ","), strings.Join(services, ","))
 }
 
-func applied(t require.TestingT, c *Config, d drawn) *Config {
-	c, valid := try(t, c, d)
+func mustApply(t require.TestingT, c *Config, patch modelPatch) *Config {
+	c, valid := applyAll(t, c, patch)
 	require.True(t, valid)
 	return c
 }
 
-// model is the configuration as a plain map by kind and name.
-type model map[string]change
+// model is the reference model of a configuration: a map by kind and name.
+type model map[string]modelItem
 
-func (m model) apply(d drawn) (model, bool) {
+func (m model) apply(patch modelPatch) (model, bool) {
 	next := model{}
 	for k, c := range m {
 		next[k] = c
 	}
-	for _, c := range d {
+	for _, c := range patch {
 		k := fmt.Sprint(c.route, c.name)
-		if old, there := next[k]; !there || c.version > old.version {
+		if old, found := next[k]; !found || c.version > old.version {
 			next[k] = c
 		}
 	}
 	for _, c := range next {
-		if s, there := next[fmt.Sprint(false, c.service)]; c.route && !c.drop && (!there || s.drop) {
+		if s, found := next[fmt.Sprint(false, c.service)]; c.route && !c.drop && (!found || s.drop) {
 			return m, false
 		}
 	}
@@ -198,7 +200,7 @@
 }
 
 func (m model) route(path string) string {
-	best := change{}
+	best := modelItem{}
 	for _, c := range m {
 		if c.route && !c.drop && strings.HasPrefix(path, c.path) && (len(c.path) > len(best.path) ||
 			c.path == best.path && (c.version > best.version || c.version == best.version && c.name < best.name)) {
@@ -213,67 +215,67 @@
 	names := strings.Split("abcdef", "")
 	rapid.Check(t, func(t *rapid.T) {
 		draws := 0
-		patch := rapid.Custom(func(t *rapid.T) drawn {
-			d := make(drawn, rapid.IntRange(0, 5).Draw(t, "changes"))
-			for n := range d {
+		patch := rapid.Custom(func(t *rapid.T) modelPatch {
+			items := make(modelPatch, rapid.IntRange(0, 5).Draw(t, "changes"))
+			for n := range items {
 				draws++
-				d[n] = change{
+				items[n] = modelItem{
 					route: rapid.Bool().Draw(t, "route"), drop: rapid.IntRange(0, 3).Draw(t, "drop") == 0,
 					name: rapid.SampledFrom(names).Draw(t, "name"), path: rapid.SampledFrom(paths).Draw(t, "path"),
 					service: rapid.SampledFrom(names).Draw(t, "service"),
-					// Out of order, and no version twice.
+					// Versions are out of order but unique.
 					version: (draws+rapid.IntRange(0, 12).Draw(t, "later"))<<8 | draws&0xff,
 				}
 			}
-			return d
+			return items
 		})
-		c, m := New(), model{}
+		c, reference := New(), model{}
 		for _, s := range names {
-			d := drawn{{name: s, version: 1}}
-			c = applied(t, c, d)
-			m, _ = m.apply(d)
+			patch := modelPatch{{name: s, version: 1}}
+			c = mustApply(t, c, patch)
+			reference, _ = reference.apply(patch)
 		}
 		for range 15 {
 			d, other := patch.Draw(t, "patch"), patch.Draw(t, "other")
-			one, valid1 := try(t, c, d, other)
-			two, valid2 := try(t, c, other, d)
+			inOrder, valid1 := applyAll(t, c, d, other)
+			reversed, valid2 := applyAll(t, c, other, d)
 			if valid1 && valid2 {
-				require.Equal(t, one.Items(), two.Items())
+				require.Equal(t, inOrder.ItemsJSON(), reversed.ItemsJSON())
 			}
 
 			p, err := ParsePatch([]byte(d.String()))
 			require.NoError(t, err)
 			next, changed, err := c.Apply(p)
-			want, valid := m.apply(d)
+			want, valid := reference.apply(d)
 			require.Equal(t, valid, err == nil, "%v", err)
 			require.Equal(t, changed, next != c)
-			c, m = next, want
+			c, reference = next, want
 
-			require.Len(t, c.items, len(m))
+			require.Len(t, c.items, len(reference))
 			for _, i := range c.items {
-				w := m[fmt.Sprint(i.kind == routes, i.name)]
-				require.Equal(t, uint64(w.version), i.version)
-				require.Equal(t, w.drop, i.dropped())
+				want := reference[fmt.Sprint(i.kind == routes, i.name)]
+				require.Equal(t, uint64(want.version), i.version)
+				require.Equal(t, want.drop, i.dropped())
 			}
-			again, err := Decode(c.Encode())
+			decoded, err := Decode(c.Encode())
 			require.NoError(t, err)
-			require.Equal(t, c.Encode(), again.Encode())
+			require.Equal(t, c.Encode(), decoded.Encode())
 			path := rapid.StringMatching("(/[abcd]){0,5}/?").Draw(t, "path")
-			for _, from := range []*Config{c, again} {
+			for _, from := range []*Config{c, decoded} {
 				name := ""
 				if r := from.Route("D.example", path); r != nil {
 					name = r.Name
 				}
-				require.Equal(t, m.route(path), name, path)
+				require.Equal(t, reference.route(path), name, path)
 			}
 		}
 	})
 }
 
-// try applies both in turn, if both are valid.
-func try(t require.TestingT, c *Config, patches ...drawn) (*Config, bool) {
-	for _, d := range patches {
-		p, err := ParsePatch([]byte(d.String()))
+// applyAll applies the patches in order. It reports false if one of them is invalid.
+func applyAll(t require.TestingT, c *Config, patches ...modelPatch) (*Config, bool) {
+	for _, patch := range patches {
+		p, err := ParsePatch([]byte(patch.String()))
 		require.NoError(t, err)
 		if c, _, err = c.Apply(p); err != nil {
 			return nil, false
@@ -282,8 +284,8 @@
 	return c, true
 }
 
-// The digest that patches bring up to date is that of the configuration read back whole, and another
-// one wherever the configurations differ.
+// TestDigest checks that the incrementally updated digest equals that of the decoded configuration,
+// and that different configurations have different digests.
 func TestDigest(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 7))
 	c, seen := New(), map[uint64]string{}
@@ -300,14 +302,14 @@
 		if zone := fmt.Sprint(r.IntN(3)); r.IntN(2) == 0 {
 			c = c.Evacuate(zone)
 		} else {
-			c = c.Return(zone)
+			c = c.EndEvacuation(zone)
 		}
 		text := c.Encode()
-		whole, err := Decode(text)
+		decoded, err := Decode(text)
 		require.NoError(t, err)
-		require.Equal(t, whole.Digest(), c.Digest())
-		if was, ok := seen[c.Digest()]; ok {
-			require.Equal(t, was, string(text))
+		require.Equal(t, decoded.Digest(), c.Digest())
+		if previous, ok := seen[c.Digest()]; ok {
+			require.Equal(t, previous, string(text))
 		}
 		seen[c.Digest()] = string(text)
 	}
--- a/internal/mesh/meshconfig/route.go
+++ b/internal/mesh/meshconfig/route.go
@@ -8,129 +8,131 @@
 	"time"
 )
 
-// Route is where requests of a host go whose path begins with PathStart, and how they are treated.
+// Route tells how to handle requests for a domain whose path begins with PathStart. The field names
+// follow those of the settings.
 type Route struct {
 	Name               string
 	Version            uint64
-	Domain, PathStart  string // Domain in small letters and without a port
+	Domain, PathStart  string // Domain is lower case and has no port
 	Kind               Kind
 	GiveUp, TargetTime time.Duration // 0 if not given
 	Rank               int           // 0 is the highest
-	Tries              int           // at least 1
-	Public             bool          // needs no key of a customer
-	Shares             []Share       // at least one of a weight over 0; a single service has weight 1
+	Tries              int           // maximum number of attempts, at least 1
+	Public             bool          // requests need no customer key
+	Shares             []Share       // at least one has a weight above 0; a single service has weight 1
 
-	total float64 // of the weights
+	total float64 // sum of the weights
 }
 
-// Share is a service's part of a route.
+// Share is a service and its weight among the services of a route.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Pick returns a service, by weight, for a u drawn from [0, 1).
-func (r *Route) Pick(u float64) string {
-	left := u * r.total
-	last := 0
+// PickService returns a service, chosen by weight, for a random number u from [0, 1).
+func (r *Route) PickService(u float64) string {
+	remaining := u * r.total
+	lastWeighted := 0
 	for n, s := range r.Shares {
 		if s.Weight == 0 {
 			continue
 		}
-		if left < s.Weight {
+		if remaining < s.Weight {
 			return s.Service
 		}
-		left -= s.Weight
-		last = n
+		remaining -= s.Weight
+		lastWeighted = n
 	}
-	return r.Shares[last].Service // by rounding only
+	return r.Shares[lastWeighted].Service // reached only through rounding errors
 }
 
-// hostOf is a host without its port, in small letters.
-func hostOf(host string) string {
+// hostname returns a host in lower case without its port.
+func hostname(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon > strings.LastIndexByte(host, ']') {
 		host = host[:colon]
 	}
-	return strings.ToLower(host) // which allocates for capitals only
+	return strings.ToLower(host) // allocates only if there are capital letters
 }
 
-// prefixes are the routes of a domain, sorted by PathStart, each of which they have once.
-type prefixes struct {
-	routes []*Route
-	parent []int // the longest of the others that begins this one, -1 if none
+// prefixIndex finds the routes of one domain by the longest matching path prefix.
+type prefixIndex struct {
+	routes []*Route // sorted by PathStart, which is unique
+	parent []int    // index of the longest other prefix that begins this one's, -1 if none
 }
 
-// find returns the route with the longest prefix that begins the path. That is the last one that
-// sorts before the path or is equal to it, or one of those that begin it: whatever sorts between a
-// prefix of the path and the path has that prefix too.
-func (p *prefixes) find(path string) *Route {
-	at, found := slices.BinarySearchFunc(p.routes, path, byPath)
+// longestMatch returns the route with the longest prefix of the path. It is the last route that
+// sorts before the path or is equal to it, or one of that route's parents, because whatever sorts
+// between a prefix of the path and the path has that prefix too.
+func (p *prefixIndex) longestMatch(path string) *Route {
+	pos, found := slices.BinarySearchFunc(p.routes, path, comparePathPrefix)
 	if !found {
-		at--
+		pos--
 	}
-	for at >= 0 && !strings.HasPrefix(path, p.routes[at].PathStart) {
-		at = p.parent[at]
+	for pos >= 0 && !strings.HasPrefix(path, p.routes[pos].PathStart) {
+		pos = p.parent[pos]
 	}
-	if at < 0 {
+	if pos < 0 {
 		return nil
 	}
-	return p.routes[at]
+	return p.routes[pos]
 }
 
-func byPath(r *Route, path string) int { return cmp.Compare(r.PathStart, path) }
+func comparePathPrefix(r *Route, path string) int { return cmp.Compare(r.PathStart, path) }
 
-// Route returns the route for a request, nil if there is none.
+// Route returns the route for a request to the host and path, nil if there is none.
 func (c *Config) Route(host, path string) *Route {
-	p := c.hosts[hostOf(host)]
+	p := c.routesByDomain[hostname(host)]
 	if p == nil {
 		return nil
 	}
-	return p.find(path)
+	return p.longestMatch(path)
 }
 
-// index builds what Route looks up: as before, but for the domains whose routes moved.
-func (c *Config) index(before map[string]*prefixes, moved map[string]bool) {
-	if len(moved) == 0 {
-		c.hosts = before
+// indexRoutes builds the lookup tables of Route. Only the changed domains are rebuilt, the other
+// tables are shared with the previous configuration.
+func (c *Config) indexRoutes(previous map[string]*prefixIndex, changedDomains map[string]bool) {
+	if len(changedDomains) == 0 {
+		c.routesByDomain = previous
 		return
 	}
-	c.hosts = maps.Clone(before)
-	if c.hosts == nil {
-		c.hosts = make(map[string]*prefixes)
+	c.routesByDomain = maps.Clone(previous)
+	if c.routesByDomain == nil {
+		c.routesByDomain = make(map[string]*prefixIndex)
 	}
-	for domain := range moved {
-		delete(c.hosts, domain)
+	for domain := range changedDomains {
+		delete(c.routesByDomain, domain)
 	}
 	for _, i := range c.items {
-		if r := i.route; r != nil && moved[r.Domain] {
-			p := c.hosts[r.Domain]
+		if r := i.route; r != nil && changedDomains[r.Domain] {
+			p := c.routesByDomain[r.Domain]
 			if p == nil {
-				p = new(prefixes)
-				c.hosts[r.Domain] = p
+				p = new(prefixIndex)
+				c.routesByDomain[r.Domain] = p
 			}
 			p.routes = append(p.routes, r)
 		}
 	}
-	for domain := range moved {
-		if p := c.hosts[domain]; p != nil {
-			p.link()
+	for domain := range changedDomains {
+		if p := c.routesByDomain[domain]; p != nil {
+			p.build()
 		}
 	}
 }
 
-// link sorts the routes and finds the parents. Of routes with the same prefix the newest version
-// holds, which is what the operator said last, then the first by name.
-func (p *prefixes) link() {
+// build sorts the routes and computes the parents. Of routes with the same prefix the one with the
+// highest version is kept, because it is the operator's latest, then the first by name.
+func (p *prefixIndex) build() {
 	slices.SortFunc(p.routes, func(a, b *Route) int {
 		return cmp.Or(cmp.Compare(a.PathStart, b.PathStart), cmp.Compare(b.Version, a.Version), cmp.Compare(a.Name, b.Name))
 	})
 	p.routes = slices.CompactFunc(p.routes, func(a, b *Route) bool { return a.PathStart == b.PathStart })
 	p.parent = make([]int, len(p.routes))
 	for n, r := range p.routes {
-		at := n - 1
-		for at >= 0 && !strings.HasPrefix(r.PathStart, p.routes[at].PathStart) {
-			at = p.parent[at]
+		parent := n - 1
+		for parent >= 0 && !strings.HasPrefix(r.PathStart, p.routes[parent].PathStart) {
+			parent = p.parent[parent]
 		}
-		p.parent[n] = at
+		p.parent[n] = parent
 	}
 }
