--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -34,7 +34,7 @@
 
 // slowest is how long a client may take from a request's first byte until all of it is here that is kept: the time for its head,
 // 1 s for 64 KiB of body at 64 kB a second, and as much again for an agent that is late.
-const slowest = requestTimeout + 2*time.Second
+const slowest = readHeaderTimeout + 2*time.Second
 
 // lookAgain is how soon connections are looked at again for one that can make room.
 const lookAgain = 20 * time.Millisecond
@@ -74,9 +74,9 @@
 	if len(c.head) == 0 && !bytes.Contains(b[:n], headEnd) {
 		// Danger: net/http counts a head's time from when the connection became idle, and one that comes slowly late in that
 		// time would be cut off.
-		c.SetReadDeadline(time.Now().Add(requestTimeout))
+		c.SetReadDeadline(time.Now().Add(readHeaderTimeout))
 	}
-	c.head = append(c.head, b[:min(n, maxHeader-len(c.head))]...)
+	c.head = append(c.head, b[:min(n, maxHeaderBytes-len(c.head))]...)
 	return n, err
 }
 
--- a/internal/agent/admission_test.go
+++ b/internal/agent/admission_test.go
@@ -13,19 +13,19 @@
 )
 
 // dial opens a client's connection to an agent.
-func (r *running) dial(t *testing.T) net.Conn {
+func (r *runningAgent) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(wait))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
 // talk writes what a client sends as it is, and returns all that comes back until the agent closes.
-func (r *running) talk(t *testing.T, text string) string {
+func (r *runningAgent) talk(t *testing.T, text string) string {
 	t.Helper()
 	c := r.dial(t)
 	go io.WriteString(c, text)
@@ -39,7 +39,7 @@
 // Clients that keep connections without a request do not shut out others, and a request that is open is not
 // disturbed by them.
 func TestSilentClientsMakeRoom(t *testing.T) {
-	a, b, goOn, first := sendHeldRequest(t)
+	a, b, goOn, first := sendPendingRequest(t)
 	receive(t, "request", b.Got)
 	silent := make([]net.Conn, 1024)
 	for i := range silent {
@@ -69,12 +69,12 @@
 // An application that keeps each connection that it has used once, and holds a third of the sockets at most, still
 // has one for its next request.
 func TestKeptConnectionsLeaveSome(t *testing.T) {
-	a := agentFor(t, testSettings, newBackend(t, serves))
+	a := startAgentWith(t, testSettings, newBackend(t, alwaysOK))
 	held := make(chan struct{}, 1024/3)
 	for i := range 1024/3 + 1 {
 		select {
 		case held <- struct{}{}:
-		case <-time.After(idleClients / 2):
+		case <-time.After(clientIdleTimeout / 2):
 			t.Fatalf("no connection left for request %d", i)
 		}
 		c := a.dial(t)
@@ -134,7 +134,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(wait))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		return c
 	}
 	accept := func() (net.Conn, *clientConn) {
@@ -209,7 +209,7 @@
 
 // Clients that say nothing, or never end what they say, are closed; so are those with nothing more to say.
 func TestSlowClientsAreClosed(t *testing.T) {
-	a := agentFor(t, testSettings, newBackend(t, serves))
+	a := startAgentWith(t, testSettings, newBackend(t, alwaysOK))
 	whole := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n"
 	for what, c := range map[string]struct{ text, answer string }{
 		"silence":     {"", ""},
@@ -229,8 +229,8 @@
 // A body that says where it ends in two ways can hide a second request, and headers that stand there twice mean
 // two things: neither goes on to a backend.
 func TestAmbiguousRequests(t *testing.T) {
-	b := newBackend(t, serves)
-	a := agentFor(t, testSettings, b)
+	b := newBackend(t, alwaysOK)
+	a := startAgentWith(t, testSettings, b)
 	head := func(extra string) string {
 		return "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n" + extra + "\r\n"
 	}
@@ -288,7 +288,7 @@
 	const sent = "GET /up HTTP/1.1\r\n"
 	io.WriteString(client, sent)
 	var got []byte
-	for begun := time.Now(); len(got) < len(sent) && time.Since(begun) < wait; {
+	for begun := time.Now(); len(got) < len(sent) && time.Since(begun) < testTimeout; {
 		n, err := c.Read(b)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal(err)
--- a/internal/agent/holds.go
+++ b/internal/agent/holds.go
@@ -112,7 +112,7 @@
 
 func (a *Agent) holdBy(ctx context.Context, backend string, d time.Duration, by string) (known bool, err error) {
 	var wrong error
-	err = a.loop.do(ctx, func() { known, wrong = a.loop.hold(context.WithoutCancel(ctx), backend, d, by) })
+	err = a.loop.runInLoop(ctx, func() { known, wrong = a.loop.hold(context.WithoutCancel(ctx), backend, d, by) })
 	return known, errors.Join(err, wrong)
 }
 
@@ -140,5 +140,5 @@
 // Beside has the agent use half of its room while there is another process.
 func (s side) Beside(is bool) {
 	s.log.Info("handover", "another_process", is)
-	s.shareRoom(is)
+	s.updateLimits(is)
 }
--- a/internal/agent/judge.go
+++ b/internal/agent/judge.go
@@ -45,7 +45,7 @@
 	if l.sites != nil {
 		f.WithdrawnSites = l.sites.WithdrawnShare()
 	}
-	if v, ok := l.current.Decider.(viewer); ok {
+	if v, ok := l.current.Decider.(observableDecider); ok {
 		f.Pressure = v.Pressure()
 		for _, s := range v.View(now) {
 			if s.State != policy.Ready {
@@ -84,7 +84,7 @@
 // Level returns the level of service; nil where there are none.
 func (a *Agent) Level(ctx context.Context) (*control.Level, error) {
 	var v *control.Level
-	err := a.loop.do(ctx, func() {
+	err := a.loop.runInLoop(ctx, func() {
 		if a.loop.levels != nil {
 			v = a.loop.shownLevel()
 		}
@@ -96,7 +96,7 @@
 func (a *Agent) HoldLevel(ctx context.Context, name string, d time.Duration, why string) (v *control.Level, err error) {
 	l := a.loop
 	var wrong error
-	err = l.do(ctx, func() {
+	err = l.runInLoop(ctx, func() {
 		if l.levels == nil {
 			return
 		}
@@ -119,11 +119,11 @@
 func (l *loop) shownLevel() *control.Level {
 	now, v := l.clock.now(), l.levels.Status()
 	s := &control.Level{
-		Level: v.Level, Levels: v.Levels, For: round((now - v.Since).Seconds()), Dwell: v.MinDwell.Seconds(), Figures: v.Readings,
+		Level: v.Level, Levels: v.Levels, For: roundForDisplay((now - v.Since).Seconds()), Dwell: v.MinDwell.Seconds(), Figures: v.Readings,
 		Refusals: []control.LevelRefusal{}, History: []control.LevelChange{},
 	}
 	if v.HeldUntil > now {
-		s.Held = round((v.HeldUntil - now).Seconds())
+		s.Held = roundForDisplay((v.HeldUntil - now).Seconds())
 	}
 	for _, r := range v.Refusals {
 		s.Refusals = append(s.Refusals, control.LevelRefusal{Level: r.Level, Why: r.Reason, Count: r.Count})
--- a/internal/agent/level_test.go
+++ b/internal/agent/level_test.go
@@ -27,13 +27,13 @@
 
 // What a level turns away is refused at once and by name, nothing of it is sent, and the rest is served as before.
 func TestLevelRefusesByName(t *testing.T) {
-	x := newBackend(t, serves)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0)))
-	cfg := config(t, l.Addr, testSettings)
+	x := newBackend(t, alwaysOK)
+	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0)))
+	cfg := testConfig(t, l.Addr, testSettings)
 	cfg.Levels = leanLevels(t)
-	a := start(t, cfg)
+	a := startAgent(t, cfg)
 	ctx := context.Background()
-	a.serve(t, 5)
+	a.serveRequests(t, 5)
 	if v, err := a.agent.HoldLevel(ctx, "essential", time.Minute, "a test"); err != nil || v.Level != "essential" || v.Held <= 0 {
 		t.Fatalf("held: %+v, error %v", v, err)
 	}
@@ -62,7 +62,7 @@
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != http.StatusOK {
 		t.Errorf("a class that the level serves: %d", status)
 	}
-	if s := look(t, a); s.Service.Refused != 3 || s.Held != 0 {
+	if s := controlState(t, a); s.Service.Refused != 3 || s.Held != 0 {
 		t.Errorf("counted %+v, %d open", s.Service, s.Held)
 	} else if c := s.Causes; len(c) != 3 || c[0].Cause != "level essential: class" {
 		t.Errorf("causes %+v", c)
@@ -82,10 +82,10 @@
 		return "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", false
 	}
 	x, y, z := newBackend(t, turns), newBackend(t, turns), newBackend(t, turns)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0), host("y", y.Addr, "Ready", 0), host("z", z.Addr, "Ready", 0)))
-	cfg := config(t, l.Addr, testSettings)
+	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0), memberJSON("z", z.Addr, "Ready", 0)))
+	cfg := testConfig(t, l.Addr, testSettings)
 	cfg.Levels = leanLevels(t)
-	a := start(t, cfg)
+	a := startAgent(t, cfg)
 	attempts := func() int {
 		before := len(x.Got) + len(y.Got) + len(z.Got)
 		if status, _ := a.do(t, a.request("unsafe", "15000m")); status != http.StatusServiceUnavailable {
@@ -108,19 +108,19 @@
 
 // Levels that don't fit the classes end the start, and name the field.
 func TestLevelsThatDoNotFit(t *testing.T) {
-	cfg := config(t, "127.0.0.1:1", testSettings)
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
 	cfg.Levels = level.Config{Level: []level.Level{{Name: "lean", Shed: []string{"unsafe"}}}}
 	if err := cfg.Levels.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, nil), nil); err == nil || !strings.Contains(err.Error(), "levels.level[0].shed") {
+	if _, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, nil), nil); err == nil || !strings.Contains(err.Error(), "levels.level[0].shed") {
 		t.Errorf("error %v", err)
 	}
 }
 
 // Without levels nothing is judged and nothing is shown.
 func TestNoLevels(t *testing.T) {
-	a := agentFor(t, testSettings, newBackend(t, serves))
+	a := startAgentWith(t, testSettings, newBackend(t, alwaysOK))
 	ctx := context.Background()
 	if v, err := a.agent.Level(ctx); v != nil || err != nil {
 		t.Errorf("shown %+v, error %v", v, err)
@@ -128,5 +128,5 @@
 	if v, err := a.agent.HoldLevel(ctx, "lean", time.Minute, "a test"); v != nil || err != nil {
 		t.Errorf("held %+v, error %v", v, err)
 	}
-	a.serve(t, 3)
+	a.serveRequests(t, 3)
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -67,7 +67,7 @@
 	retryAfter  time.Duration // 0: no advice
 	contentType string
 	body        []byte
-	rest        *download // behind the body; nil: nothing
+	rest        *downloadStream // behind the body; nil: nothing
 }
 
 // request is what the loop knows of a call until it is answered and its attempts are back.
@@ -116,7 +116,7 @@
 	current   *module         // gets new requests
 	modules   []*module       // it, and those before it that are not done
 	decisions policy.Settings // of the current one
-	backends  *backends
+	backends  *backendClient
 	late      *lateness
 	follow    func()       // asks discovery for the list
 	tell      func([]byte) // tells all other agents
@@ -143,14 +143,14 @@
 	actions  []policy.Action
 }
 
-func newLoop(cfg *Config, backends *backends, log *slog.Logger) (*loop, error) {
-	decider, err := cfg.decider()
+func newLoop(cfg *Config, backends *backendClient, log *slog.Logger) (*loop, error) {
+	decider, err := cfg.buildDecider()
 	if err != nil {
 		return nil, err
 	}
 	first := &module{Decider: decider}
 	l := &loop{
-		set: &cfg.Settings, clock: backends.late.time, late: backends.late, current: first, modules: []*module{first}, decisions: cfg.Settings.Module, backends: backends, log: log,
+		set: &cfg.Settings, clock: backends.lateness.time, late: backends.lateness, current: first, modules: []*module{first}, decisions: cfg.Settings.Module, backends: backends, log: log,
 		listed: map[policy.ServerID]policy.ServerEntry{}, holds: handover.Register{}, said: func() {},
 		counts: newCounts(len(cfg.Settings.Classes)),
 		tell:   func([]byte) {},
@@ -302,7 +302,7 @@
 		r.module.open++
 		l.counts.requests++
 		ev.Request, ev.Class, ev.Tenant, ev.Retry = in.call.id, in.call.class, in.call.tenant, in.call.retry
-		ev.TimeLeft, ev.BodyPending = in.call.deadline-l.clock.now(), in.call.message.rest != nil
+		ev.TimeLeft, ev.BodyPending = in.call.deadline-l.clock.now(), in.call.message.upload != nil
 		if l.sites != nil {
 			l.sites.meter.RecordRequest(r.class, r.tenant, r.retry)
 		}
@@ -318,15 +318,15 @@
 			return
 		}
 		r.begun = l.clock.now()
-		r.deadline = r.begun + r.message.rest.budget
-		ev.Request, ev.TimeLeft = r.id, r.message.rest.budget
+		r.deadline = r.begun + r.message.upload.budget
+		ev.Request, ev.TimeLeft = r.id, r.message.upload.budget
 		l.handle(ctx, r.module, ev)
 	case policy.EventClientGone:
 		r := l.requests[in.call.id]
 		if r == nil || r.ended { // it crossed the answer, if there was one
 			select {
 			case a := <-in.call.answered:
-				a.drop()
+				a.discard()
 			default:
 			}
 			return
@@ -344,7 +344,7 @@
 		r.last = ev.Outcome
 		l.heardOf(r, &ev)
 		if ev.Outcome == policy.OK && !l.end(r, in.answer) {
-			in.answer.drop()
+			in.answer.discard()
 		}
 		ev.Final = r.ended
 		l.handle(ctx, r.module, ev)
@@ -429,11 +429,11 @@
 	entries := make([]policy.ServerEntry, 0, len(members))
 	for _, m := range members {
 		e := policy.ServerEntry{
-			ID:     l.servers.of(m.ID),
+			ID:     l.servers.idFor(m.ID),
 			Zone:   slices.Index(l.set.Zones, m.Locality),
 			Kind:   slices.Index(l.set.Kinds, m.Flavor),
 			Cell:   m.Cell,
-			State:  phases[m.Phase],
+			State:  stateByPhase[m.Phase],
 			Weight: m.Size,
 			Start:  time.Duration(math.Round(m.UpSince * float64(time.Millisecond))),
 			Key:    keyOf(m.ID),
@@ -476,7 +476,7 @@
 			l.backends.Retire(t)
 			delete(l.targets, id)
 		}
-		l.servers.free(id)
+		l.servers.release(id)
 		delete(l.listed, id)
 	}
 }
--- a/internal/agent/loop_actions.go
+++ b/internal/agent/loop_actions.go
@@ -81,9 +81,9 @@
 		left = min(left, a.Wait)
 	}
 	t := l.targets[a.Server]
-	rest := r.message.rest
+	rest := r.message.upload
 	// Danger: what has been read of a stream is nowhere any more, and two can't read it.
-	gone := rest != nil && (r.out > 0 || rest.begun.Load())
+	gone := rest != nil && (r.out > 0 || rest.forwarding.Load())
 	if r.ended || left <= 0 || t == nil || n >= l.decisions.MaxAttempts || gone {
 		r.attempts = append(r.attempts, func() {})
 		l.events = append(l.events, decision{r.module, policy.Event{
@@ -123,7 +123,7 @@
 		if rest != nil && rest.hasFailed() {
 			l.send(input{event: policy.Event{Kind: policy.EventClientGone}, call: call})
 		}
-		l.send(input{answer: res.answer, sent: sent, took: res.took, by: by, event: policy.Event{
+		l.send(input{answer: res.answer, sent: sent, took: res.backendTime, by: by, event: policy.Event{
 			Kind: policy.EventOutcome, Request: id, Attempt: n, Server: server, Outcome: res.outcome, Load: res.load,
 		}})
 	}
@@ -145,7 +145,7 @@
 	}
 	go func() {
 		res := l.backends.probe(ctx, t, l.set)
-		l.send(input{seen: res.seen - l.late.own(), event: policy.Event{
+		l.send(input{seen: res.endedAt - l.late.own(), event: policy.Event{
 			Kind: policy.EventProbeResult, Server: server, Outcome: res.outcome, Load: res.load,
 		}})
 	}()
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -17,7 +17,7 @@
 
 // The id of a request that is open, or was a moment ago, is no other's: the second is refused and the first served.
 func TestCallIDsAreUsedOnce(t *testing.T) {
-	a, b, goOn, first := sendHeldRequest(t)
+	a, b, goOn, first := sendPendingRequest(t)
 	id := receive(t, "request", b.Got).Header.Get(callIDHeader)
 	again := func() int {
 		req := a.request("unsafe", "15000m")
@@ -56,7 +56,7 @@
 func TestHangup(t *testing.T) {
 	released := make(chan struct{})
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	ctx, hangUp := context.WithCancel(context.Background())
 	go func() {
 		defer close(released)
@@ -72,7 +72,7 @@
 }
 
 // writeRaw sends a request over a connection of its own, as no library does.
-func writeRaw(t *testing.T, a *running) net.Conn {
+func writeRaw(t *testing.T, a *runningAgent) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
@@ -88,7 +88,7 @@
 // A client that hangs up behind the first bytes of its next request is seen to do so.
 func TestHangupBehindNextRequest(t *testing.T) {
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	c := writeRaw(t, a)
 	receive(t, "request", b.Got)
 	if _, err := c.Write([]byte("GET /safe")); err != nil {
@@ -102,7 +102,7 @@
 // still.
 func TestCloseWaitsInSocket(t *testing.T) {
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	l := a.agent.loop
 	l.mu.Lock() // all that is decided waits
 	for range 20 {
@@ -111,7 +111,7 @@
 	c := writeRaw(t, a)
 	l.mu.Unlock()
 	c.Close()
-	a.eventually(t, "nothing is held", func() bool { return a.agent.server.held.Load() == 0 })
+	a.eventually(t, "nothing is held", func() bool { return a.agent.server.openRequests.Load() == 0 })
 	if n := len(b.Got); n > 1 { // the last may have come before its close
 		t.Errorf("%d requests reached a backend", n)
 	}
@@ -126,9 +126,9 @@
 
 // The loop keeps a repeat from being sent too late, and forgets backends that are gone.
 func TestLoopCarriesOut(t *testing.T) {
-	b := newBackend(t, serves)
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	b := newBackend(t, alwaysOK)
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	l, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,11 +139,11 @@
 			members: []member{{ID: "x", HostPort: b.Addr, Phase: phase}}})
 	}
 	list(policy.ListFull, "Ready")
-	x := l.servers.of("x")
-	r := &request{module: l.current, call: &call{id: 7, deadline: l.clock.now() + wait, answered: make(chan answer, 1),
+	x := l.servers.idFor("x")
+	r := &request{module: l.current, call: &call{id: 7, deadline: l.clock.now() + testTimeout, answered: make(chan answer, 1),
 		message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}}
 	l.requests[r.id] = r
-	send := policy.Action{Kind: policy.ActSend, Request: r.id, Server: x, Wait: wait}
+	send := policy.Action{Kind: policy.ActSend, Request: r.id, Server: x, Wait: testTimeout}
 	l.act(ctx, l.current, &send)
 	if in := receive(t, "outcome", inputs); in.event.Outcome != policy.OK {
 		t.Fatalf("outcome %d", in.event.Outcome)
@@ -168,8 +168,8 @@
 
 // A request is answered once: the outcome of an attempt that crosses the hangup of its client changes nothing.
 func TestLateOutcomeIsDropped(t *testing.T) {
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	l, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,7 +177,7 @@
 	ctx := t.Context()
 	l.take(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull},
 		members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
-	c := &call{class: 2, deadline: l.clock.now() + wait, answered: make(chan answer, 1), message: newMessage("POST", "/", "x", nil, nil, nil)}
+	c := &call{class: 2, deadline: l.clock.now() + testTimeout, answered: make(chan answer, 1), message: newMessage("POST", "/", "x", nil, nil, nil)}
 	l.take(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
 	if len(l.requests) != 1 || l.requests[c.id].out != 1 {
 		t.Fatalf("after the request: %+v", l.requests)
@@ -210,10 +210,10 @@
 			return report, false
 		}
 		<-serve
-		return okText, false
+		return okResponse, false
 	})
 	// With a tick of 5 s one probe of each lasts for the whole test.
-	a := agentFor(t, strings.NewReplacer(`"off"`, `"on_probe"`, `"tick":5`, `"tick":5000`,
+	a := startAgentWith(t, strings.NewReplacer(`"off"`, `"on_probe"`, `"tick":5`, `"tick":5000`,
 		`"maxAttempts":3`, `"maxAttempts":20,"probes":true`).Replace(testSettings), x, y)
 	answers := make(chan int, asked+more)
 	ask := func() {
@@ -234,7 +234,7 @@
 			if !loads(req) {
 				atY++
 			}
-		case <-time.After(wait):
+		case <-time.After(testTimeout):
 			t.Fatalf("%d and %d requests have come", atX, atY)
 		}
 	}
@@ -248,7 +248,7 @@
 				if !loads(req) {
 					atY++
 				}
-			case <-time.After(wait):
+			case <-time.After(testTimeout):
 				t.Fatalf("%d of %d requests are at the other", atY, n)
 			}
 		}
@@ -274,11 +274,11 @@
 		if got.Add(1) == 1 {
 			return "", false
 		}
-		return okText, false
+		return okResponse, false
 	}
 	x, y := newBackend(t, script), newBackend(t, script)
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	l, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -286,14 +286,14 @@
 	ctx := t.Context()
 	l.take(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull},
 		members: []member{{ID: "x", HostPort: x.Addr, Phase: "Ready"}, {ID: "y", HostPort: y.Addr, Phase: "Ready"}}})
-	c := &call{deadline: l.clock.now() + wait, answered: make(chan answer, 1), message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
+	c := &call{deadline: l.clock.now() + testTimeout, answered: make(chan answer, 1), message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
 	l.take(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
 	swallower := x
 	select {
 	case <-x.Got:
 	case <-y.Got:
 		swallower = y
-	case <-time.After(wait):
+	case <-time.After(testTimeout):
 		t.Fatal("no request")
 	}
 	for range 2 { // the module's looks at the silent attempt, due or not
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -33,8 +33,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	c := &chatter{conn: conn, all: p.All, from: map[netip.AddrPort]bool{}}
-	for _, addr := range p.From {
+	c := &chatter{conn: conn, all: p.Broadcast, from: map[netip.AddrPort]bool{}}
+	for _, addr := range p.Sources {
 		c.from[addr] = true
 	}
 	return c, nil
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -27,7 +27,7 @@
 	all, allAt := udp(t)
 	friend, friendAt := udp(t)
 	stranger, _ := udp(t)
-	c, err := openPeers(&Peers{Listen: netip.MustParseAddrPort("127.0.0.1:0"), All: allAt, From: []netip.AddrPort{friendAt}}, TCP{})
+	c, err := openPeers(&Peers{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Broadcast: allAt, Sources: []netip.AddrPort{friendAt}}, TCP{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -127,7 +127,7 @@
 	s.looked = now
 	var uses []site.Load
 	silent := map[policy.ServerID]bool{}
-	if v, ok := l.current.Decider.(viewer); ok {
+	if v, ok := l.current.Decider.(observableDecider); ok {
 		for _, b := range v.View(now) {
 			uses = append(uses, site.Load{ID: b.ID, InFlight: b.Outstanding, Capacity: b.ConcurrencyLimit})
 			silent[b.ID] = b.Overdue > 0
@@ -175,7 +175,7 @@
 		switch over := p.Utilization > site.MaxUtilization && p.LoadShare > 0; {
 		case over && !s.warned[p.Site]:
 			s.warned[p.Site] = true
-			l.log.Warn("the loss of a site could not be carried", "name", p.Site, "carries", round(p.LoadShare), "refused", round(p.ShedShare))
+			l.log.Warn("the loss of a site could not be carried", "name", p.Site, "carries", roundForDisplay(p.LoadShare), "refused", roundForDisplay(p.ShedShare))
 		case s.warned[p.Site] && p.Utilization < site.MaxUtilization-0.1:
 			delete(s.warned, p.Site)
 			l.log.Info("the loss of a site could be carried again", "name", p.Site)
@@ -186,7 +186,7 @@
 // Sites returns the sites; nil where they are not watched.
 func (a *Agent) Sites(ctx context.Context) (*control.Sites, error) {
 	var v *control.Sites
-	err := a.loop.do(ctx, func() {
+	err := a.loop.runInLoop(ctx, func() {
 		if a.loop.sites != nil {
 			v = a.loop.shownSites()
 		}
@@ -198,7 +198,7 @@
 func (a *Agent) TakeOut(ctx context.Context, name string, d time.Duration, force bool, why string) (v *control.Sites, err error) {
 	l := a.loop
 	var wrong error
-	err = l.do(ctx, func() {
+	err = l.runInLoop(ctx, func() {
 		if l.sites == nil {
 			return
 		}
@@ -221,7 +221,7 @@
 // whole it does not do.
 func (a *Agent) applySites(ctx context.Context, out map[string]document.Site) (err error) {
 	l := a.loop
-	wrong := l.do(ctx, func() {
+	wrong := l.runInLoop(ctx, func() {
 		s := l.sites
 		if s == nil {
 			if len(out) > 0 {
@@ -263,14 +263,14 @@
 	s := &control.Sites{Sites: []control.Site{}, Plans: []control.SitePlan{}, History: []control.SiteChange{}}
 	for _, v := range views {
 		c := control.Site{
-			Name: v.Name, State: v.State.String(), For: round((now - v.Since).Seconds()), Servers: v.Servers, Used: v.Admitted, Times: v.RecentLosses,
-			Load: round(v.InFlight), Room: round(v.Capacity),
+			Name: v.Name, State: v.State.String(), For: roundForDisplay((now - v.Since).Seconds()), Servers: v.Servers, Used: v.Admitted, Times: v.RecentLosses,
+			Load: roundForDisplay(v.InFlight), Room: roundForDisplay(v.Capacity),
 		}
 		if v.RetryAt > 0 {
-			c.Retry = round(max(0, v.RetryAt-now).Seconds())
+			c.Retry = roundForDisplay(max(0, v.RetryAt-now).Seconds())
 		}
 		if v.EvacuatedUntil > 0 {
-			c.Out = round(max(0, v.EvacuatedUntil-now).Seconds())
+			c.Out = roundForDisplay(max(0, v.EvacuatedUntil-now).Seconds())
 		}
 		if w := v.Pacer; w != nil {
 			c.Pacer = w.State.String()
@@ -281,16 +281,16 @@
 		s.Sites = append(s.Sites, c)
 	}
 	for _, p := range l.sites.LossImpacts(now, l.sites.meter.Demand()) {
-		c := control.SitePlan{Lose: p.Site, Share: round(p.LoadShare), Refused: round(p.ShedShare), Moves: []control.SiteMove{}, First: []control.SiteRefusal{}}
+		c := control.SitePlan{Lose: p.Site, Share: roundForDisplay(p.LoadShare), Refused: roundForDisplay(p.ShedShare), Moves: []control.SiteMove{}, First: []control.SiteRefusal{}}
 		if !math.IsInf(p.Utilization, 0) {
-			after := round(p.Utilization)
+			after := roundForDisplay(p.Utilization)
 			c.After = &after
 		}
 		for _, m := range p.Shifts {
-			c.Moves = append(c.Moves, control.SiteMove{To: m.Site, Share: round(m.Share), After: round(m.Utilization)})
+			c.Moves = append(c.Moves, control.SiteMove{To: m.Site, Share: roundForDisplay(m.Share), After: roundForDisplay(m.Utilization)})
 		}
 		for _, r := range p.Shed {
-			c.First = append(c.First, control.SiteRefusal{What: r.Name, Share: round(r.Share), Part: round(r.ShedFraction)})
+			c.First = append(c.First, control.SiteRefusal{What: r.Name, Share: roundForDisplay(r.Share), Part: roundForDisplay(r.ShedFraction)})
 		}
 		s.Plans = append(s.Plans, c)
 	}
