--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -10,44 +10,44 @@
 )
 
 // sweepIdle is how often connections are looked at that are to end.
-const sweepIdle = 50 * time.Millisecond
+const modeCheckInterval = 50 * time.Millisecond
 
 // Ready says whether requests are served: there is a list, and the agent neither drains nor ends.
-func (a *Agent) Ready() bool { return a.loop.ready.Load() && a.server.stance.Load().Ready }
+func (a *Agent) Ready() bool { return a.loop.ready.Load() && a.server.mode.Load().Ready }
 
 // Figures are what operators' staff read.
 func (a *Agent) Figures(ctx context.Context) (*admin.Figures, error) {
 	l := a.loop
-	f := &admin.Figures{Attempts: l.backends.written.Load(), InFlight: a.server.openRequests.Load() - a.server.coming.Load()}
+	figures := &admin.Figures{Attempts: l.backends.writtenAttempts.Load(), InFlight: a.server.openRequests.Load() - a.server.receivingBodies.Load()}
 	err := l.runInLoop(ctx, func() {
 		for i, c := range l.counts.classes {
-			f.Classes = append(f.Classes, admin.Class{Name: l.set.Classes[i], Served: c.served, Refused: c.refused, Failed: c.failed})
+			figures.Classes = append(figures.Classes, admin.Class{Name: l.set.Classes[i], Served: c.served, Refused: c.refused, Failed: c.failed})
 		}
-		f.Known = len(l.listed)
-		avoided := map[policy.ServerID]bool{}
+		figures.Known = len(l.listed)
+		excluded := map[policy.ServerID]bool{}
 		for id, e := range l.listed {
-			avoided[id] = l.held(e).State != policy.Ready
+			excluded[id] = l.held(e).State != policy.Ready
 		}
-		if v, ok := l.current.Decider.(observableDecider); ok {
-			for _, s := range v.View(l.clock.now()) {
+		if decider, ok := l.current.Decider.(observableDecider); ok {
+			for _, s := range decider.View(l.clock.now()) {
 				if len(s.Ejected) == len(l.set.Classes) {
-					avoided[s.ID] = true
+					excluded[s.ID] = true
 				}
 			}
 		}
-		for id, out := range avoided {
-			if _, listed := l.listed[id]; listed && out {
-				f.Excluded++
+		for id, isExcluded := range excluded {
+			if _, listed := l.listed[id]; listed && isExcluded {
+				figures.Excluded++
 			}
 		}
 	})
-	return f, err
+	return figures, err
 }
 
 // SetDraining begins or ends a drain by hand: clients are to go elsewhere, and the process stays.
 func (a *Agent) SetDraining(on bool) {
 	a.log.Info("operators", "draining", on)
-	a.changeStance(func(m *leave.Controller, now time.Duration) {
+	a.changeMode(func(m *leave.Controller, now time.Duration) {
 		if on {
 			m.Drain(now)
 		} else {
@@ -57,32 +57,32 @@
 }
 
 // changeStance takes in what is asked of the agent, and has the connections follow.
-func (a *Agent) changeStance(f func(m *leave.Controller, now time.Duration)) {
-	a.leaveMu.Lock()
-	defer a.leaveMu.Unlock()
-	f(&a.modeController, a.loop.clock.now())
+func (a *Agent) changeMode(change func(m *leave.Controller, now time.Duration)) {
+	a.modeMu.Lock()
+	defer a.modeMu.Unlock()
+	change(&a.modeController, a.loop.clock.now())
 	a.applyMode()
 }
 
 // follow brings the stance into force, as often as it changes by itself. The mutex is held.
 func (a *Agent) applyMode() {
-	s := a.modeController.ModeAt(a.loop.clock.now())
-	a.server.stance.Store(&s)
-	if s.CloseIdle {
+	mode := a.modeController.ModeAt(a.loop.clock.now())
+	a.server.mode.Store(&mode)
+	if mode.CloseIdle {
 		a.clientConns.endIdle()
 	}
 	switch {
-	case !s.CloseAfterAnswer || a.modeTimerArmed:
+	case !mode.CloseAfterAnswer || a.modeTimerArmed:
 	case a.modeTimer == nil:
 		a.modeTimerArmed = true
-		a.modeTimer = time.AfterFunc(sweepIdle, func() {
-			a.leaveMu.Lock()
-			defer a.leaveMu.Unlock()
+		a.modeTimer = time.AfterFunc(modeCheckInterval, func() {
+			a.modeMu.Lock()
+			defer a.modeMu.Unlock()
 			a.modeTimerArmed = false
 			a.applyMode()
 		})
 	default:
 		a.modeTimerArmed = true
-		a.modeTimer.Reset(sweepIdle)
+		a.modeTimer.Reset(modeCheckInterval)
 	}
 }
--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -18,11 +18,11 @@
 // one call back, and is taken for one that has just started.
 func TestBanOutlivesTheList(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
-	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
-	a := startAgent(t, testConfig(t, l.Addr, testSettings))
-	ban := func(id string, out, want bool) {
+	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
+	a := startAgent(t, testConfig(t, discoveryServer.Addr, testSettings))
+	ban := func(id string, banned, want bool) {
 		t.Helper()
-		if known, err := a.agent.Ban(t.Context(), id, out); known != want || err != nil {
+		if known, err := a.agent.Ban(t.Context(), id, banned); known != want || err != nil {
 			t.Fatalf("ban of %s: known %v, %v", id, known, err)
 		}
 	}
@@ -30,18 +30,18 @@
 	ban("x", true, true)
 	ban("z", true, false)
 	ban("z", false, false)
-	l.Next <- listJSON(2, false, `{"id":"x","phase":"Gone"}`)
-	l.Next <- listJSON(3, false, memberJSON("x", x.Addr, "Ready", 0))
-	l.Next <- listJSON(4, false, memberJSON("z", y.Addr, "Terminating", 0)) // which shows that the one before was taken
-	for begun := time.Now(); len(controlState(t, a).Backends) < 3; time.Sleep(time.Millisecond) {
-		if time.Since(begun) > testTimeout {
+	discoveryServer.Next <- listJSON(2, false, `{"id":"x","phase":"Gone"}`)
+	discoveryServer.Next <- listJSON(3, false, memberJSON("x", x.Addr, "Ready", 0))
+	discoveryServer.Next <- listJSON(4, false, memberJSON("z", y.Addr, "Terminating", 0)) // which shows that the one before was taken
+	for start := time.Now(); len(controlState(t, a).Backends) < 3; time.Sleep(time.Millisecond) {
+		if time.Since(start) > testTimeout {
 			t.Fatal("the list does not come")
 		}
 	}
 	a.serveRequests(t, 30)
-	f, err := a.agent.Figures(t.Context())
-	if err != nil || f.Known != 3 || f.Excluded != 2 || f.Attempts != 30 || f.Classes[2].Served != 30 {
-		t.Errorf("figures %+v, %v", f, err)
+	figures, err := a.agent.Figures(t.Context())
+	if err != nil || figures.Known != 3 || figures.Excluded != 2 || figures.Attempts != 30 || figures.Classes[2].Served != 30 {
+		t.Errorf("figures %+v, %v", figures, err)
 	}
 	if s := controlState(t, a).Backends[0]; len(x.Got) > 0 || s.HeldBy != byOperator {
 		t.Errorf("%d sent to who is out; shown as %+v", len(x.Got), s)
@@ -50,8 +50,8 @@
 	if s := controlState(t, a).Backends[0]; s.Warmth >= 1 || s.HeldBy != "" {
 		t.Errorf("back from a restart it is shown as %+v", s)
 	}
-	for begun := time.Now(); len(x.Got) == 0; a.serveRequests(t, 1) {
-		if time.Since(begun) > testTimeout {
+	for start := time.Now(); len(x.Got) == 0; a.serveRequests(t, 1) {
+		if time.Since(start) > testTimeout {
 			t.Fatal("nothing is sent to who is back")
 		}
 	}
@@ -103,13 +103,13 @@
 }
 
 // slowDial is a network on which connections come up when they are let.
-type slowDial struct {
+type slowDialNetwork struct {
 	TCP
 	dialing chan string
 	proceed chan struct{}
 }
 
-func (n *slowDial) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (n *slowDialNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	n.dialing <- addr
 	<-n.proceed
 	return n.TCP.Dial(ctx, addr)
@@ -119,27 +119,27 @@
 // elsewhere.
 func TestBanBetweenChoiceAndFirstByte(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", testSettings)
-	net := &slowDial{dialing: make(chan string, 10), proceed: make(chan struct{}, 10)}
+	network := &slowDialNetwork{dialing: make(chan string, 10), proceed: make(chan struct{}, 10)}
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
-	l, err := newLoop(cfg, newBackendClient(net, &cfg.Settings, 8, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	eventLoop, err := newLoop(cfg, newBackendClient(network, &cfg.Settings, 8, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.send(input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{
+	eventLoop.send(input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{
 		{ID: "x", HostPort: x.Addr, Phase: "Ready"}, {ID: "y", HostPort: y.Addr, Phase: "Ready"},
 	}})
-	c := &call{callID: "c", class: 2, deadline: l.clock.now() + testTimeout, answered: make(chan answer, 1)}
-	c.message = newMessage(http.MethodPost, "/unsafe/1", "x", http.Header{callIDHeader: {"c"}}, nil, nil)
-	l.send(input{event: policy.Event{Kind: policy.EventRequest}, call: c})
-	first, other := x, y
-	out := "x"
-	if receive(t, "choice", net.dialing) == y.Addr {
-		first, other, out = y, x, "y"
-	}
-	l.locked(func() { l.hold(t.Context(), out, forGood, byOperator) })
-	net.proceed <- struct{}{}
-	net.proceed <- struct{}{}
-	if a := receive(t, "answer", c.answered); a.status != http.StatusOK || len(first.Got) != 0 || len(other.Got) != 1 {
-		t.Errorf("answered %d, %d sent to who is out, %d to the other", a.status, len(first.Got), len(other.Got))
+	pending := &call{callID: "c", class: 2, deadline: eventLoop.clock.now() + testTimeout, answered: make(chan answer, 1)}
+	pending.message = newMessage(http.MethodPost, "/unsafe/1", "x", http.Header{callIDHeader: {"c"}}, nil, nil)
+	eventLoop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: pending})
+	chosen, other := x, y
+	bannedID := "x"
+	if receive(t, "choice", network.dialing) == y.Addr {
+		chosen, other, bannedID = y, x, "y"
+	}
+	eventLoop.locked(func() { eventLoop.hold(t.Context(), bannedID, forGood, byOperator) })
+	network.proceed <- struct{}{}
+	network.proceed <- struct{}{}
+	if a := receive(t, "answer", pending.answered); a.status != http.StatusOK || len(chosen.Got) != 0 || len(other.Got) != 1 {
+		t.Errorf("answered %d, %d sent to who is out, %d to the other", a.status, len(chosen.Got), len(other.Got))
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -28,8 +28,8 @@
 	// their connection would use up the sockets.
 	clientIdleTimeout = 2500 * time.Millisecond
 	// streamShare is the part of the memory that streams may hold.
-	streamShare = 4
-	leaveSlack  = 100 * time.Millisecond
+	streamMemoryDivisor = 4
+	shutdownSlack       = 100 * time.Millisecond
 )
 
 // Serve runs an agent until the context ends, and until what it has taken is finished. Of a configuration that is
@@ -53,7 +53,7 @@
 	server           *server
 	peers            *chatter     // nil: there is no talk among agents
 	discoveryChanges chan *Config // to another discovery, by operators
-	followed         string       // the discovery that they have moved to last
+	discoveryAddr    string       // the discovery that they have moved to last
 
 	handover        *handover.Handover // nil: the process is never replaced
 	maxBackendConns int                // of the sockets, for backends
@@ -61,7 +61,7 @@
 	otherProcess    atomic.Bool        // another process of the agent runs
 	operatorLimit   atomic.Int64       // requests held at once, by operators; 0: they say nothing
 
-	leaveMu        sync.Mutex // guards what follows
+	modeMu         sync.Mutex // guards what follows
 	modeController leave.Controller
 	modeTimer      *time.Timer
 	modeTimerArmed bool // the sweep is to come
@@ -70,67 +70,67 @@
 // New returns an agent that is not running yet.
 func New(cfg *Config, listener net.Listener, network Network, log *slog.Logger) (*Agent, error) {
 	// Half of the sockets is for backends.
-	half := (cfg.Sockets - reservedSockets) / 2
-	l, err := newLoop(cfg, newBackendClient(network, &cfg.Settings, half, int64(cfg.MemoryMB)<<20/streamShare, log), log)
+	maxBackendConns := (cfg.Sockets - reservedSockets) / 2
+	eventLoop, err := newLoop(cfg, newBackendClient(network, &cfg.Settings, maxBackendConns, int64(cfg.MemoryMB)<<20/streamMemoryDivisor, log), log)
 	if err != nil {
 		return nil, err
 	}
-	tell := func(mode policy.ListMode, members []member) {
-		l.send(input{event: policy.Event{Kind: policy.EventList, ListMode: mode}, members: members})
+	onList := func(mode policy.ListMode, members []member) {
+		eventLoop.send(input{event: policy.Event{Kind: policy.EventList, ListMode: mode}, members: members})
 	}
-	d := newDiscovery(network, cfg.Discovery, cfg.Settings.Module.AskList, tell, log)
+	watcher := newDiscovery(network, cfg.Discovery, cfg.Settings.Module.AskList, onList, log)
 	// Danger: discovery's work is the lines that it sends, and after a release all agents ask at once.
 	if cfg.knownList.Complete && len(cfg.knownList.Members) > 0 {
-		d.revision = cfg.knownList.Revision
+		watcher.revision = cfg.knownList.Revision
 	}
-	l.follow = d.requestWatch
-	talk, err := openPeers(&cfg.Peers, network)
+	eventLoop.follow = watcher.requestWatch
+	peers, err := openPeers(&cfg.Peers, network)
 	if err != nil {
 		return nil, err
 	}
-	if talk != nil {
-		l.tell = talk.tell
+	if peers != nil {
+		eventLoop.tell = peers.tell
 	}
 	// Danger: the application holds a third of the sockets at most for its requests. Were there room for more, those
 	// that it has used once and keeps would leave it none for the next request.
-	room := min(half, cfg.Sockets*3/10)
+	maxClientConns := min(maxBackendConns, cfg.Sockets*3/10)
 	a := &Agent{
-		cfg: cfg, log: log, loop: l, discovery: d, clientConns: &admission{Listener: listener, most: room},
-		server: &server{loop: l, usual: int64(room - room/8)}, discoveryChanges: make(chan *Config),
-		followed: cfg.Discovery, peers: talk, modeController: leave.Controller{SharedSocket: cfg.SharedSocket},
+		cfg: cfg, log: log, loop: eventLoop, discovery: watcher, clientConns: &admission{Listener: listener, most: maxClientConns},
+		server: &server{loop: eventLoop, defaultMaxRequests: int64(maxClientConns - maxClientConns/8)}, discoveryChanges: make(chan *Config),
+		discoveryAddr: cfg.Discovery, peers: peers, modeController: leave.Controller{SharedSocket: cfg.SharedSocket},
 	}
 	a.server.clientConns = a.clientConns
-	a.server.maxRequests.Store(a.server.usual)
-	a.server.stance.Store(&leave.Mode{Ready: true, Accept: true})
-	a.maxBackendConns, a.maxClientConns = half, room
+	a.server.maxRequests.Store(a.server.defaultMaxRequests)
+	a.server.mode.Store(&leave.Mode{Ready: true, Accept: true})
+	a.maxBackendConns, a.maxClientConns = maxBackendConns, maxClientConns
 	if cfg.Handover != nil {
 		a.handover = handover.New(cfg.Handover, side{a}, log)
-		l.said = a.handover.Tell
+		eventLoop.said = a.handover.Tell
 	}
 	return a, nil
 }
 
 // Run serves until the context ends, then finishes what it has taken. It closes the listener.
 func (a *Agent) Run(ctx context.Context, reloads <-chan *Config) error {
-	cfg, l, handler := a.cfg, a.loop, a.server
+	cfg, eventLoop, handler := a.cfg, a.loop, a.server
 	defer a.clientConns.Close()
 	if cfg.OnStart != nil {
 		cfg.OnStart(a)
 	}
 	// What the agent has taken it finishes, so its workers outlive the context.
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
+	workCtx, stopWorkers := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopWorkers()
 	var workers sync.WaitGroup
-	l.ctx = work
-	workers.Go(func() { l.run(work) })
-	a.takeOver(ctx)
+	eventLoop.ctx = workCtx
+	workers.Go(func() { eventLoop.run(workCtx) })
+	a.takeOverState(ctx)
 	a.discovery.onList(policy.ListCached, cfg.knownList.Members)
-	workers.Go(func() { a.discovery.run(work, reloads, a.discoveryChanges) })
+	workers.Go(func() { a.discovery.run(workCtx, reloads, a.discoveryChanges) })
 	if a.peers != nil {
-		workers.Go(func() { a.peers.hear(work, l) })
+		workers.Go(func() { a.peers.hear(workCtx, eventLoop) })
 	}
 	defer func() {
-		stop()
+		stopWorkers()
 		if a.peers != nil {
 			a.peers.conn.Close()
 		}
@@ -138,7 +138,7 @@
 			a.handover.Close()
 		}
 		workers.Wait()
-		l.backends.Close()
+		eventLoop.backends.Close()
 	}()
 	srv := &http.Server{
 		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
@@ -147,33 +147,33 @@
 	}
 	defer srv.Close() // what outlasts Shutdown
 	a.awaitReady(ctx)
-	failed := make(chan error, 1)
-	go func() { failed <- srv.Serve(a.clientConns) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.Serve(a.clientConns) }()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return fmt.Errorf("serving: %w", err)
 	case <-ctx.Done():
 	}
-	a.changeStance(func(m *leave.Controller, now time.Duration) { m.Shutdown(now) })
+	a.changeMode(func(m *leave.Controller, now time.Duration) { m.Shutdown(now) })
 	if cfg.SharedSocket { // who else accepts is there for new connections
 		a.clientConns.Close()
-		<-failed
-		failed = nil
+		<-serveErr
+		serveErr = nil
 	}
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return fmt.Errorf("serving: %w", err)
-	case <-time.After(leave.AcceptGrace + sweepIdle):
+	case <-time.After(leave.AcceptGrace + modeCheckInterval):
 	}
 	a.clientConns.endIdle()
-	longest := leaveSlack
+	longestDeadline := shutdownSlack
 	for _, c := range cfg.Settings.Module.Classes {
-		longest = max(longest, c.Deadline+leaveSlack)
+		longestDeadline = max(longestDeadline, c.Deadline+shutdownSlack)
 	}
-	last, cancel := context.WithTimeout(work, longest)
+	shutdownCtx, cancel := context.WithTimeout(workCtx, longestDeadline)
 	defer cancel()
 	// A connection that was opened and never used would keep Shutdown from returning.
-	if err := srv.Shutdown(last); err != nil && !errors.Is(err, context.DeadlineExceeded) {
+	if err := srv.Shutdown(shutdownCtx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("shutting down: %w", err)
 	}
 	return nil
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -75,7 +75,7 @@
 		stop()
 		r.client.CloseIdleConnections()
 	})
-	for begun := time.Now(); time.Since(begun) < testTimeout; time.Sleep(time.Millisecond) {
+	for start := time.Now(); time.Since(start) < testTimeout; time.Sleep(time.Millisecond) {
 		resp, err := r.client.Get(r.url + readyPath)
 		if err != nil {
 			continue
@@ -92,8 +92,8 @@
 // eventually waits until a condition holds, and fails if it does not within the time that a test waits for anything.
 func (r *runningAgent) eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for begun := time.Now(); !holds(); time.Sleep(time.Millisecond) {
-		if time.Since(begun) > testTimeout {
+	for start := time.Now(); !holds(); time.Sleep(time.Millisecond) {
+		if time.Since(start) > testTimeout {
 			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
@@ -101,11 +101,11 @@
 
 // sendHeldRequest starts an agent over a backend that answers once goOn is closed or sent to, and sends it a request; status is
 // told what the client got.
-func sendPendingRequest(t *testing.T) (a *runningAgent, backend *standin.Script, goOn chan struct{}, status chan int) {
+func sendPendingRequest(t *testing.T) (a *runningAgent, backend *standin.Script, proceed chan struct{}, status chan int) {
 	t.Helper()
-	goOn, status = make(chan struct{}), make(chan int, 1)
+	proceed, status = make(chan struct{}), make(chan int, 1)
 	backend = newBackend(t, func(int, *http.Request) (string, bool) {
-		<-goOn
+		<-proceed
 		return okResponse, false
 	})
 	a = startAgentWith(t, testSettings, backend)
@@ -113,7 +113,7 @@
 		got, _ := a.do(t, a.request("unsafe", "15000m"))
 		status <- got
 	}()
-	return a, backend, goOn, status
+	return a, backend, proceed, status
 }
 
 // request makes a client's request of a class.
@@ -213,9 +213,9 @@
 // An agent that is to stop answers what it has taken and what still comes, closes its connections behind the
 // answers, and ends well.
 func TestStop(t *testing.T) {
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	b := newBackend(t, func(int, *http.Request) (string, bool) {
-		<-goOn
+		<-proceed
 		return okResponse, false
 	})
 	a := startAgentWith(t, testSettings, b)
@@ -232,7 +232,7 @@
 	a.stop()
 	go ask() // the listener is still open
 	receive(t, "request after the signal", b.Got)
-	close(goOn)
+	close(proceed)
 	for range 2 {
 		resp := receive(t, "answer", answers)
 		if resp == nil || resp.StatusCode != 200 || !resp.Close {
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -20,10 +20,10 @@
 func TestOutcomes(t *testing.T) {
 	rejected := "HTTP/1.1 %d No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, row := range []struct {
-		name   string
-		text   string
-		closes bool
-		ran    bool // it may have
+		name       string
+		text       string
+		closes     bool
+		mayHaveRun bool // it may have
 	}{
 		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false, true},
 		{"turned away with 503", fmt.Sprintf(rejected, 503), false, false},
@@ -39,7 +39,7 @@
 		{"another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n" + okResponse, false, true},
 		{"nonsense", "SSH-2.0-x\r\n\r\n", true, true},
 		{"endless header", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10), true, true},
-		{"oversized answer", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", int64(mostBody+1), strings.Repeat("x", maxBufferedBody)), true, true},
+		{"oversized answer", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", int64(maxBody+1), strings.Repeat("x", maxBufferedBody)), true, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			script := func(n int, _ *http.Request) (string, bool) {
@@ -50,21 +50,21 @@
 			}
 			for _, class := range []string{"keyed", "unsafe"} {
 				// The other attempt goes to the second backend, so one script serves for both.
-				both := newBackend(t, script)
+				scripted := newBackend(t, script)
 				other := newBackend(t, alwaysOK)
-				a := startAgentWith(t, testSettings, both, other)
-				for len(both.Got) == 0 { // until the draw falls on the first
+				a := startAgentWith(t, testSettings, scripted, other)
+				for len(scripted.Got) == 0 { // until the draw falls on the first
 					status, body := a.do(t, a.request(class, "15000m"))
-					again := class == "keyed" || !row.ran
+					retried := class == "keyed" || !row.mayHaveRun
 					switch {
-					case len(both.Got) == 0 && status == 200:
+					case len(scripted.Got) == 0 && status == 200:
 						<-other.Got
-					case again && (status != 200 || body != "served"):
+					case retried && (status != 200 || body != "served"):
 						t.Errorf("%s: answered %d %q", class, status, body)
-					case !again && status != statusFailed:
+					case !retried && status != statusFailed:
 						t.Errorf("%s: answered %d", class, status)
-					case again && len(both.Got)+len(other.Got) != 2, !again && len(both.Got)+len(other.Got) != 1:
-						t.Errorf("%s: sent %d times", class, len(both.Got)+len(other.Got))
+					case retried && len(scripted.Got)+len(other.Got) != 2, !retried && len(scripted.Got)+len(other.Got) != 1:
+						t.Errorf("%s: sent %d times", class, len(scripted.Got)+len(other.Got))
 					}
 				}
 			}
@@ -75,7 +75,7 @@
 // A good answer is served whatever stands before and behind it; its connection is not used again, or what stands
 // behind it would be the next request's answer.
 func TestMoreThanAnAnswer(t *testing.T) {
-	for what, text := range map[string]string{
+	for name, text := range map[string]string{
 		"a copy behind":   okResponse + strings.Replace(okResponse, "served", "again!", 1),
 		"noise behind":    okResponse + "\x00\x01\r\n\r\n",
 		"hints before":    "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + okResponse,
@@ -84,7 +84,7 @@
 		a := startAgentWith(t, testSettings, newBackend(t, func(int, *http.Request) (string, bool) { return text, false }))
 		for range 3 {
 			if status, body := a.do(t, a.request("unsafe", "15000m")); status != 200 || body != "served" {
-				t.Errorf("%s: answered %d %q", what, status, body)
+				t.Errorf("%s: answered %d %q", name, status, body)
 			}
 		}
 	}
@@ -164,15 +164,15 @@
 func TestLateRepeatIsNotSent(t *testing.T) {
 	b := newBackend(t, alwaysOK)
 	cfg := testConfig(t, "127.0.0.1:1", testSettings)
-	p := newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler))
-	to := p.NewTarget(b.Addr, 0)
-	m := newMessage("POST", "/keyed/1", "x", nil, nil, nil)
+	client := newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler))
+	target := client.NewTarget(b.Addr, 0)
+	msg := newMessage("POST", "/keyed/1", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	if r := p.exchange(ctx, to, &m, time.Now(), nil); r.outcome != policy.NotSent || len(b.Got) > 0 {
+	if r := client.exchange(ctx, target, &msg, time.Now(), nil); r.outcome != policy.NotSent || len(b.Got) > 0 {
 		t.Errorf("outcome %d, %d sent", r.outcome, len(b.Got))
 	}
-	if r := p.exchange(ctx, to, &m, time.Now().Add(testTimeout), nil); r.outcome != policy.OK {
+	if r := client.exchange(ctx, target, &msg, time.Now().Add(testTimeout), nil); r.outcome != policy.OK {
 		t.Errorf("in time: outcome %d", r.outcome)
 	}
 }
@@ -181,22 +181,22 @@
 // keeps the socket.
 func TestConnectionThatNeverComesUp(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", testSettings)
-	p := newBackendClient(TCP{}, &cfg.Settings, 1, 1<<20, slog.New(slog.DiscardHandler))
-	to := p.NewTarget("127.0.0.1:1", 0)
-	m := newMessage("GET", "/", "x", nil, nil, nil)
-	over, cancel := context.WithDeadline(context.Background(), time.Now())
+	client := newBackendClient(TCP{}, &cfg.Settings, 1, 1<<20, slog.New(slog.DiscardHandler))
+	target := client.NewTarget("127.0.0.1:1", 0)
+	msg := newMessage("GET", "/", "x", nil, nil, nil)
+	expired, cancel := context.WithDeadline(context.Background(), time.Now())
 	defer cancel()
-	if r := p.exchange(over, to, &m, time.Time{}, nil); r.outcome != policy.ConnectFailed {
+	if r := client.exchange(expired, target, &msg, time.Time{}, nil); r.outcome != policy.ConnectFailed {
 		t.Errorf("out of time: outcome %d", r.outcome)
 	}
-	given, giveUp := context.WithCancel(context.Background())
-	giveUp()
-	if r := p.exchange(given, to, &m, time.Time{}, nil); r.outcome != policy.Cancelled {
+	cancelled, cancelNow := context.WithCancel(context.Background())
+	cancelNow()
+	if r := client.exchange(cancelled, target, &msg, time.Time{}, nil); r.outcome != policy.Cancelled {
 		t.Errorf("given up: outcome %d", r.outcome)
 	}
 	ctx, end := context.WithTimeout(context.Background(), testTimeout)
 	defer end()
-	if r := p.exchange(ctx, p.NewTarget(newBackend(t, alwaysOK).Addr, 0), &m, time.Time{}, nil); r.outcome != policy.OK {
+	if r := client.exchange(ctx, client.NewTarget(newBackend(t, alwaysOK).Addr, 0), &msg, time.Time{}, nil); r.outcome != policy.OK {
 		t.Errorf("by the only socket: outcome %d", r.outcome)
 	}
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -79,7 +79,7 @@
 
 // ParseConfig reads and checks the text of a configuration.
 func ParseConfig(text []byte) (*Config, error) {
-	var f struct {
+	var file struct {
 		Name, Listen, Discovery, Seed, Admin string
 
 		Limits struct {
@@ -93,63 +93,63 @@
 		Known      json.RawMessage
 		Settings   json.RawMessage
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
+	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
 	cfg := &Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Admin: f.Admin,
-		Cores: f.Limits.Cores, MemoryMB: int(f.Limits.MemoryMB), Sockets: f.Limits.Sockets,
+		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin,
+		Cores: file.Limits.Cores, MemoryMB: int(file.Limits.MemoryMB), Sockets: file.Limits.Sockets,
 	}
 	var err error
-	if _, err = netip.ParseAddrPort(f.Listen); err != nil {
+	if _, err = netip.ParseAddrPort(file.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	if _, err = netip.ParseAddrPort(f.Discovery); err != nil {
+	if _, err = netip.ParseAddrPort(file.Discovery); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	if f.Admin != "" {
-		if _, err = netip.ParseAddrPort(f.Admin); err != nil {
+	if file.Admin != "" {
+		if _, err = netip.ParseAddrPort(file.Admin); err != nil {
 			return nil, fmt.Errorf("admin: %w", err)
 		}
 	}
-	if cfg.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+	if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
 	switch {
 	case !(cfg.Cores > 0 && cfg.Cores <= 1024):
 		return nil, fmt.Errorf("limits.cores cannot be %v", cfg.Cores)
 	case cfg.MemoryMB < 16:
-		return nil, fmt.Errorf("limits.memory_mb cannot be %v", f.Limits.MemoryMB)
+		return nil, fmt.Errorf("limits.memory_mb cannot be %v", file.Limits.MemoryMB)
 	case cfg.Sockets < minSockets:
 		return nil, fmt.Errorf("limits.sockets cannot be %d: at least %d are needed", cfg.Sockets, minSockets)
 	}
-	if len(f.Known) > 0 {
-		if cfg.knownList, err = parseList(f.Known); err != nil {
+	if len(file.Known) > 0 {
+		if cfg.knownList, err = parseList(file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	if len(f.Settings) == 0 {
+	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if cfg.Settings, err = settings.Parse(f.Settings); err != nil {
+	if cfg.Settings, err = settings.Parse(file.Settings); err != nil {
 		return nil, err
 	}
-	if cfg.Settings.Module.Peers && f.PeerListen != "" {
-		if cfg.Peers, err = parsePeers(f.PeerListen, f.PeersAll, f.Peers); err != nil {
+	if cfg.Settings.Module.Peers && file.PeerListen != "" {
+		if cfg.Peers, err = parsePeers(file.PeerListen, file.PeersAll, file.Peers); err != nil {
 			return nil, err
 		}
 	}
 	return cfg, checkSettings(&cfg.Settings)
 }
 
-func parsePeers(listen, all string, from []string) (p Peers, err error) {
+func parsePeers(listen, broadcast string, sources []string) (p Peers, err error) {
 	if p.Listen, err = netip.ParseAddrPort(listen); err != nil {
 		return p, fmt.Errorf("peer_listen: %w", err)
 	}
-	if p.Broadcast, err = netip.ParseAddrPort(all); err != nil {
+	if p.Broadcast, err = netip.ParseAddrPort(broadcast); err != nil {
 		return p, fmt.Errorf("peers_all: %w", err)
 	}
-	for i, text := range from {
+	for i, text := range sources {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return p, fmt.Errorf("peers[%d]: %w", i, err)
@@ -164,10 +164,10 @@
 	if s.ConnectTimeout <= 0 {
 		return errors.New("settings: limits.connectTimeout must be above 0")
 	}
-	for what, names := range map[string][]string{"categories": s.Classes, "accounts": s.Tenants} {
+	for list, names := range map[string][]string{"categories": s.Classes, "accounts": s.Tenants} {
 		for i, name := range names {
 			if name == "" || slices.Contains(names[:i], name) {
-				return fmt.Errorf("settings: %s[%d].name %q is empty or taken", what, i, name)
+				return fmt.Errorf("settings: %s[%d].name %q is empty or taken", list, i, name)
 			}
 		}
 	}
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -19,9 +19,9 @@
 // What the control interface shows and changes. All of it happens in the loop, between two inputs.
 
 // mostShown is how many open requests are shown.
-const mostShown = 1000
+const maxShownRequests = 1000
 
-var errEnded = errors.New("the agent has ended")
+var errAgentEnded = errors.New("the agent has ended")
 
 // viewer is a Decider that shows what it makes of the backends.
 type observableDecider interface {
@@ -35,7 +35,7 @@
 		return err
 	}
 	if !l.locked(f) {
-		return errEnded
+		return errAgentEnded
 	}
 	return nil
 }
@@ -70,14 +70,14 @@
 	if s.Discovery != nil {
 		addr = *s.Discovery
 	}
-	if addr != a.followed {
-		moved := *a.cfg
-		moved.Discovery = addr
+	if addr != a.discoveryAddr {
+		updated := *a.cfg
+		updated.Discovery = addr
 		select {
-		case a.discoveryChanges <- &moved:
-			a.followed = addr
+		case a.discoveryChanges <- &updated:
+			a.discoveryAddr = addr
 		case <-a.loop.done:
-			return errEnded
+			return errAgentEnded
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -96,18 +96,18 @@
 	if err != nil {
 		return err
 	}
-	return a.loop.runInLoop(ctx, func() { a.loop.replace(context.WithoutCancel(ctx), next, s) })
+	return a.loop.runInLoop(ctx, func() { a.loop.replaceModule(context.WithoutCancel(ctx), next, s) })
 }
 
 // replace lets another module decide from now on. The one before finishes what it has.
-func (l *loop) replace(ctx context.Context, d Decider, s policy.Settings) {
+func (l *loop) replaceModule(ctx context.Context, decider Decider, decisions policy.Settings) {
 	old := l.current
 	if old.retired = true; old.open == 0 {
 		l.modules = slices.DeleteFunc(l.modules, func(m *module) bool { return m == old })
 	}
-	l.current = &module{Decider: d}
+	l.current = &module{Decider: decider}
 	l.modules = append(l.modules, l.current)
-	l.decisions = s
+	l.decisions = decisions
 	l.allow()
 	var entries []policy.ServerEntry
 	for _, e := range l.listed {
@@ -123,86 +123,86 @@
 
 // Look returns the present state.
 func (a *Agent) Look(ctx context.Context) (*control.State, error) {
-	var s *control.State
-	err := a.loop.runInLoop(ctx, func() { s = a.state() })
-	return s, err
+	var state *control.State
+	err := a.loop.runInLoop(ctx, func() { state = a.state() })
+	return state, err
 }
 
 func (a *Agent) state() *control.State {
 	l := a.loop
 	now := l.clock.now()
-	s := &control.State{Taking: !a.server.refuseAll.Load(), Held: len(l.requests), Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}}
-	s.Service = control.Service{
+	state := &control.State{Taking: !a.server.refuseAll.Load(), Held: len(l.requests), Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}}
+	state.Service = control.Service{
 		Requests: l.counts.requests, InAim: l.counts.inAim, Served: l.counts.served, Refused: l.counts.refused, Failed: l.counts.failed, Left: l.counts.left,
 	}
-	own, part := l.late.figures()
-	s.Own = control.Own{Late: roundForDisplay(own.MeanDelay.Seconds()), Part: roundForDisplay(part), Worst: roundForDisplay(own.MaxDelay.Seconds()), Times: own.LateTicks}
-	if b, ok := l.current.Decider.(observableDecider); ok {
-		s.Pressure = b.Pressure()
-		for _, v := range b.View(now) {
-			s.Backends = append(s.Backends, a.backendState(&v, now))
+	delay, shareUsed := l.late.figures()
+	state.Own = control.Own{Late: roundForDisplay(delay.MeanDelay.Seconds()), Part: roundForDisplay(shareUsed), Worst: roundForDisplay(delay.MaxDelay.Seconds()), Times: delay.LateTicks}
+	if decider, ok := l.current.Decider.(observableDecider); ok {
+		state.Pressure = decider.Pressure()
+		for _, view := range decider.View(now) {
+			state.Backends = append(state.Backends, a.backendState(&view, now))
 		}
 	}
-	s.Classes, s.Accounts = make([]control.Class, len(l.set.Classes)), make([]control.Account, len(l.set.Tenants))
+	state.Classes, state.Accounts = make([]control.Class, len(l.set.Classes)), make([]control.Account, len(l.set.Tenants))
 	for i, name := range l.set.Classes {
 		c := &l.decisions.Classes[i]
-		s.Classes[i] = control.Class{Name: name, Effect: effectNames[c.Effect], Aim: c.Aim.Seconds(), Deadline: c.Deadline.Seconds(), Worth: c.Worth}
+		state.Classes[i] = control.Class{Name: name, Effect: effectNames[c.Effect], Aim: c.Aim.Seconds(), Deadline: c.Deadline.Seconds(), Worth: c.Worth}
 	}
 	for i, name := range l.set.Tenants {
-		s.Accounts[i] = control.Account{Name: name, Portion: l.decisions.Tenants[i].Portion}
+		state.Accounts[i] = control.Account{Name: name, Portion: l.decisions.Tenants[i].Portion}
 	}
-	slices.SortFunc(s.Backends, func(x, y control.Backend) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(state.Backends, func(x, y control.Backend) int { return cmp.Compare(x.Name, y.Name) })
 	for _, r := range l.requests {
 		if r.ended {
 			continue
 		}
-		s.Classes[r.class].Open++
+		state.Classes[r.class].Open++
 		shown := control.Request{
 			Call: r.callID, Class: l.set.Classes[r.class], Age: (now - r.begun).Seconds(), Left: (r.deadline - now).Seconds(),
 			Attempts: len(r.attempts), Out: r.out,
 		}
 		if r.tenant < len(l.set.Tenants) {
 			shown.Account = l.set.Tenants[r.tenant]
-			s.Accounts[r.tenant].Open++
+			state.Accounts[r.tenant].Open++
 		}
-		s.Requests = append(s.Requests, shown)
-	}
-	slices.SortFunc(s.Requests, func(x, y control.Request) int { return cmp.Or(cmp.Compare(y.Age, x.Age), cmp.Compare(x.Call, y.Call)) })
-	s.Requests = s.Requests[:min(len(s.Requests), mostShown)]
-	for c, n := range l.counts.causes {
-		answer := "failed"
-		if c.refused {
-			answer = "refused"
+		state.Requests = append(state.Requests, shown)
+	}
+	slices.SortFunc(state.Requests, func(x, y control.Request) int { return cmp.Or(cmp.Compare(y.Age, x.Age), cmp.Compare(x.Call, y.Call)) })
+	state.Requests = state.Requests[:min(len(state.Requests), maxShownRequests)]
+	for key, count := range l.counts.causes {
+		ending := "failed"
+		if key.refused {
+			ending = "refused"
 		}
-		s.Causes = append(s.Causes, control.Cause{Answer: answer, Class: l.set.Classes[c.class], Cause: c.why, Count: n})
+		state.Causes = append(state.Causes, control.Cause{Answer: ending, Class: l.set.Classes[key.class], Cause: key.why, Count: count})
 	}
-	slices.SortFunc(s.Causes, func(x, y control.Cause) int {
+	slices.SortFunc(state.Causes, func(x, y control.Cause) int {
 		return cmp.Or(cmp.Compare(x.Answer, y.Answer), cmp.Compare(x.Class, y.Class), cmp.Compare(x.Cause, y.Cause))
 	})
-	return s
+	return state
 }
 
 // backend is one backend for people to read.
-func (a *Agent) backendState(v *policy.ServerView, now time.Duration) control.Backend {
+func (a *Agent) backendState(view *policy.ServerView, now time.Duration) control.Backend {
 	l := a.loop
-	b := control.Backend{
-		Name: l.servers.names[v.ID], Phase: phaseNames[l.listed[v.ID].State], Speed: roundForDisplay(v.Speed), Warmth: roundForDisplay(v.WarmFraction),
-		InFlight: v.InFlight, Silent: v.Overdue, Load: roundForDisplay(v.Outstanding), Full: roundForDisplay(v.AvoidedFor.Seconds()),
+	backend := control.Backend{
+		Name: l.servers.names[view.ID], Phase: phaseNames[l.listed[view.ID].State], Speed: roundForDisplay(view.Speed), Warmth: roundForDisplay(view.WarmFraction),
+		InFlight: view.InFlight, Silent: view.Overdue, Load: roundForDisplay(view.Outstanding), Full: roundForDisplay(view.AvoidedFor.Seconds()),
 	}
-	if t := l.targets[v.ID]; t != nil {
-		b.Addr = t.Addr
+	if target := l.targets[view.ID]; target != nil {
+		backend.Addr = target.Addr
 	}
-	if h := l.holds[b.Name]; h.Out {
-		b.Held, b.HeldBy = roundForDisplay((h.Until - now).Seconds()), h.By
+	if hold := l.holds[backend.Name]; hold.Out {
+		backend.Held, backend.HeldBy = roundForDisplay((hold.Until - now).Seconds()), hold.By
 	}
-	if v.ReportAge >= 0 {
-		age := roundForDisplay(v.ReportAge.Seconds())
-		b.ReportAge = &age
+	if view.ReportAge >= 0 {
+		age := roundForDisplay(view.ReportAge.Seconds())
+		backend.ReportAge = &age
 	}
-	for _, e := range v.Ejected {
-		b.Ejected = append(b.Ejected, control.Ejection{Class: l.set.Classes[e.Class], For: roundForDisplay(e.Remaining.Seconds()), Times: e.Consecutive})
+	for _, e := range view.Ejected {
+		backend.Ejected = append(backend.Ejected, control.Ejection{Class: l.set.Classes[e.Class], For: roundForDisplay(e.Remaining.Seconds()), Times: e.Consecutive})
 	}
-	return b
+	return backend
 }
 
 // round leaves what a person reads.
--- a/internal/agent/control_test.go
+++ b/internal/agent/control_test.go
@@ -33,7 +33,7 @@
 	return known
 }
 
-func (r *runningAgent) apply(t *testing.T, text string) {
+func (r *runningAgent) applyDocument(t *testing.T, text string) {
 	t.Helper()
 	d, err := document.Parse([]byte(text))
 	if err != nil {
@@ -63,8 +63,8 @@
 // nothing, whoever lets it in.
 func TestHold(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
-	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
-	a := startAgent(t, testConfig(t, l.Addr, testSettings))
+	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
+	a := startAgent(t, testConfig(t, discoveryServer.Addr, testSettings))
 	if a.holdBackend(t, "nobody", time.Hour) {
 		t.Error("a backend that nobody knows is held")
 	}
@@ -85,10 +85,10 @@
 	}
 	// A list that comes while x is held does not let it in, and its drain stays when the hold ends.
 	a.holdBackend(t, "x", time.Hour)
-	l.Next <- listJSON(2, false, memberJSON("x", x.Addr, "Ready", 0))
-	l.Next <- listJSON(3, false, memberJSON("x", x.Addr, "Terminating", 0)) // which the agent takes after the one before
-	for begun := time.Now(); controlState(t, a).Backends[0].Phase != "Terminating"; time.Sleep(time.Millisecond) {
-		if time.Since(begun) > testTimeout {
+	discoveryServer.Next <- listJSON(2, false, memberJSON("x", x.Addr, "Ready", 0))
+	discoveryServer.Next <- listJSON(3, false, memberJSON("x", x.Addr, "Terminating", 0)) // which the agent takes after the one before
+	for start := time.Now(); controlState(t, a).Backends[0].Phase != "Terminating"; time.Sleep(time.Millisecond) {
+		if time.Since(start) > testTimeout {
 			t.Fatal("the drain does not come")
 		}
 	}
@@ -104,9 +104,9 @@
 	x := newBackend(t, alwaysOK)
 	a := startAgentWith(t, testSettings, x)
 	a.holdBackend(t, "s-0", time.Millisecond)
-	for begun := time.Now(); len(x.Got) == 0; {
+	for start := time.Now(); len(x.Got) == 0; {
 		a.do(t, a.request("unsafe", "15000m"))
-		if time.Since(begun) > testTimeout {
+		if time.Since(start) > testTimeout {
 			t.Fatal("held out for good")
 		}
 	}
@@ -115,10 +115,10 @@
 // What is decided by changes while requests are open: they are answered all the same, by the module that took them,
 // which then ends.
 func TestDecisionsChangeUnderTraffic(t *testing.T) {
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	b := newBackend(t, func(n int, _ *http.Request) (string, bool) {
 		if n < 5 {
-			<-goOn
+			<-proceed
 		}
 		return okResponse, false
 	})
@@ -133,59 +133,59 @@
 	for range 5 {
 		receive(t, "request", b.Got)
 	}
-	a.apply(t, `{"decisions":{"max_attempts":7,"classes":{"unsafe":{"worth":9}}}}`)
+	a.applyDocument(t, `{"decisions":{"max_attempts":7,"classes":{"unsafe":{"worth":9}}}}`)
 	a.serveRequests(t, 10)
-	modules := func() (n, most int) {
-		if err := a.agent.loop.runInLoop(t.Context(), func() { n, most = len(a.agent.loop.modules), a.agent.loop.decisions.MaxAttempts }); err != nil {
+	modules := func() (count, maxAttempts int) {
+		if err := a.agent.loop.runInLoop(t.Context(), func() { count, maxAttempts = len(a.agent.loop.modules), a.agent.loop.decisions.MaxAttempts }); err != nil {
 			t.Fatal(err)
 		}
-		return n, most
+		return count, maxAttempts
 	}
-	if n, most := modules(); n != 2 || most != 7 {
-		t.Errorf("%d modules, %d attempts at most", n, most)
+	if count, maxAttempts := modules(); count != 2 || maxAttempts != 7 {
+		t.Errorf("%d modules, %d attempts at most", count, maxAttempts)
 	}
 	if s := controlState(t, a); len(s.Requests) != 5 || s.Requests[0].Out != 1 {
 		t.Errorf("open: %+v", s.Requests)
 	}
-	close(goOn)
+	close(proceed)
 	for range 5 {
 		if status := receive(t, "answer", answers); status != http.StatusOK {
 			t.Errorf("answered %d", status)
 		}
 	}
-	if n, _ := modules(); n != 1 {
-		t.Errorf("%d modules are left", n)
+	if count, _ := modules(); count != 1 {
+		t.Errorf("%d modules are left", count)
 	}
 	if a.agent.Base().Module.MaxAttempts != 3 {
 		t.Error("the platform's settings have changed")
 	}
-	a.apply(t, `{}`)
-	if _, most := modules(); most != 3 {
-		t.Errorf("without a document %d attempts at most", most)
+	a.applyDocument(t, `{}`)
+	if _, maxAttempts := modules(); maxAttempts != 3 {
+		t.Errorf("without a document %d attempts at most", maxAttempts)
 	}
 }
 
 // The service part: how many requests are held at once, whether any are taken, and where discovery is.
 func TestServicePart(t *testing.T) {
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	b := newBackend(t, func(int, *http.Request) (string, bool) {
-		<-goOn
+		<-proceed
 		return okResponse, false
 	})
 	a := startAgentWith(t, testSettings, b)
-	a.apply(t, `{"service":{"requests":1}}`)
-	first := make(chan int, 1)
+	a.applyDocument(t, `{"service":{"requests":1}}`)
+	firstStatus := make(chan int, 1)
 	go func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
-		first <- status
+		firstStatus <- status
 	}()
 	receive(t, "request", b.Got)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused {
 		t.Errorf("one more than are held: answered %d", status)
 	}
 	a.agent.SetTaking(false)
-	close(goOn)
-	if status := receive(t, "answer", first); status != http.StatusOK {
+	close(proceed)
+	if status := receive(t, "answer", firstStatus); status != http.StatusOK {
 		t.Errorf("what was taken before is answered %d", status)
 	}
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused || controlState(t, a).Taking {
@@ -196,12 +196,12 @@
 	}
 	a.agent.SetTaking(true)
 	a.serveRequests(t, 3)
-	next := newScriptedDiscovery(t, listJSON(1, true, memberJSON("z", b.Addr, "Ready", 0)))
-	a.apply(t, `{"service":{"discovery":"`+next.Addr+`"}}`)
-	if q := receive(t, "call to the new discovery", next.Calls); q != "" {
-		t.Errorf("the first call asks %q", q)
+	newServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("z", b.Addr, "Ready", 0)))
+	a.applyDocument(t, `{"service":{"discovery":"`+newServer.Addr+`"}}`)
+	if query := receive(t, "call to the new discovery", newServer.Calls); query != "" {
+		t.Errorf("the first call asks %q", query)
 	}
-	receive(t, "watch", next.Calls)
+	receive(t, "watch", newServer.Calls)
 	if s := controlState(t, a); len(s.Backends) != 1 || s.Backends[0].Name != "z" {
 		t.Errorf("shown: %+v", s.Backends)
 	}
@@ -238,23 +238,23 @@
 // A module that ends by an event does not keep the next one from hearing of it: it might be a drain.
 func TestModuleThatEndsByAnEvent(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	eventLoop, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := 0
-	old := &module{retired: true, open: 1, Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
+	events := 0
+	retired := &module{retired: true, open: 1, Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
 		return append(out, policy.Action{Kind: policy.ActRefuse, Request: 7})
 	})}
-	l.current = &module{Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
-		heard++
+	eventLoop.current = &module{Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
+		events++
 		return out
 	})}
-	l.modules = []*module{old, l.current}
-	r := &request{module: old, call: &call{id: 7, answered: make(chan answer, 1)}}
-	l.requests[r.id] = r
-	l.take(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
-	if heard != 1 || len(l.modules) != 1 || l.modules[0] != l.current || len(l.requests) != 0 {
-		t.Errorf("heard %d times, %d modules and %d requests are left", heard, len(l.modules), len(l.requests))
+	eventLoop.modules = []*module{retired, eventLoop.current}
+	r := &request{module: retired, call: &call{id: 7, answered: make(chan answer, 1)}}
+	eventLoop.requests[r.id] = r
+	eventLoop.take(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
+	if events != 1 || len(eventLoop.modules) != 1 || eventLoop.modules[0] != eventLoop.current || len(eventLoop.requests) != 0 {
+		t.Errorf("heard %d times, %d modules and %d requests are left", events, len(eventLoop.modules), len(eventLoop.requests))
 	}
 }
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	listPath    = "/discovery/hosts"
-	maxList     = 4 << 20 // bytes of a list
-	listTimeout = time.Second
+	listPath     = "/discovery/hosts"
+	maxListBytes = 4 << 20 // bytes of a list
+	listTimeout  = time.Second
 	// pushWatch and askWatch are how long a watch may wait. Silence shows only when a watch is overdue: where
 	// calls cost nothing it is short; where all agents share one service it is kept in peace.
-	pushWatch   = 2 * time.Second
-	askWatch    = 10 * time.Second
-	watchGrace  = 700 * time.Millisecond // that an answer may come after a watch's wait
-	firstRetry  = 50 * time.Millisecond
-	longRetry   = time.Second
-	maxServerID = 256 // bytes
+	automaticWatchWait = 2 * time.Second
+	onDemandWatchWait  = 10 * time.Second
+	watchGrace         = 700 * time.Millisecond // that an answer may come after a watch's wait
+	minRetryDelay      = 50 * time.Millisecond
+	maxRetryDelay      = time.Second
+	maxServerIDBytes   = 256 // bytes
 )
 
 // errBadList is an answer of discovery that cannot be used, after which only the whole list will do.
@@ -58,18 +58,18 @@
 
 // parseList takes a list whole or not at all: half of one would take backends for gone that are not.
 func parseList(text []byte) (memberList, error) {
-	var l memberList
-	if err := json.Unmarshal(text, &l); err != nil {
+	var list memberList
+	if err := json.Unmarshal(text, &list); err != nil {
 		return memberList{}, fmt.Errorf("%w: %w", errBadList, err)
 	}
-	if l.Revision == nil {
+	if list.Revision == nil {
 		return memberList{}, fmt.Errorf("%w: no revision", errBadList)
 	}
-	seen := make(map[string]bool, len(l.Members))
-	for i, m := range l.Members {
+	seen := make(map[string]bool, len(list.Members))
+	for i, m := range list.Members {
 		state, known := stateByPhase[m.Phase]
 		switch {
-		case m.ID == "" || len(m.ID) > maxServerID || seen[m.ID]:
+		case m.ID == "" || len(m.ID) > maxServerIDBytes || seen[m.ID]:
 			return memberList{}, fmt.Errorf("%w: members[%d].id %.40q", errBadList, i, m.ID)
 		case !known:
 			return memberList{}, fmt.Errorf("%w: members[%d].phase %.40q", errBadList, i, m.Phase)
@@ -81,7 +81,7 @@
 		}
 		seen[m.ID] = true
 	}
-	return l, nil
+	return list, nil
 }
 
 // discovery follows the list of backends and hands each change to the loop.
@@ -96,9 +96,9 @@
 	revision *uint64 // of the list held; nil when the whole list is wanted
 }
 
-func newDiscovery(network Network, addr string, ask bool, tell func(policy.ListMode, []member), log *slog.Logger) *discovery {
+func newDiscovery(network Network, addr string, onDemand bool, onList func(policy.ListMode, []member), log *slog.Logger) *discovery {
 	return &discovery{
-		addr: addr, onDemand: ask, watchRequested: make(chan struct{}, 1), onList: tell, log: log,
+		addr: addr, onDemand: onDemand, watchRequested: make(chan struct{}, 1), onList: onList, log: log,
 		client: http.Client{
 			Transport: &http.Transport{
 				DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
@@ -113,26 +113,26 @@
 }
 
 // run follows the list until the context ends, from each reload on at the address that it brings.
-func (d *discovery) run(ctx context.Context, reloads, moves <-chan *Config) {
+func (d *discovery) run(ctx context.Context, reloads, operatorChanges <-chan *Config) {
 	defer d.client.CloseIdleConnections()
 	for {
-		here, leave := context.WithCancel(ctx)
-		left := make(chan struct{})
+		followCtx, stopFollowing := context.WithCancel(ctx)
+		stopped := make(chan struct{})
 		go func() {
-			d.followList(here)
-			close(left)
+			d.followList(followCtx)
+			close(stopped)
 		}()
 		var cfg *Config
 		select {
 		case cfg = <-reloads:
-		case cfg = <-moves:
+		case cfg = <-operatorChanges:
 		case <-ctx.Done():
-			leave()
-			<-left
+			stopFollowing()
+			<-stopped
 			return
 		}
-		leave()
-		<-left
+		stopFollowing()
+		<-stopped
 		d.log.Info("reloaded", "discovery", cfg.Discovery)
 		// The new service counts revisions of its own, so its whole list comes first.
 		d.addr, d.revision = cfg.Discovery, nil
@@ -151,11 +151,11 @@
 				return
 			}
 		}
-		heard, err := d.watch(ctx)
+		answered, err := d.watch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if heard {
+		if answered {
 			failures = 0
 		}
 		if failures++; failures == 1 {
@@ -173,7 +173,7 @@
 			continue
 		}
 		// Agents that lost discovery together must not come back together.
-		wait := min(longRetry, firstRetry<<min(failures-1, 10))
+		wait := min(maxRetryDelay, minRetryDelay<<min(failures-1, 10))
 		select {
 		case <-time.After(wait/2 + rand.N(wait)):
 		case <-ctx.Done():
@@ -184,37 +184,37 @@
 
 // watch gets the list and then its changes, each call right after the last, until one fails. It says whether
 // any was answered.
-func (d *discovery) watch(ctx context.Context) (heard bool, err error) {
-	wait := pushWatch
+func (d *discovery) watch(ctx context.Context) (answered bool, err error) {
+	wait := automaticWatchWait
 	if d.onDemand {
-		wait = askWatch
+		wait = onDemandWatchWait
 	}
 	for {
-		l, err := d.get(ctx, wait)
+		list, err := d.fetch(ctx, wait)
 		if err == nil {
 			err = ctx.Err() // an answer that crossed a reload is another service's
 		}
 		if err != nil {
-			return heard, err
+			return answered, err
 		}
-		heard = true
+		answered = true
 		switch {
-		case l.Complete:
-			d.onList(policy.ListFull, l.Members)
-		case d.revision == nil || *l.Revision < *d.revision:
-			return heard, fmt.Errorf("%w: changes up to %d do not follow the list held", errBadList, *l.Revision)
-		case len(l.Members) > 0:
-			d.onList(policy.ListDelta, l.Members)
+		case list.Complete:
+			d.onList(policy.ListFull, list.Members)
+		case d.revision == nil || *list.Revision < *d.revision:
+			return answered, fmt.Errorf("%w: changes up to %d do not follow the list held", errBadList, *list.Revision)
+		case len(list.Members) > 0:
+			d.onList(policy.ListDelta, list.Members)
 		}
-		d.revision = l.Revision
+		d.revision = list.Revision
 	}
 }
 
 // get makes one call: for the whole list if no revision is held, else a watch.
-func (d *discovery) get(ctx context.Context, wait time.Duration) (memberList, error) {
+func (d *discovery) fetch(ctx context.Context, wait time.Duration) (memberList, error) {
 	url, timeout := "http://"+d.addr+listPath, listTimeout
 	if d.onDemand {
-		timeout = askWatch // calls are worked through in turn
+		timeout = onDemandWatchWait // calls are worked through in turn
 	}
 	if d.revision != nil {
 		url = fmt.Sprintf("%s?after=%d&wait_ms=%d", url, *d.revision, wait.Milliseconds())
@@ -231,7 +231,7 @@
 		return memberList{}, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxList+1))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes+1))
 	switch {
 	case err != nil:
 		return memberList{}, fmt.Errorf("reading the list: %w", err)
@@ -239,8 +239,8 @@
 		return memberList{}, fmt.Errorf("%w: status %s", errBadList, resp.Status)
 	case resp.StatusCode != http.StatusOK:
 		return memberList{}, fmt.Errorf("the list: status %s", resp.Status)
-	case len(text) > maxList:
-		return memberList{}, fmt.Errorf("%w: over %d bytes", errBadList, maxList)
+	case len(text) > maxListBytes:
+		return memberList{}, fmt.Errorf("%w: over %d bytes", errBadList, maxListBytes)
 	}
 	return parseList(text)
 }
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -18,17 +18,17 @@
 // A backend that drains gets nothing new once a watch has told so, and its list is followed without a gap.
 func TestDrain(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
-	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
-	a := startAgent(t, testConfig(t, l.Addr, testSettings))
-	if q := receive(t, "first call", l.Calls); q != "" {
-		t.Errorf("the first call asks %q", q)
+	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
+	a := startAgent(t, testConfig(t, discoveryServer.Addr, testSettings))
+	if query := receive(t, "first call", discoveryServer.Calls); query != "" {
+		t.Errorf("the first call asks %q", query)
 	}
-	if q := receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=1&wait_ms=") {
-		t.Errorf("the second call asks %q", q)
+	if query := receive(t, "watch", discoveryServer.Calls); !strings.HasPrefix(query, "after=1&wait_ms=") {
+		t.Errorf("the second call asks %q", query)
 	}
-	l.Next <- listJSON(2, false, memberJSON("x", x.Addr, "Terminating", 0))
-	if q := receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=2&") {
-		t.Errorf("the third call asks %q", q)
+	discoveryServer.Next <- listJSON(2, false, memberJSON("x", x.Addr, "Terminating", 0))
+	if query := receive(t, "watch", discoveryServer.Calls); !strings.HasPrefix(query, "after=2&") {
+		t.Errorf("the third call asks %q", query)
 	}
 	for range 40 {
 		if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
@@ -46,17 +46,17 @@
 func TestKnownListIsFollowed(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
 	for _, c := range []struct {
-		name   string
-		answer []byte // to the first call
-		then   string // what the next one asks
+		name      string
+		answer    []byte // to the first call
+		nextQuery string // what the next one asks
 	}{
 		{"changes", listJSON(8, false, memberJSON("x", x.Addr, "Gone", 0), memberJSON("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
 		{"whole list", listJSON(8, true, memberJSON("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
 		{"unknown revision", nil, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := newScriptedDiscovery(t, listJSON(2, true, memberJSON("y", y.Addr, "Ready", 0)))
-			cfg := testConfig(t, l.Addr, testSettings)
+			discoveryServer := newScriptedDiscovery(t, listJSON(2, true, memberJSON("y", y.Addr, "Ready", 0)))
+			cfg := testConfig(t, discoveryServer.Addr, testSettings)
 			known, err := parseList(listJSON(5, true, memberJSON("x", x.Addr, "Ready", 0)))
 			if err != nil {
 				t.Fatal(err)
@@ -66,12 +66,12 @@
 				c.answer = listJSON(3, false)
 			}
 			startAgent(t, cfg)
-			if q := receive(t, "first call", l.Calls); !strings.HasPrefix(q, "after=5&wait_ms=") {
-				t.Errorf("the first call asks %q", q)
+			if query := receive(t, "first call", discoveryServer.Calls); !strings.HasPrefix(query, "after=5&wait_ms=") {
+				t.Errorf("the first call asks %q", query)
 			}
-			l.Next <- c.answer
-			if q := receive(t, "second call", l.Calls); !strings.HasPrefix(q, c.then) || c.then == "" && q != "" {
-				t.Errorf("the second call asks %q", q)
+			discoveryServer.Next <- c.answer
+			if query := receive(t, "second call", discoveryServer.Calls); !strings.HasPrefix(query, c.nextQuery) || c.nextQuery == "" && query != "" {
+				t.Errorf("the second call asks %q", query)
 			}
 		})
 	}
@@ -81,20 +81,20 @@
 // one's watch is given up.
 func TestReload(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
-	old := newScriptedDiscovery(t, listJSON(7, true, memberJSON("x", x.Addr, "Ready", 0)))
-	next := newScriptedDiscovery(t, listJSON(2, true, memberJSON("y", y.Addr, "Ready", 0)))
-	cfg := testConfig(t, old.Addr, testSettings)
+	oldServer := newScriptedDiscovery(t, listJSON(7, true, memberJSON("x", x.Addr, "Ready", 0)))
+	newServer := newScriptedDiscovery(t, listJSON(2, true, memberJSON("y", y.Addr, "Ready", 0)))
+	cfg := testConfig(t, oldServer.Addr, testSettings)
 	a := startAgent(t, cfg)
-	receive(t, "first call", old.Calls)
-	receive(t, "watch", old.Calls)
-	moved := *cfg
-	moved.Discovery = next.Addr
-	a.reloads <- &moved
-	if q := receive(t, "call to the new discovery", next.Calls); q != "" {
-		t.Errorf("the first call asks %q", q)
+	receive(t, "first call", oldServer.Calls)
+	receive(t, "watch", oldServer.Calls)
+	updated := *cfg
+	updated.Discovery = newServer.Addr
+	a.reloads <- &updated
+	if query := receive(t, "call to the new discovery", newServer.Calls); query != "" {
+		t.Errorf("the first call asks %q", query)
 	}
-	if q := receive(t, "watch", next.Calls); !strings.HasPrefix(q, "after=2&") {
-		t.Errorf("the second call asks %q", q)
+	if query := receive(t, "watch", newServer.Calls); !strings.HasPrefix(query, "after=2&") {
+		t.Errorf("the second call asks %q", query)
 	}
 	for range 5 {
 		if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
@@ -104,7 +104,7 @@
 	if len(x.Got) > 0 || len(y.Got) != 5 {
 		t.Errorf("%d sent to the old list's backend, %d to the new one's", len(x.Got), len(y.Got))
 	}
-	if n := len(old.Calls); n > 0 {
+	if n := len(oldServer.Calls); n > 0 {
 		t.Errorf("the old discovery was asked %d more times", n)
 	}
 }
@@ -113,26 +113,26 @@
 // the whole list.
 func TestDiscoveryLoss(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
-	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0)))
-	a := startAgent(t, testConfig(t, l.Addr, testSettings))
-	receive(t, "first call", l.Calls)
+	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0)))
+	a := startAgent(t, testConfig(t, discoveryServer.Addr, testSettings))
+	receive(t, "first call", discoveryServer.Calls)
 	for i, text := range []string{"no list", `{"revision":7,"complete":true,"members":[{"id":"x","phase":"Odd"}]}`, `{"complete":true}`} {
-		receive(t, "watch", l.Calls)
+		receive(t, "watch", discoveryServer.Calls)
 		if i == 2 {
-			l.Whole(func() []byte { return nil })
+			discoveryServer.Whole(func() []byte { return nil })
 		}
-		l.Next <- []byte(text)
-		if q := receive(t, "call", l.Calls); q != "" {
-			t.Errorf("after %s: asked %q", text, q)
+		discoveryServer.Next <- []byte(text)
+		if query := receive(t, "call", discoveryServer.Calls); query != "" {
+			t.Errorf("after %s: asked %q", text, query)
 		}
 	}
-	receive(t, "call again", l.Calls)
+	receive(t, "call again", discoveryServer.Calls)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
 		t.Errorf("without discovery: answered %d", status)
 	}
-	l.Whole(func() []byte { return listJSON(9, true, memberJSON("y", y.Addr, "Ready", 0)) })
+	discoveryServer.Whole(func() []byte { return listJSON(9, true, memberJSON("y", y.Addr, "Ready", 0)) })
 	for {
-		if q := receive(t, "call", l.Calls); strings.HasPrefix(q, "after=9&") {
+		if query := receive(t, "call", discoveryServer.Calls); strings.HasPrefix(query, "after=9&") {
 			break
 		}
 	}
@@ -145,17 +145,17 @@
 // discovery that is silent when a watch is over.
 func TestDiscoveryGapAndSilence(t *testing.T) {
 	b := newBackend(t, alwaysOK)
-	l := newScriptedDiscovery(t, listJSON(8, true, memberJSON("x", b.Addr, "Ready", 0)))
-	startAgent(t, testConfig(t, l.Addr, testSettings))
-	receive(t, "first call", l.Calls)
-	receive(t, "watch", l.Calls)
-	l.Next <- listJSON(3, false)
-	if q := receive(t, "call after the gap", l.Calls); q != "" {
-		t.Errorf("after a gap: asked %q", q)
+	discoveryServer := newScriptedDiscovery(t, listJSON(8, true, memberJSON("x", b.Addr, "Ready", 0)))
+	startAgent(t, testConfig(t, discoveryServer.Addr, testSettings))
+	receive(t, "first call", discoveryServer.Calls)
+	receive(t, "watch", discoveryServer.Calls)
+	discoveryServer.Next <- listJSON(3, false)
+	if query := receive(t, "call after the gap", discoveryServer.Calls); query != "" {
+		t.Errorf("after a gap: asked %q", query)
 	}
 	for range 2 { // the watch that gets no answer, and the one after it
-		if q := receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=8&") {
-			t.Errorf("asked %q", q)
+		if query := receive(t, "watch", discoveryServer.Calls); !strings.HasPrefix(query, "after=8&") {
+			t.Errorf("asked %q", query)
 		}
 	}
 }
@@ -163,18 +163,18 @@
 // Where the list must be asked for, the module hears of a failure and decides when to ask again.
 func TestAskedDiscovery(t *testing.T) {
 	b := newBackend(t, alwaysOK)
-	set := strings.Replace(testSettings, `"automatic"`, `"subscribe"`, 1)
-	set = strings.Replace(set, `"extraFloor"`, `"mustAskIn":50,"extraFloor"`, 1)
-	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", b.Addr, "Ready", 0)))
-	whole, calls := listJSON(1, true, memberJSON("x", b.Addr, "Ready", 0)), 0
-	l.Whole(func() []byte {
+	settings := strings.Replace(testSettings, `"automatic"`, `"subscribe"`, 1)
+	settings = strings.Replace(settings, `"extraFloor"`, `"mustAskIn":50,"extraFloor"`, 1)
+	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", b.Addr, "Ready", 0)))
+	fullList, calls := listJSON(1, true, memberJSON("x", b.Addr, "Ready", 0)), 0
+	discoveryServer.Whole(func() []byte {
 		if calls++; calls <= 2 {
 			return nil
 		}
-		return whole
+		return fullList
 	})
-	a := startAgent(t, testConfig(t, l.Addr, set)) // which returns when the list has come
-	if n := len(l.Calls); n < 3 {
+	a := startAgent(t, testConfig(t, discoveryServer.Addr, settings)) // which returns when the list has come
+	if n := len(discoveryServer.Calls); n < 3 {
 		t.Errorf("up after %d calls, of which two failed", n)
 	}
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
--- a/internal/agent/replace.go
+++ b/internal/agent/replace.go
@@ -8,12 +8,12 @@
 
 const (
 	// readyWithin is how long a process waits for a list before it accepts all the same.
-	readyWithin = 3 * time.Second
-	readyLook   = 5 * time.Millisecond
+	readyTimeout      = 3 * time.Second
+	readyPollInterval = 5 * time.Millisecond
 )
 
 // takeOver takes what the process before this one knows, and lets the next one find this.
-func (a *Agent) takeOver(ctx context.Context) {
+func (a *Agent) takeOverState(ctx context.Context) {
 	if a.handover == nil {
 		return
 	}
@@ -33,30 +33,30 @@
 	if !a.cfg.SharedSocket {
 		return
 	}
-	end := time.Now().Add(readyWithin)
-	for !a.loop.ready.Load() && ctx.Err() == nil && time.Now().Before(end) {
-		time.Sleep(readyLook)
+	deadline := time.Now().Add(readyTimeout)
+	for !a.loop.ready.Load() && ctx.Err() == nil && time.Now().Before(deadline) {
+		time.Sleep(readyPollInterval)
 	}
 }
 
 // shareRoom has the agent use half of its room while another process of it runs: their descriptors and their memory count
 // together.
-func (a *Agent) updateLimits(beside bool) {
-	was := a.otherProcess.Swap(beside)
-	of := int64(1)
-	if beside {
-		of = 2
-	}
-	most := a.server.usual / of
-	if wanted := a.operatorLimit.Load(); wanted > 0 {
-		most = min(most, wanted)
-	}
-	a.server.maxRequests.Store(most)
-	a.clientConns.resize(a.maxClientConns / int(of))
-	a.loop.backends.SetMaxConns(a.maxBackendConns / int(of))
-	if limit := debug.SetMemoryLimit(-1); beside && !was {
-		debug.SetMemoryLimit(limit / 2)
-	} else if !beside && was {
-		debug.SetMemoryLimit(limit * 2)
+func (a *Agent) updateLimits(otherProcess bool) {
+	hadOtherProcess := a.otherProcess.Swap(otherProcess)
+	processes := int64(1)
+	if otherProcess {
+		processes = 2
+	}
+	maxRequests := a.server.defaultMaxRequests / processes
+	if operatorLimit := a.operatorLimit.Load(); operatorLimit > 0 {
+		maxRequests = min(maxRequests, operatorLimit)
+	}
+	a.server.maxRequests.Store(maxRequests)
+	a.clientConns.resize(a.maxClientConns / int(processes))
+	a.loop.backends.SetMaxConns(a.maxBackendConns / int(processes))
+	if memoryLimit := debug.SetMemoryLimit(-1); otherProcess && !hadOtherProcess {
+		debug.SetMemoryLimit(memoryLimit / 2)
+	} else if !otherProcess && hadOtherProcess {
+		debug.SetMemoryLimit(memoryLimit * 2)
 	}
 }
--- a/internal/agent/replace_test.go
+++ b/internal/agent/replace_test.go
@@ -23,20 +23,20 @@
 // a backend that was called out of the first gets nothing from any.
 func TestProcessesReplaceOneAnother(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
-	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
+	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
 	shared, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer shared.Close()
-	cfg := testConfig(t, l.Addr, testSettings)
+	cfg := testConfig(t, discoveryServer.Addr, testSettings)
 	cfg.SharedSocket, cfg.Handover = true, handover.Unix(t.TempDir())
 	type process struct {
 		*Agent
 		stop  context.CancelFunc
 		ended chan error
 	}
-	begin := func() process {
+	startProcess := func() process {
 		file, err := shared.(*net.TCPListener).File()
 		if err != nil {
 			t.Fatal(err)
@@ -46,38 +46,38 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		own := *cfg
-		a, err := New(&own, listener, TCP{}, slog.New(slog.DiscardHandler))
+		ownConfig := *cfg
+		a, err := New(&ownConfig, listener, TCP{}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		p := process{a, stop, make(chan error, 1)}
 		go func() { p.ended <- a.Run(ctx, nil) }()
-		for begun := time.Now(); !a.Ready(); time.Sleep(time.Millisecond) {
-			if time.Since(begun) > testTimeout {
+		for start := time.Now(); !a.Ready(); time.Sleep(time.Millisecond) {
+			if time.Since(start) > testTimeout {
 				t.Fatal("a process does not come up")
 			}
 		}
 		return p
 	}
-	now := begin()
-	if known, err := now.Ban(t.Context(), "x", true); !known || err != nil {
+	current := startProcess()
+	if known, err := current.Ban(t.Context(), "x", true); !known || err != nil {
 		t.Fatal(known, err)
 	}
 	r := &runningAgent{url: "http://" + shared.Addr().String()}
 	var served atomic.Int64
 	var clients sync.WaitGroup
-	done, over := make(chan struct{}), make(chan struct{})
-	ran := map[string]int{} // by call
-	counted := make(chan struct{})
+	stopClients, stopCounting := make(chan struct{}), make(chan struct{})
+	runs := map[string]int{} // by call
+	countingDone := make(chan struct{})
 	go func() {
-		defer close(counted)
+		defer close(countingDone)
 		for {
 			select {
 			case req := <-y.Got:
-				ran[req.Header.Get(callIDHeader)]++
-			case <-over:
+				runs[req.Header.Get(callIDHeader)]++
+			case <-stopCounting:
 				return
 			}
 		}
@@ -88,7 +88,7 @@
 			defer client.CloseIdleConnections()
 			for {
 				select {
-				case <-done:
+				case <-stopClients:
 					return
 				default:
 				}
@@ -108,31 +108,31 @@
 		})
 	}
 	for i := range *handovers {
-		next := begin()
-		now.stop()
-		if err := receive(t, "end of process "+strconv.Itoa(i), now.ended); err != nil {
+		next := startProcess()
+		current.stop()
+		if err := receive(t, "end of process "+strconv.Itoa(i), current.ended); err != nil {
 			t.Fatal(err)
 		}
-		now = next
+		current = next
 	}
-	close(done)
+	close(stopClients)
 	clients.Wait()
-	now.stop()
-	receive(t, "end", now.ended)
-	close(over)
-	<-counted
+	current.stop()
+	receive(t, "end", current.ended)
+	close(stopCounting)
+	<-countingDone
 	for len(y.Got) > 0 {
-		ran[(<-y.Got).Header.Get(callIDHeader)]++
+		runs[(<-y.Got).Header.Get(callIDHeader)]++
 	}
 	if n := len(x.Got); n > 0 {
 		t.Errorf("%d sent to the backend that was called out", n)
 	}
-	for id, n := range ran {
+	for id, n := range runs {
 		if n > 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	if n := int64(len(ran)); n != served.Load() || n == 0 {
+	if n := int64(len(runs)); n != served.Load() || n == 0 {
 		t.Errorf("%d ran for %d served", n, served.Load())
 	}
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -34,43 +34,43 @@
 	statusRefused = http.StatusServiceUnavailable
 	statusFailed  = http.StatusBadGateway
 
-	maxBudget    = time.Hour
-	writeTimeout = 5 * time.Second // for a client to take its answer, or half of it
-	maxCallID    = 256             // bytes
-	fullAdvice   = time.Second     // when to come back to an agent that holds all the requests it can
+	maxBudget          = time.Hour
+	writeTimeout       = 5 * time.Second // for a client to take its answer, or half of it
+	maxCallIDBytes     = 256             // bytes
+	overloadRetryAfter = time.Second     // when to come back to an agent that holds all the requests it can
 )
 
 // hopHeaders concern one connection only and are not passed on.
-var hopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
+var hopByHopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Expect", "Content-Length"}
 
 // server is the client's side: it turns requests into calls for the loop, and its answers into responses.
 type server struct {
-	loop        *loop
-	clientConns *admission
-	usual       int64 // requests held at once, if operators say nothing
+	loop               *loop
+	clientConns        *admission
+	defaultMaxRequests int64 // requests held at once, if operators say nothing
 
-	maxRequests  atomic.Int64 // requests held at once
-	openRequests atomic.Int64
-	coming       atomic.Int64 // of these, those whose last byte is not here
-	refuseAll    atomic.Bool  // operators let nothing in
-	stance       atomic.Pointer[leave.Mode]
+	maxRequests     atomic.Int64 // requests held at once
+	openRequests    atomic.Int64
+	receivingBodies atomic.Int64 // of these, those whose last byte is not here
+	refuseAll       atomic.Bool  // operators let nothing in
+	mode            atomic.Pointer[leave.Mode]
 }
 
 // badRequest is what a client did wrong, and the status that tells it so.
-type badRequest struct {
+type clientError struct {
 	status int
 	text   string
 }
 
-func (e *badRequest) Error() string { return e.text }
+func (e *clientError) Error() string { return e.text }
 
-func (e *badRequest) answer() answer {
+func (e *clientError) answer() answer {
 	return answer{status: e.status, contentType: "text/plain", body: []byte(e.text + "\n")}
 }
 
 func badRequestf(format string, args ...any) error {
-	return &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+	return &clientError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -80,92 +80,92 @@
 		return
 	}
 	if r.URL.Path == readyPath {
-		stance := s.stance.Load()
-		if stance.CloseAfterAnswer {
+		mode := s.mode.Load()
+		if mode.CloseAfterAnswer {
 			w.Header().Set("Connection", "close")
 		}
-		if !s.loop.ready.Load() || !stance.Ready {
+		if !s.loop.ready.Load() || !mode.Ready {
 			http.Error(w, "no list of backends yet, or leaving", http.StatusServiceUnavailable)
 		}
 		return
 	}
-	c, err := s.readRequest(w, r)
-	var b *badRequest
+	pending, err := s.readRequest(w, r)
+	var clientErr *clientError
 	switch {
-	case errors.As(err, &b):
-		s.respond(w, b.answer())
+	case errors.As(err, &clientErr):
+		s.respond(w, clientErr.answer())
 		return
 	case err != nil, !s.clientConns.take(connOf(r)): // the connection is gone
 		panic(http.ErrAbortHandler)
 	}
-	rest := c.message.upload
-	if rest != nil {
-		defer rest.stop() // danger: who reads the body must not outlast its handler
+	upload := pending.message.upload
+	if upload != nil {
+		defer upload.stop() // danger: who reads the body must not outlast its handler
 		// What is left of it when there is an answer is not waited for.
 		w.Header().Set("Connection", "close")
-		if !s.loop.backends.reserve(streamRoom) {
-			s.loop.locked(func() { s.loop.counts.turnAway(c.class) })
-			s.respond(w, answer{status: statusRefused, retryAfter: fullAdvice})
+		if !s.loop.backends.reserveStreamMemory(memoryPerStream) {
+			s.loop.locked(func() { s.loop.counts.turnAway(pending.class) })
+			s.respond(w, answer{status: statusRefused, retryAfter: overloadRetryAfter})
 			return
 		}
-		defer s.loop.backends.freeStreamMemory(streamRoom)
-		s.coming.Add(1)
+		defer s.loop.backends.freeStreamMemory(memoryPerStream)
+		s.receivingBodies.Add(1)
 		defer func() {
-			if !rest.complete.Load() {
-				s.coming.Add(-1)
+			if !upload.complete.Load() {
+				s.receivingBodies.Add(-1)
 			}
 		}()
 	}
 	defer s.openRequests.Add(-1)
 	if s.openRequests.Add(1) > s.maxRequests.Load() || s.refuseAll.Load() {
-		s.loop.locked(func() { s.loop.counts.turnAway(c.class) })
-		s.respond(w, answer{status: statusRefused, retryAfter: fullAdvice})
+		s.loop.locked(func() { s.loop.counts.turnAway(pending.class) })
+		s.respond(w, answer{status: statusRefused, retryAfter: overloadRetryAfter})
 		return
 	}
-	hangup := input{event: policy.Event{Kind: policy.EventClientGone}, call: c}
-	left := make(chan struct{}) // closed if the client leaves behind the first bytes of its next request
-	if rest == nil {
-		c.client = connOf(r).watch
-		defer c.client.NotifyOnClose(func() { s.loop.send(hangup); close(left) })()
-	}
-	s.loop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: c, by: c})
-	if c.attempt != nil {
-		stop := context.AfterFunc(r.Context(), func() {
-			if rest == nil || rest.complete.Load() {
-				s.loop.send(hangup)
+	clientGone := input{event: policy.Event{Kind: policy.EventClientGone}, call: pending}
+	clientLeft := make(chan struct{}) // closed if the client leaves behind the first bytes of its next request
+	if upload == nil {
+		pending.client = connOf(r).watch
+		defer pending.client.NotifyOnClose(func() { s.loop.send(clientGone); close(clientLeft) })()
+	}
+	s.loop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: pending, by: pending})
+	if pending.attempt != nil {
+		stopWatching := context.AfterFunc(r.Context(), func() {
+			if upload == nil || upload.complete.Load() {
+				s.loop.send(clientGone)
 			}
 		})
-		for c.attempt != nil {
-			carryOut := c.attempt
-			c.attempt = nil
-			carryOut()
+		for pending.attempt != nil {
+			attempt := pending.attempt
+			pending.attempt = nil
+			attempt()
 		}
-		stop()
+		stopWatching()
 	}
-	var failed chan struct{}
-	gone := r.Context().Done()
-	if rest != nil {
-		if failed = rest.failed; !rest.complete.Load() {
-			gone = nil // danger: net/http takes a read that was interrupted for a client that has gone
+	var uploadFailed chan struct{}
+	ctxDone := r.Context().Done()
+	if upload != nil {
+		if uploadFailed = upload.failed; !upload.complete.Load() {
+			ctxDone = nil // danger: net/http takes a read that was interrupted for a client that has gone
 		}
 	}
 	select {
-	case a := <-c.answered:
-		if rest != nil {
-			rest.stop() // danger: net/http bears no reader of the body beside an answer
+	case a := <-pending.answered:
+		if upload != nil {
+			upload.stop() // danger: net/http bears no reader of the body beside an answer
 		}
 		if a.rest == nil {
 			s.respond(w, a)
 		} else {
-			s.respondStreaming(w, c, a)
+			s.respondStreaming(w, pending, a)
 		}
-	case <-failed:
-		s.loop.send(hangup)
+	case <-uploadFailed:
+		s.loop.send(clientGone)
 		s.respond(w, answer{status: http.StatusRequestTimeout})
-	case <-left:
+	case <-clientLeft:
 		panic(http.ErrAbortHandler)
-	case <-gone:
-		s.loop.send(hangup)
+	case <-ctxDone:
+		s.loop.send(clientGone)
 		// Danger: a handler that returns without a word answers 200, and a client that has closed only its own
 		// side would take that for what a backend made.
 		panic(http.ErrAbortHandler)
@@ -182,15 +182,15 @@
 // pass writes an answer whose body passes through. Danger: one that breaks must not look whole.
 func (s *server) respondStreaming(w http.ResponseWriter, c *call, a answer) {
 	s.writeHead(w, &a, a.rest.size)
-	whole, client := false, true
+	complete, clientFault := false, true
 	if _, err := w.Write(a.body); err == nil {
-		whole, client = a.rest.forwardTo(w)
+		complete, clientFault = a.rest.forwardTo(w)
 	}
-	a.rest.release(whole)
-	if whole {
+	a.rest.release(complete)
+	if complete {
 		return
 	}
-	if !client {
+	if !clientFault {
 		s.loop.locked(func() { s.loop.counts.broke(c.class) })
 	}
 	panic(http.ErrAbortHandler)
@@ -200,7 +200,7 @@
 func (s *server) writeHead(w http.ResponseWriter, a *answer, size int64) {
 	h := w.Header()
 	// What else a client sends that has sent nonsense is not to be trusted either.
-	if s.stance.Load().CloseAfterAnswer || a.status/100 == 4 {
+	if s.mode.Load().CloseAfterAnswer || a.status/100 == 4 {
 		h.Set("Connection", "close")
 	}
 	if a.retryAfter > 0 {
@@ -217,63 +217,63 @@
 }
 
 // checkFraming checks how a request's body is said to end, before any of it is read.
-func checkFraming(w http.ResponseWriter, r *http.Request) *badRequest {
+func checkFraming(w http.ResponseWriter, r *http.Request) *clientError {
 	switch {
 	case len(r.TransferEncoding) > 0:
 		// Danger: net/http drops the length that stands beside it, and one of both hides a request in the body
 		// from whoever goes by the other. Where that can't be told nothing else is read from the connection (RFC 9112,
 		// section 6.1).
-		says, known := connOf(r).saysLength()
-		if says {
-			return &badRequest{http.StatusBadRequest, "both Transfer-Encoding and Content-Length"}
+		hasLength, known := connOf(r).saysLength()
+		if hasLength {
+			return &clientError{http.StatusBadRequest, "both Transfer-Encoding and Content-Length"}
 		}
 		if !known {
 			w.Header().Set("Connection", "close")
 		}
-	case r.ContentLength > mostBody:
-		return &badRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", mostBody)}
+	case r.ContentLength > maxBody:
+		return &clientError{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", maxBody)}
 	}
 	return nil
 }
 
 // onceHeaders say what a request is; two of one would leave open which counts.
-var onceHeaders = []string{callIDHeader, classHeader, tenantHeader, budgetHeader, retryHeader, keyHeader}
+var singletonHeaders = []string{callIDHeader, classHeader, tenantHeader, budgetHeader, retryHeader, keyHeader}
 
 // read checks a request's head, and then reads it to its last byte, from which its budget counts; or as much as is kept of one
 // that is longer.
 func (s *server) readRequest(w http.ResponseWriter, r *http.Request) (*call, error) {
 	set := s.loop.set
 	// What concerns this connection only goes before anything is checked: it may name what is needed.
-	for _, name := range r.Header["Connection"] {
-		for field := range strings.SplitSeq(name, ",") {
+	for _, list := range r.Header["Connection"] {
+		for field := range strings.SplitSeq(list, ",") {
 			r.Header.Del(textproto.TrimString(field))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		r.Header.Del(name)
 	}
-	for _, name := range onceHeaders {
+	for _, name := range singletonHeaders {
 		if len(r.Header[name]) > 1 {
 			return nil, badRequestf("%s stands there twice", name)
 		}
 	}
-	c := &call{
+	pending := &call{
 		class:    slices.Index(set.Classes, r.Header.Get(classHeader)),
 		retry:    r.Header.Get(retryHeader) == "1",
 		answered: make(chan answer, 1),
 	}
-	if c.class < 0 {
+	if pending.class < 0 {
 		return nil, badRequestf("%s is unknown", classHeader)
 	}
 	uri := originForm(r.RequestURI)
-	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != set.Classes[c.class] || uri == "" {
+	if firstSegment, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); firstSegment != set.Classes[pending.class] || uri == "" {
 		return nil, badRequestf("the path does not begin with the class")
 	}
-	if err := checkEffect(set.Module.Classes[c.class].Effect, r); err != nil {
+	if err := checkEffect(set.Module.Classes[pending.class].Effect, r); err != nil {
 		return nil, err
 	}
 	if len(set.Tenants) > 0 {
-		if c.tenant = slices.Index(set.Tenants, r.Header.Get(tenantHeader)); c.tenant < 0 {
+		if pending.tenant = slices.Index(set.Tenants, r.Header.Get(tenantHeader)); pending.tenant < 0 {
 			return nil, badRequestf("%s is unknown", tenantHeader)
 		}
 	}
@@ -281,34 +281,34 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.callID = r.Header.Get(callIDHeader); c.callID == "" || len(c.callID) > maxCallID {
+	if pending.callID = r.Header.Get(callIDHeader); pending.callID == "" || len(pending.callID) > maxCallIDBytes {
 		return nil, badRequestf("%s is missing or too long", callIDHeader)
 	}
-	rest := &upload{body: r.Body, conn: connOf(r), size: r.ContentLength, budget: budget, failed: make(chan struct{})}
-	body, err := rest.readBuffered()
+	upload := &uploadStream{body: r.Body, conn: connOf(r), size: r.ContentLength, budget: budget, failed: make(chan struct{})}
+	body, err := upload.readBuffered()
 	if err != nil {
-		return nil, &badRequest{http.StatusRequestTimeout, fmt.Sprintf("the body does not come: %v", err)}
+		return nil, &clientError{http.StatusRequestTimeout, fmt.Sprintf("the body does not come: %v", err)}
 	}
-	c.deadline = s.loop.clock.now() + budget
-	if rest.complete.Load() {
-		rest = nil
+	pending.deadline = s.loop.clock.now() + budget
+	if upload.complete.Load() {
+		upload = nil
 	} else {
-		c.deadline += maxUploadTime(rest.size)
-		rest.onComplete = func() time.Duration {
-			s.coming.Add(-1)
-			s.loop.send(input{event: policy.Event{Kind: policy.EventBodyReceived}, call: c})
+		pending.deadline += maxUploadTime(upload.size)
+		upload.onComplete = func() time.Duration {
+			s.receivingBodies.Add(-1)
+			s.loop.send(input{event: policy.Event{Kind: policy.EventBodyReceived}, call: pending})
 			return budget
 		}
 	}
-	c.message = newMessage(r.Method, uri, r.Host, r.Header, body, rest)
-	return c, nil
+	pending.message = newMessage(r.Method, uri, r.Host, r.Header, body, upload)
+	return pending, nil
 }
 
 // originForm is a request's target without scheme and authority (RFC 9112, section 3.2), empty if it has no path.
 func originForm(target string) string {
-	if _, rest, absolute := strings.Cut(target, "://"); absolute && !strings.HasPrefix(target, "/") {
-		if i := strings.IndexAny(rest, "/?"); i >= 0 && rest[i] == '/' {
-			return rest[i:]
+	if _, afterScheme, absolute := strings.Cut(target, "://"); absolute && !strings.HasPrefix(target, "/") {
+		if i := strings.IndexAny(afterScheme, "/?"); i >= 0 && afterScheme[i] == '/' {
+			return afterScheme[i:]
 		}
 		return ""
 	}
@@ -321,14 +321,14 @@
 // checkEffect checks that a request is sent as its class's effect asks. Danger: a keyed request without its
 // key would be repeated as if backends could tell.
 func checkEffect(effect policy.Effect, r *http.Request) error {
-	method, keyed := http.MethodPost, effect == policy.Keyed
+	method, needsKey := http.MethodPost, effect == policy.Keyed
 	if effect == policy.Pure {
 		method = http.MethodGet
 	}
 	if r.Method != method {
-		return &badRequest{http.StatusMethodNotAllowed, "the class wants " + method}
+		return &clientError{http.StatusMethodNotAllowed, "the class wants " + method}
 	}
-	if keyed && r.Header.Get(keyHeader) == "" {
+	if needsKey && r.Header.Get(keyHeader) == "" {
 		return badRequestf("the class wants %s", keyHeader)
 	}
 	return nil
@@ -342,8 +342,8 @@
 		unit = time.Microsecond
 		number, ok = strings.CutSuffix(text, "u")
 	}
-	v, err := strconv.ParseFloat(number, 64)
-	if budget := v * float64(unit); ok && err == nil && budget > 0 && budget <= float64(maxBudget) {
+	value, err := strconv.ParseFloat(number, 64)
+	if budget := value * float64(unit); ok && err == nil && budget > 0 && budget <= float64(maxBudget) {
 		return time.Duration(math.Round(budget)), nil
 	}
 	return 0, badRequestf("%s is no time", budgetHeader)
--- a/internal/agent/server_test.go
+++ b/internal/agent/server_test.go
@@ -33,7 +33,7 @@
 func TestBadRequests(t *testing.T) {
 	b := newBackend(t, alwaysOK)
 	a := startAgentWith(t, testSettings, b)
-	for what, change := range map[string]func(*http.Request){
+	for name, change := range map[string]func(*http.Request){
 		"class":    func(r *http.Request) { r.Header.Set(classHeader, "nobody") },
 		"path":     func(r *http.Request) { r.URL.Path = "/safe/1"; r.URL.RawPath = "" },
 		"tenant":   func(r *http.Request) { r.Header.Set(tenantHeader, "nobody") },
@@ -42,18 +42,18 @@
 		"infinite": func(r *http.Request) { r.Header.Set(budgetHeader, "Infm") },
 		"negative": func(r *http.Request) { r.Header.Set(budgetHeader, "-3m") },
 		"id":       func(r *http.Request) { r.Header.Del(callIDHeader) },
-		"long id":  func(r *http.Request) { r.Header.Set(callIDHeader, strings.Repeat("x", maxCallID+1)) },
+		"long id":  func(r *http.Request) { r.Header.Set(callIDHeader, strings.Repeat("x", maxCallIDBytes+1)) },
 		"key":      func(r *http.Request) { r.Header.Del(keyHeader) },
 		"method":   func(r *http.Request) { r.Method = http.MethodPut },
 		"body": func(r *http.Request) {
-			r.Body = io.NopCloser(bytes.NewReader(make([]byte, mostBody+1)))
-			r.ContentLength = mostBody + 1
+			r.Body = io.NopCloser(bytes.NewReader(make([]byte, maxBody+1)))
+			r.ContentLength = maxBody + 1
 		},
 	} {
 		req := a.request("keyed", "15000m")
 		change(req)
 		if status, _ := a.do(t, req); status < 400 || status >= 500 {
-			t.Errorf("%s: answered %d", what, status)
+			t.Errorf("%s: answered %d", name, status)
 		}
 	}
 	if len(b.Got) > 0 {
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -19,26 +19,26 @@
 	// keep is how much of a body is kept whole, in bytes: what is sent again, or not passed on before it is known to be good.
 	maxBufferedBody = 64 << 10
 	// mostBody bounds bodies in both directions, in bytes.
-	mostBody = 40 << 20
+	maxBody = 40 << 20
 	// streamBuffer is what a stream moves at once, in bytes.
-	streamBuffer = 32 << 10
+	streamBufferSize = 32 << 10
 	// streamRoom is what a stream takes of the room that all share, in bytes.
-	streamRoom = maxBufferedBody + streamBuffer
+	memoryPerStream = maxBufferedBody + streamBufferSize
 
 	// A request's body comes at leastRate at least, in bytes a second, of the time that is spent waiting for it, and
 	// some time of grace: clients may be as slow as twice that.
-	leastRate   = 32 << 10
-	uploadGrace = 2 * time.Second
+	minUploadRate = 32 << 10
+	uploadGrace   = 2 * time.Second
 
-	answerStall = 250 * time.Millisecond // until the next byte of an answer that is read whole
-	streamStall = 10 * time.Second       // until a backend gives, or takes, the next byte of what passes through
-	settle      = 100 * time.Millisecond // for an answer without a length to be whole
+	answerStallTimeout = 250 * time.Millisecond // until the next byte of an answer that is read whole
+	streamStallTimeout = 10 * time.Second       // until a backend gives, or takes, the next byte of what passes through
+	bufferingTime      = 100 * time.Millisecond // for an answer without a length to be whole
 )
 
 // errClient says that a request's body does not come to its end: its client has gone or dawdles.
-var errClient = errors.New("the request's body does not come")
+var errUploadFailed = errors.New("the request's body does not come")
 
-var buffers = sync.Pool{New: func() any { return new([streamBuffer]byte) }}
+var streamBuffers = sync.Pool{New: func() any { return new([streamBufferSize]byte) }}
 
 // pace bounds how long a body may be waited for.
 type uploadPace struct {
@@ -48,19 +48,19 @@
 
 // left is how much longer the next bytes may be waited for.
 func (p *uploadPace) timeLeft() time.Duration {
-	return uploadGrace + time.Duration(float64(p.received)/leastRate*float64(time.Second)) - p.waited
+	return uploadGrace + time.Duration(float64(p.received)/minUploadRate*float64(time.Second)) - p.waited
 }
 
 // longest is how long a body of a size may take to come; one of no known size is as long as may be.
 func maxUploadTime(size int64) time.Duration {
 	if size < 0 {
-		size = mostBody
+		size = maxBody
 	}
-	return uploadGrace + time.Duration(float64(size)/leastRate*float64(time.Second))
+	return uploadGrace + time.Duration(float64(size)/minUploadRate*float64(time.Second))
 }
 
 // upload is a request's body on its way from the client, behind what of it is kept.
-type upload struct {
+type uploadStream struct {
 	body io.Reader
 	conn *clientConn
 	size int64 // bytes of the whole body; -1: not known before its end
@@ -80,21 +80,21 @@
 
 // Read reads what has come, and waits no longer than the client's pace allows. Its error is io.EOF at the end, or wraps
 // errClient.
-func (u *upload) Read(b []byte) (n int, err error) {
+func (u *uploadStream) Read(b []byte) (n int, err error) {
 	u.readMu.Lock()
 	defer u.readMu.Unlock()
 	u.stopMu.Lock()
 	if u.stopped {
 		u.stopMu.Unlock()
-		return 0, errClient
+		return 0, errUploadFailed
 	}
-	begun := time.Now()
-	u.conn.SetReadDeadline(begun.Add(u.pace.timeLeft()))
+	start := time.Now()
+	u.conn.SetReadDeadline(start.Add(u.pace.timeLeft()))
 	u.stopMu.Unlock()
 	n, err = u.body.Read(b)
-	u.pace.waited += time.Since(begun)
-	if u.pace.received += int64(n); u.pace.received > mostBody && err == nil {
-		err = errClient
+	u.pace.waited += time.Since(start)
+	if u.pace.received += int64(n); u.pace.received > maxBody && err == nil {
+		err = errUploadFailed
 	}
 	switch {
 	case err == io.EOF:
@@ -102,7 +102,7 @@
 		u.conn.SetReadDeadline(time.Time{})
 		u.complete.Store(true)
 	case err != nil:
-		err = errors.Join(errClient, err)
+		err = errors.Join(errUploadFailed, err)
 		u.stopMu.Lock()
 		defer u.stopMu.Unlock()
 		if !u.stopped { // else it has not failed by itself
@@ -114,7 +114,7 @@
 }
 
 // kept reads what of the body is kept, which is all of a short one.
-func (u *upload) readBuffered() (body []byte, err error) {
+func (u *uploadStream) readBuffered() (body []byte, err error) {
 	if u.size == 0 {
 		u.complete.Store(true)
 		u.conn.SetReadDeadline(time.Time{})
@@ -131,14 +131,14 @@
 	}
 	if int64(len(body)) == u.size && !u.complete.Load() { // as long as is kept: its end is here, and not told yet
 		if _, err := u.Read(make([]byte, 1)); err != io.EOF {
-			return nil, errClient
+			return nil, errUploadFailed
 		}
 	}
 	return body, nil
 }
 
 // hasFailed says whether its client has gone or dawdles.
-func (u *upload) hasFailed() bool {
+func (u *uploadStream) hasFailed() bool {
 	select {
 	case <-u.failed:
 		return true
@@ -148,14 +148,14 @@
 }
 
 // stop ends reading, and returns when nobody reads any more.
-func (u *upload) stop() {
+func (u *uploadStream) stop() {
 	u.interrupt()
 	u.readMu.Lock() // held by whoever reads: once it is had, nobody does
 	defer u.readMu.Unlock()
 }
 
 // interrupt ends reading.
-func (u *upload) interrupt() {
+func (u *uploadStream) interrupt() {
 	if u.complete.Load() {
 		return
 	}
@@ -166,21 +166,21 @@
 }
 
 // pump passes the rest of the body on, each byte as it comes. Its error wraps errClient if it is the client's.
-func (u *upload) pump(c *connpool.Conn) error {
+func (u *uploadStream) forwardTo(c *connpool.Conn) error {
 	u.forwarding.Store(true)
-	var to io.Writer = c
-	var chunks io.WriteCloser
+	var dst io.Writer = c
+	var chunked io.WriteCloser
 	if u.size < 0 {
-		chunks = httputil.NewChunkedWriter(c)
-		to = chunks
+		chunked = httputil.NewChunkedWriter(c)
+		dst = chunked
 	}
-	buf := buffers.Get().(*[streamBuffer]byte)
-	defer buffers.Put(buf)
+	buf := streamBuffers.Get().(*[streamBufferSize]byte)
+	defer streamBuffers.Put(buf)
 	for {
 		n, err := u.Read(buf[:])
 		if n > 0 {
-			c.SetWriteDeadline(time.Now().Add(streamStall))
-			if _, err := to.Write(buf[:n]); err != nil {
+			c.SetWriteDeadline(time.Now().Add(streamStallTimeout))
+			if _, err := dst.Write(buf[:n]); err != nil {
 				return err
 			}
 		}
@@ -191,8 +191,8 @@
 			return err
 		}
 	}
-	if chunks != nil {
-		if err := chunks.Close(); err != nil { // the last chunk,
+	if chunked != nil {
+		if err := chunked.Close(); err != nil { // the last chunk,
 			return err
 		}
 		if _, err := io.WriteString(c, "\r\n"); err != nil { // and that no trailers follow
@@ -215,31 +215,31 @@
 // Read reads what has come.
 func (d *downloadStream) Read(b []byte) (n int, err error) {
 	n, err = d.body.Read(b)
-	if d.received += int64(n); d.received > mostBody && err == nil {
+	if d.received += int64(n); d.received > maxBody && err == nil {
 		err = errors.New("an answer that does not end")
 	}
 	return n, err
 }
 
 // end gives back what the answer holds. Its backend hears so that it may stop, if it has not ended.
-func (d *downloadStream) release(whole bool) {
+func (d *downloadStream) release(complete bool) {
 	c := d.conn
 	c.StallTimeout = 0
 	// Danger: what stands behind an answer, a copy of it or noise, would be taken for the next one's.
-	if whole && d.reusable && c.Reader.Buffered() == 0 && c.ArmReadDeadline() == nil {
+	if complete && d.reusable && c.Reader.Buffered() == 0 && c.ArmReadDeadline() == nil {
 		d.backends.Put(c)
 	} else {
 		d.backends.Discard(c)
 	}
-	d.backends.freeStreamMemory(streamRoom)
+	d.backends.freeStreamMemory(memoryPerStream)
 }
 
 // pass passes an answer on as it comes, and says whether it did to the end, and whose fault it is if not.
-func (d *downloadStream) forwardTo(w http.ResponseWriter) (whole, client bool) {
-	to := http.NewResponseController(w)
-	buf := buffers.Get().(*[streamBuffer]byte)
-	defer buffers.Put(buf)
-	if to.Flush() != nil {
+func (d *downloadStream) forwardTo(w http.ResponseWriter) (complete, clientFault bool) {
+	controller := http.NewResponseController(w)
+	buf := streamBuffers.Get().(*[streamBufferSize]byte)
+	defer streamBuffers.Put(buf)
+	if controller.Flush() != nil {
 		return false, true
 	}
 	for {
@@ -248,7 +248,7 @@
 			if _, err := w.Write(buf[:n]); err != nil {
 				return false, true
 			}
-			if to.Flush() != nil {
+			if controller.Flush() != nil {
 				return false, true
 			}
 		}
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -19,7 +19,7 @@
 )
 
 // noise is a body of so many bytes that is nowhere the same.
-func noise(n int) []byte {
+func randomBody(n int) []byte {
 	b := make([]byte, 0, n+sha256.Size)
 	for sum := sha256.Sum256([]byte("noise")); len(b) < n; sum = sha256.Sum256(sum[:]) {
 		b = append(b, sum[:]...)
@@ -28,17 +28,17 @@
 }
 
 // agentOver starts an agent over one backend that is a handler.
-func agentOver(t *testing.T, handler http.HandlerFunc) *runningAgent {
+func startAgentWithHandler(t *testing.T, handler http.HandlerFunc) *runningAgent {
 	t.Helper()
-	server := httptest.NewServer(handler)
-	t.Cleanup(server.Close)
-	return startAgentWith(t, testSettings, &standin.Script{Addr: server.Listener.Addr().String()})
+	backendServer := httptest.NewServer(handler)
+	t.Cleanup(backendServer.Close)
+	return startAgentWith(t, testSettings, &standin.Script{Addr: backendServer.Listener.Addr().String()})
 }
 
 // Bodies of all sizes, with and without a length, come through unchanged, in both directions and by all forms of HTTP/1.1 that
 // a client may use.
 func TestBodiesPassThrough(t *testing.T) {
-	a := agentOver(t, func(w http.ResponseWriter, r *http.Request) {
+	a := startAgentWithHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength >= 0 {
 			w.Header().Set("Content-Length", fmt.Sprint(r.ContentLength))
 		}
@@ -47,7 +47,7 @@
 	})
 	for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 5 << 20} {
 		for _, chunked := range []bool{false, true} {
-			want := noise(size)
+			want := randomBody(size)
 			req := a.request("unsafe", "15000m")
 			req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(want)), int64(size)
 			if chunked {
@@ -62,7 +62,7 @@
 		return fmt.Sprintf("%s HTTP/1.1\r\nHost: x\r\nX-Call-Id: c%d\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n%s\r\n", line, a.calls.Add(1), extra)
 	}
 	const post = "POST /unsafe/1"
-	for what, text := range map[string]string{
+	for name, text := range map[string]string{
 		"extensions and trailers": head(post, "Transfer-Encoding: chunked\r\nTrailer: X-T\r\n") + "2;a=\"b\"\r\nab\r\n1\r\nc\r\n0\r\nX-T: 1\r\n\r\n",
 		"expects a go-ahead":      head(post, "Expect: 100-continue\r\nContent-Length: 3\r\n") + "abc",
 		"absolute form":           head("POST http://x/unsafe/1", "Content-Length: 3\r\n") + "abc",
@@ -70,7 +70,7 @@
 		"bare line feeds":         strings.ReplaceAll(head(post, "Content-Length: 3\r\n"), "\r\n", "\n") + "abc",
 	} {
 		text = strings.Replace(text, "Host: x", "Connection: close\r\nHost: x", 1)
-		if what == "bare line feeds" {
+		if name == "bare line feeds" {
 			text = strings.ReplaceAll(text, "\r", "")
 		}
 		got := a.talk(t, text)
@@ -78,7 +78,7 @@
 			_, got, _ = strings.Cut(got, "\r\n\r\n")
 		}
 		if !strings.HasPrefix(got, "HTTP/1.1 200 ") || !strings.Contains(got, "abc") {
-			t.Errorf("%s: answered %q", what, got)
+			t.Errorf("%s: answered %q", name, got)
 		}
 	}
 }
@@ -87,11 +87,11 @@
 // too, and counted as failed; what its backend gave is not cut off.
 func TestLongAnswersEndAsTheyDo(t *testing.T) {
 	const part = 20 << 20
-	body := noise(part)
-	for what, c := range map[string]struct {
-		head  string
-		reset bool
-		whole bool
+	body := randomBody(part)
+	for name, c := range map[string]struct {
+		head     string
+		reset    bool
+		complete bool
 	}{
 		"as long as said":          {fmt.Sprintf("Content-Length: %d\r\n\r\n", part), false, true},
 		"ends with its connection": {"Connection: close\r\n\r\n", false, true},
@@ -121,18 +121,18 @@
 		a := startAgentWith(t, testSettings, &standin.Script{Addr: b.Addr().String()})
 		resp, err := a.client.Do(a.request("safe", "15000m"))
 		if err != nil {
-			t.Fatal(what, err)
+			t.Fatal(name, err)
 		}
 		got, err := io.ReadAll(resp.Body)
-		if (err == nil) != c.whole || !c.reset && !bytes.Equal(got, body) {
-			t.Errorf("%s: %d bytes, %v", what, len(got), err)
+		if (err == nil) != c.complete || !c.reset && !bytes.Equal(got, body) {
+			t.Errorf("%s: %d bytes, %v", name, len(got), err)
 		}
-		for begun := time.Now(); ; time.Sleep(time.Millisecond) {
-			f, err := a.agent.Figures(t.Context())
-			if err != nil || time.Since(begun) > testTimeout {
-				t.Fatalf("%s: %+v, %v", what, f, err)
+		for start := time.Now(); ; time.Sleep(time.Millisecond) {
+			figures, err := a.agent.Figures(t.Context())
+			if err != nil || time.Since(start) > testTimeout {
+				t.Fatalf("%s: %+v, %v", name, figures, err)
 			}
-			if s := f.Classes[3]; f.InFlight == 0 && (s.Served == 1) == c.whole && s.Served+s.Failed == 1 {
+			if s := figures.Classes[3]; figures.InFlight == 0 && (s.Served == 1) == c.complete && s.Served+s.Failed == 1 {
 				break
 			}
 		}
@@ -143,15 +143,15 @@
 // Nothing that is not whole runs: a client that goes in mid-body, or dawdles, ends its request, and its server hears so. While
 // it comes the server has nothing in flight.
 func TestBodiesThatDoNotCome(t *testing.T) {
-	began, ended := make(chan struct{}, 10), make(chan error, 10)
-	a := agentOver(t, func(w http.ResponseWriter, r *http.Request) {
-		began <- struct{}{}
+	started, ended := make(chan struct{}, 10), make(chan error, 10)
+	a := startAgentWithHandler(t, func(w http.ResponseWriter, r *http.Request) {
+		started <- struct{}{}
 		_, err := io.Copy(io.Discard, r.Body)
 		ended <- err
 	})
-	for what, c := range map[string]struct {
-		framing string
-		goes    bool
+	for name, c := range map[string]struct {
+		framing     string
+		disconnects bool
 	}{
 		"the client goes":    {"Content-Length: 33554432\r\n\r\n", true},
 		"the client dawdles": {"Content-Length: 33554432\r\n\r\n", false},
@@ -162,33 +162,33 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		fmt.Fprintf(conn, "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n%s", strings.ReplaceAll(what, " ", "-"), c.framing)
-		conn.Write(noise(maxBufferedBody + 1))
-		receive(t, "request at the backend", began)
+		fmt.Fprintf(conn, "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n%s", strings.ReplaceAll(name, " ", "-"), c.framing)
+		conn.Write(randomBody(maxBufferedBody + 1))
+		receive(t, "request at the backend", started)
 		if s := controlState(t, a); s.Backends[0].InFlight != 0 || s.Held != 1 {
-			t.Errorf("%s: %d in flight, %d held", what, s.Backends[0].InFlight, s.Held)
+			t.Errorf("%s: %d in flight, %d held", name, s.Backends[0].InFlight, s.Held)
 		}
-		if c.goes {
+		if c.disconnects {
 			conn.Close()
 		} else {
 			conn.SetReadDeadline(time.Now().Add(testTimeout))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != http.StatusRequestTimeout {
-				t.Errorf("%s: %v, %v", what, resp, err)
+				t.Errorf("%s: %v, %v", name, resp, err)
 			}
 		}
 		if err := receive(t, "end at the backend", ended); err == nil {
-			t.Errorf("%s: its backend has a whole request", what)
+			t.Errorf("%s: its backend has a whole request", name)
 		}
 		// The backend may see the end of the connection before the agent has taken in that the attempt is over.
-		a.eventually(t, what+": the request is let go", func() bool {
+		a.eventually(t, name+": the request is let go", func() bool {
 			s := controlState(t, a)
 			return s.Held == 0 && s.Backends[0].InFlight == 0
 		})
 	}
-	f, err := a.agent.Figures(t.Context())
-	if err != nil || f.Attempts != 0 || f.Classes[2].Served != 0 {
-		t.Errorf("%+v, %v", f, err)
+	figures, err := a.agent.Figures(t.Context())
+	if err != nil || figures.Attempts != 0 || figures.Classes[2].Served != 0 {
+		t.Errorf("%+v, %v", figures, err)
 	}
 }
 
@@ -222,7 +222,7 @@
 		}
 		defer conn.Close()
 		io.WriteString(conn, "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: e\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\nContent-Length: 33554432\r\n\r\n")
-		conn.Write(noise(maxBufferedBody + 1)) // and no more
+		conn.Write(randomBody(maxBufferedBody + 1)) // and no more
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != want || !resp.Close {
@@ -237,24 +237,24 @@
 	x, y := newBackend(t, breaks), newBackend(t, breaks)
 	a := startAgentWith(t, testSettings, x, y)
 	req := a.request("unsafe", "15000m")
-	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(noise(1<<20))), 1<<20
+	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(randomBody(1<<20))), 1<<20
 	if status, _ := a.do(t, req); status != statusFailed || len(x.Got)+len(y.Got) != 1 {
 		t.Errorf("answered %d, sent %d times", status, len(x.Got)+len(y.Got))
 	}
-	if f, err := a.agent.Figures(t.Context()); err != nil || f.Attempts != 1 || f.Classes[2].Failed != 1 {
-		t.Errorf("%+v, %v", f, err)
+	if figures, err := a.agent.Figures(t.Context()); err != nil || figures.Attempts != 1 || figures.Classes[2].Failed != 1 {
+		t.Errorf("%+v, %v", figures, err)
 	}
 }
 
 // A drain lets a long answer go on to its end, and its connection ends behind it.
 func TestDrainWithAStream(t *testing.T) {
-	let := make(chan struct{})
-	a := agentOver(t, func(w http.ResponseWriter, _ *http.Request) {
+	proceed := make(chan struct{})
+	a := startAgentWithHandler(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(2*maxBufferedBody))
-		w.Write(noise(maxBufferedBody))
+		w.Write(randomBody(maxBufferedBody))
 		http.NewResponseController(w).Flush()
-		<-let
-		w.Write(noise(maxBufferedBody))
+		<-proceed
+		w.Write(randomBody(maxBufferedBody))
 	})
 	resp, err := a.client.Do(a.request("safe", "15000m"))
 	if err != nil {
@@ -262,24 +262,24 @@
 	}
 	io.ReadFull(resp.Body, make([]byte, maxBufferedBody))
 	a.agent.SetDraining(true)
-	for begun := time.Now(); !a.agent.server.stance.Load().CloseIdle; time.Sleep(time.Millisecond) { // which idle ones do not survive
-		if time.Since(begun) > testTimeout {
+	for start := time.Now(); !a.agent.server.mode.Load().CloseIdle; time.Sleep(time.Millisecond) { // which idle ones do not survive
+		if time.Since(start) > testTimeout {
 			t.Fatal("idle connections stay")
 		}
 	}
 	a.agent.clientConns.endIdle()
-	close(let)
+	close(proceed)
 	if n, err := io.Copy(io.Discard, resp.Body); n != maxBufferedBody || err != nil {
 		t.Errorf("%d more bytes, %v", n, err)
 	}
-	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		a.agent.clientConns.mu.Lock()
 		open := a.agent.clientConns.open
 		a.agent.clientConns.mu.Unlock()
 		if open == 0 {
 			break
 		}
-		if time.Since(begun) > testTimeout {
+		if time.Since(start) > testTimeout {
 			t.Fatalf("%d connections stay", open)
 		}
 	}
@@ -288,8 +288,8 @@
 // Forty answers of 32 MB to clients that read slowly hold no more than their buffers, and small requests beside them are served.
 func TestManyLongAnswersHoldLittle(t *testing.T) {
 	const streams = 40
-	chunk := noise(64 << 10)
-	a := agentOver(t, func(w http.ResponseWriter, r *http.Request) {
+	chunk := randomBody(64 << 10)
+	a := startAgentWithHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			return
 		}
@@ -305,7 +305,7 @@
 	runtime.ReadMemStats(&before)
 	// Each client reads a little now and then until all are released. Danger: one that read nothing until then would be cut off by
 	// the agent's write timeout on a machine that is busy for as long.
-	const sip, sipEvery = 256 << 10, 200 * time.Millisecond
+	const readSize, readInterval = 256 << 10, 200 * time.Millisecond
 	released := make(chan struct{})
 	var readers sync.WaitGroup
 	a.client.Timeout = time.Minute // for all of an answer: over a gigabyte passes three hops
@@ -316,34 +316,34 @@
 		}
 		readers.Go(func() {
 			defer resp.Body.Close()
-			ticker := time.NewTicker(sipEvery)
+			ticker := time.NewTicker(readInterval)
 			defer ticker.Stop()
 			read := int64(0)
 			for slow := true; slow; {
 				select {
 				case <-ticker.C:
-					n, _ := io.CopyN(io.Discard, resp.Body, sip) // an error comes again below
+					n, _ := io.CopyN(io.Discard, resp.Body, readSize) // an error comes again below
 					read += n
 				case <-released:
 					slow = false
 				}
 			}
-			if rest, err := io.Copy(io.Discard, resp.Body); read+rest != 32<<20 || err != nil {
-				t.Errorf("%d bytes, %v", read+rest, err)
+			if remaining, err := io.Copy(io.Discard, resp.Body); read+remaining != 32<<20 || err != nil {
+				t.Errorf("%d bytes, %v", read+remaining, err)
 			}
 		})
 	}
 	a.serveRequests(t, 50)
 	runtime.GC()
 	runtime.ReadMemStats(&during)
-	if held := int64(during.HeapAlloc) - int64(before.HeapAlloc); held > streams*400<<10 {
-		t.Errorf("%d streams hold %d kB", streams, held>>10)
+	if used := int64(during.HeapAlloc) - int64(before.HeapAlloc); used > streams*400<<10 {
+		t.Errorf("%d streams hold %d kB", streams, used>>10)
 	}
 	close(released)
 	readers.Wait()
 	// A client has the last byte of its answer before the handler that wrote it gives its room back.
-	whole := int64(a.agent.cfg.MemoryMB) << 20 / streamShare
-	a.eventually(t, "all room is given back", func() bool { return a.agent.loop.backends.streamMemory.Load() == whole })
+	total := int64(a.agent.cfg.MemoryMB) << 20 / streamMemoryDivisor
+	a.eventually(t, "all room is given back", func() bool { return a.agent.loop.backends.streamMemory.Load() == total })
 }
 
 // A head that begins late in the time that a connection may be idle, and comes slowly, has its own time.
