--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -9,13 +9,14 @@
 	"example.org/micaline/policy"
 )
 
-// sweepIdle is how often connections are looked at that are to end.
+// modeCheckInterval is how often the mode is applied again while the agent drains or shuts down.
 const modeCheckInterval = 50 * time.Millisecond
 
-// Ready says whether requests are served: there is a list, and the agent neither drains nor ends.
+// Ready reports whether the agent serves requests: it has a list of backends, and neither drains
+// nor shuts down.
 func (a *Agent) Ready() bool { return a.loop.ready.Load() && a.server.mode.Load().Ready }
 
-// Figures are what operators' staff read.
+// Figures returns the counters that operators read.
 func (a *Agent) Figures(ctx context.Context) (*admin.Figures, error) {
 	l := a.loop
 	figures := &admin.Figures{Attempts: l.backends.writtenAttempts.Load(), InFlight: a.server.openRequests.Load() - a.server.receivingBodies.Load()}
@@ -44,7 +45,8 @@
 	return figures, err
 }
 
-// SetDraining begins or ends a drain by hand: clients are to go elsewhere, and the process stays.
+// SetDraining starts or ends a drain that operators request: clients are sent to other agents, and
+// the process goes on running.
 func (a *Agent) SetDraining(on bool) {
 	a.log.Info("operators", "draining", on)
 	a.changeMode(func(m *leave.Controller, now time.Duration) {
@@ -56,7 +58,7 @@
 	})
 }
 
-// changeStance takes in what is asked of the agent, and has the connections follow.
+// changeMode changes the state of the mode controller, and applies the resulting mode.
 func (a *Agent) changeMode(change func(m *leave.Controller, now time.Duration)) {
 	a.modeMu.Lock()
 	defer a.modeMu.Unlock()
@@ -64,7 +66,9 @@
 	a.applyMode()
 }
 
-// follow brings the stance into force, as often as it changes by itself. The mutex is held.
+// applyMode applies the current mode to the server and to idle connections. The mode changes with
+// time during a drain or shutdown, so applyMode then runs again every modeCheckInterval. The caller
+// holds modeMu.
 func (a *Agent) applyMode() {
 	mode := a.modeController.ModeAt(a.loop.clock.now())
 	a.server.mode.Store(&mode)
--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -14,8 +14,8 @@
 	"example.org/micaline/policy"
 )
 
-// A backend that is called out gets nothing, also once it has left the list and come back; called out twice, it is in by
-// one call back, and is taken for one that has just started.
+// A banned backend gets no requests, even after it has left the list and returned. Two bans are
+// ended by one call, after which the backend counts as just started.
 func TestBanOutlivesTheList(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
 	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
@@ -32,10 +32,11 @@
 	ban("z", false, false)
 	discoveryServer.Next <- listJSON(2, false, `{"id":"x","phase":"Gone"}`)
 	discoveryServer.Next <- listJSON(3, false, memberJSON("x", x.Addr, "Ready", 0))
-	discoveryServer.Next <- listJSON(4, false, memberJSON("z", y.Addr, "Terminating", 0)) // which shows that the one before was taken
+	discoveryServer.Next <- listJSON(4, false, memberJSON("z", y.Addr, "Terminating", 0))
+	// Once z is shown, the lists before it have been processed.
 	for start := time.Now(); len(controlState(t, a).Backends) < 3; time.Sleep(time.Millisecond) {
 		if time.Since(start) > testTimeout {
-			t.Fatal("the list does not come")
+			t.Fatal("the list was not processed")
 		}
 	}
 	a.serveRequests(t, 30)
@@ -44,21 +45,22 @@
 		t.Errorf("figures %+v, %v", figures, err)
 	}
 	if s := controlState(t, a).Backends[0]; len(x.Got) > 0 || s.HeldBy != byOperator {
-		t.Errorf("%d sent to who is out; shown as %+v", len(x.Got), s)
+		t.Errorf("%d requests sent to the banned backend; shown as %+v", len(x.Got), s)
 	}
 	ban("x", false, true)
 	if s := controlState(t, a).Backends[0]; s.Warmth >= 1 || s.HeldBy != "" {
-		t.Errorf("back from a restart it is shown as %+v", s)
+		t.Errorf("after the end of the ban it is shown as %+v", s)
 	}
 	for start := time.Now(); len(x.Got) == 0; a.serveRequests(t, 1) {
 		if time.Since(start) > testTimeout {
-			t.Fatal("nothing is sent to who is back")
+			t.Fatal("no request is sent to the backend after its ban")
 		}
 	}
 }
 
-// A drained agent says no, answers what still comes and ends its connections, idle ones by themselves; when the drain
-// ends it serves as before.
+// A draining agent reports that it is not ready, answers the requests that still arrive, and closes
+// its connections: active ones after their answer, idle ones after a while. After the drain it
+// serves as before.
 func TestDrainByHand(t *testing.T) {
 	a := startAgentWith(t, testSettings, newBackend(t, alwaysOK))
 	addr := strings.TrimPrefix(a.url, "http://")
@@ -79,30 +81,30 @@
 		return resp
 	}
 	if resp := ask(); resp.StatusCode != http.StatusOK || resp.Close {
-		t.Fatalf("up: %v", resp.Status)
+		t.Fatalf("readiness: %v", resp.Status)
 	}
 	a.agent.SetDraining(true)
 	if a.agent.Ready() {
-		t.Error("ready while it drains")
+		t.Error("the agent is ready during a drain")
 	}
 	if resp, err := a.client.Get(a.url + readyPath); err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-		t.Errorf("up while it drains: %+v, %v", resp, err)
+		t.Errorf("readiness during the drain: %+v, %v", resp, err)
 	}
 	resp, err := a.client.Do(a.request("safe", "15000m")) // on a new connection
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("a request on a drained agent: %+v, %v", resp, err)
+		t.Errorf("a request during the drain: %+v, %v", resp, err)
 	}
 	if _, err := br.ReadByte(); err != io.EOF {
-		t.Errorf("an idle connection ends with %v", err)
+		t.Errorf("an idle connection ended with %v", err)
 	}
 	a.agent.SetDraining(false)
 	a.serveRequests(t, 3)
 	if resp, err := a.client.Get(a.url + readyPath); err != nil || resp.StatusCode != http.StatusOK || resp.Close {
-		t.Errorf("up after the drain: %+v, %v", resp, err)
+		t.Errorf("readiness after the drain: %+v, %v", resp, err)
 	}
 }
 
-// slowDial is a network on which connections come up when they are let.
+// slowDialNetwork is a network on which each dial waits for a value from proceed.
 type slowDialNetwork struct {
 	TCP
 	dialing chan string
@@ -115,8 +117,8 @@
 	return n.TCP.Dial(ctx, addr)
 }
 
-// A backend that is called out in the instant between the choice and the first byte gets nothing; what was to go there goes
-// elsewhere.
+// A backend that is banned after it was chosen for a request, but before the request's first byte
+// is sent, gets nothing. The request is sent to another backend.
 func TestBanBetweenChoiceAndFirstByte(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", testSettings)
 	network := &slowDialNetwork{dialing: make(chan string, 10), proceed: make(chan struct{}, 10)}
@@ -140,6 +142,6 @@
 	network.proceed <- struct{}{}
 	network.proceed <- struct{}{}
 	if a := receive(t, "answer", pending.answered); a.status != http.StatusOK || len(chosen.Got) != 0 || len(other.Got) != 1 {
-		t.Errorf("answered %d, %d sent to who is out, %d to the other", a.status, len(chosen.Got), len(other.Got))
+		t.Errorf("answered %d, %d requests sent to the banned backend, %d to the other", a.status, len(chosen.Got), len(other.Got))
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,13 @@
-// Package agent is the real agent: it carries what happens on sockets to the decision module as events, and
-// carries out the module's actions.
+// Package agent is a load-balancing reverse proxy that runs beside an application. It accepts the
+// requests of clients, sends each of them to a backend and returns the backend's answer.
+//
+// The decision module (package policy) decides where, when and how often a request is sent. It does
+// no I/O: the agent reports what happens on its sockets to the module as events, and carries out
+// the actions that the module returns. One event loop owns the module and the state of all
+// requests; HTTP handlers, attempts and the discovery client pass their inputs to it.
+//
+// Serve runs an agent from a Config until its context ends. Callers that operate the agent while it
+// runs use New and Agent.Run.
 package agent
 
 import (
@@ -19,21 +27,25 @@
 )
 
 const (
-	// reservedSockets is for the descriptors that are neither clients' nor backends': the standard streams, the
-	// listener, the runtime's poller, discovery, and connections that are just being closed.
+	// reservedSockets is the number of descriptors kept for other uses than connections of clients
+	// and backends: the standard streams, the listener, the runtime's poller, discovery, and
+	// connections that are being closed.
 	reservedSockets = 32
-	// requestTimeout is how long a client may take to send a head, from its first byte, or from when it connected.
+	// readHeaderTimeout is how long a client may take to send the header of a request, counted from
+	// its first byte, or from the start of the connection for the first request.
 	readHeaderTimeout = 2500 * time.Millisecond
-	// idleClients is how long a client's connection may be without a request. Danger: clients that ask once and keep
-	// their connection would use up the sockets.
+	// clientIdleTimeout is how long a client connection may stay open without a request. Without
+	// it, clients that send one request and keep their connection would use up the sockets.
 	clientIdleTimeout = 2500 * time.Millisecond
-	// streamShare is the part of the memory that streams may hold.
+	// streamMemoryDivisor sets the memory available to streamed bodies: the memory limit divided by
+	// this.
 	streamMemoryDivisor = 4
-	shutdownSlack       = 100 * time.Millisecond
+	// shutdownSlack is added to the longest deadline of a class when a shutdown waits for requests.
+	shutdownSlack = 100 * time.Millisecond
 )
 
-// Serve runs an agent until the context ends, and until what it has taken is finished. Of a configuration that is
-// reloaded it takes discovery's address. It closes the listener.
+// Serve runs an agent until the context ends and the requests it has accepted are finished. From a
+// reloaded configuration it uses only the address of discovery. It closes the listener.
 func Serve(ctx context.Context, cfg *Config, reloads <-chan *Config, listener net.Listener, network Network, log *slog.Logger) error {
 	a, err := New(cfg, listener, network, log)
 	if err != nil {
@@ -43,33 +55,33 @@
 	return a.Run(ctx, reloads)
 }
 
-// Agent is one agent.
+// Agent is one agent. It is created by New and serves while Run runs.
 type Agent struct {
 	cfg              *Config
 	log              *slog.Logger
 	loop             *loop
-	discovery        *discovery
+	discovery        *discoveryClient
 	clientConns      *admission
 	server           *server
-	peers            *chatter     // nil: there is no talk among agents
-	discoveryChanges chan *Config // to another discovery, by operators
-	discoveryAddr    string       // the discovery that they have moved to last
+	peers            *chatter     // nil: agents exchange no messages
+	discoveryChanges chan *Config // another discovery address, set by operators
+	discoveryAddr    string       // the address that operators set last, or the configured one
 
 	handover        *handover.Handover // nil: the process is never replaced
-	maxBackendConns int                // of the sockets, for backends
-	maxClientConns  int                // connections of clients
-	otherProcess    atomic.Bool        // another process of the agent runs
-	operatorLimit   atomic.Int64       // requests held at once, by operators; 0: they say nothing
+	maxBackendConns int                // if no other process of the agent runs
+	maxClientConns  int                // if no other process of the agent runs
+	otherProcess    atomic.Bool        // whether another process of the agent runs
+	operatorLimit   atomic.Int64       // concurrent requests, set by operators; 0: not set
 
-	modeMu         sync.Mutex // guards what follows
+	modeMu         sync.Mutex // guards the fields below
 	modeController leave.Controller
 	modeTimer      *time.Timer
-	modeTimerArmed bool // the sweep is to come
+	modeTimerArmed bool // whether modeTimer is running
 }
 
-// New returns an agent that is not running yet.
+// New returns an agent that does not run yet.
 func New(cfg *Config, listener net.Listener, network Network, log *slog.Logger) (*Agent, error) {
-	// Half of the sockets is for backends.
+	// Half of the sockets are for backends.
 	maxBackendConns := (cfg.Sockets - reservedSockets) / 2
 	eventLoop, err := newLoop(cfg, newBackendClient(network, &cfg.Settings, maxBackendConns, int64(cfg.MemoryMB)<<20/streamMemoryDivisor, log), log)
 	if err != nil {
@@ -78,12 +90,14 @@
 	onList := func(mode policy.ListMode, members []member) {
 		eventLoop.send(input{event: policy.Event{Kind: policy.EventList, ListMode: mode}, members: members})
 	}
-	watcher := newDiscovery(network, cfg.Discovery, cfg.Settings.Module.AskList, onList, log)
-	// Danger: discovery's work is the lines that it sends, and after a release all agents ask at once.
+	discovery := newDiscoveryClient(network, cfg.Discovery, cfg.Settings.Module.AskList, onList, log)
+	// With the revision of a known list, discovery sends only the changes since then. The load on
+	// discovery depends on the number of entries that it sends, and after a release all agents ask
+	// at once.
 	if cfg.knownList.Complete && len(cfg.knownList.Members) > 0 {
-		watcher.revision = cfg.knownList.Revision
+		discovery.revision = cfg.knownList.Revision
 	}
-	eventLoop.follow = watcher.requestWatch
+	eventLoop.follow = discovery.requestWatch
 	peers, err := openPeers(&cfg.Peers, network)
 	if err != nil {
 		return nil, err
@@ -91,11 +105,11 @@
 	if peers != nil {
 		eventLoop.tell = peers.tell
 	}
-	// Danger: the application holds a third of the sockets at most for its requests. Were there room for more, those
-	// that it has used once and keeps would leave it none for the next request.
+	// The application uses at most a third of the sockets for its requests. If the agent let it
+	// keep more connections open, the idle ones could leave it no socket for its next request.
 	maxClientConns := min(maxBackendConns, cfg.Sockets*3/10)
 	a := &Agent{
-		cfg: cfg, log: log, loop: eventLoop, discovery: watcher, clientConns: &admission{Listener: listener, most: maxClientConns},
+		cfg: cfg, log: log, loop: eventLoop, discovery: discovery, clientConns: &admission{Listener: listener, most: maxClientConns},
 		server: &server{loop: eventLoop, defaultMaxRequests: int64(maxClientConns - maxClientConns/8)}, discoveryChanges: make(chan *Config),
 		discoveryAddr: cfg.Discovery, peers: peers, modeController: leave.Controller{SharedSocket: cfg.SharedSocket},
 	}
@@ -110,14 +124,15 @@
 	return a, nil
 }
 
-// Run serves until the context ends, then finishes what it has taken. It closes the listener.
+// Run serves until the context ends, then finishes the requests that it has accepted. It closes the
+// listener.
 func (a *Agent) Run(ctx context.Context, reloads <-chan *Config) error {
 	cfg, eventLoop, handler := a.cfg, a.loop, a.server
 	defer a.clientConns.Close()
 	if cfg.OnStart != nil {
 		cfg.OnStart(a)
 	}
-	// What the agent has taken it finishes, so its workers outlive the context.
+	// The workers outlive the context, because the agent finishes the requests it has accepted.
 	workCtx, stopWorkers := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWorkers()
 	var workers sync.WaitGroup
@@ -145,7 +160,7 @@
 		ConnContext: withConn, ConnState: a.clientConns.noteState,
 		ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelWarn),
 	}
-	defer srv.Close() // what outlasts Shutdown
+	defer srv.Close() // closes the connections that Shutdown has left open
 	a.awaitReady(ctx)
 	serveErr := make(chan error, 1)
 	go func() { serveErr <- srv.Serve(a.clientConns) }()
@@ -155,7 +170,7 @@
 	case <-ctx.Done():
 	}
 	a.changeMode(func(m *leave.Controller, now time.Duration) { m.Shutdown(now) })
-	if cfg.SharedSocket { // who else accepts is there for new connections
+	if cfg.SharedSocket { // the other processes accept new connections
 		a.clientConns.Close()
 		<-serveErr
 		serveErr = nil
@@ -172,7 +187,8 @@
 	}
 	shutdownCtx, cancel := context.WithTimeout(workCtx, longestDeadline)
 	defer cancel()
-	// A connection that was opened and never used would keep Shutdown from returning.
+	// A connection that has never carried a request would keep Shutdown from returning, so running
+	// into the timeout is no error.
 	if err := srv.Shutdown(shutdownCtx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("shutting down: %w", err)
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,7 +15,8 @@
 	"example.org/micaline/internal/standin"
 )
 
-// The classes: a keyed one dropped by all, a keyed one dropped by its cell, an unsafe one and a safe one.
+// testSettings has four classes: a keyed one that all backends deduplicate, a keyed one that only
+// the backends of one cell deduplicate, an unsafe one and a safe one.
 const testSettings = `{
  "categories":[
   {"name":"keyed","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"all","repeatWindow":30000},
@@ -28,9 +29,10 @@
  "limits":{"maxAttempts":3,"cancel":true,"secondCopies":true,"connectTimeout":2000,"idleClose":30000},
  "rules":{"coldFrom":0.5,"warmAfter":1000,"overloadFactor":2,"extraFloor":100,"extraWindow":1000}}`
 
-// wait bounds what a test waits for; nothing passes by it.
+// testTimeout bounds each wait of a test. A test that runs into it fails.
 const testTimeout = 20 * time.Second
 
+// receive returns the next value of a channel, and fails the test if none arrives in time.
 func receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
@@ -42,7 +44,7 @@
 	}
 }
 
-// running is an agent under test.
+// runningAgent is an agent under test.
 type runningAgent struct {
 	url    string
 	stop   context.CancelFunc
@@ -51,10 +53,10 @@
 
 	agent   *Agent
 	reloads chan *Config
-	calls   atomic.Int64 // requests made
+	calls   atomic.Int64 // requests created
 }
 
-// start runs an agent and waits until it is up, which it is once it has a list that names a backend.
+// startAgent runs an agent and waits until it is ready, which requires a list with a backend.
 func startAgent(t *testing.T, cfg *Config) *runningAgent {
 	t.Helper()
 	listener, err := net.Listen("tcp", cfg.Listen)
@@ -85,22 +87,22 @@
 			return r
 		}
 	}
-	t.Fatal("the agent does not come up")
+	t.Fatal("the agent did not become ready")
 	return nil
 }
 
-// eventually waits until a condition holds, and fails if it does not within the time that a test waits for anything.
+// eventually waits until a condition holds, and fails the test after testTimeout.
 func (r *runningAgent) eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for start := time.Now(); !holds(); time.Sleep(time.Millisecond) {
 		if time.Since(start) > testTimeout {
-			t.Fatalf("not within %v: %s", testTimeout, what)
+			t.Fatalf("condition not met within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-// sendHeldRequest starts an agent over a backend that answers once goOn is closed or sent to, and sends it a request; status is
-// told what the client got.
+// sendPendingRequest starts an agent with a backend that answers once proceed is closed or receives
+// a value, and sends it a request. The status of the answer is sent to the status channel.
 func sendPendingRequest(t *testing.T) (a *runningAgent, backend *standin.Script, proceed chan struct{}, status chan int) {
 	t.Helper()
 	proceed, status = make(chan struct{}), make(chan int, 1)
@@ -116,7 +118,7 @@
 	return a, backend, proceed, status
 }
 
-// request makes a client's request of a class.
+// request creates a client's request of a class.
 func (r *runningAgent) request(class string, budget string) *http.Request {
 	method, body := http.MethodPost, "body of "+class
 	if class == "safe" {
@@ -133,6 +135,7 @@
 	return req
 }
 
+// do sends a request and returns the status and the body of its answer.
 func (r *runningAgent) do(t *testing.T, req *http.Request) (int, string) {
 	t.Helper()
 	resp, err := r.client.Do(req)
@@ -149,9 +152,10 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Type: text/x-made\r\n\r\nserved"
 
+// alwaysOK is a script of a backend that answers each request with okResponse.
 func alwaysOK(int, *http.Request) (string, bool) { return okResponse, false }
 
-// newBackend starts a scripted backend that ends with the test.
+// newBackend starts a scripted backend that is closed at the end of the test.
 func newBackend(t *testing.T, answer standin.Answer) *standin.Script {
 	t.Helper()
 	s, err := standin.NewScript(answer)
@@ -162,7 +166,7 @@
 	return s
 }
 
-// newLists starts a scripted discovery that ends with the test.
+// newScriptedDiscovery starts a scripted discovery service that is closed at the end of the test.
 func newScriptedDiscovery(t *testing.T, whole []byte) *standin.ListScript {
 	t.Helper()
 	l, err := standin.NewListScript(whole)
@@ -173,7 +177,7 @@
 	return l
 }
 
-// agentFor starts an agent that knows the backends, each in a cell of its own number.
+// startAgentWith starts an agent whose list has the given backends, each in a cell of its own.
 func startAgentWith(t *testing.T, settings string, backends ...*standin.Script) *runningAgent {
 	t.Helper()
 	var members []string
@@ -203,15 +207,15 @@
 	if got.Method != "POST" || got.RequestURI != "/keyed/7f%2F3a?x=1&y" || string(sent) != "body of keyed" ||
 		got.Header.Get(callIDHeader) != "call-1" || got.Header.Get(keyHeader) != "key-1" ||
 		got.Header.Get("Traceparent") != "00-1-2-01" {
-		t.Errorf("the backend got %s %s %q %v", got.Method, got.RequestURI, sent, got.Header)
+		t.Errorf("the backend received %s %s %q %v", got.Method, got.RequestURI, sent, got.Header)
 	}
 	if left, err := parseBudget(got.Header.Get(budgetHeader)); err != nil || left > 1500*time.Millisecond {
 		t.Errorf("budget %v, error %v", left, err)
 	}
 }
 
-// An agent that is to stop answers what it has taken and what still comes, closes its connections behind the
-// answers, and ends well.
+// An agent that shuts down answers the requests it has accepted and those that still arrive, closes
+// each connection after its answer, and ends without an error.
 func TestStop(t *testing.T) {
 	proceed := make(chan struct{})
 	b := newBackend(t, func(int, *http.Request) (string, bool) {
@@ -230,8 +234,8 @@
 	go ask()
 	receive(t, "request", b.Got)
 	a.stop()
-	go ask() // the listener is still open
-	receive(t, "request after the signal", b.Got)
+	go ask() // the listener still accepts
+	receive(t, "request during the shutdown", b.Got)
 	close(proceed)
 	for range 2 {
 		resp := receive(t, "answer", answers)
@@ -239,7 +243,7 @@
 			t.Errorf("answered %v", resp)
 		}
 	}
-	if err := receive(t, "end", a.ended); err != nil {
+	if err := receive(t, "end of the agent", a.ended); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -25,26 +25,29 @@
 )
 
 const (
-	maxHeaderBytes = 32 << 10
+	maxHeaderBytes = 32 << 10 // of a request or an answer
 	probeTimeout   = 300 * time.Millisecond
 )
 
-// errOverdue says that a stream's answer did not come in time.
+// errAnswerTimeout is the error of a streamed request whose answer has not arrived in time.
 var errAnswerTimeout = errors.New("no answer in time")
 
-// errTooLate says that a request is not to be sent any more: its backend is out, or the backends no longer remember what it repeats.
+// errTooLateToSend is the error of a request that must not be sent any more: its backend was taken
+// out of service, or the time in which backends deduplicate the retry is over.
 var errTooLateToSend = errors.New("too late to send the request")
 
-// backends sends messages to backends over the connections of a pool, and keeps what their answers need.
+// backendClient sends requests to backends over pooled connections. It bounds the memory of
+// streamed bodies in both directions.
 type backendClient struct {
 	*connpool.Pool
-	streamMemory    atomic.Int64 // bytes left for streams
-	writtenAttempts atomic.Int64 // attempts whose last byte went out
-	lateness        *lateness    // the agent's own
+	streamMemory    atomic.Int64 // bytes that new streams can still reserve
+	writtenAttempts atomic.Int64 // attempts whose request was written completely
+	lateness        *lateness    // measures how late the agent itself runs
 	log             *slog.Logger
 }
 
-// newBackends returns those of a pool of so many connections at most, with room for so many bytes of streams.
+// newBackendClient returns a client with at most maxConns connections, and streamMemory bytes for
+// streamed bodies.
 func newBackendClient(network Network, s *settings.Settings, maxConns int, streamMemory int64, log *slog.Logger) *backendClient {
 	b := &backendClient{
 		Pool:     connpool.New(connpool.Options{Network: network, ConnectTimeout: s.ConnectTimeout, BackendIdleTimeout: s.Module.IdleClose, MaxConns: maxConns}),
@@ -54,8 +57,8 @@
 	return b
 }
 
-// reserve takes so many bytes of the room for streams, if they are there. Danger: as many streams as there are connections
-// would not fit into the memory.
+// reserveStreamMemory reserves n bytes for a stream, and reports whether they were available.
+// Without this bound, one stream on each connection would exceed the memory.
 func (b *backendClient) reserveStreamMemory(n int64) bool {
 	if b.streamMemory.Add(-n) >= 0 {
 		return true
@@ -64,20 +67,23 @@
 	return false
 }
 
-// free gives them back.
+// freeStreamMemory returns n bytes reserved by reserveStreamMemory.
 func (b *backendClient) freeStreamMemory(n int64) { b.streamMemory.Add(n) }
 
-// message is a client's request as it goes on to a backend, unchanged but for its budget.
+// message is a request as it is sent to a backend: a client's request, of which only the budget
+// changes, or a probe.
 type message struct {
-	head    []byte // the request line and the headers but for the budget
-	body    []byte
-	isProbe bool          // the agent's own
-	upload  *uploadStream // what is still to come of the body; nil: nothing
+	head    []byte        // the request line and the headers except the budget
+	body    []byte        // as far as it is buffered
+	isProbe bool          // whether the agent itself sends it
+	upload  *uploadStream // the rest of the body, which is streamed; nil: body is complete
 }
 
-// notPassedOn is what a message says anew each time.
+// rewrittenHeaders are the headers that each attempt writes with a value of its own.
 var rewrittenHeaders = map[string]bool{budgetHeader: true}
 
+// newMessage encodes the header of a request except its budget. If upload is not nil, it streams
+// the rest of the request's body.
 func newMessage(method, uri, host string, header http.Header, body []byte, upload *uploadStream) message {
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, uri, host)
@@ -89,11 +95,12 @@
 	case len(body) > 0 || method == http.MethodPost:
 		fmt.Fprintf(&head, "Content-Length: %d\r\n", len(body))
 	}
-	header.WriteSubset(&head, rewrittenHeaders) // to a buffer, which takes all
+	header.WriteSubset(&head, rewrittenHeaders) // writing to a buffer can't fail
 	return message{head: head.Bytes(), body: body, upload: upload}
 }
 
-// size is how long the body is in bytes, or how much of it is known to come.
+// size returns the length of the body in bytes. If it is not known, it returns the number of bytes
+// that are buffered.
 func (m *message) size() int {
 	if m.upload != nil {
 		return int(max(m.upload.size, int64(len(m.body))))
@@ -101,7 +108,8 @@
 	return len(m.body)
 }
 
-// encode writes the message with the time that is left for it.
+// encode returns the bytes to send, with the remaining time as the budget. For a streamed body they
+// end with the buffered part of it.
 func (m *message) encode(timeLeft time.Duration) []byte {
 	text := make([]byte, 0, len(m.head)+len(budgetHeader)+32+len(m.body))
 	text = append(text, m.head...)
@@ -112,17 +120,18 @@
 	return append(text, m.body...)
 }
 
-// result is how an attempt or a probe ended.
+// result is the result of an attempt or a probe.
 type result struct {
 	outcome     policy.Outcome
-	backendTime time.Duration // at the backend, at least
-	endedAt     time.Duration // of the clock, when it ended
+	backendTime time.Duration // lower bound of the time spent at the backend
+	endedAt     time.Duration // clock time of the end
 	load        policy.Load
-	answer      answer // a whole one, if the outcome is OK
+	answer      answer // set if the outcome is OK
 }
 
-// exchange sends a message once and waits for its answer until the context ends. If sendBy is set and has passed
-// when a connection is up, nothing is sent.
+// exchange sends a message once and waits for its answer until the context ends. If sendBy is set
+// and has passed when a connection is available, nothing is sent. fields are the names that a load
+// report may contain.
 func (b *backendClient) exchange(ctx context.Context, target *connpool.Target, msg *message, sendBy time.Time, fields []string) result {
 	r := result{load: settings.NoLoad()}
 	var attempt life.Attempt
@@ -143,15 +152,16 @@
 	return r
 }
 
-// on takes in what happens to an attempt. Danger: what does not fit would have the attempt end as something that it is not,
-// so it is told; and the attempt stays as it is, which never calls unsent what may have run.
+// applyInput applies an input to the life cycle of an attempt. An input that is invalid in the
+// attempt's state is logged and otherwise ignored: applying it could give the attempt a wrong
+// outcome, while its unchanged state never declares a request unsent that may have run.
 func (b *backendClient) applyInput(attempt *life.Attempt, in life.Input) {
 	if err := attempt.Apply(in); err != nil {
 		b.log.Error("attempt", "error", err)
 	}
 }
 
-// onError takes in why an attempt's I/O has come back without an answer.
+// applyError applies the error of an attempt that got no answer to its life cycle.
 func (b *backendClient) applyError(ctx context.Context, attempt *life.Attempt, err error) {
 	timedOut := errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 	switch {
@@ -166,7 +176,7 @@
 		b.applyInput(attempt, life.Deadline)
 		b.applyInput(attempt, life.IOReturned)
 	case attempt.State() == life.Connecting && errors.Is(err, os.ErrDeadlineExceeded) && b.lateness.own() > 0:
-		b.applyInput(attempt, life.NoSocket) // it may have come up in time while the agent was late
+		b.applyInput(attempt, life.NoSocket) // it may have connected in time while the agent was late
 	case attempt.State() == life.Connecting:
 		b.applyInput(attempt, life.ConnectFailed)
 	default:
@@ -174,7 +184,8 @@
 	}
 }
 
-// meaning reads a whole answer. What the protocol does not name may have run.
+// answerInput classifies a complete answer by its status. A request may have run after any status
+// that the protocol does not define as a rejection.
 func answerInput(resp *http.Response) life.Input {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -187,8 +198,9 @@
 	return life.ErrorAnswer
 }
 
-// roundTrip returns an answer, the rest of its body if that is too long to be read here, or an error. How far it has come before that the attempt tells, and wrote when its last
-// byte went out, if it did.
+// roundTrip sends a message over one connection and reads the answer. If the answer is too long to
+// be buffered, body is its first part and download streams the rest. Progress is recorded in
+// attempt, and the time of the request's last byte, if it was written, in writtenAt.
 func (b *backendClient) roundTrip(ctx context.Context, target *connpool.Target, msg *message, sendBy time.Time, attempt *life.Attempt, writtenAt *time.Duration) (resp *http.Response, body []byte, download *downloadStream, err error) {
 	b.applyInput(attempt, life.Start)
 	conn, err := b.Get(ctx, target)
@@ -201,7 +213,7 @@
 		if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 			conn.Expire()
 		} else {
-			conn.Close() // which also gives the attempt up
+			conn.Close() // makes the pending I/O fail
 		}
 		if msg.upload != nil {
 			msg.upload.interrupt()
@@ -209,7 +221,7 @@
 	})
 	defer func() {
 		switch active := stop(); {
-		case active && download != nil: // its body holds the connection
+		case active && download != nil: // the download owns the connection
 		case download != nil:
 			download.release(false)
 			resp, download, err = nil, nil, context.Cause(ctx)
@@ -219,9 +231,9 @@
 			b.Discard(conn)
 		}
 	}()
-	// Danger: backends drop a keyed repeat only for a while, and a connection that was slow to come up may outlast
-	// it. What is not sent has not run.
-	// Nor is anything sent to a backend that was called out meanwhile, or has gone.
+	// Backends deduplicate a keyed retry only for a limited time, which may be over when a slow
+	// connection is established. A request that is not sent has certainly not run. A backend that
+	// was taken out of service in the meantime, or has left the list, gets no request either.
 	if !sendBy.IsZero() && !time.Now().Before(sendBy) || b.Retired(target) {
 		reusable = true
 		return nil, nil, nil, errTooLateToSend
@@ -260,13 +272,15 @@
 		}
 		return nil, nil, nil, err
 	}
-	// Danger: what stands behind an answer, a copy of it or noise, would be taken for the next one's.
+	// Bytes after an answer, such as a duplicate of it, would be read as the answer to the next
+	// request, so a connection that has any is not reused.
 	reusable = bodySent && !resp.Close && conn.Reader.Buffered() == 0
 	return resp, body, download, nil
 }
 
-// passOn passes the rest of a request's body on, until the backend answers: one that does so before the last byte has no
-// use for what is left. It says whether that was all of it.
+// forwardBody forwards the rest of a request's body until it ends or the backend begins to answer:
+// a backend that answers before the last byte does not need the rest. It reports whether the whole
+// body was sent.
 func (b *backendClient) forwardBody(conn *connpool.Conn, upload *uploadStream) (bodySent bool, err error) {
 	conn.LimitRead(maxHeaderBytes + maxBufferedBody)
 	conn.StallTimeout = 0
@@ -279,7 +293,8 @@
 		}
 	}()
 	err = upload.forwardTo(conn)
-	// Nobody else may read the connection until the watch has ended. What it has seen stays to be read.
+	// The connection must not be read elsewhere before Peek has returned. The byte that Peek has
+	// seen stays in the buffer.
 	conn.InterruptRead()
 	<-peekDone
 	if resumeErr := conn.ResumeRead(); resumeErr != nil && err == nil {
@@ -293,22 +308,25 @@
 	case upload.hasFailed():
 		return false, errUploadFailed
 	}
-	return false, fmt.Errorf("passing a body on: %w", cmp.Or(peekErr, err))
+	return false, fmt.Errorf("forwarding the request body: %w", cmp.Or(peekErr, err))
 }
 
-// read reads one answer: to its end if it is short, else its head and what of it has come. One whose end only the closing of
-// the connection shows is whole if that is no reset (RFC 9112, section 6.3).
+// readAnswer reads one answer. It reads a short answer completely. Of a long one it reads the
+// header and the first part of the body, and returns a download for the rest. An answer that is
+// delimited by the end of the connection is complete unless the connection was reset (RFC 9112,
+// section 6.3).
 func (b *backendClient) readAnswer(conn *connpool.Conn, attempt *life.Attempt) (*http.Response, []byte, *downloadStream, error) {
 	conn.LimitRead(maxHeaderBytes + maxBufferedBody)
 	for {
-		conn.StallTimeout = 0 // however long it takes until something comes
+		conn.StallTimeout = 0 // no limit until the answer begins
 		if _, err := conn.Reader.Peek(1); err != nil {
 			return nil, nil, nil, err
 		}
-		if state := attempt.State(); state == life.Sent || state == life.Writing { // not behind an interim one
+		if state := attempt.State(); state == life.Sent || state == life.Writing { // not after an interim answer
 			b.applyInput(attempt, life.FirstAnswerByte)
 		}
-		// Danger: an answer that says that it is longer than it is ends on no connection that stays open.
+		// An answer that is shorter than its Content-Length never ends if the connection stays
+		// open, so each read has a timeout.
 		conn.StallTimeout = answerStallTimeout
 		resp, err := http.ReadResponse(conn.Reader, nil)
 		if err != nil {
@@ -319,9 +337,9 @@
 		case resp.StatusCode == http.StatusSwitchingProtocols:
 			return nil, nil, nil, errors.New("an answer in another protocol")
 		case resp.StatusCode/100 == 1:
-			continue // the answer is still to come
+			continue // skips an interim answer
 		case resp.ContentLength > maxBody, resp.ContentLength > maxBufferedBody && !isOK:
-			return nil, nil, nil, fmt.Errorf("an answer of %d bytes", resp.ContentLength)
+			return nil, nil, nil, fmt.Errorf("an answer of %d bytes is too long", resp.ContentLength)
 		}
 		body, complete, err := readBody(resp)
 		if err != nil {
@@ -332,10 +350,10 @@
 			return resp, body, nil, conn.ArmReadDeadline()
 		}
 		if !isOK {
-			return nil, nil, nil, fmt.Errorf("an answer of over %d bytes", len(body))
+			return nil, nil, nil, fmt.Errorf("an answer of over %d bytes that is not a success", len(body))
 		}
 		if !b.reserveStreamMemory(memoryPerStream) {
-			return nil, nil, nil, errors.New("no room for an answer")
+			return nil, nil, nil, errors.New("no memory left to stream the answer")
 		}
 		conn.LimitRead(math.MaxInt64)
 		conn.StallTimeout = streamStallTimeout
@@ -345,14 +363,16 @@
 	}
 }
 
-// readBody reads a body that is short. Of another it returns what has come, once that is much or has gone on for a while.
+// readBody reads a short body completely. Of a longer one it reads up to maxBufferedBody bytes, or
+// what has arrived within bufferingTime, and reports that the body is not complete.
 func readBody(resp *http.Response) (body []byte, complete bool, err error) {
 	if resp.ContentLength >= 0 && resp.ContentLength <= maxBufferedBody {
 		body = make([]byte, resp.ContentLength)
 		_, err = io.ReadFull(resp.Body, body)
 		return body, true, err
 	}
-	// Danger: one that says that it is longer than it is would be chosen for its head, and could not be sent for again.
+	// Once the header is passed on, the request can't be retried. Buffering the beginning of the
+	// body detects many answers that break off before that.
 	start := time.Now()
 	for len(body) < maxBufferedBody && (len(body) == 0 || time.Since(start) < bufferingTime) {
 		body = slices.Grow(body, 4<<10)
@@ -368,7 +388,7 @@
 	return body, false, nil
 }
 
-// probe asks a backend how it does: for its load where probes bring reports, else whether it is alive.
+// probe requests the load report of a backend if the settings enable reports, else its liveness.
 func (b *backendClient) probe(ctx context.Context, target *connpool.Target, set *settings.Settings) result {
 	path, reports := alivePath, set.Module.Reports != policy.ReportsOff
 	if reports {
@@ -386,12 +406,12 @@
 	return r
 }
 
-// parseLoad reads a report such as inflight=7,queue=2. Names that the settings do not list, and what is no
-// number, are left out: a bad report is an absent one.
+// parseLoad parses a load report such as inflight=7,queue=2. Names that are not in fields and
+// values that are not numbers are ignored, so an invalid report counts as no report.
 func parseLoad(text string, fields []string) policy.Load {
 	load := settings.NoLoad()
 	if text == "" {
-		return load // as most answers have none
+		return load // most answers have no report
 	}
 	for pair := range strings.SplitSeq(strings.TrimSpace(text), ",") {
 		name, value, _ := strings.Cut(pair, "=")
@@ -404,14 +424,15 @@
 	return load
 }
 
-// serverIDs derives numbers from the backends' names, the same in every life of the agent.
+// serverIDs maps names of backends to numbers. The numbers are hashes of the names, so that they
+// stay the same when the agent restarts.
 type serverIDs struct {
 	ids   map[string]policy.ServerID
 	names map[policy.ServerID]string
 }
 
-// of returns the number of a name, and takes one for it if it is new. Names that would share a number are kept
-// apart: the later one gets the next that is free.
+// idFor returns the number of a name, and assigns one if the name is new. If two names have the
+// same hash, the later one gets the next free number.
 func (s *serverIDs) idFor(name string) policy.ServerID {
 	if id, ok := s.ids[name]; ok {
 		return id
@@ -429,7 +450,7 @@
 	return id
 }
 
-// free forgets a name that has left the list.
+// release forgets the number of a backend that has left the list.
 func (s *serverIDs) release(id policy.ServerID) {
 	delete(s.ids, s.names[id])
 	delete(s.names, id)
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -15,15 +15,15 @@
 	"example.org/micaline/policy"
 )
 
-// Each row of the protocol's table of outcomes, first at one backend that then serves: a keyed request may go
-// again whatever happened, an unsafe one only if it cannot have run.
+// Every outcome of the first attempt that the protocol defines: a keyed request may always be
+// retried, an unsafe one only if it can't have run.
 func TestOutcomes(t *testing.T) {
 	rejected := "HTTP/1.1 %d No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, row := range []struct {
 		name       string
 		text       string
 		closes     bool
-		mayHaveRun bool // it may have
+		mayHaveRun bool
 	}{
 		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false, true},
 		{"turned away with 503", fmt.Sprintf(rejected, 503), false, false},
@@ -49,11 +49,11 @@
 				return okResponse, false
 			}
 			for _, class := range []string{"keyed", "unsafe"} {
-				// The other attempt goes to the second backend, so one script serves for both.
+				// The retry goes to the other backend, which always serves.
 				scripted := newBackend(t, script)
 				other := newBackend(t, alwaysOK)
 				a := startAgentWith(t, testSettings, scripted, other)
-				for len(scripted.Got) == 0 { // until the draw falls on the first
+				for len(scripted.Got) == 0 { // until the module has chosen the first backend
 					status, body := a.do(t, a.request(class, "15000m"))
 					retried := class == "keyed" || !row.mayHaveRun
 					switch {
@@ -64,7 +64,7 @@
 					case !retried && status != statusFailed:
 						t.Errorf("%s: answered %d", class, status)
 					case retried && len(scripted.Got)+len(other.Got) != 2, !retried && len(scripted.Got)+len(other.Got) != 1:
-						t.Errorf("%s: sent %d times", class, len(scripted.Got)+len(other.Got))
+						t.Errorf("%s: %d attempts", class, len(scripted.Got)+len(other.Got))
 					}
 				}
 			}
@@ -72,14 +72,14 @@
 	}
 }
 
-// A good answer is served whatever stands before and behind it; its connection is not used again, or what stands
-// behind it would be the next request's answer.
+// A complete answer is served even if other data precedes or follows it. Its connection is not
+// reused if data follows, which would be read as the next request's answer.
 func TestMoreThanAnAnswer(t *testing.T) {
 	for name, text := range map[string]string{
-		"a copy behind":   okResponse + strings.Replace(okResponse, "served", "again!", 1),
-		"noise behind":    okResponse + "\x00\x01\r\n\r\n",
-		"hints before":    "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + okResponse,
-		"a broken report": strings.Replace(okResponse, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
+		"a duplicate behind":     okResponse + strings.Replace(okResponse, "served", "again!", 1),
+		"noise behind":           okResponse + "\x00\x01\r\n\r\n",
+		"interim answers before": "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + okResponse,
+		"an invalid report":      strings.Replace(okResponse, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
 	} {
 		a := startAgentWith(t, testSettings, newBackend(t, func(int, *http.Request) (string, bool) { return text, false }))
 		for range 3 {
@@ -90,14 +90,14 @@
 	}
 }
 
-// A keyed request that may have run is not sent to a backend that does not know its key.
+// A keyed request that may have run is not retried in a cell that does not deduplicate its key.
 func TestKeyedStaysInItsCell(t *testing.T) {
 	breaks := func(int, *http.Request) (string, bool) { return "", true }
 	x, y := newBackend(t, breaks), newBackend(t, breaks)
 	a := startAgentWith(t, testSettings, x, y)
 	a.do(t, a.request("celled", "15000m"))
 	if len(x.Got) > 0 && len(y.Got) > 0 {
-		t.Error("sent to both cells")
+		t.Error("the request was sent to both cells")
 	}
 }
 
@@ -110,7 +110,7 @@
 	gone := &standin.Script{Addr: closed.Addr().String()}
 	a := startAgentWith(t, testSettings, gone)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused {
-		t.Errorf("answered %d: what never ran can be refused", status)
+		t.Errorf("answered %d instead of refusing a request that never ran", status)
 	}
 }
 
@@ -119,11 +119,11 @@
 	a := startAgentWith(t, testSettings, b)
 	status, _ := a.do(t, a.request("unsafe", "150m"))
 	if status != statusFailed {
-		t.Errorf("answered %d: it may have run", status)
+		t.Errorf("answered %d, but the request may have run", status)
 	}
 	receive(t, "close of the connection", b.Ended)
 	if len(b.Got) != 1 {
-		t.Errorf("sent %d times", len(b.Got))
+		t.Errorf("%d attempts", len(b.Got))
 	}
 }
 
@@ -144,23 +144,24 @@
 func TestBadReportsAreAbsent(t *testing.T) {
 	for _, text := range []string{"", "=", "outstanding", "outstanding=x", "outstanding=NaN", "outstanding=-1", "other=3", ",,,"} {
 		if l := parseLoad(text, []string{"outstanding"}); l.Known {
-			t.Errorf("%q is taken for %+v", text, l)
+			t.Errorf("%q is parsed as %+v", text, l)
 		}
 	}
 }
 
 func TestServerIDsStayApart(t *testing.T) {
 	ids := serverIDs{ids: map[string]policy.ServerID{}, names: map[policy.ServerID]string{}}
-	x, y := ids.idFor("costarring"), ids.idFor("liquid") // one hash
+	x, y := ids.idFor("costarring"), ids.idFor("liquid") // the same hash
 	if x+1 != y || ids.idFor("costarring") != x {
 		t.Errorf("got %d and %d", x, y)
 	}
 	if ids.release(x); ids.idFor("liquid") != y {
-		t.Error("the second name's number has changed with the first gone")
+		t.Error("the number of the second name changed after the first was released")
 	}
 }
 
-// A repeat that comes up too late to be dropped is not sent, and so has not run.
+// A retry whose connection is available only after backends have stopped deduplicating it is not
+// sent, so it has not run.
 func TestLateRepeatIsNotSent(t *testing.T) {
 	b := newBackend(t, alwaysOK)
 	cfg := testConfig(t, "127.0.0.1:1", testSettings)
@@ -170,15 +171,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if r := client.exchange(ctx, target, &msg, time.Now(), nil); r.outcome != policy.NotSent || len(b.Got) > 0 {
-		t.Errorf("outcome %d, %d sent", r.outcome, len(b.Got))
+		t.Errorf("after the time limit: outcome %d, %d requests sent", r.outcome, len(b.Got))
 	}
 	if r := client.exchange(ctx, target, &msg, time.Now().Add(testTimeout), nil); r.outcome != policy.OK {
-		t.Errorf("in time: outcome %d", r.outcome)
+		t.Errorf("within the time limit: outcome %d", r.outcome)
 	}
 }
 
-// A request that waits for a connection when its client gives up never ran, and one that is cancelled is told so. Neither
-// keeps the socket.
+// A request whose deadline passes while it waits for a connection never ran, and one that is
+// cancelled ends as cancelled. Neither occupies the socket afterwards.
 func TestConnectionThatNeverComesUp(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", testSettings)
 	client := newBackendClient(TCP{}, &cfg.Settings, 1, 1<<20, slog.New(slog.DiscardHandler))
@@ -187,16 +188,16 @@
 	expired, cancel := context.WithDeadline(context.Background(), time.Now())
 	defer cancel()
 	if r := client.exchange(expired, target, &msg, time.Time{}, nil); r.outcome != policy.ConnectFailed {
-		t.Errorf("out of time: outcome %d", r.outcome)
+		t.Errorf("after the deadline: outcome %d", r.outcome)
 	}
 	cancelled, cancelNow := context.WithCancel(context.Background())
 	cancelNow()
 	if r := client.exchange(cancelled, target, &msg, time.Time{}, nil); r.outcome != policy.Cancelled {
-		t.Errorf("given up: outcome %d", r.outcome)
+		t.Errorf("cancelled: outcome %d", r.outcome)
 	}
 	ctx, end := context.WithTimeout(context.Background(), testTimeout)
 	defer end()
 	if r := client.exchange(ctx, client.NewTarget(newBackend(t, alwaysOK).Addr, 0), &msg, time.Time{}, nil); r.outcome != policy.OK {
-		t.Errorf("by the only socket: outcome %d", r.outcome)
+		t.Errorf("with the only socket free again: outcome %d", r.outcome)
 	}
 }
--- a/internal/agent/backends_test.go
+++ b/internal/agent/backends_test.go
@@ -10,8 +10,9 @@
 	"example.org/micaline/policy"
 )
 
-// A backend at the address of one that has gone has connections of its own: those of the old one close, the one in
-// use when it is back, and the new one's stay when the old one is forgotten.
+// A new backend at the address of an old one gets connections of its own. The connections of the
+// old one are closed when it leaves the list, those in use after their answer, and the new one's
+// stay open.
 func TestNewBackendAtAnOldAddress(t *testing.T) {
 	proceed := make(chan struct{}, 1)
 	b := newBackend(t, func(int, *http.Request) (string, bool) {
@@ -39,32 +40,33 @@
 	proceed <- struct{}{}
 	second := eventLoop.targets[eventLoop.servers.idFor("next")]
 	secondResult := make(chan result, 1)
-	receive(t, "answer of the old one", firstResult)
+	receive(t, "answer of the old backend", firstResult)
 	go func() { secondResult <- eventLoop.backends.exchange(ctx, second, &msg, time.Time{}, nil) }()
 	receive(t, "request", b.Got)
 	if n := len(b.Accepted); n != 2 {
-		t.Errorf("%d connections to two backends", n)
+		t.Errorf("%d connections for two backends", n)
 	}
 	proceed <- struct{}{}
-	receive(t, "answer of the new one", secondResult)
+	receive(t, "answer of the new backend", secondResult)
 	old.Phase = "Gone"
 	list(policy.ListDelta, old)
-	receive(t, "close of the old one's connection", b.Ended)
-	// A restart of the process at the same address is another target as well, and what comes back late closes.
+	receive(t, "close of the old backend's connection", b.Ended)
+	// A restarted process at the same address is a new target too. A connection to the previous
+	// process that is still in use is closed after its answer.
 	go func() { secondResult <- eventLoop.backends.exchange(ctx, second, &msg, time.Time{}, nil) }()
 	receive(t, "request", b.Got)
 	next.UpSince = 5
 	list(policy.ListDelta, next)
 	proceed <- struct{}{}
-	receive(t, "late answer", secondResult)
-	receive(t, "close of the connection that came back late", b.Ended)
+	receive(t, "answer after the restart", secondResult)
+	receive(t, "close of the connection to the previous process", b.Ended)
 	if n := len(b.Accepted); n != 2 {
-		t.Errorf("%d connections: the new one's went with the old one's", n)
+		t.Errorf("%d connections: the new backend's was closed with the old one's", n)
 	}
 }
 
-// An idle connection that the backend has closed is not written to: it would end as a reset, which an unsafe
-// request does not survive.
+// A request is not sent over an idle connection that the backend has closed. It would end in a
+// connection reset, after which an unsafe request must not be retried.
 func TestStaleConnection(t *testing.T) {
 	b := newBackend(t, alwaysOK)
 	a := startAgentWith(t, testSettings, b)
@@ -84,11 +86,12 @@
 		a.do(t, a.request("unsafe", "15000m"))
 	}
 	if n := len(b.Accepted); n != 1 {
-		t.Errorf("%d connections for one request at a time", n)
+		t.Errorf("%d connections for sequential requests", n)
 	}
 }
 
-// The pool keeps to its sockets: an idle connection makes room, one in use does not.
+// The pool never uses more than its number of sockets: it closes an idle connection to make room,
+// but not one in use.
 func TestPoolIsBounded(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
 	cfg := testConfig(t, "127.0.0.1:1", testSettings)
@@ -110,7 +113,7 @@
 	}
 	cancelAttempt()
 	if r := receive(t, "cancelled attempt", silentResult); r.outcome != policy.Cancelled {
-		t.Errorf("given up: outcome %d", r.outcome)
+		t.Errorf("cancelled: outcome %d", r.outcome)
 	}
 	if r := client.exchange(ctx, toX, &msg, time.Time{}, nil); r.outcome != policy.OK {
 		t.Errorf("with the socket free again: outcome %d", r.outcome)
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -17,46 +17,50 @@
 	"example.org/micaline/policy"
 )
 
-// minSockets is what an agent needs to hold a few clients and backends beside its own descriptors.
+// minSockets is the number of sockets that an agent needs for its own descriptors and connections
+// to a few clients and backends.
 const minSockets = 2*reservedSockets + 32
 
-// Config is what the platform tells an agent at its start.
+// Config is the configuration of an agent at its start. ParseConfig reads it from the platform's
+// file. The fields that the file does not contain are set by the program that runs the agent.
 type Config struct {
-	Name         string
-	Listen       string
-	Discovery    string
-	Seed         uint64
+	Name         string // stays the same after a restart
+	Listen       string // address for clients
+	Discovery    string // address of the discovery service
+	Seed         uint64 // for the random decisions
 	Cores        float64
 	MemoryMB     int
-	Sockets      int
+	Sockets      int // limit of file descriptors
 	Settings     settings.Settings
-	Peers        Peers              // used where the settings allow it
-	Admin        string             // where operators call; empty: nowhere
-	SharedSocket bool               // other processes accept from the same socket
-	Handover     handover.Transport // the way to other processes of the agent; nil: there is none
-	// Started is told of the agent before it serves, for who operates it from the same process; nil: nobody does.
+	Peers        Peers              // zero if the settings do not allow peer messages
+	Admin        string             // address of the operators' interface; empty: none
+	SharedSocket bool               // whether other processes accept from the same socket
+	Handover     handover.Transport // connects to other processes of the agent; nil: none
+	// OnStart, if not nil, is called with the agent before it serves, so that code in the same
+	// process can operate it.
 	OnStart func(*Agent)
 
-	Levels level.Config // of reduced service, from the operators' file; none where it is empty
+	Levels level.Config // levels of reduced service, from the operators' file; may be empty
 
-	Sites site.Config // whether they are watched, and withdrawn when they are lost
+	Sites site.Config // whether sites are monitored, and withdrawn when they are lost
 
-	// Decide makes what decides for the agent; nil is policy.New.
+	// NewDecider creates the decision module of the agent. If it is nil, peers.NewDecider does.
 	NewDecider func(policy.Settings, uint64) (Decider, error)
 
-	knownList memberList
+	knownList memberList // the list of backends that the file contains, if any
 }
 
-// Peers are the addresses of the other agents.
+// Peers are the addresses for messages between agents.
 type Peers struct {
-	Listen    netip.AddrPort // where their messages come
-	Broadcast netip.AddrPort // whatever is sent there comes to all of them
-	Sources   []netip.AddrPort
+	Listen    netip.AddrPort   // receives the messages of the other agents
+	Broadcast netip.AddrPort   // messages sent there reach all other agents
+	Sources   []netip.AddrPort // messages from other addresses are ignored
 }
 
-// Decider decides for an agent: a policy.Balancer, or what that is held against.
+// Decider is a decision module: a policy.Balancer, or another algorithm that it is compared with.
 type Decider = peers.Decider
 
+// buildDecider creates the decision module that handles requests from the start.
 func (c *Config) buildDecider() (Decider, error) {
 	if c.NewDecider != nil {
 		return c.NewDecider(c.Settings.Module, c.Seed)
@@ -64,7 +68,7 @@
 	return peers.NewDecider(c.Settings.Module, c.Seed)
 }
 
-// LoadConfig reads and checks the configuration file. Its errors name the field that cannot be used.
+// LoadConfig reads and checks the configuration file. Its errors name the field that is invalid.
 func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -77,7 +81,8 @@
 	return cfg, nil
 }
 
-// ParseConfig reads and checks the text of a configuration.
+// ParseConfig parses and checks the text of a configuration. Its errors name the field that is
+// invalid.
 func ParseConfig(text []byte) (*Config, error) {
 	var file struct {
 		Name, Listen, Discovery, Seed, Admin string
@@ -159,7 +164,8 @@
 	return p, nil
 }
 
-// checkSettings checks what the agent needs beside the module, whose own check is policy.New.
+// checkSettings checks the settings that the agent itself uses, and those of the decision module by
+// policy.New.
 func checkSettings(s *settings.Settings) error {
 	if s.ConnectTimeout <= 0 {
 		return errors.New("settings: limits.connectTimeout must be above 0")
@@ -167,7 +173,7 @@
 	for list, names := range map[string][]string{"categories": s.Classes, "accounts": s.Tenants} {
 		for i, name := range names {
 			if name == "" || slices.Contains(names[:i], name) {
-				return fmt.Errorf("settings: %s[%d].name %q is empty or taken", list, i, name)
+				return fmt.Errorf("settings: %s[%d].name %q is empty or not unique", list, i, name)
 			}
 		}
 	}
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// testConfig returns the configuration of an agent for the given discovery address and settings.
 func testConfig(t *testing.T, discovery, settings string) *Config {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1f",
@@ -57,7 +58,7 @@
 		t.Errorf("peers %+v, error %v", cfg.Peers, err)
 	}
 	if cfg, err = ParseConfig(text(false, good)); err != nil || cfg.Peers.Listen.IsValid() {
-		t.Errorf("where the settings allow no talk: peers %+v, error %v", cfg.Peers, err)
+		t.Errorf("with peer messages disabled in the settings: peers %+v, error %v", cfg.Peers, err)
 	}
 	for _, c := range []struct{ field, old, new string }{
 		{"peer_listen", `"127.0.0.1:7946"`, `"here"`}, {"peers[1]", `"127.0.0.3:7946"`, `"there"`}, {"peers_all", `"127.0.0.9:7946"`, `""`},
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -16,20 +16,23 @@
 	"example.org/micaline/policy"
 )
 
-// What the control interface shows and changes. All of it happens in the loop, between two inputs.
+// This file implements control.Instance, with which operators read and change the state of the
+// agent. State of the event loop is accessed inside the loop, between two inputs.
 
-// mostShown is how many open requests are shown.
+// maxShownRequests bounds the number of open requests in a control.State.
 const maxShownRequests = 1000
 
+// errAgentEnded is the error of calls to an agent whose event loop has ended.
 var errAgentEnded = errors.New("the agent has ended")
 
-// viewer is a Decider that shows what it makes of the backends.
+// observableDecider is a Decider that shows its internal state.
 type observableDecider interface {
 	Pressure() float64
 	View(now time.Duration) []policy.ServerView
 }
 
-// do calls a function between two inputs.
+// runInLoop calls a function between two inputs of the loop. It returns the context's error, or
+// errAgentEnded if the loop has ended, without calling the function.
 func (l *loop) runInLoop(ctx context.Context, f func()) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -40,19 +43,20 @@
 	return nil
 }
 
-// Name is the agent's, the same after a restart.
+// Name returns the name of the agent, which stays the same after a restart.
 func (a *Agent) Name() string { return a.cfg.Name }
 
-// Base are the settings that the platform has configured.
+// Base returns the settings that the platform has configured, without the changes of operators.
 func (a *Agent) Base() *settings.Settings { return &a.cfg.Settings }
 
-// SetTaking says whether requests are taken. One that is not is refused, and told when to come back.
+// SetTaking sets whether requests are accepted. Otherwise they are refused with a Retry-After
+// header.
 func (a *Agent) SetTaking(on bool) {
 	a.server.refuseAll.Store(!on)
 	a.log.Info("operators", "taking", on)
 }
 
-// Apply puts a part of a document in force.
+// Apply applies one part of an operators' document.
 func (a *Agent) Apply(ctx context.Context, part string, d *document.Document) error {
 	switch part {
 	case document.Service:
@@ -62,9 +66,11 @@
 	case document.Decisions:
 		return a.applyDecisions(ctx, d.Module(&a.cfg.Settings))
 	}
-	return fmt.Errorf("there is no part %q", part)
+	return fmt.Errorf("unknown document part %q", part)
 }
 
+// applyService applies the address of discovery and the limit of concurrent requests. Where the
+// document leaves one of them out, the configured value is restored.
 func (a *Agent) applyService(ctx context.Context, s *document.ServicePart) error {
 	addr := a.cfg.Discovery
 	if s.Discovery != nil {
@@ -84,13 +90,13 @@
 	}
 	a.operatorLimit.Store(0)
 	if s.Requests != nil {
-		a.operatorLimit.Store(int64(*s.Requests)) // more than the sockets bear is not to be had
+		a.operatorLimit.Store(int64(*s.Requests)) // updateLimits caps this at what the sockets allow
 	}
 	a.updateLimits(a.otherProcess.Load())
 	return nil
 }
 
-// applyDecisions has another module decide for new requests.
+// applyDecisions creates a decision module with the given settings, which handles new requests.
 func (a *Agent) applyDecisions(ctx context.Context, s policy.Settings) error {
 	next, err := peers.NewDecider(s, a.cfg.Seed+uint64(time.Now().UnixNano()))
 	if err != nil {
@@ -99,7 +105,8 @@
 	return a.loop.runInLoop(ctx, func() { a.loop.replaceModule(context.WithoutCancel(ctx), next, s) })
 }
 
-// replace lets another module decide from now on. The one before finishes what it has.
+// replaceModule makes another decision module handle new requests. The previous one finishes the
+// requests that it has.
 func (l *loop) replaceModule(ctx context.Context, decider Decider, decisions policy.Settings) {
 	old := l.current
 	if old.retired = true; old.open == 0 {
@@ -117,17 +124,20 @@
 	l.handle(ctx, l.current, policy.Event{Kind: policy.EventList, ListMode: policy.ListFull, Servers: entries})
 }
 
+// phaseNames are the phases of backends as discovery names them.
 var phaseNames = [...]string{policy.Gone: "Gone", policy.Ready: "Ready", policy.Draining: "Terminating"}
 
+// effectNames are the effects of classes as the settings name them.
 var effectNames = [...]string{policy.Pure: "pure", policy.Keyed: "token", policy.SideEffect: "side_effect"}
 
-// Look returns the present state.
+// Look returns the current state for operators.
 func (a *Agent) Look(ctx context.Context) (*control.State, error) {
 	var state *control.State
 	err := a.loop.runInLoop(ctx, func() { state = a.state() })
 	return state, err
 }
 
+// state collects what Look returns. It must be called inside the loop.
 func (a *Agent) state() *control.State {
 	l := a.loop
 	now := l.clock.now()
@@ -182,7 +192,7 @@
 	return state
 }
 
-// backend is one backend for people to read.
+// backendState returns the state of one backend for operators.
 func (a *Agent) backendState(view *policy.ServerView, now time.Duration) control.Backend {
 	l := a.loop
 	backend := control.Backend{
@@ -205,7 +215,7 @@
 	return backend
 }
 
-// round leaves what a person reads.
+// roundForDisplay rounds to three decimals. Values that JSON can't represent become 0.
 func roundForDisplay(v float64) float64 {
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return 0
--- a/internal/agent/control_test.go
+++ b/internal/agent/control_test.go
@@ -13,6 +13,7 @@
 	"example.org/micaline/policy"
 )
 
+// controlState returns what operators see of an agent.
 func controlState(t *testing.T, a *runningAgent) *control.State {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -24,6 +25,8 @@
 	return s
 }
 
+// holdBackend puts a backend on hold, or ends its hold if the duration is 0. It reports whether the
+// backend is known.
 func (r *runningAgent) holdBackend(t *testing.T, backend string, d time.Duration) bool {
 	t.Helper()
 	known, err := r.agent.Hold(t.Context(), backend, d)
@@ -33,6 +36,7 @@
 	return known
 }
 
+// applyDocument parses, checks and applies an operators' document.
 func (r *runningAgent) applyDocument(t *testing.T, text string) {
 	t.Helper()
 	d, err := document.Parse([]byte(text))
@@ -49,7 +53,7 @@
 	}
 }
 
-// serve makes so many requests, all of which are to be served.
+// serveRequests makes n requests and fails the test if any is not served.
 func (r *runningAgent) serveRequests(t *testing.T, n int) {
 	t.Helper()
 	for range n {
@@ -59,21 +63,21 @@
 	}
 }
 
-// A backend that is held out gets nothing, and is in again when it is let in or its time is over. One that drains gets
-// nothing, whoever lets it in.
+// A backend on hold gets no requests until the hold is ended or expires. A draining backend gets
+// none, even when a hold on it is ended.
 func TestHold(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
 	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
 	a := startAgent(t, testConfig(t, discoveryServer.Addr, testSettings))
 	if a.holdBackend(t, "nobody", time.Hour) {
-		t.Error("a backend that nobody knows is held")
+		t.Error("an unknown backend was put on hold")
 	}
 	if !a.holdBackend(t, "x", time.Hour) {
-		t.Fatal("x is not known")
+		t.Fatal("backend x is unknown")
 	}
 	a.serveRequests(t, 30)
 	if len(x.Got) > 0 {
-		t.Errorf("%d sent to who is held out", len(x.Got))
+		t.Errorf("%d requests sent to the backend on hold", len(x.Got))
 	}
 	if s := controlState(t, a); s.Backends[0].Held <= 0 || s.Backends[0].Phase != "Ready" {
 		t.Errorf("shown as %+v", s.Backends[0])
@@ -81,22 +85,23 @@
 	a.holdBackend(t, "x", 0)
 	a.serveRequests(t, 60)
 	if len(x.Got) == 0 {
-		t.Error("nothing is sent to who is let in")
+		t.Error("no request is sent after the end of the hold")
 	}
-	// A list that comes while x is held does not let it in, and its drain stays when the hold ends.
+	// A list that arrives during the hold does not end it, and a drain stays in force after the
+	// hold. Lists are processed in order.
 	a.holdBackend(t, "x", time.Hour)
 	discoveryServer.Next <- listJSON(2, false, memberJSON("x", x.Addr, "Ready", 0))
-	discoveryServer.Next <- listJSON(3, false, memberJSON("x", x.Addr, "Terminating", 0)) // which the agent takes after the one before
+	discoveryServer.Next <- listJSON(3, false, memberJSON("x", x.Addr, "Terminating", 0))
 	for start := time.Now(); controlState(t, a).Backends[0].Phase != "Terminating"; time.Sleep(time.Millisecond) {
 		if time.Since(start) > testTimeout {
-			t.Fatal("the drain does not come")
+			t.Fatal("the drain was not processed")
 		}
 	}
 	sent := len(x.Got)
 	a.holdBackend(t, "x", 0)
 	a.serveRequests(t, 30)
 	if n := len(x.Got) - sent; n > 0 {
-		t.Errorf("%d sent to who drains and was let in", n)
+		t.Errorf("%d requests sent to a draining backend after its hold", n)
 	}
 }
 
@@ -107,13 +112,13 @@
 	for start := time.Now(); len(x.Got) == 0; {
 		a.do(t, a.request("unsafe", "15000m"))
 		if time.Since(start) > testTimeout {
-			t.Fatal("held out for good")
+			t.Fatal("the hold did not end")
 		}
 	}
 }
 
-// What is decided by changes while requests are open: they are answered all the same, by the module that took them,
-// which then ends.
+// When the decision module is replaced while requests are open, the previous module still answers
+// them and is then removed.
 func TestDecisionsChangeUnderTraffic(t *testing.T) {
 	proceed := make(chan struct{})
 	b := newBackend(t, func(n int, _ *http.Request) (string, bool) {
@@ -142,10 +147,10 @@
 		return count, maxAttempts
 	}
 	if count, maxAttempts := modules(); count != 2 || maxAttempts != 7 {
-		t.Errorf("%d modules, %d attempts at most", count, maxAttempts)
+		t.Errorf("%d modules, at most %d attempts", count, maxAttempts)
 	}
 	if s := controlState(t, a); len(s.Requests) != 5 || s.Requests[0].Out != 1 {
-		t.Errorf("open: %+v", s.Requests)
+		t.Errorf("open requests: %+v", s.Requests)
 	}
 	close(proceed)
 	for range 5 {
@@ -154,18 +159,19 @@
 		}
 	}
 	if count, _ := modules(); count != 1 {
-		t.Errorf("%d modules are left", count)
+		t.Errorf("%d modules are left after the last answer", count)
 	}
 	if a.agent.Base().Module.MaxAttempts != 3 {
-		t.Error("the platform's settings have changed")
+		t.Error("the platform's settings were modified")
 	}
 	a.applyDocument(t, `{}`)
 	if _, maxAttempts := modules(); maxAttempts != 3 {
-		t.Errorf("without a document %d attempts at most", maxAttempts)
+		t.Errorf("without a document: at most %d attempts", maxAttempts)
 	}
 }
 
-// The service part: how many requests are held at once, whether any are taken, and where discovery is.
+// The service part of a document sets the limit of concurrent requests and the address of
+// discovery. SetTaking sets whether requests are accepted.
 func TestServicePart(t *testing.T) {
 	proceed := make(chan struct{})
 	b := newBackend(t, func(int, *http.Request) (string, bool) {
@@ -181,15 +187,15 @@
 	}()
 	receive(t, "request", b.Got)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused {
-		t.Errorf("one more than are held: answered %d", status)
+		t.Errorf("above the limit of concurrent requests: answered %d", status)
 	}
 	a.agent.SetTaking(false)
 	close(proceed)
 	if status := receive(t, "answer", firstStatus); status != http.StatusOK {
-		t.Errorf("what was taken before is answered %d", status)
+		t.Errorf("the request accepted before was answered %d", status)
 	}
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused || controlState(t, a).Taking {
-		t.Errorf("while nothing is taken: answered %d", status)
+		t.Errorf("while no requests are accepted: answered %d", status)
 	}
 	if s := controlState(t, a); s.Service.Refused != 2 || s.Service.Requests != 3 || len(s.Causes) != 1 || s.Causes[0].Count != 2 {
 		t.Errorf("counted %+v, causes %+v", s.Service, s.Causes)
@@ -199,7 +205,7 @@
 	newServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("z", b.Addr, "Ready", 0)))
 	a.applyDocument(t, `{"service":{"discovery":"`+newServer.Addr+`"}}`)
 	if query := receive(t, "call to the new discovery", newServer.Calls); query != "" {
-		t.Errorf("the first call asks %q", query)
+		t.Errorf("the query of the first call is %q", query)
 	}
 	receive(t, "watch", newServer.Calls)
 	if s := controlState(t, a); len(s.Backends) != 1 || s.Backends[0].Name != "z" {
@@ -208,7 +214,7 @@
 	a.serveRequests(t, 3)
 }
 
-// Requests are counted by how they ended, and refusals and failures by why.
+// Requests are counted by their result, and refusals and failures also by their cause.
 func TestCounts(t *testing.T) {
 	b := newBackend(t, func(n int, _ *http.Request) (string, bool) {
 		if n == 0 {
@@ -228,14 +234,15 @@
 	}
 }
 
-// deciderFunc is a decision module of a test.
+// deciderFunc is a function that acts as the decision module in a test.
 type deciderFunc func(ev policy.Event, out []policy.Action) []policy.Action
 
 func (f deciderFunc) Handle(_ time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
 	return f(ev, out)
 }
 
-// A module that ends by an event does not keep the next one from hearing of it: it might be a drain.
+// If a retired module is removed while an event is handed to all modules, the remaining module must
+// still get the event, which might be a drain.
 func TestModuleThatEndsByAnEvent(t *testing.T) {
 	cfg := testConfig(t, "127.0.0.1:1", testSettings)
 	eventLoop, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
@@ -255,6 +262,6 @@
 	eventLoop.requests[r.id] = r
 	eventLoop.take(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
 	if events != 1 || len(eventLoop.modules) != 1 || eventLoop.modules[0] != eventLoop.current || len(eventLoop.requests) != 0 {
-		t.Errorf("heard %d times, %d modules and %d requests are left", events, len(eventLoop.modules), len(eventLoop.requests))
+		t.Errorf("%d events received, %d modules and %d requests are left", events, len(eventLoop.modules), len(eventLoop.requests))
 	}
 }
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -18,22 +18,24 @@
 
 const (
 	listPath     = "/discovery/hosts"
-	maxListBytes = 4 << 20 // bytes of a list
-	listTimeout  = time.Second
-	// pushWatch and askWatch are how long a watch may wait. Silence shows only when a watch is overdue: where
-	// calls cost nothing it is short; where all agents share one service it is kept in peace.
+	maxListBytes = 4 << 20
+	listTimeout  = time.Second // for the full list, unless on demand
+	// automaticWatchWait and onDemandWatchWait are how long discovery may hold a watch until there
+	// is a change. An unresponsive discovery is noticed only when a watch is overdue, so the wait
+	// is short where calls are cheap. Where all agents share one service, it is long to limit the
+	// load.
 	automaticWatchWait = 2 * time.Second
 	onDemandWatchWait  = 10 * time.Second
-	watchGrace         = 700 * time.Millisecond // that an answer may come after a watch's wait
+	watchGrace         = 700 * time.Millisecond // added to the wait for the answer to arrive
 	minRetryDelay      = 50 * time.Millisecond
 	maxRetryDelay      = time.Second
-	maxServerIDBytes   = 256 // bytes
+	maxServerIDBytes   = 256
 )
 
-// errBadList is an answer of discovery that cannot be used, after which only the whole list will do.
+// errBadList is the error of an unusable answer of discovery. The full list is requested after it.
 var errBadList = errors.New("bad list")
 
-// member is one backend as discovery tells it.
+// member is one backend in a list of discovery.
 type member struct {
 	ID       string
 	HostPort string `json:"host_port"`
@@ -42,21 +44,24 @@
 	Cell     int
 	Phase    string
 	Size     float64
-	UpSince  float64 `json:"up_since_ms"` // Unix time, milliseconds
+	UpSince  float64 `json:"up_since_ms"` // start of the process: Unix time in milliseconds
 }
 
-// memberList is an answer of discovery.
+// memberList is an answer of discovery: the full list if Complete, else the changes since the
+// requested revision.
 type memberList struct {
 	Revision *uint64
 	Complete bool
 	Members  []member
 }
 
+// stateByPhase maps the phases of members to the states that the decision module knows.
 var stateByPhase = map[string]policy.ServerState{
 	"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Gone,
 }
 
-// parseList takes a list whole or not at all: half of one would take backends for gone that are not.
+// parseList parses and checks a list. One invalid entry makes the whole list invalid, because using
+// only the valid entries would remove backends that still exist.
 func parseList(text []byte) (memberList, error) {
 	var list memberList
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -73,7 +78,7 @@
 			return memberList{}, fmt.Errorf("%w: members[%d].id %.40q", errBadList, i, m.ID)
 		case !known:
 			return memberList{}, fmt.Errorf("%w: members[%d].phase %.40q", errBadList, i, m.Phase)
-		case !(m.UpSince >= 0 && m.UpSince < 9e12): // what a time.Duration can hold
+		case !(m.UpSince >= 0 && m.UpSince < 9e12): // the range of a time.Duration
 			return memberList{}, fmt.Errorf("%w: members[%d].up_since_ms %v", errBadList, i, m.UpSince)
 		}
 		if _, err := netip.ParseAddrPort(m.HostPort); err != nil && state != policy.Gone {
@@ -84,20 +89,22 @@
 	return list, nil
 }
 
-// discovery follows the list of backends and hands each change to the loop.
-type discovery struct {
+// discoveryClient is a client of the discovery service. It watches the list of backends and passes each
+// change to the event loop.
+type discoveryClient struct {
 	addr           string
-	onDemand       bool          // only when the module asks, and it hears of failures
-	watchRequested chan struct{} // the module asks; holds one
-	onList         func(policy.ListMode, []member)
+	onDemand       bool                            // watch only if the module asks, and report failures
+	watchRequested chan struct{}                   // the module has requested a watch; capacity 1
+	onList         func(policy.ListMode, []member) // is called with each change, and after failures
 	client         http.Client
 	log            *slog.Logger
 
-	revision *uint64 // of the list held; nil when the whole list is wanted
+	revision *uint64 // of the last list received; nil to request the full list
 }
 
-func newDiscovery(network Network, addr string, onDemand bool, onList func(policy.ListMode, []member), log *slog.Logger) *discovery {
-	return &discovery{
+// newDiscoveryClient returns a client that does not watch yet. run starts it.
+func newDiscoveryClient(network Network, addr string, onDemand bool, onList func(policy.ListMode, []member), log *slog.Logger) *discoveryClient {
+	return &discoveryClient{
 		addr: addr, onDemand: onDemand, watchRequested: make(chan struct{}, 1), onList: onList, log: log,
 		client: http.Client{
 			Transport: &http.Transport{
@@ -106,14 +113,15 @@
 				},
 				MaxConnsPerHost: 1, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
 			},
-			// Discovery is at the address that the platform gives and nowhere else.
+			// Redirects are not followed: discovery is only at the address that the platform gives.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
 }
 
-// run follows the list until the context ends, from each reload on at the address that it brings.
-func (d *discovery) run(ctx context.Context, reloads, operatorChanges <-chan *Config) {
+// run watches the list until the context ends. A configuration from reloads or operatorChanges
+// makes it switch to the address of discovery in it.
+func (d *discoveryClient) run(ctx context.Context, reloads, operatorChanges <-chan *Config) {
 	defer d.client.CloseIdleConnections()
 	for {
 		followCtx, stopFollowing := context.WithCancel(ctx)
@@ -134,14 +142,14 @@
 		stopFollowing()
 		<-stopped
 		d.log.Info("reloaded", "discovery", cfg.Discovery)
-		// The new service counts revisions of its own, so its whole list comes first.
+		// The new service counts its own revisions, so the full list is requested first.
 		d.addr, d.revision = cfg.Discovery, nil
 		d.requestWatch()
 	}
 }
 
-// followList follows the list at one address until the context ends.
-func (d *discovery) followList(ctx context.Context) {
+// followList watches the list at one address until the context ends, with retries after failures.
+func (d *discoveryClient) followList(ctx context.Context) {
 	failures := 0
 	for {
 		if d.onDemand {
@@ -165,14 +173,14 @@
 			d.revision = nil
 		}
 		if d.onDemand {
-			select { // what was asked while the watch ran is part of its failure
+			select { // requests made during the watch have failed with it
 			case <-d.watchRequested:
 			default:
 			}
-			d.onList(policy.ListFailed, nil) // the module decides when to ask again
+			d.onList(policy.ListFailed, nil) // the module decides when to retry
 			continue
 		}
-		// Agents that lost discovery together must not come back together.
+		// Jitter keeps agents that lost discovery at the same time from returning at the same time.
 		wait := min(maxRetryDelay, minRetryDelay<<min(failures-1, 10))
 		select {
 		case <-time.After(wait/2 + rand.N(wait)):
@@ -182,9 +190,9 @@
 	}
 }
 
-// watch gets the list and then its changes, each call right after the last, until one fails. It says whether
-// any was answered.
-func (d *discovery) watch(ctx context.Context) (answered bool, err error) {
+// watch fetches the full list and then its changes, one call after the other, until a call fails.
+// It reports whether any call was answered.
+func (d *discoveryClient) watch(ctx context.Context) (answered bool, err error) {
 	wait := automaticWatchWait
 	if d.onDemand {
 		wait = onDemandWatchWait
@@ -192,7 +200,7 @@
 	for {
 		list, err := d.fetch(ctx, wait)
 		if err == nil {
-			err = ctx.Err() // an answer that crossed a reload is another service's
+			err = ctx.Err() // after a reload the answer belongs to the previous service
 		}
 		if err != nil {
 			return answered, err
@@ -210,11 +218,12 @@
 	}
 }
 
-// get makes one call: for the whole list if no revision is held, else a watch.
-func (d *discovery) fetch(ctx context.Context, wait time.Duration) (memberList, error) {
+// fetch makes one call: for the full list if there is no revision, else a watch for changes that
+// may take as long as wait.
+func (d *discoveryClient) fetch(ctx context.Context, wait time.Duration) (memberList, error) {
 	url, timeout := "http://"+d.addr+listPath, listTimeout
 	if d.onDemand {
-		timeout = onDemandWatchWait // calls are worked through in turn
+		timeout = onDemandWatchWait // the service processes the calls of all agents one by one
 	}
 	if d.revision != nil {
 		url = fmt.Sprintf("%s?after=%d&wait_ms=%d", url, *d.revision, wait.Milliseconds())
@@ -235,18 +244,19 @@
 	switch {
 	case err != nil:
 		return memberList{}, fmt.Errorf("reading the list: %w", err)
-	case resp.StatusCode >= 400 && resp.StatusCode < 500: // as for a revision that it does not know
+	case resp.StatusCode >= 400 && resp.StatusCode < 500: // such as for an unknown revision
 		return memberList{}, fmt.Errorf("%w: status %s", errBadList, resp.Status)
 	case resp.StatusCode != http.StatusOK:
-		return memberList{}, fmt.Errorf("the list: status %s", resp.Status)
+		return memberList{}, fmt.Errorf("fetching the list: status %s", resp.Status)
 	case len(text) > maxListBytes:
 		return memberList{}, fmt.Errorf("%w: over %d bytes", errBadList, maxListBytes)
 	}
 	return parseList(text)
 }
 
-// asked starts a watch if none runs. The loop calls it and must not wait.
-func (d *discovery) requestWatch() {
+// requestWatch starts a watch, unless one is already requested. It does not block, because the
+// event loop calls it.
+func (d *discoveryClient) requestWatch() {
 	select {
 	case d.watchRequested <- struct{}{}:
 	default:
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -6,29 +6,32 @@
 	"testing"
 )
 
+// listJSON returns an answer of discovery with the given members.
 func listJSON(revision int, complete bool, members ...string) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
+// memberJSON returns one member of a list.
 func memberJSON(id, addr, phase string, cell int) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"m1","cell":%d,"phase":%q,"size":1,"up_since_ms":0}`,
 		id, addr, cell, phase)
 }
 
-// A backend that drains gets nothing new once a watch has told so, and its list is followed without a gap.
+// A draining backend gets no new requests once a watch has reported the drain. Each watch continues
+// from the revision of the previous answer.
 func TestDrain(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
 	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
 	a := startAgent(t, testConfig(t, discoveryServer.Addr, testSettings))
 	if query := receive(t, "first call", discoveryServer.Calls); query != "" {
-		t.Errorf("the first call asks %q", query)
+		t.Errorf("the query of the first call is %q", query)
 	}
 	if query := receive(t, "watch", discoveryServer.Calls); !strings.HasPrefix(query, "after=1&wait_ms=") {
-		t.Errorf("the second call asks %q", query)
+		t.Errorf("the query of the second call is %q", query)
 	}
 	discoveryServer.Next <- listJSON(2, false, memberJSON("x", x.Addr, "Terminating", 0))
 	if query := receive(t, "watch", discoveryServer.Calls); !strings.HasPrefix(query, "after=2&") {
-		t.Errorf("the third call asks %q", query)
+		t.Errorf("the query of the third call is %q", query)
 	}
 	for range 40 {
 		if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
@@ -36,19 +39,20 @@
 		}
 	}
 	if len(x.Got) > 0 || len(y.Got) != 40 {
-		t.Errorf("%d sent to the draining one, %d to the other", len(x.Got), len(y.Got))
+		t.Errorf("%d requests sent to the draining backend, %d to the other", len(x.Got), len(y.Got))
 	}
 }
 
-// An agent that starts with a list asks for what has changed since. Danger: most agents come back at once, and discovery,
-// whose work is the lines that it sends, would turn them away one after the other while they go by their old lists. Where
-// discovery can't tell what has changed it says so, and its whole list is asked for.
+// An agent that starts with a known list requests only the changes since then. Many agents restart
+// at once, and the load on discovery depends on the entries that it sends: with full lists it would
+// reject agent after agent, which meanwhile use outdated lists. If discovery does not know the
+// revision, the agent requests the full list.
 func TestKnownListIsFollowed(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
 	for _, c := range []struct {
 		name      string
-		answer    []byte // to the first call
-		nextQuery string // what the next one asks
+		answer    []byte // of discovery to the first call
+		nextQuery string // prefix of the next query
 	}{
 		{"changes", listJSON(8, false, memberJSON("x", x.Addr, "Gone", 0), memberJSON("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
 		{"whole list", listJSON(8, true, memberJSON("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
@@ -67,18 +71,18 @@
 			}
 			startAgent(t, cfg)
 			if query := receive(t, "first call", discoveryServer.Calls); !strings.HasPrefix(query, "after=5&wait_ms=") {
-				t.Errorf("the first call asks %q", query)
+				t.Errorf("the query of the first call is %q", query)
 			}
 			discoveryServer.Next <- c.answer
 			if query := receive(t, "second call", discoveryServer.Calls); !strings.HasPrefix(query, c.nextQuery) || c.nextQuery == "" && query != "" {
-				t.Errorf("the second call asks %q", query)
+				t.Errorf("the query of the second call is %q", query)
 			}
 		})
 	}
 }
 
-// A reload moves to another discovery, which is asked for its whole list although its revisions are lower; the old
-// one's watch is given up.
+// After a reload with another discovery address, the agent requests the full list there, although
+// the revisions are lower, and cancels the watch at the old address.
 func TestReload(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
 	oldServer := newScriptedDiscovery(t, listJSON(7, true, memberJSON("x", x.Addr, "Ready", 0)))
@@ -91,10 +95,10 @@
 	updated.Discovery = newServer.Addr
 	a.reloads <- &updated
 	if query := receive(t, "call to the new discovery", newServer.Calls); query != "" {
-		t.Errorf("the first call asks %q", query)
+		t.Errorf("the query of the first call is %q", query)
 	}
 	if query := receive(t, "watch", newServer.Calls); !strings.HasPrefix(query, "after=2&") {
-		t.Errorf("the second call asks %q", query)
+		t.Errorf("the query of the second call is %q", query)
 	}
 	for range 5 {
 		if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
@@ -102,15 +106,15 @@
 		}
 	}
 	if len(x.Got) > 0 || len(y.Got) != 5 {
-		t.Errorf("%d sent to the old list's backend, %d to the new one's", len(x.Got), len(y.Got))
+		t.Errorf("%d requests sent to the backend of the old list, %d to that of the new one", len(x.Got), len(y.Got))
 	}
 	if n := len(oldServer.Calls); n > 0 {
-		t.Errorf("the old discovery was asked %d more times", n)
+		t.Errorf("%d more calls to the old discovery", n)
 	}
 }
 
-// Without discovery, and with lists that cannot be read, the agent goes on with what it has; then it asks for
-// the whole list.
+// While discovery fails or sends invalid lists, the agent keeps using its last list. After such a
+// failure it requests the full list.
 func TestDiscoveryLoss(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
 	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0)))
@@ -123,12 +127,12 @@
 		}
 		discoveryServer.Next <- []byte(text)
 		if query := receive(t, "call", discoveryServer.Calls); query != "" {
-			t.Errorf("after %s: asked %q", text, query)
+			t.Errorf("after %s: the query is %q", text, query)
 		}
 	}
 	receive(t, "call again", discoveryServer.Calls)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
-		t.Errorf("without discovery: answered %d", status)
+		t.Errorf("while discovery fails: answered %d", status)
 	}
 	discoveryServer.Whole(func() []byte { return listJSON(9, true, memberJSON("y", y.Addr, "Ready", 0)) })
 	for {
@@ -137,12 +141,12 @@
 		}
 	}
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 || len(y.Got) != 1 {
-		t.Errorf("with discovery back: answered %d, %d at the new backend", status, len(y.Got))
+		t.Errorf("after discovery has recovered: answered %d, %d requests at the new backend", status, len(y.Got))
 	}
 }
 
-// Changes that do not follow the list held, as after a restart of discovery, lead to the whole list; so does a
-// discovery that is silent when a watch is over.
+// Changes that do not continue from the last revision, as after a restart of discovery, make the
+// agent request the full list. After a watch that gets no answer, the agent watches again.
 func TestDiscoveryGapAndSilence(t *testing.T) {
 	b := newBackend(t, alwaysOK)
 	discoveryServer := newScriptedDiscovery(t, listJSON(8, true, memberJSON("x", b.Addr, "Ready", 0)))
@@ -151,16 +155,17 @@
 	receive(t, "watch", discoveryServer.Calls)
 	discoveryServer.Next <- listJSON(3, false)
 	if query := receive(t, "call after the gap", discoveryServer.Calls); query != "" {
-		t.Errorf("after a gap: asked %q", query)
+		t.Errorf("after a gap: the query is %q", query)
 	}
-	for range 2 { // the watch that gets no answer, and the one after it
+	for range 2 { // the watch without an answer, and the one after it
 		if query := receive(t, "watch", discoveryServer.Calls); !strings.HasPrefix(query, "after=8&") {
-			t.Errorf("asked %q", query)
+			t.Errorf("the query of the watch is %q", query)
 		}
 	}
 }
 
-// Where the list must be asked for, the module hears of a failure and decides when to ask again.
+// If the settings require that the module requests the list, it is told of failures and decides
+// when to retry.
 func TestAskedDiscovery(t *testing.T) {
 	b := newBackend(t, alwaysOK)
 	settings := strings.Replace(testSettings, `"automatic"`, `"subscribe"`, 1)
@@ -173,9 +178,9 @@
 		}
 		return fullList
 	})
-	a := startAgent(t, testConfig(t, discoveryServer.Addr, settings)) // which returns when the list has come
+	a := startAgent(t, testConfig(t, discoveryServer.Addr, settings)) // returns when the list was received
 	if n := len(discoveryServer.Calls); n < 3 {
-		t.Errorf("up after %d calls, of which two failed", n)
+		t.Errorf("ready after %d calls, although the first two failed", n)
 	}
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
 		t.Errorf("answered %d", status)
--- a/internal/agent/replace.go
+++ b/internal/agent/replace.go
@@ -7,12 +7,14 @@
 )
 
 const (
-	// readyWithin is how long a process waits for a list before it accepts all the same.
+	// readyTimeout is how long a process waits for a list of backends. After that, it accepts
+	// connections without one.
 	readyTimeout      = 3 * time.Second
 	readyPollInterval = 5 * time.Millisecond
 )
 
-// takeOver takes what the process before this one knows, and lets the next one find this.
+// takeOverState fetches the state of the previous process of the agent, and offers the state of
+// this process to the next one.
 func (a *Agent) takeOverState(ctx context.Context) {
 	if a.handover == nil {
 		return
@@ -27,8 +29,9 @@
 	}
 }
 
-// awaitReady waits until there is a list. Danger: where another process accepts from the same socket, what this one takes
-// before that would be refused, and need not be.
+// awaitReady waits until there is a list of backends, if other processes accept from the same
+// socket. A request that this process accepted earlier would be refused, while another process
+// could have served it.
 func (a *Agent) awaitReady(ctx context.Context) {
 	if !a.cfg.SharedSocket {
 		return
@@ -39,8 +42,9 @@
 	}
 }
 
-// shareRoom has the agent use half of its room while another process of it runs: their descriptors and their memory count
-// together.
+// updateLimits sets the limits of connections, concurrent requests and memory. While another
+// process of the agent runs, they are halved, because the descriptors and the memory of both
+// processes count together.
 func (a *Agent) updateLimits(otherProcess bool) {
 	hadOtherProcess := a.otherProcess.Swap(otherProcess)
 	processes := int64(1)
--- a/internal/agent/replace_test.go
+++ b/internal/agent/replace_test.go
@@ -16,11 +16,12 @@
 	"example.org/micaline/internal/handover"
 )
 
-// handovers is how often the process is replaced; 200 take three minutes.
+// handovers is the number of times that the process is replaced. 200 take three minutes.
 var handovers = flag.Int("handovers", 5, "how often the process is replaced under load")
 
-// Under load one process after the other takes over a socket that none of them owns. Nothing is lost, nothing runs twice, and
-// a backend that was called out of the first gets nothing from any.
+// Processes of the agent replace one another under load, all accepting from a socket that none of
+// them owns. No request is lost or runs twice, and a backend that was banned at the first process
+// gets no requests from any of them.
 func TestProcessesReplaceOneAnother(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
 	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
@@ -56,7 +57,7 @@
 		go func() { p.ended <- a.Run(ctx, nil) }()
 		for start := time.Now(); !a.Ready(); time.Sleep(time.Millisecond) {
 			if time.Since(start) > testTimeout {
-				t.Fatal("a process does not come up")
+				t.Fatal("a process did not become ready")
 			}
 		}
 		return p
@@ -69,7 +70,7 @@
 	var served atomic.Int64
 	var clients sync.WaitGroup
 	stopClients, stopCounting := make(chan struct{}), make(chan struct{})
-	runs := map[string]int{} // by call
+	runs := map[string]int{} // by call ID
 	countingDone := make(chan struct{})
 	go func() {
 		defer close(countingDone)
@@ -93,7 +94,9 @@
 				default:
 				}
 				resp, err := client.Do(r.request("unsafe", "15000m"))
-				if err != nil { // a request that crosses the end of its connection is sent again by its client, not by this one
+				// A client retries a request if its connection is closed before the answer. This
+				// one does not, so such an error fails the test.
+				if err != nil {
 					t.Error(err)
 					return
 				}
@@ -118,14 +121,14 @@
 	close(stopClients)
 	clients.Wait()
 	current.stop()
-	receive(t, "end", current.ended)
+	receive(t, "end of the last process", current.ended)
 	close(stopCounting)
 	<-countingDone
 	for len(y.Got) > 0 {
 		runs[(<-y.Got).Header.Get(callIDHeader)]++
 	}
 	if n := len(x.Got); n > 0 {
-		t.Errorf("%d sent to the backend that was called out", n)
+		t.Errorf("%d requests sent to the banned backend", n)
 	}
 	for id, n := range runs {
 		if n > 1 {
@@ -133,6 +136,6 @@
 		}
 	}
 	if n := int64(len(runs)); n != served.Load() || n == 0 {
-		t.Errorf("%d ran for %d served", n, served.Load())
+		t.Errorf("%d requests ran, but %d were served", n, served.Load())
 	}
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -18,46 +18,49 @@
 )
 
 const (
-	callIDHeader   = "X-Call-Id"
-	classHeader    = "X-Call-Class"
-	tenantHeader   = "X-Caller"
-	budgetHeader   = "X-Budget"
-	retryHeader    = "X-Again"
-	keyHeader      = "Idempotency-Key"
+	// Headers of requests.
+	callIDHeader = "X-Call-Id"
+	classHeader  = "X-Call-Class"
+	tenantHeader = "X-Caller"
+	budgetHeader = "X-Budget" // the time left for the answer, see parseBudget
+	retryHeader  = "X-Again"  // 1: the client retries an earlier request
+	keyHeader    = "Idempotency-Key"
+	// Headers of backends' answers.
 	loadHeader     = "X-Load-Report"
-	rejectedHeader = "X-Rejected"
+	rejectedHeader = "X-Rejected" // 1: the backend has not run the request
 
-	readyPath = "/up"
-	alivePath = "/alive"
-	loadPath  = "/metrics/load"
+	readyPath = "/up"           // readiness of the agent
+	alivePath = "/alive"        // liveness of a backend
+	loadPath  = "/metrics/load" // load report of a backend
 
-	statusRefused = http.StatusServiceUnavailable
-	statusFailed  = http.StatusBadGateway
+	statusRefused = http.StatusServiceUnavailable // the request did not run
+	statusFailed  = http.StatusBadGateway         // the request may have run
 
 	maxBudget          = time.Hour
-	writeTimeout       = 5 * time.Second // for a client to take its answer, or half of it
-	maxCallIDBytes     = 256             // bytes
-	overloadRetryAfter = time.Second     // when to come back to an agent that holds all the requests it can
+	writeTimeout       = 5 * time.Second // for a client to accept each write; at least half of it
+	maxCallIDBytes     = 256
+	overloadRetryAfter = time.Second // Retry-After of an agent that accepts no more requests
 )
 
-// hopHeaders concern one connection only and are not passed on.
+// hopByHopHeaders concern a single connection and are not forwarded.
 var hopByHopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Expect", "Content-Length"}
 
-// server is the client's side: it turns requests into calls for the loop, and its answers into responses.
+// server is the HTTP handler for clients. It passes their requests to the event loop as calls, and
+// writes the answers as responses.
 type server struct {
 	loop               *loop
 	clientConns        *admission
-	defaultMaxRequests int64 // requests held at once, if operators say nothing
+	defaultMaxRequests int64 // limit of concurrent requests if operators set none
 
-	maxRequests     atomic.Int64 // requests held at once
+	maxRequests     atomic.Int64 // limit of concurrent requests
 	openRequests    atomic.Int64
-	receivingBodies atomic.Int64 // of these, those whose last byte is not here
-	refuseAll       atomic.Bool  // operators let nothing in
+	receivingBodies atomic.Int64 // those of openRequests whose body has not arrived completely
+	refuseAll       atomic.Bool  // whether operators have stopped the acceptance of requests
 	mode            atomic.Pointer[leave.Mode]
 }
 
-// badRequest is what a client did wrong, and the status that tells it so.
+// clientError is an error in a client's request, and the HTTP status that reports it.
 type clientError struct {
 	status int
 	text   string
@@ -69,10 +72,12 @@
 	return answer{status: e.status, contentType: "text/plain", body: []byte(e.text + "\n")}
 }
 
+// badRequestf returns a clientError with status 400.
 func badRequestf(format string, args ...any) error {
 	return &clientError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
+// ServeHTTP answers a client's request, or a readiness check at readyPath.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	connOf(r).inBody.Store(true)
 	if err := checkFraming(w, r); err != nil {
@@ -95,13 +100,13 @@
 	case errors.As(err, &clientErr):
 		s.respond(w, clientErr.answer())
 		return
-	case err != nil, !s.clientConns.take(connOf(r)): // the connection is gone
+	case err != nil, !s.clientConns.take(connOf(r)): // the connection is closed
 		panic(http.ErrAbortHandler)
 	}
 	upload := pending.message.upload
 	if upload != nil {
-		defer upload.stop() // danger: who reads the body must not outlast its handler
-		// What is left of it when there is an answer is not waited for.
+		defer upload.stop() // the body must not be read after its handler has returned
+		// The connection closes after the answer, so that the rest of the body need not be awaited.
 		w.Header().Set("Connection", "close")
 		if !s.loop.backends.reserveStreamMemory(memoryPerStream) {
 			s.loop.locked(func() { s.loop.counts.turnAway(pending.class) })
@@ -123,7 +128,8 @@
 		return
 	}
 	clientGone := input{event: policy.Event{Kind: policy.EventClientGone}, call: pending}
-	clientLeft := make(chan struct{}) // closed if the client leaves behind the first bytes of its next request
+	// clientLeft is closed if the client disconnects after the first bytes of its next request.
+	clientLeft := make(chan struct{})
 	if upload == nil {
 		pending.client = connOf(r).watch
 		defer pending.client.NotifyOnClose(func() { s.loop.send(clientGone); close(clientLeft) })()
@@ -135,6 +141,8 @@
 				s.loop.send(clientGone)
 			}
 		})
+		// The loop leaves an attempt to this goroutine, which would otherwise only wait for the
+		// answer.
 		for pending.attempt != nil {
 			attempt := pending.attempt
 			pending.attempt = nil
@@ -146,13 +154,13 @@
 	ctxDone := r.Context().Done()
 	if upload != nil {
 		if uploadFailed = upload.failed; !upload.complete.Load() {
-			ctxDone = nil // danger: net/http takes a read that was interrupted for a client that has gone
+			ctxDone = nil // net/http takes an interrupted read for a disconnected client
 		}
 	}
 	select {
 	case a := <-pending.answered:
 		if upload != nil {
-			upload.stop() // danger: net/http bears no reader of the body beside an answer
+			upload.stop() // net/http does not support reading the body while the answer is written
 		}
 		if a.rest == nil {
 			s.respond(w, a)
@@ -166,20 +174,22 @@
 		panic(http.ErrAbortHandler)
 	case <-ctxDone:
 		s.loop.send(clientGone)
-		// Danger: a handler that returns without a word answers 200, and a client that has closed only its own
-		// side would take that for what a backend made.
+		// A handler that returns without writing sends an empty 200 answer. A client that has
+		// closed only its sending side would take it for a backend's answer.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// respond writes an answer. Whether the connection is to close is asked only now: a request that was taken before
-// the agent was told to stop must not leave a connection on which the next one crosses the close.
+// respond writes an answer. Whether the connection closes after it is decided only now. A request
+// that was accepted before a shutdown began would otherwise leave its connection open, and the
+// client's next request could be lost when that connection is closed.
 func (s *server) respond(w http.ResponseWriter, a answer) {
 	s.writeHead(w, &a, int64(len(a.body)))
-	w.Write(a.body) // a client that does not take it is gone
+	w.Write(a.body) // a write fails only if the client has disconnected or is too slow
 }
 
-// pass writes an answer whose body passes through. Danger: one that breaks must not look whole.
+// respondStreaming writes an answer and forwards the rest of its body as it arrives. If the body
+// breaks off, the handler is aborted, so that the answer does not look complete to the client.
 func (s *server) respondStreaming(w http.ResponseWriter, c *call, a answer) {
 	s.writeHead(w, &a, a.rest.size)
 	complete, clientFault := false, true
@@ -196,17 +206,18 @@
 	panic(http.ErrAbortHandler)
 }
 
-// head writes the head of an answer with a body of so many bytes; -1 are not known.
+// writeHead writes the status and the headers of an answer. size is the length of its body in
+// bytes, or -1 if it is not known.
 func (s *server) writeHead(w http.ResponseWriter, a *answer, size int64) {
 	h := w.Header()
-	// What else a client sends that has sent nonsense is not to be trusted either.
+	// After an invalid request, nothing else on its connection can be trusted.
 	if s.mode.Load().CloseAfterAnswer || a.status/100 == 4 {
 		h.Set("Connection", "close")
 	}
 	if a.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	h["Content-Type"] = nil // or net/http guesses one
+	h["Content-Type"] = nil // keeps net/http from guessing one
 	if a.contentType != "" {
 		h.Set("Content-Type", a.contentType)
 	}
@@ -216,13 +227,14 @@
 	w.WriteHeader(a.status)
 }
 
-// checkFraming checks how a request's body is said to end, before any of it is read.
+// checkFraming checks how the end of a request's body is declared, before any of it is read.
 func checkFraming(w http.ResponseWriter, r *http.Request) *clientError {
 	switch {
 	case len(r.TransferEncoding) > 0:
-		// Danger: net/http drops the length that stands beside it, and one of both hides a request in the body
-		// from whoever goes by the other. Where that can't be told nothing else is read from the connection (RFC 9112,
-		// section 6.1).
+		// net/http ignores a Content-Length beside a Transfer-Encoding. The two may disagree about
+		// the end of the body, which hides a second request in it from a proxy that uses the other
+		// one (request smuggling). If it is not known whether both were sent, no further request is
+		// read from the connection (RFC 9112, section 6.1).
 		hasLength, known := connOf(r).saysLength()
 		if hasLength {
 			return &clientError{http.StatusBadRequest, "both Transfer-Encoding and Content-Length"}
@@ -236,14 +248,16 @@
 	return nil
 }
 
-// onceHeaders say what a request is; two of one would leave open which counts.
+// singletonHeaders may occur only once in a request, since it would be ambiguous which of two
+// counts.
 var singletonHeaders = []string{callIDHeader, classHeader, tenantHeader, budgetHeader, retryHeader, keyHeader}
 
-// read checks a request's head, and then reads it to its last byte, from which its budget counts; or as much as is kept of one
-// that is longer.
+// readRequest checks the headers of a request and reads its body, of which it buffers at most
+// maxBufferedBody bytes. The request's budget counts from the last byte of its body.
 func (s *server) readRequest(w http.ResponseWriter, r *http.Request) (*call, error) {
 	set := s.loop.set
-	// What concerns this connection only goes before anything is checked: it may name what is needed.
+	// Headers of this connection are removed before any check, because the Connection header may
+	// name a required header, which then counts as missing.
 	for _, list := range r.Header["Connection"] {
 		for field := range strings.SplitSeq(list, ",") {
 			r.Header.Del(textproto.TrimString(field))
@@ -304,7 +318,8 @@
 	return pending, nil
 }
 
-// originForm is a request's target without scheme and authority (RFC 9112, section 3.2), empty if it has no path.
+// originForm returns a request target without its scheme and authority (RFC 9112, section 3.2). It
+// returns an empty string for a target without a path.
 func originForm(target string) string {
 	if _, afterScheme, absolute := strings.Cut(target, "://"); absolute && !strings.HasPrefix(target, "/") {
 		if i := strings.IndexAny(afterScheme, "/?"); i >= 0 && afterScheme[i] == '/' {
@@ -318,8 +333,9 @@
 	return target
 }
 
-// checkEffect checks that a request is sent as its class's effect asks. Danger: a keyed request without its
-// key would be repeated as if backends could tell.
+// checkEffect checks that a request has the method and the idempotency key that the effect of its
+// class requires. A keyed request without a key would be retried although backends can't
+// deduplicate it.
 func checkEffect(effect policy.Effect, r *http.Request) error {
 	method, needsKey := http.MethodPost, effect == policy.Keyed
 	if effect == policy.Pure {
@@ -334,7 +350,7 @@
 	return nil
 }
 
-// parseBudget reads a time such as 480m or 350000u: milliseconds or microseconds.
+// parseBudget parses a duration in milliseconds or microseconds, such as 480m or 350000u.
 func parseBudget(text string) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
--- a/internal/agent/server_test.go
+++ b/internal/agent/server_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// A client that closes its own side only has gone as well, and must not be told that it was served.
+// A client that closes only its sending side counts as disconnected, and must not get an empty 200
+// answer.
 func TestHalfCloseIsNotServed(t *testing.T) {
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
 	a := startAgentWith(t, testSettings, b)
@@ -57,7 +58,7 @@
 		}
 	}
 	if len(b.Got) > 0 {
-		t.Errorf("%d reached the backend", len(b.Got))
+		t.Errorf("%d requests reached the backend", len(b.Got))
 	}
 }
 
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -13,45 +13,51 @@
 	"example.org/micaline/internal/connpool"
 )
 
-// Bodies that are too long to be kept whole pass through: docs/design/operating.md.
+// Bodies longer than maxBufferedBody are streamed: they are forwarded while they arrive. See
+// docs/design/operating.md.
 
 const (
-	// keep is how much of a body is kept whole, in bytes: what is sent again, or not passed on before it is known to be good.
+	// maxBufferedBody is the size in bytes up to which a body is buffered. A buffered request can
+	// be sent again, and a buffered answer is passed on only once it is known to be complete.
 	maxBufferedBody = 64 << 10
-	// mostBody bounds bodies in both directions, in bytes.
+	// maxBody is the largest body of a request or an answer, in bytes.
 	maxBody = 40 << 20
-	// streamBuffer is what a stream moves at once, in bytes.
+	// streamBufferSize is the size in bytes of the buffer through which a stream is copied.
 	streamBufferSize = 32 << 10
-	// streamRoom is what a stream takes of the room that all share, in bytes.
+	// memoryPerStream is the memory that a stream reserves, in bytes: for the buffered beginning of
+	// the body and the copy buffer.
 	memoryPerStream = maxBufferedBody + streamBufferSize
 
-	// A request's body comes at leastRate at least, in bytes a second, of the time that is spent waiting for it, and
-	// some time of grace: clients may be as slow as twice that.
+	// A client that sends a request's body at less than minUploadRate, in bytes per second, is cut
+	// off. Only the time spent waiting for the body counts, and uploadGrace is added to it. The
+	// slowest permitted clients send at twice this rate, which leaves a margin.
 	minUploadRate = 32 << 10
 	uploadGrace   = 2 * time.Second
 
-	answerStallTimeout = 250 * time.Millisecond // until the next byte of an answer that is read whole
-	streamStallTimeout = 10 * time.Second       // until a backend gives, or takes, the next byte of what passes through
-	bufferingTime      = 100 * time.Millisecond // for an answer without a length to be whole
+	answerStallTimeout = 250 * time.Millisecond // for the next byte of an answer that is buffered
+	streamStallTimeout = 10 * time.Second       // for a backend to send or accept the next streamed byte
+	bufferingTime      = 100 * time.Millisecond // how long the beginning of a long answer is buffered
 )
 
-// errClient says that a request's body does not come to its end: its client has gone or dawdles.
+// errUploadFailed is the error of a request body that does not arrive completely, because the
+// client has disconnected or sends too slowly.
 var errUploadFailed = errors.New("the request's body does not come")
 
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferSize]byte) }}
 
-// pace bounds how long a body may be waited for.
+// uploadPace measures how fast a request body arrives.
 type uploadPace struct {
-	waited   time.Duration
-	received int64 // bytes
+	waited   time.Duration // total time spent waiting for the body
+	received int64         // bytes
 }
 
-// left is how much longer the next bytes may be waited for.
+// timeLeft returns how much longer the body may be waited for.
 func (p *uploadPace) timeLeft() time.Duration {
 	return uploadGrace + time.Duration(float64(p.received)/minUploadRate*float64(time.Second)) - p.waited
 }
 
-// longest is how long a body of a size may take to come; one of no known size is as long as may be.
+// maxUploadTime returns how long a body of the given size may take to arrive. A body of unknown
+// size (below 0) counts as one of the maximum size.
 func maxUploadTime(size int64) time.Duration {
 	if size < 0 {
 		size = maxBody
@@ -59,27 +65,28 @@
 	return uploadGrace + time.Duration(float64(size)/minUploadRate*float64(time.Second))
 }
 
-// upload is a request's body on its way from the client, behind what of it is kept.
+// uploadStream reads a request's body from the client. The first maxBufferedBody bytes are buffered
+// by readBuffered, and the rest is forwarded to a backend by forwardTo.
 type uploadStream struct {
 	body io.Reader
 	conn *clientConn
 	size int64 // bytes of the whole body; -1: not known before its end
 
-	budget     time.Duration        // for the answer, from the last byte on
-	onComplete func() time.Duration // is to be told of the last byte, and returns how much time is left
+	budget     time.Duration        // time for the answer, from the last byte of the body on
+	onComplete func() time.Duration // is called after the last byte, and returns the remaining time
 
-	forwarding atomic.Bool   // bytes have been read that are not kept
-	complete   atomic.Bool   // its last byte is here
-	failed     chan struct{} // closed when the client has gone or dawdles
+	forwarding atomic.Bool   // whether bytes may have been read that are not buffered
+	complete   atomic.Bool   // whether the last byte has been read
+	failed     chan struct{} // closed when the client has disconnected or is too slow
 
-	readMu  sync.Mutex // held while it is read
+	readMu  sync.Mutex // held during a read
 	pace    uploadPace
-	stopMu  sync.Mutex // guards stopped, and the deadline against it
-	stopped bool
+	stopMu  sync.Mutex // guards stopped, and keeps Read from replacing interrupt's deadline
+	stopped bool       // whether reads fail
 }
 
-// Read reads what has come, and waits no longer than the client's pace allows. Its error is io.EOF at the end, or wraps
-// errClient.
+// Read implements io.Reader. It waits no longer than the pace of the client allows. Its error is
+// io.EOF at the end of the body, or wraps errUploadFailed.
 func (u *uploadStream) Read(b []byte) (n int, err error) {
 	u.readMu.Lock()
 	defer u.readMu.Unlock()
@@ -98,14 +105,15 @@
 	}
 	switch {
 	case err == io.EOF:
-		// From here on the connection is watched for a client that goes, for as long as the answer takes.
+		// From now on net/http reads the connection to detect that the client disconnects, for as
+		// long as the answer takes.
 		u.conn.SetReadDeadline(time.Time{})
 		u.complete.Store(true)
 	case err != nil:
 		err = errors.Join(errUploadFailed, err)
 		u.stopMu.Lock()
 		defer u.stopMu.Unlock()
-		if !u.stopped { // else it has not failed by itself
+		if !u.stopped { // otherwise interrupt has caused the error
 			u.stopped = true
 			close(u.failed)
 		}
@@ -113,7 +121,7 @@
 	return n, err
 }
 
-// kept reads what of the body is kept, which is all of a short one.
+// readBuffered reads the part of the body that is buffered, which is all of a short body.
 func (u *uploadStream) readBuffered() (body []byte, err error) {
 	if u.size == 0 {
 		u.complete.Store(true)
@@ -129,7 +137,8 @@
 			return nil, err
 		}
 	}
-	if int64(len(body)) == u.size && !u.complete.Load() { // as long as is kept: its end is here, and not told yet
+	// Of a body of exactly maxBufferedBody bytes, only io.EOF has not been read yet.
+	if int64(len(body)) == u.size && !u.complete.Load() {
 		if _, err := u.Read(make([]byte, 1)); err != io.EOF {
 			return nil, errUploadFailed
 		}
@@ -137,7 +146,7 @@
 	return body, nil
 }
 
-// hasFailed says whether its client has gone or dawdles.
+// hasFailed reports whether the client has disconnected or is too slow.
 func (u *uploadStream) hasFailed() bool {
 	select {
 	case <-u.failed:
@@ -147,14 +156,14 @@
 	}
 }
 
-// stop ends reading, and returns when nobody reads any more.
+// stop interrupts reading, and returns once no read is running.
 func (u *uploadStream) stop() {
 	u.interrupt()
-	u.readMu.Lock() // held by whoever reads: once it is had, nobody does
+	u.readMu.Lock() // every read holds readMu, so none is running now
 	defer u.readMu.Unlock()
 }
 
-// interrupt ends reading.
+// interrupt makes a running read and all later ones fail, unless the body is complete.
 func (u *uploadStream) interrupt() {
 	if u.complete.Load() {
 		return
@@ -165,7 +174,8 @@
 	u.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// pump passes the rest of the body on, each byte as it comes. Its error wraps errClient if it is the client's.
+// forwardTo forwards the rest of the body to a backend as it arrives. Its error wraps
+// errUploadFailed if the client caused it.
 func (u *uploadStream) forwardTo(c *connpool.Conn) error {
 	u.forwarding.Store(true)
 	var dst io.Writer = c
@@ -192,40 +202,43 @@
 		}
 	}
 	if chunked != nil {
-		if err := chunked.Close(); err != nil { // the last chunk,
+		if err := chunked.Close(); err != nil { // writes the last chunk
 			return err
 		}
-		if _, err := io.WriteString(c, "\r\n"); err != nil { // and that no trailers follow
+		if _, err := io.WriteString(c, "\r\n"); err != nil { // ends the message without trailers
 			return err
 		}
 	}
 	return c.SetWriteDeadline(time.Time{})
 }
 
-// download is an answer's body on its way from a backend.
+// downloadStream reads the rest of an answer's body, after its buffered beginning, from a backend.
+// It owns the connection until release.
 type downloadStream struct {
 	backends *backendClient
 	conn     *connpool.Conn
 	body     io.Reader
 	size     int64 // bytes of the whole body; -1: not known before its end
-	received int64
-	reusable bool // its connection, if the answer is read to its end
+	received int64 // bytes, including the buffered ones
+	reusable bool  // whether the connection can be reused once the answer is read to its end
 }
 
-// Read reads what has come.
+// Read implements io.Reader. It fails for a body of more than maxBody bytes.
 func (d *downloadStream) Read(b []byte) (n int, err error) {
 	n, err = d.body.Read(b)
 	if d.received += int64(n); d.received > maxBody && err == nil {
-		err = errors.New("an answer that does not end")
+		err = errors.New("the answer's body is too long")
 	}
 	return n, err
 }
 
-// end gives back what the answer holds. Its backend hears so that it may stop, if it has not ended.
+// release returns the connection to the pool and frees the memory of the stream. If the answer is
+// not complete, the connection is closed, which tells the backend that it can stop.
 func (d *downloadStream) release(complete bool) {
 	c := d.conn
 	c.StallTimeout = 0
-	// Danger: what stands behind an answer, a copy of it or noise, would be taken for the next one's.
+	// Bytes after an answer, such as a duplicate of it, would be read as the answer to the next
+	// request, so a connection that has any is not reused.
 	if complete && d.reusable && c.Reader.Buffered() == 0 && c.ArmReadDeadline() == nil {
 		d.backends.Put(c)
 	} else {
@@ -234,7 +247,8 @@
 	d.backends.freeStreamMemory(memoryPerStream)
 }
 
-// pass passes an answer on as it comes, and says whether it did to the end, and whose fault it is if not.
+// forwardTo forwards the answer to a client as it arrives. It reports whether the answer was
+// forwarded completely, and if not, whether that is the client's fault and not the backend's.
 func (d *downloadStream) forwardTo(w http.ResponseWriter) (complete, clientFault bool) {
 	controller := http.NewResponseController(w)
 	buf := streamBuffers.Get().(*[streamBufferSize]byte)
@@ -261,7 +275,7 @@
 	}
 }
 
-// drop lets go of an answer that nobody gets.
+// discard releases an answer that is not sent to a client.
 func (a *answer) discard() {
 	if a.rest != nil {
 		a.rest.release(false)
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -18,7 +18,7 @@
 	"example.org/micaline/internal/standin"
 )
 
-// noise is a body of so many bytes that is nowhere the same.
+// randomBody returns a body of n bytes without repeating parts. It is the same in each run.
 func randomBody(n int) []byte {
 	b := make([]byte, 0, n+sha256.Size)
 	for sum := sha256.Sum256([]byte("noise")); len(b) < n; sum = sha256.Sum256(sum[:]) {
@@ -27,7 +27,7 @@
 	return b[:n]
 }
 
-// agentOver starts an agent over one backend that is a handler.
+// startAgentWithHandler starts an agent whose only backend is the handler.
 func startAgentWithHandler(t *testing.T, handler http.HandlerFunc) *runningAgent {
 	t.Helper()
 	backendServer := httptest.NewServer(handler)
@@ -35,8 +35,8 @@
 	return startAgentWith(t, testSettings, &standin.Script{Addr: backendServer.Listener.Addr().String()})
 }
 
-// Bodies of all sizes, with and without a length, come through unchanged, in both directions and by all forms of HTTP/1.1 that
-// a client may use.
+// Bodies of all sizes, with and without a length, are forwarded unchanged in both directions, in
+// all forms of HTTP/1.1 that a client may use.
 func TestBodiesPassThrough(t *testing.T) {
 	a := startAgentWithHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength >= 0 {
@@ -64,7 +64,7 @@
 	const post = "POST /unsafe/1"
 	for name, text := range map[string]string{
 		"extensions and trailers": head(post, "Transfer-Encoding: chunked\r\nTrailer: X-T\r\n") + "2;a=\"b\"\r\nab\r\n1\r\nc\r\n0\r\nX-T: 1\r\n\r\n",
-		"expects a go-ahead":      head(post, "Expect: 100-continue\r\nContent-Length: 3\r\n") + "abc",
+		"expects 100 Continue":    head(post, "Expect: 100-continue\r\nContent-Length: 3\r\n") + "abc",
 		"absolute form":           head("POST http://x/unsafe/1", "Content-Length: 3\r\n") + "abc",
 		"folded":                  head(post, "X-Long: a\r\n b\r\nContent-Length: 3\r\n") + "abc",
 		"bare line feeds":         strings.ReplaceAll(head(post, "Content-Length: 3\r\n"), "\r\n", "\n") + "abc",
@@ -83,20 +83,21 @@
 	}
 }
 
-// An answer that ends with its connection is whole if that ends well. One that breaks behind its head is broken for the client
-// too, and counted as failed; what its backend gave is not cut off.
+// An answer that is delimited by the end of its connection is complete if the connection ends
+// without an error. An answer that breaks off after its header breaks off for the client too, after
+// all bytes that the backend has sent, and counts as failed.
 func TestLongAnswersEndAsTheyDo(t *testing.T) {
-	const part = 20 << 20
-	body := randomBody(part)
+	const bodySize = 20 << 20
+	body := randomBody(bodySize)
 	for name, c := range map[string]struct {
 		head     string
 		reset    bool
 		complete bool
 	}{
-		"as long as said":          {fmt.Sprintf("Content-Length: %d\r\n\r\n", part), false, true},
-		"ends with its connection": {"Connection: close\r\n\r\n", false, true},
-		"dies after 20 MB of 32":   {"Content-Length: 33554432\r\n\r\n", false, false},
-		"reset without a length":   {"\r\n", true, false},
+		"with a length":                {fmt.Sprintf("Content-Length: %d\r\n\r\n", bodySize), false, true},
+		"ends with its connection":     {"Connection: close\r\n\r\n", false, true},
+		"breaks off after 20 MB of 32": {"Content-Length: 33554432\r\n\r\n", false, false},
+		"reset without a length":       {"\r\n", true, false},
 	} {
 		b, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -114,7 +115,7 @@
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+c.head)
 			conn.Write(body)
 			if c.reset {
-				time.Sleep(100 * time.Millisecond) // for what was written to be read: a reset destroys the rest
+				time.Sleep(100 * time.Millisecond) // a reset destroys what the agent has not read yet
 				conn.(*net.TCPConn).SetLinger(0)
 			}
 		}()
@@ -140,8 +141,9 @@
 	}
 }
 
-// Nothing that is not whole runs: a client that goes in mid-body, or dawdles, ends its request, and its server hears so. While
-// it comes the server has nothing in flight.
+// An incomplete request never runs: if its client disconnects within the body or sends too slowly,
+// the request ends and its backend gets an error. While the body arrives, the request does not
+// count as in flight at the backend.
 func TestBodiesThatDoNotCome(t *testing.T) {
 	started, ended := make(chan struct{}, 10), make(chan error, 10)
 	a := startAgentWithHandler(t, func(w http.ResponseWriter, r *http.Request) {
@@ -153,9 +155,9 @@
 		framing     string
 		disconnects bool
 	}{
-		"the client goes":    {"Content-Length: 33554432\r\n\r\n", true},
-		"the client dawdles": {"Content-Length: 33554432\r\n\r\n", false},
-		"a chunk never ends": {"Transfer-Encoding: chunked\r\n\r\n2000000\r\n", false},
+		"the client disconnects": {"Content-Length: 33554432\r\n\r\n", true},
+		"the client stalls":      {"Content-Length: 33554432\r\n\r\n", false},
+		"a chunk never ends":     {"Transfer-Encoding: chunked\r\n\r\n2000000\r\n", false},
 	} {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 		if err != nil {
@@ -178,10 +180,11 @@
 			}
 		}
 		if err := receive(t, "end at the backend", ended); err == nil {
-			t.Errorf("%s: its backend has a whole request", name)
+			t.Errorf("%s: the backend received a complete request", name)
 		}
-		// The backend may see the end of the connection before the agent has taken in that the attempt is over.
-		a.eventually(t, name+": the request is let go", func() bool {
+		// The backend may see the end of the connection before the agent has processed the end of
+		// the attempt.
+		a.eventually(t, name+": the request is released", func() bool {
 			s := controlState(t, a)
 			return s.Held == 0 && s.Backends[0].InFlight == 0
 		})
@@ -192,7 +195,8 @@
 	}
 }
 
-// A server that answers before the body is here has no use for the rest: its answer is passed on, or what it says is heeded.
+// A backend may answer before it has received the whole body. A good answer is passed on without
+// the rest of the body, and other answers are handled like any of their status.
 func TestEarlyAnswers(t *testing.T) {
 	for answer, want := range map[string]int{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly":                                  http.StatusOK,
@@ -222,7 +226,7 @@
 		}
 		defer conn.Close()
 		io.WriteString(conn, "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: e\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\nContent-Length: 33554432\r\n\r\n")
-		conn.Write(randomBody(maxBufferedBody + 1)) // and no more
+		conn.Write(randomBody(maxBufferedBody + 1)) // the rest of the body is never sent
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != want || !resp.Close {
@@ -231,7 +235,8 @@
 	}
 }
 
-// An unsafe request that has gone through whole may have run when its connection breaks, and is sent nowhere else.
+// An unsafe request that was forwarded completely may have run when its connection breaks, so it is
+// not retried.
 func TestLongBodyThatMayHaveRun(t *testing.T) {
 	breaks := func(int, *http.Request) (string, bool) { return "", true }
 	x, y := newBackend(t, breaks), newBackend(t, breaks)
@@ -239,14 +244,14 @@
 	req := a.request("unsafe", "15000m")
 	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(randomBody(1<<20))), 1<<20
 	if status, _ := a.do(t, req); status != statusFailed || len(x.Got)+len(y.Got) != 1 {
-		t.Errorf("answered %d, sent %d times", status, len(x.Got)+len(y.Got))
+		t.Errorf("answered %d, %d attempts", status, len(x.Got)+len(y.Got))
 	}
 	if figures, err := a.agent.Figures(t.Context()); err != nil || figures.Attempts != 1 || figures.Classes[2].Failed != 1 {
 		t.Errorf("%+v, %v", figures, err)
 	}
 }
 
-// A drain lets a long answer go on to its end, and its connection ends behind it.
+// During a drain, a streamed answer continues to its end, and its connection is closed after it.
 func TestDrainWithAStream(t *testing.T) {
 	proceed := make(chan struct{})
 	a := startAgentWithHandler(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -262,9 +267,10 @@
 	}
 	io.ReadFull(resp.Body, make([]byte, maxBufferedBody))
 	a.agent.SetDraining(true)
-	for start := time.Now(); !a.agent.server.mode.Load().CloseIdle; time.Sleep(time.Millisecond) { // which idle ones do not survive
+	// Idle connections are closed from now on, but not that of the streamed answer.
+	for start := time.Now(); !a.agent.server.mode.Load().CloseIdle; time.Sleep(time.Millisecond) {
 		if time.Since(start) > testTimeout {
-			t.Fatal("idle connections stay")
+			t.Fatal("idle connections are not closed")
 		}
 	}
 	a.agent.clientConns.endIdle()
@@ -280,12 +286,13 @@
 			break
 		}
 		if time.Since(start) > testTimeout {
-			t.Fatalf("%d connections stay", open)
+			t.Fatalf("%d connections stay open", open)
 		}
 	}
 }
 
-// Forty answers of 32 MB to clients that read slowly hold no more than their buffers, and small requests beside them are served.
+// Forty answers of 32 MB to slowly reading clients use no more memory than their buffers, and small
+// requests are served at the same time.
 func TestManyLongAnswersHoldLittle(t *testing.T) {
 	const streams = 40
 	chunk := randomBody(64 << 10)
@@ -303,12 +310,12 @@
 	var before, during runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	// Each client reads a little now and then until all are released. Danger: one that read nothing until then would be cut off by
-	// the agent's write timeout on a machine that is busy for as long.
+	// Each client reads a little at intervals until all are released. If it read nothing until
+	// then, the agent's write timeout could cut it off on a busy machine.
 	const readSize, readInterval = 256 << 10, 200 * time.Millisecond
 	released := make(chan struct{})
 	var readers sync.WaitGroup
-	a.client.Timeout = time.Minute // for all of an answer: over a gigabyte passes three hops
+	a.client.Timeout = time.Minute // for a whole answer: more than 1 GB in total passes three hops
 	for range streams {
 		resp, err := a.client.Do(a.request("safe", "15000m"))
 		if err != nil {
@@ -322,7 +329,7 @@
 			for slow := true; slow; {
 				select {
 				case <-ticker.C:
-					n, _ := io.CopyN(io.Discard, resp.Body, readSize) // an error comes again below
+					n, _ := io.CopyN(io.Discard, resp.Body, readSize) // an error occurs again below
 					read += n
 				case <-released:
 					slow = false
@@ -337,16 +344,18 @@
 	runtime.GC()
 	runtime.ReadMemStats(&during)
 	if used := int64(during.HeapAlloc) - int64(before.HeapAlloc); used > streams*400<<10 {
-		t.Errorf("%d streams hold %d kB", streams, used>>10)
+		t.Errorf("%d streams use %d kB", streams, used>>10)
 	}
 	close(released)
 	readers.Wait()
-	// A client has the last byte of its answer before the handler that wrote it gives its room back.
+	// A client may receive the last byte of its answer before the handler has freed the stream's
+	// memory.
 	total := int64(a.agent.cfg.MemoryMB) << 20 / streamMemoryDivisor
-	a.eventually(t, "all room is given back", func() bool { return a.agent.loop.backends.streamMemory.Load() == total })
+	a.eventually(t, "all stream memory is freed", func() bool { return a.agent.loop.backends.streamMemory.Load() == total })
 }
 
-// A head that begins late in the time that a connection may be idle, and comes slowly, has its own time.
+// The time for a request's header counts from its first byte, not from when the connection became
+// idle. Otherwise a slow header that begins late in the idle time would be cut off.
 func TestSlowHeadOnAnIdleConnection(t *testing.T) {
 	t.Parallel()
 	a := startAgentWith(t, testSettings, newBackend(t, alwaysOK))
@@ -357,7 +366,7 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	br := bufio.NewReader(conn)
-	for i, first := range []string{"", "P"} { // the second a while after the answer to the first
+	for i, first := range []string{"", "P"} { // the second request begins a while after the first answer
 		text := fmt.Sprintf("POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: s%d\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\nContent-Length: 0\r\n\r\n", i)
 		if first != "" {
 			time.Sleep(clientIdleTimeout * 8 / 10)
