--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -71,7 +71,7 @@
 	defer idle.Close()
 	idle.SetDeadline(time.Now().Add(testTimeout))
 	br := bufio.NewReader(idle)
-	ask := func() *http.Response {
+	checkReadiness := func() *http.Response {
 		io.WriteString(idle, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
@@ -80,7 +80,7 @@
 		io.Copy(io.Discard, resp.Body)
 		return resp
 	}
-	if resp := ask(); resp.StatusCode != http.StatusOK || resp.Close {
+	if resp := checkReadiness(); resp.StatusCode != http.StatusOK || resp.Close {
 		t.Fatalf("readiness: %v", resp.Status)
 	}
 	a.agent.SetDraining(true)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -92,9 +92,9 @@
 }
 
 // eventually waits until a condition holds, and fails the test after testTimeout.
-func (r *runningAgent) eventually(t *testing.T, what string, holds func() bool) {
+func (r *runningAgent) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for start := time.Now(); !holds(); time.Sleep(time.Millisecond) {
+	for start := time.Now(); !condition(); time.Sleep(time.Millisecond) {
 		if time.Since(start) > testTimeout {
 			t.Fatalf("condition not met within %v: %s", testTimeout, what)
 		}
@@ -167,9 +167,9 @@
 }
 
 // newScriptedDiscovery starts a scripted discovery service that is closed at the end of the test.
-func newScriptedDiscovery(t *testing.T, whole []byte) *standin.ListScript {
+func newScriptedDiscovery(t *testing.T, fullList []byte) *standin.ListScript {
 	t.Helper()
-	l, err := standin.NewListScript(whole)
+	l, err := standin.NewListScript(fullList)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,17 +224,17 @@
 	})
 	a := startAgentWith(t, testSettings, b)
 	answers := make(chan *http.Response, 2)
-	ask := func() {
+	sendRequest := func() {
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(a.request("unsafe", "15000m"))
 		if err != nil {
 			t.Error(err)
 		}
 		answers <- resp
 	}
-	go ask()
+	go sendRequest()
 	receive(t, "request", b.Got)
 	a.stop()
-	go ask() // the listener still accepts
+	go sendRequest() // the listener still accepts
 	receive(t, "request during the shutdown", b.Got)
 	close(proceed)
 	for range 2 {
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -92,8 +92,8 @@
 
 // A keyed request that may have run is not retried in a cell that does not deduplicate its key.
 func TestKeyedStaysInItsCell(t *testing.T) {
-	breaks := func(int, *http.Request) (string, bool) { return "", true }
-	x, y := newBackend(t, breaks), newBackend(t, breaks)
+	closesConnection := func(int, *http.Request) (string, bool) { return "", true }
+	x, y := newBackend(t, closesConnection), newBackend(t, closesConnection)
 	a := startAgentWith(t, testSettings, x, y)
 	a.do(t, a.request("celled", "15000m"))
 	if len(x.Got) > 0 && len(y.Got) > 0 {
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -58,16 +58,16 @@
 			}
 		}
 	}
-	head := func(line, extra string) string {
+	requestHead := func(line, extra string) string {
 		return fmt.Sprintf("%s HTTP/1.1\r\nHost: x\r\nX-Call-Id: c%d\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n%s\r\n", line, a.calls.Add(1), extra)
 	}
 	const post = "POST /unsafe/1"
 	for name, text := range map[string]string{
-		"extensions and trailers": head(post, "Transfer-Encoding: chunked\r\nTrailer: X-T\r\n") + "2;a=\"b\"\r\nab\r\n1\r\nc\r\n0\r\nX-T: 1\r\n\r\n",
-		"expects 100 Continue":    head(post, "Expect: 100-continue\r\nContent-Length: 3\r\n") + "abc",
-		"absolute form":           head("POST http://x/unsafe/1", "Content-Length: 3\r\n") + "abc",
-		"folded":                  head(post, "X-Long: a\r\n b\r\nContent-Length: 3\r\n") + "abc",
-		"bare line feeds":         strings.ReplaceAll(head(post, "Content-Length: 3\r\n"), "\r\n", "\n") + "abc",
+		"extensions and trailers": requestHead(post, "Transfer-Encoding: chunked\r\nTrailer: X-T\r\n") + "2;a=\"b\"\r\nab\r\n1\r\nc\r\n0\r\nX-T: 1\r\n\r\n",
+		"expects 100 Continue":    requestHead(post, "Expect: 100-continue\r\nContent-Length: 3\r\n") + "abc",
+		"absolute form":           requestHead("POST http://x/unsafe/1", "Content-Length: 3\r\n") + "abc",
+		"folded":                  requestHead(post, "X-Long: a\r\n b\r\nContent-Length: 3\r\n") + "abc",
+		"bare line feeds":         strings.ReplaceAll(requestHead(post, "Content-Length: 3\r\n"), "\r\n", "\n") + "abc",
 	} {
 		text = strings.Replace(text, "Host: x", "Connection: close\r\nHost: x", 1)
 		if name == "bare line feeds" {
@@ -238,8 +238,8 @@
 // An unsafe request that was forwarded completely may have run when its connection breaks, so it is
 // not retried.
 func TestLongBodyThatMayHaveRun(t *testing.T) {
-	breaks := func(int, *http.Request) (string, bool) { return "", true }
-	x, y := newBackend(t, breaks), newBackend(t, breaks)
+	closesConnection := func(int, *http.Request) (string, bool) { return "", true }
+	x, y := newBackend(t, closesConnection), newBackend(t, closesConnection)
 	a := startAgentWith(t, testSettings, x, y)
 	req := a.request("unsafe", "15000m")
 	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(randomBody(1<<20))), 1<<20
@@ -366,14 +366,14 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	br := bufio.NewReader(conn)
-	for i, first := range []string{"", "P"} { // the second request begins a while after the first answer
+	for i, earlyBytes := range []string{"", "P"} { // the second request begins a while after the first answer
 		text := fmt.Sprintf("POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: s%d\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\nContent-Length: 0\r\n\r\n", i)
-		if first != "" {
+		if earlyBytes != "" {
 			time.Sleep(clientIdleTimeout * 8 / 10)
-			io.WriteString(conn, first)
+			io.WriteString(conn, earlyBytes)
 			time.Sleep(clientIdleTimeout * 4 / 10)
 		}
-		io.WriteString(conn, text[len(first):])
+		io.WriteString(conn, text[len(earlyBytes):])
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatalf("request %d: %v, %v", i, resp, err)
