--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -150,7 +150,7 @@
 	}
 	first := &module{Decider: decider}
 	l := &loop{
-		set: &cfg.Settings, clock: backends.lateness.time, late: backends.lateness, current: first, modules: []*module{first}, decisions: cfg.Settings.Module, backends: backends, log: log,
+		set: &cfg.Settings, clock: backends.lagMonitor.time, late: backends.lagMonitor, current: first, modules: []*module{first}, decisions: cfg.Settings.Module, backends: backends, log: log,
 		listed: map[policy.ServerID]policy.ServerEntry{}, holds: handover.Register{}, said: func() {},
 		counts: newCounts(len(cfg.Settings.Classes)),
 		tell:   func([]byte) {},
