--- a/cmd/micaline-mesh/window.go
+++ b/cmd/micaline-mesh/window.go
@@ -134,7 +134,7 @@
 // clearWord says whether operators may begin.
 func clearWord(w *maintenance.StateDocument) string {
 	switch {
-	case w.Phase != maintenance.Closed:
+	case w.Phase != maintenance.PhaseClosed:
 		return "-"
 	case w.Clear:
 		return "clear"
--- a/internal/mesh/controlplane/duty_holder.go
+++ b/internal/mesh/controlplane/duty_holder.go
@@ -35,7 +35,7 @@
 
 func newDutyHolder(c *Core) *dutyHolder {
 	b := &c.set.Bounds
-	bounds := duties.Bounds{Lease: b.Lease, Window: b.ReportWindow, Delay: b.UsageDelay}
+	bounds := duties.Bounds{Lease: b.Lease, WindowLength: b.ReportWindow, DueAfter: b.UsageDelay}
 	return &dutyHolder{
 		core: c, platform: newPlatform(c.set.Platform.Address, c.set.NodeName), began: time.Now(),
 		events: make(chan func(), dutyQueue), stopping: make(chan chan struct{}, 1),
@@ -85,7 +85,7 @@
 func (h *dutyHolder) giveBack(done chan struct{}) {
 	defer close(done)
 	late := time.After(callWithin)
-	for waits := true; waits && h.holder.Calling(); {
+	for waits := true; waits && h.holder.CallInFlight(); {
 		select {
 		case f := <-h.events:
 			f()
@@ -93,10 +93,10 @@
 			waits = false
 		}
 	}
-	var todo duties.Todo
-	h.holder.LetGo(h.now(), &todo)
+	var todo duties.Actions
+	h.holder.Release(h.now(), &todo)
 	h.epoch.Store(0)
-	for _, ask := range todo.Asks {
+	for _, ask := range todo.Requests {
 		h.propose(ask.Command)
 	}
 }
@@ -130,12 +130,12 @@
 			return
 		}
 	}
-	todo := h.holder.Step(h.now(), table, view)
+	todo := h.holder.Tick(h.now(), table, view)
 	h.shows()
-	for _, ask := range todo.Asks {
+	for _, ask := range todo.Requests {
 		go func() {
 			reply := h.propose(ask.Command)
-			h.happened(ctx, func() { h.holder.Replied(h.now(), ask.Number, reply) })
+			h.happened(ctx, func() { h.holder.HandleReply(h.now(), ask.Number, reply) })
 		}()
 	}
 	if todo.Call != nil {
@@ -145,7 +145,7 @@
 
 // shows notes whether the part is held here.
 func (h *dutyHolder) shows() {
-	epoch := h.holder.Holds(h.now())
+	epoch := h.holder.HeldEpoch(h.now())
 	if before := h.epoch.Swap(epoch); before != epoch {
 		h.core.log.WithField("duty", duties.UsageReport).WithField("fence", epoch).WithField("before", before).Info("duty")
 	}
@@ -153,19 +153,19 @@
 
 // call sends a report.
 func (h *dutyHolder) call(ctx context.Context, c *duties.Call) {
-	calling, cancel := context.WithTimeout(ctx, c.Until-h.now())
+	calling, cancel := context.WithTimeout(ctx, c.Deadline-h.now())
 	defer cancel()
 	result, after := h.platform.report(calling, c.Fence, c.Report)
 	switch result {
-	case duties.CallTaken:
+	case duties.CallAccepted:
 		h.taken.Add(1)
 	case duties.CallFenced:
 		h.refused.Add(1)
 		h.core.log.WithField("fence", c.Fence).Warn("the platform has seen a higher fence")
-	case duties.CallUnclear:
+	case duties.CallUnknown:
 		h.unclear.Add(1)
 	}
-	h.happened(ctx, func() { h.holder.Called(h.now(), result, after) })
+	h.happened(ctx, func() { h.holder.HandleResult(h.now(), result, after) })
 }
 
 // endLeases has the leader of the agreement end the leases that nobody has renewed.
--- a/internal/mesh/controlplane/duty_stats.go
+++ b/internal/mesh/controlplane/duty_stats.go
@@ -32,7 +32,7 @@
 	case len(ledger.Open) > 0:
 		oldest = ledger.Open[0].Window
 	}
-	return max(0, h.core.clock.Now()-meshtime.End(oldest, h.core.set.Bounds.ReportWindow))
+	return max(0, h.core.clock.Now()-meshtime.WindowEnd(oldest, h.core.set.Bounds.ReportWindow))
 }
 
 // state tells how the duties stand.
--- a/internal/mesh/controlplane/duty_table_test.go
+++ b/internal/mesh/controlplane/duty_table_test.go
@@ -24,7 +24,7 @@
 	}
 	acquire := duties.Command{Lease: &lease.Op{Kind: lease.Acquire, Duty: duties.UsageReport, Holder: "core-1/7", Term: time.Second}}
 	require.Equal(t, uint64(41), do(41, acquire).Lease.Epoch)
-	fix := duties.Command{Fix: &duties.Fix{Holder: "core-1/7", Epoch: 41, Report: &usage.Report{Window: 9, Counts: map[string]uint64{"acme": 3}}}}
+	fix := duties.Command{Fix: &duties.FinalizeReport{Holder: "core-1/7", Epoch: 41, Report: &usage.Report{Window: 9, Counts: map[string]uint64{"acme": 3}}}}
 	require.Empty(t, do(42, fix).Refused)
 	require.NotEmpty(t, do(43, fix).Refused)
 	require.Zero(t, told)
--- a/internal/mesh/controlplane/feed.go
+++ b/internal/mesh/controlplane/feed.go
@@ -132,7 +132,7 @@
 func (c *Core) receive(f *feed, up *transport.AgentUpdate) {
 	for {
 		if up.Clock != 0 {
-			f.offset.Store(int64(time.Duration(up.Clock) - c.clock.Own()))
+			f.offset.Store(int64(time.Duration(up.Clock) - c.clock.Local()))
 			f.timed.Store(true)
 		}
 		if said := up; said.Station != nil || said.Want != 0 || said.Fresh != 0 || said.Handed != 0 || said.Usage != nil || said.Work != nil {
@@ -196,7 +196,7 @@
 		f.work = up.Work
 	}
 	if up.Usage != nil {
-		c.collector.Hear(f.agent, up.Usage)
+		c.collector.Merge(f.agent, up.Usage)
 	}
 	if up.Fresh != 0 {
 		c.asking[f] = up.Fresh
--- a/internal/mesh/controlplane/platform.go
+++ b/internal/mesh/controlplane/platform.go
@@ -43,7 +43,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.address+"/usage", bytes.NewReader(body))
 	if err != nil {
-		return duties.CallUnclear, 0
+		return duties.CallUnknown, 0
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Duty-Holder", p.node)
@@ -51,19 +51,19 @@
 	resp, err := p.client.Do(req)
 	if err != nil {
 		p.client.CloseIdleConnections() // another connection may get through
-		return duties.CallUnclear, 0
+		return duties.CallUnknown, 0
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, io.LimitReader(resp.Body, mostReply))
 	switch {
 	case resp.StatusCode/100 == 2:
-		return duties.CallTaken, 0
+		return duties.CallAccepted, 0
 	case resp.StatusCode == http.StatusConflict:
 		return duties.CallFenced, 0
 	}
 	seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0 && seconds < 60) {
-		return duties.CallUnclear, 0
+		return duties.CallUnknown, 0
 	}
-	return duties.CallUnclear, time.Duration(seconds * float64(time.Second))
+	return duties.CallUnknown, time.Duration(seconds * float64(time.Second))
 }
--- a/internal/mesh/controlplane/platform_test.go
+++ b/internal/mesh/controlplane/platform_test.go
@@ -43,8 +43,8 @@
 		result duties.Result
 		wait   time.Duration
 	}{
-		{200, "", duties.CallTaken, 0}, {204, "9", duties.CallTaken, 0}, {409, "9", duties.CallFenced, 0}, {429, "1.5", duties.CallUnclear, 1500 * time.Millisecond},
-		{503, "", duties.CallUnclear, 0}, {503, "-1", duties.CallUnclear, 0}, {503, "1e9", duties.CallUnclear, 0}, {307, "", duties.CallUnclear, 0}, {0, "", duties.CallUnclear, 0},
+		{200, "", duties.CallAccepted, 0}, {204, "9", duties.CallAccepted, 0}, {409, "9", duties.CallFenced, 0}, {429, "1.5", duties.CallUnknown, 1500 * time.Millisecond},
+		{503, "", duties.CallUnknown, 0}, {503, "-1", duties.CallUnknown, 0}, {503, "1e9", duties.CallUnknown, 0}, {307, "", duties.CallUnknown, 0}, {0, "", duties.CallUnknown, 0},
 	} {
 		status, after = c.status, c.after
 		result, wait := p.report(context.Background(), 12, r)
--- a/internal/mesh/controlplane/regions.go
+++ b/internal/mesh/controlplane/regions.go
@@ -46,9 +46,9 @@
 
 // planRegion has the owner of the state make a plan.
 func (c *Core) planRegion(zones []string) (plan *maintenance.RegionPlan) {
-	var routes []maintenance.RouteOf
+	var routes []maintenance.Route
 	for _, route := range c.table.now.Load().config.Routes() {
-		one := maintenance.RouteOf{Name: route.Name, Rank: route.Rank}
+		one := maintenance.Route{Name: route.Name, Rank: route.Rank}
 		for _, share := range route.Shares {
 			one.Services = append(one.Services, share.Service)
 		}
--- a/internal/mesh/controlplane/table.go
+++ b/internal/mesh/controlplane/table.go
@@ -146,7 +146,7 @@
 	t := &table{changed: changed, history: meshconfig.NewHistory()}
 	t.newest = &state{config: meshconfig.New()}
 	t.now.Store(t.newest)
-	t.duties = duties.New()
+	t.duties = duties.NewTable()
 	t.showDuties()
 	t.windows = &maintenance.Table{}
 	t.windowsNow.Store(t.windows.Clone())
--- a/internal/mesh/controlplane/usage.go
+++ b/internal/mesh/controlplane/usage.go
@@ -21,13 +21,13 @@
 
 // tickUsage is the owner's.
 func (c *Core) tickUsage() {
-	c.collector.Settle(c.table.dutiesNow.Load().Usage.Through)
-	c.collector.Retain(func(agent string) bool { return c.registry.Station(agent) != nil })
+	c.collector.DiscardThrough(c.table.dutiesNow.Load().Usage.Through)
+	c.collector.RetainAgents(func(agent string) bool { return c.registry.Station(agent) != nil })
 }
 
 // viewUsage is the owner's: how the window stands that is to be fixed after those that are.
 func (c *Core) viewUsage(through int64) *duties.View {
-	v := &duties.View{Time: c.clock.Now(), Aside: c.windows.standing.Load()}
+	v := &duties.View{Time: c.clock.Now(), Cordoned: c.windows.standing.Load()}
 	var heard, lost []string
 	for _, h := range c.registry.All(c.now()) {
 		switch {
@@ -38,24 +38,24 @@
 		}
 	}
 	v.Connected = len(heard) > len(lost) && !c.settling()
-	current := meshtime.Window(v.Time, c.set.Bounds.ReportWindow)
+	current := meshtime.WindowAt(v.Time, c.set.Bounds.ReportWindow)
 	switch {
 	case through == 0 && !c.table.now.Load().config.HasCustomers():
 		return v
 	case through == 0:
-		v.Window = max(c.firstWindow, current-usage.MostWindows)
+		v.Window = max(c.firstWindow, current-usage.MaxPendingWindows)
 		if c.firstWindow == 0 {
 			c.firstWindow = current
 			v.Window = current
 		}
 	default:
-		v.Window = max(through+1, current-usage.MostWindows)
+		v.Window = max(through+1, current-usage.MaxPendingWindows)
 	}
-	if v.Time < meshtime.End(v.Window, c.set.Bounds.ReportWindow) {
+	if v.Time < meshtime.WindowEnd(v.Window, c.set.Bounds.ReportWindow) {
 		return v
 	}
 	v.Complete = c.collector.Complete(v.Window, heard)
-	v.Missing = !c.collector.Complete(v.Window, lost)
+	v.LostIncomplete = !c.collector.Complete(v.Window, lost)
 	v.Counts = c.collector.Total(v.Window)
 	return v
 }
--- a/internal/mesh/controlplane/window_api.go
+++ b/internal/mesh/controlplane/window_api.go
@@ -77,8 +77,8 @@
 			return "zones: " + why
 		}
 	}
-	if shares := maintenance.Forecast(window, c.backends()); len(shares) > 0 && !window.Forced && shares[0].After > maintenance.Full {
-		return fmt.Sprintf("zones: what stays would not bear the load: %s; up to %.0f%% is borne", shares[0].String(), 100*maintenance.Full)
+	if shares := maintenance.Forecast(window, c.backends()); len(shares) > 0 && !window.Forced && shares[0].After > maintenance.MaxUtilization {
+		return fmt.Sprintf("zones: what stays would not bear the load: %s; up to %.0f%% is borne", shares[0].String(), 100*maintenance.MaxUtilization)
 	}
 	return ""
 }
--- a/internal/mesh/controlplane/window_driver.go
+++ b/internal/mesh/controlplane/window_driver.go
@@ -86,8 +86,8 @@
 	if d.ledSince == 0 {
 		return
 	}
-	v := &maintenance.View{Now: d.core.clock.Now(), Backends: backends, Left: len(left), LeftFor: d.core.now() - d.leftSince,
-		Blind: d.blind(w, &status)}
+	v := &maintenance.View{Now: d.core.clock.Now(), Backends: backends, Remaining: len(left), UnchangedFor: d.core.now() - d.leftSince,
+		Unreliable: d.blind(w, &status)}
 	if a := maintenance.Decide(w, v); a != nil {
 		d.propose(&maintenance.Command{Now: v.Now, Advance: a})
 	}
@@ -95,7 +95,7 @@
 
 // isEarly says whether nothing is to be done about a window yet.
 func (d *windowDriver) isEarly(w *maintenance.Window) bool {
-	return w.Phase == maintenance.Planned && !w.Begun && d.core.clock.Now() < w.Start-w.Lead
+	return w.Phase == maintenance.PhasePlanned && !w.Begun && d.core.clock.Now() < w.Start-w.Lead
 }
 
 // propose has a command agreed on, one at a time.
--- a/internal/mesh/controlplane/window_left.go
+++ b/internal/mesh/controlplane/window_left.go
@@ -65,7 +65,7 @@
 		return "has not told what it has in hand"
 	case work.Gate+work.Sender > 0:
 		return fmt.Sprintf("%d requests at its backend, %d of its clients", work.Gate, work.Sender)
-	case phase == maintenance.Closed && work.Stage < meshconfig.StageClosed:
+	case phase == maintenance.PhaseClosed && work.Stage < meshconfig.StageClosed:
 		return "has not told that its gate is closed"
 	}
 	return ""
--- a/internal/mesh/controlplane/window_stats.go
+++ b/internal/mesh/controlplane/window_stats.go
@@ -13,7 +13,7 @@
 		if view := d.view.Load(); view != nil && w.Step > 0 {
 			left = len(view.Left)
 		}
-		if now := d.core.clock.Now(); now > w.Start && now < w.End && !w.Clear && w.Phase != maintenance.Returning {
+		if now := d.core.clock.Now(); now > w.Start && now < w.End && !w.Clear && w.Phase != maintenance.PhaseReturning {
 			late = (now - w.Start).Seconds()
 		}
 	}
--- a/internal/mesh/controlplane/window_table_test.go
+++ b/internal/mesh/controlplane/window_table_test.go
@@ -27,7 +27,7 @@
 	agent := table.now.Load().config
 	for step := 1; step <= maintenance.LastStep; step++ {
 		w := table.windowsNow.Load().Find("power")
-		a := &maintenance.Advance{Name: "power", Changed: w.Changed, Phase: maintenance.Moving, Step: step}
+		a := &maintenance.Advance{Name: "power", Changed: w.Changed, Phase: maintenance.PhaseDraining, Step: step}
 		require.Empty(t, do(uint64(5+step), maintenance.Command{Now: time.Hour, Advance: a}).Refused)
 		now := table.now.Load()
 		require.Equal(t, uint64(5+step), now.index)
@@ -47,11 +47,11 @@
 // An agent's word that it has nothing in hand counts once its gate is closed, and no earlier one does.
 func TestClearRestsOnClosedGates(t *testing.T) {
 	idle := func(stage meshconfig.Stage) *transport.Workload { return &transport.Workload{Stage: stage} }
-	require.Empty(t, workLeft(maintenance.Closed, idle(meshconfig.StageClosed)))
-	require.NotEmpty(t, workLeft(maintenance.Closed, idle(meshconfig.StageCalls)))
-	require.NotEmpty(t, workLeft(maintenance.Closed, nil))
-	require.NotEmpty(t, workLeft(maintenance.Closed, &transport.Workload{Stage: meshconfig.StageClosed, Sender: 1}))
-	require.Empty(t, workLeft(maintenance.Moving, idle(meshconfig.StageOpen)))
+	require.Empty(t, workLeft(maintenance.PhaseClosed, idle(meshconfig.StageClosed)))
+	require.NotEmpty(t, workLeft(maintenance.PhaseClosed, idle(meshconfig.StageCalls)))
+	require.NotEmpty(t, workLeft(maintenance.PhaseClosed, nil))
+	require.NotEmpty(t, workLeft(maintenance.PhaseClosed, &transport.Workload{Stage: meshconfig.StageClosed, Sender: 1}))
+	require.Empty(t, workLeft(maintenance.PhaseDraining, idle(meshconfig.StageOpen)))
 }
 
 // A window must leave so many core machines that they can agree.
--- a/internal/mesh/duties/duties.go
+++ b/internal/mesh/duties/duties.go
@@ -28,19 +28,19 @@
 // Command is a change that is asked for: one of its fields is set.
 type Command struct {
 	Lease *lease.Op
-	Fix   *Fix
-	Taken *Taken
+	Fix   *FinalizeReport
+	Taken *ReportAccepted
 }
 
 // Fix asks that a report is made final. Only the holder of the part may.
-type Fix struct {
+type FinalizeReport struct {
 	Holder string
 	Epoch  uint64
 	Report *usage.Report
 }
 
 // Taken says that the platform has a report.
-type Taken struct{ Window int64 }
+type ReportAccepted struct{ Window int64 }
 
 // Reply is what a command has come to.
 type Reply struct {
@@ -55,7 +55,7 @@
 }
 
 // New returns a table in which nothing has been granted.
-func New() *Table { return &Table{Usage: &usage.Ledger{}} }
+func NewTable() *Table { return &Table{Usage: &usage.Ledger{}} }
 
 // Apply carries a command out, which stands at an index of the log.
 func (t *Table) Apply(index uint64, c *Command) Reply {
@@ -68,17 +68,17 @@
 	case c.Fix != nil:
 		return refusal(t.fix(c.Fix))
 	case c.Taken != nil:
-		return refusal(t.Usage.Take(c.Taken.Window))
+		return refusal(t.Usage.MarkAccepted(c.Taken.Window))
 	}
 	return Reply{Refused: "command: it asks for nothing"}
 }
 
-func (t *Table) fix(f *Fix) error {
+func (t *Table) fix(f *FinalizeReport) error {
 	d := t.Leases.Duties[UsageReport]
 	if d == nil || d.Holder != f.Holder || d.Epoch != f.Epoch {
 		return fmt.Errorf("holder: %s does not hold %s under epoch %d", f.Holder, UsageReport, f.Epoch)
 	}
-	return t.Usage.Fix(f.Report)
+	return t.Usage.Finalize(f.Report)
 }
 
 func refusal(err error) Reply {
@@ -111,7 +111,7 @@
 
 // Decode reads what Encode gave; nothing is a table in which nothing has been granted.
 func Decode(text []byte) (*Table, error) {
-	t := New()
+	t := NewTable()
 	if len(text) == 0 {
 		return t, nil
 	}
--- a/internal/mesh/duties/duties_test.go
+++ b/internal/mesh/duties/duties_test.go
@@ -19,7 +19,7 @@
 	playFlag = flag.Int("plays", 150, "so many, each of a seed of its own")
 )
 
-var bounds = Bounds{Lease: 3 * time.Second, Window: 5 * time.Second, Delay: 10 * time.Second}
+var bounds = Bounds{Lease: 3 * time.Second, WindowLength: 5 * time.Second, DueAfter: 10 * time.Second}
 
 const (
 	simStep  = 50 * time.Millisecond
@@ -76,7 +76,7 @@
 }
 
 func newWorld(seed uint64, planted string) *world {
-	w := &world{Rand: rand.New(rand.NewPCG(seed, 0)), table: New(), planted: planted, fences: map[uint64]string{}, reports: map[int64]map[string]uint64{}}
+	w := &world{Rand: rand.New(rand.NewPCG(seed, 0)), table: NewTable(), planted: planted, fences: map[uint64]string{}, reports: map[int64]map[string]uint64{}}
 	for i := range w.machines {
 		w.machines[i] = &machine{name: fmt.Sprintf("core-%d", i), rate: 0.995 + 0.01*w.Float64()}
 		w.start(w.machines[i])
@@ -104,7 +104,7 @@
 	}})
 }
 
-func (w *world) ask(m *machine, a Ask) {
+func (w *world) ask(m *machine, a Request) {
 	life := m.life
 	w.events = append(w.events, event{w.t + time.Duration(w.Int64N(int64(400*time.Millisecond))), func() {
 		if w.t < simCalm && w.Float64() < 0.1 {
@@ -112,11 +112,11 @@
 		}
 		w.index++
 		reply := w.table.Apply(w.index, a.Command)
-		w.after(m, 300*time.Millisecond, 0.1, func() { m.holder.Replied(m.now(w.t), a.Number, &reply) })
+		w.after(m, 300*time.Millisecond, 0.1, func() { m.holder.HandleReply(m.now(w.t), a.Number, &reply) })
 	}})
 	w.events = append(w.events, event{w.t + time.Second, func() {
 		if m.life == life {
-			m.holder.Replied(m.now(max(w.t, m.stands)), a.Number, nil)
+			m.holder.HandleReply(m.now(max(w.t, m.stands)), a.Number, nil)
 		}
 	}})
 }
@@ -141,16 +141,16 @@
 		}
 		result := <-answered
 		if w.t < simCalm && w.Float64() < 0.2 {
-			result = CallUnclear
+			result = CallUnknown
 		}
-		m.holder.Called(m.now(max(w.t, m.stands)), result, 0)
+		m.holder.HandleResult(m.now(max(w.t, m.stands)), result, 0)
 	}})
 }
 
 // accept is the platform.
 func (w *world) accept(m *machine, fence uint64, window int64, counts map[string]uint64, calm bool) Result {
 	if w.t < w.down {
-		return CallUnclear
+		return CallUnknown
 	}
 	if by, known := w.fences[fence]; known && by != m.name {
 		w.wrong = fmt.Sprintf("%s and %s send fence %d", by, m.name, fence)
@@ -174,7 +174,7 @@
 			}
 		}
 	}
-	return CallTaken
+	return CallAccepted
 }
 
 // trouble draws what fails now.
@@ -192,10 +192,10 @@
 	case 4:
 		w.watch = lease.Watch{} // another leads
 	case 5:
-		if w.t >= m.stands && !m.holder.Calling() {
-			var todo Todo
-			m.holder.LetGo(m.now(w.t), &todo)
-			for _, a := range todo.Asks {
+		if w.t >= m.stands && !m.holder.CallInFlight() {
+			var todo Actions
+			m.holder.Release(m.now(w.t), &todo)
+			for _, a := range todo.Requests {
 				w.ask(m, a)
 			}
 		}
@@ -203,11 +203,11 @@
 }
 
 func (w *world) view(m *machine) *View {
-	window := int64(w.t/bounds.Window) - 1
+	window := int64(w.t/bounds.WindowLength) - 1
 	if w.table.Usage.Through > 0 {
 		window = w.table.Usage.Through + 1
 	}
-	return &View{Time: w.t, Connected: w.t >= m.apart, Window: window, Complete: w.IntN(2) == 0, Missing: w.IntN(2) == 0,
+	return &View{Time: w.t, Connected: w.t >= m.apart, Window: window, Complete: w.IntN(2) == 0, LostIncomplete: w.IntN(2) == 0,
 		Counts: map[string]uint64{"acme": w.Uint64N(100)}} // each machine counts otherwise, each time
 }
 
@@ -233,8 +233,8 @@
 		}
 		for _, m := range w.machines {
 			if w.t >= m.stands && w.t%(4*simStep) == 0 {
-				todo := m.holder.Step(m.now(w.t), w.table.Clone(), w.view(m))
-				for _, a := range todo.Asks {
+				todo := m.holder.Tick(m.now(w.t), w.table.Clone(), w.view(m))
+				for _, a := range todo.Requests {
 					w.ask(m, a)
 				}
 				if todo.Call != nil {
@@ -246,7 +246,7 @@
 	if w.wrong != "" {
 		return w.wrong
 	}
-	last := int64(simDay/bounds.Window) - 3
+	last := int64(simDay/bounds.WindowLength) - 3
 	for window := last - 2; window <= last; window++ {
 		if w.reports[window] == nil {
 			return fmt.Sprintf("window %d is not reported once nothing fails, up to %d", window, w.table.Usage.Through)
@@ -280,11 +280,11 @@
 
 // A table comes back from a snapshot as it was, and its epochs follow the log's indexes.
 func TestTable(t *testing.T) {
-	table := New()
+	table := NewTable()
 	acquire := Command{Lease: &lease.Op{Kind: lease.Acquire, Duty: UsageReport, Holder: "a/1", Term: time.Second}}
 	require.Equal(t, uint64(900), table.Apply(900, &acquire).Lease.Epoch)
 	fix := func(holder string, epoch uint64, window int64) string {
-		c, err := DecodeCommand(EncodeCommand(&Command{Fix: &Fix{holder, epoch, &usage.Report{Window: window, Counts: map[string]uint64{"acme": 1}}}}))
+		c, err := DecodeCommand(EncodeCommand(&Command{Fix: &FinalizeReport{holder, epoch, &usage.Report{Window: window, Counts: map[string]uint64{"acme": 1}}}}))
 		require.NoError(t, err)
 		reply := table.Apply(901, c)
 		return reply.Refused
@@ -296,19 +296,19 @@
 	again, err := Decode(table.Clone().Encode())
 	require.NoError(t, err)
 	require.Equal(t, table, again)
-	require.Contains(t, again.Apply(902, &Command{Taken: &Taken{41}}).Refused, "no report")
-	require.Empty(t, again.Apply(903, &Command{Taken: &Taken{40}}).Refused)
+	require.Contains(t, again.Apply(902, &Command{Taken: &ReportAccepted{41}}).Refused, "no report")
+	require.Empty(t, again.Apply(903, &Command{Taken: &ReportAccepted{40}}).Refused)
 	require.Len(t, table.Usage.Open, 1, "the other table goes its own way")
 }
 
 // A process that has just started asks for no part: its predecessor on this machine may have called
 // the platform within a lease, and another machine since.
 func TestStartsQuietly(t *testing.T) {
-	bounds := Bounds{Lease: 3 * time.Second, Window: 5 * time.Second, Delay: 5 * time.Second}
+	bounds := Bounds{Lease: 3 * time.Second, WindowLength: 5 * time.Second, DueAfter: 5 * time.Second}
 	h := NewHolder("a", "a/1", bounds)
 	first := time.Duration(0)
 	for now := time.Duration(0); now < 10*time.Second && first == 0; now += 50 * time.Millisecond {
-		if todo := h.Step(now, New(), &View{Connected: true}); len(todo.Asks) > 0 {
+		if todo := h.Tick(now, NewTable(), &View{Connected: true}); len(todo.Requests) > 0 {
 			first = now
 		}
 	}
@@ -318,19 +318,19 @@
 
 // A holder whose machine is taken out of use gives the part back at once, and does not ask for it.
 func TestStandsAside(t *testing.T) {
-	bounds := Bounds{Lease: 3 * time.Second, Window: 5 * time.Second, Delay: 5 * time.Second}
-	h, table := NewHolder("a", "a/1", bounds), New()
+	bounds := Bounds{Lease: 3 * time.Second, WindowLength: 5 * time.Second, DueAfter: 5 * time.Second}
+	h, table := NewHolder("a", "a/1", bounds), NewTable()
 	step := func(now time.Duration, aside bool) (kinds []lease.Kind) {
-		todo := h.Step(now, table, &View{Connected: true, Aside: aside})
-		for _, ask := range todo.Asks {
+		todo := h.Tick(now, table, &View{Connected: true, Cordoned: aside})
+		for _, ask := range todo.Requests {
 			reply := table.Apply(100, ask.Command)
-			h.Replied(now, ask.Number, &reply)
+			h.HandleReply(now, ask.Number, &reply)
 			kinds = append(kinds, ask.Command.Lease.Kind)
 		}
 		return kinds
 	}
 	now := 10 * time.Second
-	for ; h.Holds(now) == 0; now += 50 * time.Millisecond {
+	for ; h.HeldEpoch(now) == 0; now += 50 * time.Millisecond {
 		step(now, false)
 	}
 	require.Equal(t, []lease.Kind{lease.Release}, step(now, true))
@@ -343,20 +343,20 @@
 
 // A machine that a part is handed to asks for it at once, however patient it is else.
 func TestHandedOverIsTakenAtOnce(t *testing.T) {
-	bounds := Bounds{Lease: time.Second, Window: 5 * time.Second, Delay: 5 * time.Second}
+	bounds := Bounds{Lease: time.Second, WindowLength: 5 * time.Second, DueAfter: 5 * time.Second}
 	for n := range 20 {
 		node := fmt.Sprint("core-", n)
-		h, table := NewHolder(node, node+"/1", bounds), New()
+		h, table := NewHolder(node, node+"/1", bounds), NewTable()
 		for _, op := range []lease.Op{
 			{Kind: lease.Acquire, Holder: "other/1", Term: time.Second}, {Kind: lease.Hand, Epoch: 1, To: node}, {Kind: lease.Release, Holder: "other/1", Epoch: 1},
 		} {
 			op.Duty = UsageReport
 			require.Empty(t, table.Leases.Apply(&op).Refused)
 			if op.Kind != lease.Release {
-				h.Step(10*time.Second, table, &View{Connected: true})
+				h.Tick(10*time.Second, table, &View{Connected: true})
 			}
 		}
-		todo := h.Step(10*time.Second+200*time.Millisecond, table, &View{Connected: true})
-		require.Len(t, todo.Asks, 1, node)
+		todo := h.Tick(10*time.Second+200*time.Millisecond, table, &View{Connected: true})
+		require.Len(t, todo.Requests, 1, node)
 	}
 }
--- a/internal/mesh/duties/holder.go
+++ b/internal/mesh/duties/holder.go
@@ -11,7 +11,7 @@
 
 const (
 	// PatienceTerm is the time within which one machine after the other asks for a free part.
-	PatienceTerm = 600 * time.Millisecond
+	AcquireStagger = 600 * time.Millisecond
 	// actMargin is by how much longer than a lease a machine that held a part before stays quiet.
 	actMargin = 500 * time.Millisecond
 	// sendRoom is how long before it is due a report is fixed at the latest, whoever's counts are missing:
@@ -29,27 +29,27 @@
 
 // Bounds are the figures of the rules that a Holder goes by.
 type Bounds struct {
-	Lease  time.Duration // within which a duty may not go to another machine and back
-	Window time.Duration // that a usage report is about
-	Delay  time.Duration // after a window's end, until its report is due
+	Lease        time.Duration // within which a duty may not go to another machine and back
+	WindowLength time.Duration // that a usage report is about
+	DueAfter     time.Duration // after a window's end, until its report is due
 }
 
 // View is what a machine sees of agents and their counts.
 type View struct {
-	Time      time.Duration // of the mesh, since the start of 1970
-	Aside     bool          // this machine is taken out of use: another is to hold the part
-	Connected bool          // over half of the agents that are known are heard here
-	Window    int64         // to be fixed next; 0: there is none
-	Complete  bool          // all agents that are heard have closed it
-	Missing   bool          // an agent that is lost, and had not said that it leaves, has not
-	Counts    map[string]uint64
+	Time           time.Duration // of the mesh, since the start of 1970
+	Cordoned       bool          // this machine is taken out of use: another is to hold the part
+	Connected      bool          // over half of the agents that are known are heard here
+	Window         int64         // to be fixed next; 0: there is none
+	Complete       bool          // all agents that are heard have closed it
+	LostIncomplete bool          // an agent that is lost, and had not said that it leaves, has not
+	Counts         map[string]uint64
 }
 
 // Call is a report to be sent to the platform under a fence, before a time of the holder's clock.
 type Call struct {
-	Fence  uint64
-	Until  time.Duration
-	Report *usage.Report
+	Fence    uint64
+	Deadline time.Duration
+	Report   *usage.Report
 }
 
 // Result is what a call has come to.
@@ -57,21 +57,21 @@
 
 // The results.
 const (
-	CallTaken   Result = iota
-	CallFenced         // the platform has seen a higher fence
-	CallUnclear        // no answer, or none that tells
+	CallAccepted Result = iota
+	CallFenced          // the platform has seen a higher fence
+	CallUnknown         // no answer, or none that tells
 )
 
 // Ask is a command that is to be agreed on. What comes of it goes to Replied with its number.
-type Ask struct {
+type Request struct {
 	Number  uint64
 	Command *Command
 }
 
 // Todo is what a step leads to.
-type Todo struct {
-	Asks []Ask
-	Call *Call // nil: none
+type Actions struct {
+	Requests []Request
+	Call     *Call // nil: none
 }
 
 // Holder is a machine's side of the usage report: it asks for the part, and while it holds it fixes
@@ -109,17 +109,17 @@
 }
 
 // Holds is the epoch under which the part is held; 0: it is not.
-func (h *Holder) Holds(now time.Duration) uint64 {
+func (h *Holder) HeldEpoch(now time.Duration) uint64 {
 	epoch, _, _ := h.lease.Holds(now)
 	return epoch
 }
 
 // Calling says whether a call is out.
-func (h *Holder) Calling() bool { return h.calling != nil }
+func (h *Holder) CallInFlight() bool { return h.calling != nil }
 
 // NeedsView says whether Step goes by a view now.
 func (h *Holder) NeedsView(now time.Duration, table *Table) bool {
-	return h.Holds(now) != 0 || table.isFree()
+	return h.HeldEpoch(now) != 0 || table.isFree()
 }
 
 // isFree says whether nobody holds the part.
@@ -135,10 +135,10 @@
 }
 
 // Step goes on by what is known. The view may be empty where NeedsView says so.
-func (h *Holder) Step(now time.Duration, table *Table, view *View) (todo Todo) {
+func (h *Holder) Tick(now time.Duration, table *Table, view *View) (todo Actions) {
 	// Danger: this machine may have called the platform before its process started.
-	able := view.Connected && !view.Aside && now > h.bounds.Lease+actMargin
-	patience := lease.Patience(UsageReport, h.node, 1, PatienceTerm)
+	able := view.Connected && !view.Cordoned && now > h.bounds.Lease+actMargin
+	patience := lease.Patience(UsageReport, h.node, 1, AcquireStagger)
 	if table.isHandedTo(h.lease.Name) {
 		patience = 0 // it is kept for this machine for a term, which may be little longer than its patience
 	}
@@ -151,7 +151,7 @@
 	}
 	if h.unwanted(now, epoch, view) {
 		if h.calling == nil && h.fixing == 0 { // else the next step does
-			h.LetGo(now, &todo)
+			h.Release(now, &todo)
 		}
 		return todo
 	}
@@ -161,26 +161,26 @@
 	h.settle(&todo, table)
 	h.fix(&todo, epoch, view)
 	if r := h.due(now, until, table, view); r != nil {
-		h.calling = &Call{Fence: epoch, Until: until, Report: r}
+		h.calling = &Call{Fence: epoch, Deadline: until, Report: r}
 		h.acted, h.actEpoch = now, epoch
 		todo.Call = h.calling
 	}
 	return todo
 }
 
-func (h *Holder) ask(todo *Todo, c *Command) uint64 {
+func (h *Holder) ask(todo *Actions, c *Command) uint64 {
 	h.last++
-	todo.Asks = append(todo.Asks, Ask{h.last, c})
+	todo.Requests = append(todo.Requests, Request{h.last, c})
 	return h.last
 }
 
-func (h *Holder) askLease(todo *Todo, ask *lease.Ask) {
+func (h *Holder) askLease(todo *Actions, ask *lease.Ask) {
 	h.turn = ask.Turn
 	h.asked = h.ask(todo, &Command{Lease: &ask.Op})
 }
 
 // LetGo gives the part back, if it is held. Calls must have ended.
-func (h *Holder) LetGo(now time.Duration, todo *Todo) {
+func (h *Holder) Release(now time.Duration, todo *Actions) {
 	if ask := h.lease.LetGo(now, "", nil); ask != nil {
 		h.askLease(todo, ask)
 	}
@@ -194,33 +194,33 @@
 	case h.apart == 0:
 		h.apart = now
 	}
-	return view.Aside || epoch == h.refused || h.lease.Wanted() != "" || h.apart != 0 && now-h.apart > h.bounds.Lease
+	return view.Cordoned || epoch == h.refused || h.lease.Wanted() != "" || h.apart != 0 && now-h.apart > h.bounds.Lease
 }
 
 // settle has reports noted as taken that the platform has.
-func (h *Holder) settle(todo *Todo, table *Table) {
+func (h *Holder) settle(todo *Actions, table *Table) {
 	for window, asked := range h.taken {
 		switch {
 		case !slices.ContainsFunc(table.Usage.Open, func(r *usage.Report) bool { return r.Window == window }):
 			delete(h.taken, window)
 		case !asked:
 			h.taken[window] = true
-			h.ask(todo, &Command{Taken: &Taken{window}})
+			h.ask(todo, &Command{Taken: &ReportAccepted{window}})
 		}
 	}
 }
 
 // fix makes the report of the oldest window final that has ended, once its counts are there.
-func (h *Holder) fix(todo *Todo, epoch uint64, view *View) {
-	over := view.Time - meshtime.End(view.Window, h.bounds.Window)
+func (h *Holder) fix(todo *Actions, epoch uint64, view *View) {
+	over := view.Time - meshtime.WindowEnd(view.Window, h.bounds.WindowLength)
 	switch {
 	case h.fixing != 0 || view.Window == 0 || over < 0:
 		return
-	case !view.Complete && over < h.bounds.Delay/2 || view.Missing && over < h.bounds.Delay-sendRoom:
+	case !view.Complete && over < h.bounds.DueAfter/2 || view.LostIncomplete && over < h.bounds.DueAfter-sendRoom:
 		return
 	}
 	report := &usage.Report{Window: view.Window, Counts: view.Counts}
-	h.fixing = h.ask(todo, &Command{Fix: &Fix{Holder: h.lease.Name, Epoch: epoch, Report: report}})
+	h.fixing = h.ask(todo, &Command{Fix: &FinalizeReport{Holder: h.lease.Name, Epoch: epoch, Report: report}})
 }
 
 // due is the report that is to be sent now, nil if there is none.
@@ -230,13 +230,13 @@
 	}
 	open := slices.Clone(table.Usage.Open)
 	open = slices.DeleteFunc(open, func(r *usage.Report) bool { _, has := h.taken[r.Window]; return has })
-	return mostUrgent(open, view.Time-h.bounds.Delay, h.bounds.Window)
+	return mostUrgent(open, view.Time-h.bounds.DueAfter, h.bounds.WindowLength)
 }
 
 // mostUrgent is the report that is due first, or, of those that are overdue, the newest. Overdue are
 // windows that ended before a time.
 func mostUrgent(open []*usage.Report, before, length time.Duration) *usage.Report {
-	i := slices.IndexFunc(open, func(r *usage.Report) bool { return meshtime.End(r.Window, length) >= before })
+	i := slices.IndexFunc(open, func(r *usage.Report) bool { return meshtime.WindowEnd(r.Window, length) >= before })
 	switch {
 	case i >= 0:
 		return open[i]
@@ -247,7 +247,7 @@
 }
 
 // Replied takes in what an Ask has come to; nil: that is not known.
-func (h *Holder) Replied(now time.Duration, number uint64, reply *Reply) {
+func (h *Holder) HandleReply(now time.Duration, number uint64, reply *Reply) {
 	switch {
 	case number == h.fixing:
 		h.fixing = 0
@@ -262,11 +262,11 @@
 
 // Called takes in what the call has come to. After is when the platform wants to be called again, 0 if
 // it did not say.
-func (h *Holder) Called(now time.Duration, result Result, after time.Duration) {
+func (h *Holder) HandleResult(now time.Duration, result Result, after time.Duration) {
 	call := h.calling
 	h.calling = nil
 	switch result {
-	case CallTaken:
+	case CallAccepted:
 		h.taken[call.Report.Window] = false
 		h.retry, h.next = firstRetry, now
 		return
--- a/internal/mesh/inbound/handle.go
+++ b/internal/mesh/inbound/handle.go
@@ -63,7 +63,7 @@
 func (h *Host) beginRun(req *transport.Request) *backendRun {
 	run := &backendRun{repeat: req.Repeat, customer: req.Customer}
 	if !req.Inner { // usage counts what a tenant's clients request, not the calls that follow from it
-		run.usageMark = h.usage.Begin(req.Customer)
+		run.usageMark = h.usage.Add(req.Customer)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/mesh/inbound/runs.go
+++ b/internal/mesh/inbound/runs.go
@@ -11,7 +11,7 @@
 	repeat     bool
 	customer   string
 	callFailed bool // a call that the run made has failed
-	usageMark  usage.Mark
+	usageMark  usage.CountID
 }
 
 // ParentRun describes the run on this machine that makes a call. The zero value means that none was
--- a/internal/mesh/maintenance/decide.go
+++ b/internal/mesh/maintenance/decide.go
@@ -9,7 +9,7 @@
 
 const (
 	// Full is the part of their room up to which backends that stay in use may be used by forecast.
-	Full = 0.8
+	MaxUtilization = 0.8
 	// goesOn is the part of Full below which a window that waits goes on, so that it doesn't begin and
 	// wait in turn.
 	goesOn = 0.9
@@ -79,24 +79,24 @@
 
 // View is what the machine that leads sees.
 type View struct {
-	Now      time.Duration // of the mesh, since the start of 1970
-	Backends []Backend
-	Left     int           // what is left on the machines of the window
-	LeftFor  time.Duration // since when Left is as it is, 0 or not
-	Blind    string        // why what is seen is not to be relied on; empty: it is
+	Now          time.Duration // of the mesh, since the start of 1970
+	Backends     []Backend
+	Remaining    int           // what is left on the machines of the window
+	UnchangedFor time.Duration // since when Left is as it is, 0 or not
+	Unreliable   string        // why what is seen is not to be relied on; empty: it is
 }
 
 // Decide says what is to become of a window now; nil: nothing new.
 func Decide(w *Window, v *View) *Advance {
 	a := &Advance{Name: w.Name, Changed: w.Changed, Phase: w.Phase, Step: w.Step, Clear: w.Clear, Waits: w.Waits}
 	switch w.Phase {
-	case Planned:
+	case PhasePlanned:
 		decidePlanned(w, v, a)
-	case Moving:
+	case PhaseDraining:
 		decideMoving(w, v, a)
-	case Closed:
+	case PhaseClosed:
 		decideClosed(w, v, a)
-	case Returning:
+	case PhaseReturning:
 		decideReturning(w, v, a)
 	}
 	if a.Phase == w.Phase && a.Step == w.Step && a.Clear == w.Clear && a.Waits == w.Waits {
@@ -108,11 +108,11 @@
 func decidePlanned(w *Window, v *View, a *Advance) {
 	switch {
 	case v.Now >= w.End:
-		a.Phase, a.Ended, a.Waits = Over, "lapsed: "+cmp.Or(w.Waits, "nobody led in its time"), ""
+		a.Phase, a.Ended, a.Waits = PhaseOver, "lapsed: "+cmp.Or(w.Waits, "nobody led in its time"), ""
 	case v.Now < w.Start-w.Lead && !w.Begun:
 	default:
 		if a.Waits = hindrance(w, v); a.Waits == "" {
-			a.Phase, a.Step = Moving, 1
+			a.Phase, a.Step = PhaseDraining, 1
 		}
 	}
 }
@@ -124,10 +124,10 @@
 	a.Waits = hindrance(w, v)
 	switch {
 	case a.Waits == "" && w.Step == LastStep-1:
-		a.Phase, a.Step = Closed, LastStep
+		a.Phase, a.Step = PhaseClosed, LastStep
 	case a.Waits == "":
 		a.Step++
-	case v.Blind == "" && v.Now < w.Start && w.Step > 1 && Forecast(w, v.Backends)[0].After > tooFull:
+	case v.Unreliable == "" && v.Now < w.Start && w.Step > 1 && Forecast(w, v.Backends)[0].After > tooFull:
 		a.Step-- // work has not begun: what was taken out of use helps more than it harms
 	}
 }
@@ -137,10 +137,10 @@
 		return
 	}
 	switch {
-	case v.Blind != "":
+	case v.Unreliable != "":
 		a.Clear = false
-	case v.LeftFor >= clearFor:
-		a.Clear = v.Left == 0
+	case v.UnchangedFor >= clearFor:
+		a.Clear = v.Remaining == 0
 	}
 	a.Waits = hindrance(w, v)
 }
@@ -151,7 +151,7 @@
 		return
 	}
 	if a.Step--; a.Step <= 0 {
-		a.Step, a.Phase = 0, Over
+		a.Step, a.Phase = 0, PhaseOver
 	}
 }
 
@@ -159,18 +159,18 @@
 	if v.Now < w.End {
 		return false
 	}
-	a.Phase, a.Ended, a.Clear, a.Waits = Returning, "its time is over", false, ""
+	a.Phase, a.Ended, a.Clear, a.Waits = PhaseReturning, "its time is over", false, ""
 	return true
 }
 
 // hindrance says why a window must not go on; empty: it may.
 func hindrance(w *Window, v *View) string {
-	if v.Blind != "" {
-		return v.Blind
+	if v.Unreliable != "" {
+		return v.Unreliable
 	}
-	bears := Full
+	bears := MaxUtilization
 	if w.Waits != "" {
-		bears = goesOn * Full
+		bears = goesOn * MaxUtilization
 	}
 	shares := Forecast(w, v.Backends)
 	if len(shares) == 0 || w.Forced || shares[0].After <= bears {
--- a/internal/mesh/maintenance/maintenance.go
+++ b/internal/mesh/maintenance/maintenance.go
@@ -27,12 +27,12 @@
 
 const (
 	// MostWindows are kept, with those that are over; of these the oldest go first.
-	MostWindows = 64
+	MaxWindows = 64
 	// MinLead and MaxLead bound the time before its start in which machines are taken out of use.
 	MinLead = 3 * time.Second
 	MaxLead = time.Hour
 	// MaxLength is the longest that a window lasts.
-	MaxLength = 7 * 24 * time.Hour
+	MaxDuration = 7 * 24 * time.Hour
 
 	maxText = 200 // bytes of who plans a window, and why
 )
@@ -44,11 +44,11 @@
 
 // The phases.
 const (
-	Planned   Phase = "planned"
-	Moving    Phase = "moving" // machines are being taken out of use
-	Closed    Phase = "closed" // all of them are
-	Returning Phase = "returning"
-	Over      Phase = "over"
+	PhasePlanned   Phase = "planned"
+	PhaseDraining  Phase = "moving" // machines are being taken out of use
+	PhaseClosed    Phase = "closed" // all of them are
+	PhaseReturning Phase = "returning"
+	PhaseOver      Phase = "over"
 )
 
 // Window is one of planned work. Times are of the mesh, since the start of 1970.
@@ -118,7 +118,7 @@
 
 // Check says what is wrong with a window that is asked for, whatever else there is. Now is the time
 // at which it is asked for.
-func (w *Window) Check(now time.Duration) error {
+func (w *Window) Validate(now time.Duration) error {
 	wrong := func(field, format string, args ...any) error {
 		return &meshconfig.Invalid{Field: field, Problem: fmt.Sprintf(format, args...)}
 	}
@@ -139,8 +139,8 @@
 		return wrong("start", "it is in %v, and lead asks for %v before it", (w.Start - now).Round(time.Millisecond), w.Lead)
 	case w.End <= w.Start:
 		return wrong("end", "it is not after start")
-	case w.End-w.Start > MaxLength:
-		return wrong("end", "%v after start, at most %v", w.End-w.Start, MaxLength)
+	case w.End-w.Start > MaxDuration:
+		return wrong("end", "%v after start, at most %v", w.End-w.Start, MaxDuration)
 	case len(w.By) > maxText || len(w.Why) > maxText:
 		return wrong("by, why", "at most %d bytes", maxText)
 	}
--- a/internal/mesh/maintenance/maintenance_test.go
+++ b/internal/mesh/maintenance/maintenance_test.go
@@ -42,10 +42,10 @@
 }
 
 func (w *world) view(window *Window) *View {
-	v := &View{Now: w.now + w.skew, Left: w.rng.IntN(2), LeftFor: time.Duration(w.rng.IntN(3)) * time.Second,
+	v := &View{Now: w.now + w.skew, Remaining: w.rng.IntN(2), UnchangedFor: time.Duration(w.rng.IntN(3)) * time.Second,
 		Backends: []Backend{{"s", "a", "1", 10, 5, true}, {"s", "b", "2", 10, 5 * w.room, true}}}
 	if w.rng.IntN(20) == 0 {
-		v.Blind = "no"
+		v.Unreliable = "no"
 	}
 	return v
 }
@@ -75,7 +75,7 @@
 		if window.Step > old.Step && w.now < old.Start-old.Lead-w.slack() && !old.Begun {
 			w.fail("%s begins %v before its time", window.Name, old.Start-old.Lead-w.now)
 		}
-		if window.Step > old.Step && old.Phase == Returning {
+		if window.Step > old.Step && old.Phase == PhaseReturning {
 			w.fail("%s goes on while it returns", window.Name)
 		}
 		if window.Clear && window.Step != LastStep {
@@ -104,11 +104,11 @@
 func (w *world) decide() {
 	for _, window := range w.table.Windows {
 		v := w.view(window)
-		if v.Blind == "" && Forecast(window, v.Backends)[0].After > Full {
+		if v.Unreliable == "" && Forecast(window, v.Backends)[0].After > MaxUtilization {
 			if _, known := w.held[window.Name]; !known {
 				w.held[window.Name] = w.now
 			}
-		} else if v.Blind == "" {
+		} else if v.Unreliable == "" {
 			delete(w.held, window.Name)
 		}
 		if w.planted == "the forecast is not asked" {
@@ -192,7 +192,7 @@
 		}
 	}
 	for _, window := range w.table.Windows {
-		if window.Phase != Over || window.Step != 0 {
+		if window.Phase != PhaseOver || window.Step != 0 {
 			w.fail("%s is %s in the end, step %d", window.Name, window.Phase, window.Step)
 		}
 	}
@@ -257,7 +257,7 @@
 // Each machine's stage follows the steps, and comes back the same way.
 func TestCordons(t *testing.T) {
 	for step := range LastStep + 1 {
-		w := &Window{Name: "w", Zones: []string{"a"}, Phase: Moving, Step: step}
+		w := &Window{Name: "w", Zones: []string{"a"}, Phase: PhaseDraining, Step: step}
 		config := meshconfig.New().WithCordons((&Table{Windows: []*Window{w}}).Cordons())
 		for n := range 50 {
 			node := fmt.Sprint("10.0.0.", n)
--- a/internal/mesh/maintenance/region.go
+++ b/internal/mesh/maintenance/region.go
@@ -17,28 +17,28 @@
 // ServicePlan is what the loss would mean for a service.
 type ServicePlan struct {
 	Share
-	Lost    float64      `json:"lost"`              // requests in work in the zones that are lost
-	To      []ZoneRoom   `json:"to"`                // where they would go
-	Refused float64      `json:"refused"`           // part of all that there would be no room for
-	First   []RouteOrder `json:"first,omitempty"`   // routes in the order in which they are refused, where some are
-	Unready int          `json:"unready,omitempty"` // backends elsewhere that are lost or leave, and are not counted on
+	Lost    float64        `json:"lost"`              // requests in work in the zones that are lost
+	To      []ZoneCapacity `json:"to"`                // where they would go
+	Refused float64        `json:"refused"`           // part of all that there would be no room for
+	First   []RankedRoute  `json:"first,omitempty"`   // routes in the order in which they are refused, where some are
+	Unready int            `json:"unready,omitempty"` // backends elsewhere that are lost or leave, and are not counted on
 }
 
 // ZoneRoom is what a zone that stays has for a service.
-type ZoneRoom struct {
+type ZoneCapacity struct {
 	Zone string  `json:"zone"`
 	Room int     `json:"room"` // that its backends work on at once
 	Load float64 `json:"load"` // requests in work, now
 }
 
 // RouteOrder is a route and its rank; higher ones are refused first.
-type RouteOrder struct {
+type RankedRoute struct {
 	Route string `json:"route"`
 	Rank  int    `json:"rank"`
 }
 
 // RouteOf is a route as the plan needs it.
-type RouteOf struct {
+type Route struct {
 	Name     string
 	Rank     int
 	Services []string
@@ -46,7 +46,7 @@
 
 // PlanRegion says what the loss of zones would mean. The design joins the lower load over speed, so
 // what is lost goes where there is room, and evens out; what there is no room for is refused by rank.
-func PlanRegion(zones []string, backends []Backend, routes []RouteOf) *RegionPlan {
+func PlanRegion(zones []string, backends []Backend, routes []Route) *RegionPlan {
 	plan := &RegionPlan{Zones: zones, Services: []ServicePlan{}}
 	for _, share := range Forecast(&Window{Zones: zones}, backends) {
 		s := ServicePlan{Share: share}
@@ -64,7 +64,7 @@
 
 // place fills in what is lost, and where there is room.
 func (s *ServicePlan) place(zones []string, backends []Backend) {
-	rooms := map[string]*ZoneRoom{}
+	rooms := map[string]*ZoneCapacity{}
 	for i := range backends {
 		b := &backends[i]
 		switch {
@@ -76,26 +76,26 @@
 		default:
 			room := rooms[b.Zone]
 			if room == nil {
-				room = &ZoneRoom{Zone: b.Zone}
+				room = &ZoneCapacity{Zone: b.Zone}
 				rooms[b.Zone] = room
 			}
 			room.Room, room.Load = room.Room+b.Capacity, room.Load+b.Load
 		}
 	}
-	s.To = []ZoneRoom{}
+	s.To = []ZoneCapacity{}
 	for _, zone := range slices.Sorted(maps.Keys(rooms)) {
 		s.To = append(s.To, *rooms[zone])
 	}
 }
 
 // refusedFirst are the routes to a service, the least urgent first.
-func refusedFirst(service string, routes []RouteOf) []RouteOrder {
-	var order []RouteOrder
+func refusedFirst(service string, routes []Route) []RankedRoute {
+	var order []RankedRoute
 	for i := range routes {
 		if r := &routes[i]; slices.Contains(r.Services, service) {
-			order = append(order, RouteOrder{r.Name, r.Rank})
+			order = append(order, RankedRoute{r.Name, r.Rank})
 		}
 	}
-	slices.SortFunc(order, func(a, b RouteOrder) int { return cmp.Or(cmp.Compare(b.Rank, a.Rank), cmp.Compare(a.Route, b.Route)) })
+	slices.SortFunc(order, func(a, b RankedRoute) int { return cmp.Or(cmp.Compare(b.Rank, a.Rank), cmp.Compare(a.Route, b.Route)) })
 	return order
 }
--- a/internal/mesh/maintenance/table.go
+++ b/internal/mesh/maintenance/table.go
@@ -89,7 +89,7 @@
 func (t *Table) Current() *Window {
 	first := t.outOfUse()
 	for _, w := range t.Windows {
-		if first == nil && w.Phase != Over || first != nil && first.Step == 0 && w.Phase != Over && w.Start < first.Start {
+		if first == nil && w.Phase != PhaseOver || first != nil && first.Step == 0 && w.Phase != PhaseOver && w.Start < first.Start {
 			first = w
 		}
 	}
@@ -103,31 +103,31 @@
 		}
 		return Reply{Refused: fmt.Sprintf("name: a window %s was planned with other content", old.Name), Field: "name"}
 	}
-	if err := asked.Check(now); err != nil {
+	if err := asked.Validate(now); err != nil {
 		invalid := err.(*meshconfig.Invalid)
 		return Reply{Refused: err.Error(), Field: invalid.Field, Invalid: true}
 	}
 	for _, other := range t.Windows {
-		if other.Phase != Over && asked.overlaps(other) {
+		if other.Phase != PhaseOver && asked.overlaps(other) {
 			return Reply{Refused: fmt.Sprintf("start: the window %s has its machines out of use at that time", other.Name), Field: "start"}
 		}
 	}
 	if !t.makeRoom() {
-		return Reply{Refused: fmt.Sprintf("name: there are %d windows already that are not over", MostWindows), Field: "name"}
+		return Reply{Refused: fmt.Sprintf("name: there are %d windows already that are not over", MaxWindows), Field: "name"}
 	}
 	w := *asked
 	w.Zones, w.Nodes = slices.Clone(asked.Zones), slices.Clone(asked.Nodes)
-	w.Phase, w.Step, w.Stepped, w.Clear, w.Waits, w.Ended, w.Begun, w.Changed = Planned, 0, 0, false, "", "", false, index
+	w.Phase, w.Step, w.Stepped, w.Clear, w.Waits, w.Ended, w.Begun, w.Changed = PhasePlanned, 0, 0, false, "", "", false, index
 	t.Windows = append(t.Windows, &w)
 	return Reply{}
 }
 
 // makeRoom drops the oldest window that is over if there are too many, and says whether there is room.
 func (t *Table) makeRoom() bool {
-	if len(t.Windows) < MostWindows {
+	if len(t.Windows) < MaxWindows {
 		return true
 	}
-	i := slices.IndexFunc(t.Windows, func(w *Window) bool { return w.Phase == Over })
+	i := slices.IndexFunc(t.Windows, func(w *Window) bool { return w.Phase == PhaseOver })
 	if i >= 0 {
 		t.Windows = slices.Delete(slices.Clone(t.Windows), i, i+1)
 	}
@@ -161,17 +161,17 @@
 // stop ends a window before its time. One that is on its way back, or over, goes on with that.
 func (w *Window) stop(how string) string {
 	switch w.Phase {
-	case Planned:
-		w.Phase, w.Ended, w.Waits = Over, how, ""
-	case Moving, Closed:
-		w.Phase, w.Ended, w.Waits, w.Clear = Returning, how, "", false
+	case PhasePlanned:
+		w.Phase, w.Ended, w.Waits = PhaseOver, how, ""
+	case PhaseDraining, PhaseClosed:
+		w.Phase, w.Ended, w.Waits, w.Clear = PhaseReturning, how, "", false
 	}
 	return ""
 }
 
 // begin has a window's machines taken out of use before it is time.
 func (w *Window) begin() string {
-	if w.Phase == Returning || w.Phase == Over {
+	if w.Phase == PhaseReturning || w.Phase == PhaseOver {
 		return fmt.Sprintf("phase: the window is %s", w.Phase)
 	}
 	w.Begun = true
--- a/internal/mesh/meshtest/maintenance.go
+++ b/internal/mesh/meshtest/maintenance.go
@@ -64,14 +64,14 @@
 		}
 		see(w)
 		o.g.record.note(func(now time.Duration, s *Story) {
-			if w.Phase == maintenance.Closed && !closed {
+			if w.Phase == maintenance.PhaseClosed && !closed {
 				closed = true
 				for _, zone := range plan.Zones {
 					s.Evacuations = append(s.Evacuations, &Evacuation{zone, Span{From: now, Until: plan.End.Sub(s.Began)}})
 				}
 			}
 		})
-		if w.Phase == maintenance.Over {
+		if w.Phase == maintenance.PhaseOver {
 			return nil
 		}
 		select {
--- a/internal/mesh/meshtest/maintenance_test.go
+++ b/internal/mesh/meshtest/maintenance_test.go
@@ -117,7 +117,7 @@
 		if m := g.Leader(); w.Clear && m != nil && m.Zone == zone {
 			leader = m.Name
 		}
-		if w.Phase == maintenance.Over {
+		if w.Phase == maintenance.PhaseOver {
 			over = time.Now()
 		}
 	}))
@@ -153,7 +153,7 @@
 	require.NoError(t, g.Operator.Follow(ctx, plan, func(w *maintenance.StateDocument) {
 		if strings.HasPrefix(w.Waits, "zone ") && waits == "" { // a leader that is new has other reasons
 			waits = w.Waits
-			require.NotEqual(t, maintenance.Closed, w.Phase)
+			require.NotEqual(t, maintenance.PhaseClosed, w.Phase)
 			for _, m := range g.Agents {
 				if m.Zone == zones[2] {
 					require.NoError(t, m.Start())
--- a/internal/mesh/meshtime/meshtime.go
+++ b/internal/mesh/meshtime/meshtime.go
@@ -24,12 +24,12 @@
 func New() *Clock { return &Clock{began: time.Now()} }
 
 // Own is the time since the start of 1970 by this process alone.
-func (c *Clock) Own() time.Duration {
+func (c *Clock) Local() time.Duration {
 	return time.Duration(c.began.UnixNano()) + time.Since(c.began)
 }
 
 // Now is the time since the start of 1970 that the processes agree on, as far as this one has heard.
-func (c *Clock) Now() time.Duration { return c.Own() + time.Duration(c.offset.Load()) }
+func (c *Clock) Now() time.Duration { return c.Local() + time.Duration(c.offset.Load()) }
 
 // Correct takes in how far the times of other processes are from Own. Where there are none, what was
 // heard before holds.
@@ -43,7 +43,9 @@
 
 // Window is the number of the window of a length that a time lies in; window k begins k times the
 // length after the start of 1970.
-func Window(at, length time.Duration) int64 { return int64(at / length) }
+func WindowAt(at, length time.Duration) int64 { return int64(at / length) }
 
 // End is when a window of a length ends.
-func End(window int64, length time.Duration) time.Duration { return time.Duration(window+1) * length }
+func WindowEnd(window int64, length time.Duration) time.Duration {
+	return time.Duration(window+1) * length
+}
--- a/internal/mesh/meshtime/meshtime_test.go
+++ b/internal/mesh/meshtime/meshtime_test.go
@@ -18,8 +18,8 @@
 		c.Correct([]time.Duration{2 * time.Second, 2*time.Second + time.Millisecond, 0, -time.Hour, 2 * time.Second})
 		require.Equal(t, began+time.Minute+2*time.Second, c.Now())
 		c.Correct(nil)
-		require.Equal(t, c.Own()+2*time.Second, c.Now(), "what was heard holds")
-		require.Equal(t, int64(12), Window(62*time.Second, 5*time.Second))
-		require.Equal(t, 65*time.Second, End(12, 5*time.Second))
+		require.Equal(t, c.Local()+2*time.Second, c.Now(), "what was heard holds")
+		require.Equal(t, int64(12), WindowAt(62*time.Second, 5*time.Second))
+		require.Equal(t, 65*time.Second, WindowEnd(12, 5*time.Second))
 	})
 }
--- a/internal/mesh/sidecar/feed.go
+++ b/internal/mesh/sidecar/feed.go
@@ -224,10 +224,10 @@
 			close(greeted)
 		}
 		if d.Clock != 0 {
-			f.offset.Store(int64(time.Duration(d.Clock) - a.clock.Own()))
+			f.offset.Store(int64(time.Duration(d.Clock) - a.clock.Local()))
 			f.timed.Store(true)
 		}
-		a.usage.Settle(d.Settled)
+		a.usage.DiscardThrough(d.Settled)
 		a.do(func() { a.hear(f, &d, whole) })
 	}
 }
--- a/internal/mesh/sidecar/usage.go
+++ b/internal/mesh/sidecar/usage.go
@@ -21,10 +21,10 @@
 
 // next is what is to be told now; nil: nothing.
 func (t *usageTeller) next(now time.Time) *usage.Update {
-	if t.counter == nil || now.Sub(t.told) < tellUsageEvery && t.counter.Closed() == t.closed {
+	if t.counter == nil || now.Sub(t.told) < tellUsageEvery && t.counter.LastClosed() == t.closed {
 		return nil
 	}
-	u, revision := t.counter.Since(t.revision)
+	u, revision := t.counter.ChangesSince(t.revision)
 	if revision == t.revision && u.Closed == t.closed {
 		return nil
 	}
@@ -34,7 +34,7 @@
 
 // tells fills in what counts by the mesh's time need.
 func (t *usageTeller) tells(a *Agent, up *transport.AgentUpdate) {
-	up.Clock = int64(a.clock.Own())
+	up.Clock = int64(a.clock.Local())
 	up.Usage = t.next(time.Now())
 }
 
--- a/internal/mesh/usage/collector.go
+++ b/internal/mesh/usage/collector.go
@@ -16,7 +16,7 @@
 }
 
 // Hear takes in what an agent's Counter tells. What is odd in it is passed over.
-func (c *Collector) Hear(agent string, u *Update) {
+func (c *Collector) Merge(agent string, u *Update) {
 	c.closed[agent] = u.Closed
 	for i := range u.Parts {
 		if p := &u.Parts[i]; p.Window > c.settled && p.Window <= u.Closed+2 && len(p.Names) == len(p.Counts) {
@@ -25,12 +25,12 @@
 	}
 }
 
-func (c *Collector) take(process uint64, p *Part) {
+func (c *Collector) take(process uint64, p *WindowCounts) {
 	processes := c.windows[p.Window]
 	if processes == nil {
 		processes = map[uint64]map[string]uint64{}
 		c.windows[p.Window] = processes
-		c.forget(p.Window - MostWindows)
+		c.forget(p.Window - MaxPendingWindows)
 	}
 	tenants := processes[process]
 	if tenants == nil {
@@ -41,7 +41,7 @@
 		processes[process] = tenants
 	}
 	for i, name := range p.Names {
-		if _, known := tenants[name]; known || len(tenants) < MostTenants {
+		if _, known := tenants[name]; known || len(tenants) < MaxTenants {
 			tenants[name] = p.Counts[i]
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 // Settle takes in that the windows up to one are fixed.
-func (c *Collector) Settle(through int64) {
+func (c *Collector) DiscardThrough(through int64) {
 	if through > c.settled {
 		c.settled = through
 		c.forget(through)
@@ -64,7 +64,7 @@
 }
 
 // Retain forgets agents that nobody waits for any more. Their counts stay.
-func (c *Collector) Retain(known func(agent string) bool) {
+func (c *Collector) RetainAgents(known func(agent string) bool) {
 	for agent := range c.closed {
 		if !known(agent) {
 			delete(c.closed, agent)
--- a/internal/mesh/usage/counter.go
+++ b/internal/mesh/usage/counter.go
@@ -22,15 +22,15 @@
 
 const (
 	// MostWindows are kept that are not fixed yet.
-	MostWindows = 24
+	MaxPendingWindows = 24
 	// MostTenants are counted in a window at one gate.
-	MostTenants = 4096
+	MaxTenants = 4096
 	// closeAfter is how long after its end a window is closed: what was begun in it has been counted.
 	closeAfter = 50 * time.Millisecond
 )
 
 // Part is what a Counter tells of one window: the counts of some tenants.
-type Part struct {
+type WindowCounts struct {
 	Window int64
 	Names  []string
 	Counts []uint64 // of the tenant at the same place
@@ -40,11 +40,11 @@
 type Update struct {
 	Process uint64 // of the Counter: one that starts again is another
 	Closed  int64  // windows up to this one get no more counts
-	Parts   []Part
+	Parts   []WindowCounts
 }
 
 // Mark names a count, so that it can be taken back. The zero value is none.
-type Mark struct {
+type CountID struct {
 	window   int64
 	customer string
 }
@@ -75,34 +75,34 @@
 }
 
 // Begin counts a request that a backend begins now for a tenant.
-func (c *Counter) Begin(customer string) Mark {
+func (c *Counter) Add(customer string) CountID {
 	if c == nil || customer == "" {
-		return Mark{}
+		return CountID{}
 	}
-	m := Mark{meshtime.Window(c.clock.Now(), c.length), customer}
+	m := CountID{meshtime.WindowAt(c.clock.Now(), c.length), customer}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.add(m, 1) {
+	if !c.adjust(m, 1) {
 		c.dropped++
-		return Mark{}
+		return CountID{}
 	}
 	return m
 }
 
 // Undo takes a count back.
-func (c *Counter) Undo(m Mark) {
+func (c *Counter) Undo(m CountID) {
 	if c == nil || m.customer == "" {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if tenants := c.windows[m.window]; tenants[m.customer] != nil {
-		c.add(m, -1)
+		c.adjust(m, -1)
 	}
 }
 
 // add changes a count, and says whether there was room for it.
-func (c *Counter) add(m Mark, by int) bool {
+func (c *Counter) adjust(m CountID, by int) bool {
 	if m.window <= c.settled {
 		return false
 	}
@@ -110,11 +110,11 @@
 	if tenants == nil {
 		tenants = map[string]*count{}
 		c.windows[m.window] = tenants
-		c.forget(m.window - MostWindows)
+		c.forget(m.window - MaxPendingWindows)
 	}
 	one := tenants[m.customer]
 	if one == nil {
-		if len(tenants) >= MostTenants {
+		if len(tenants) >= MaxTenants {
 			return false
 		}
 		one = &count{}
@@ -136,7 +136,7 @@
 }
 
 // Settle takes in that the windows up to one are fixed: nobody needs their counts any more.
-func (c *Counter) Settle(through int64) {
+func (c *Counter) DiscardThrough(through int64) {
 	if c == nil {
 		return
 	}
@@ -149,18 +149,18 @@
 }
 
 // Closed is the last window that gets no more counts.
-func (c *Counter) Closed() int64 {
-	return meshtime.Window(c.clock.Now()-closeAfter, c.length) - 1
+func (c *Counter) LastClosed() int64 {
+	return meshtime.WindowAt(c.clock.Now()-closeAfter, c.length) - 1
 }
 
 // Since returns what has changed since a revision, 0 for all that there is, and the present revision.
-func (c *Counter) Since(revision uint64) (Update, uint64) {
-	closed := c.Closed() // before the counts are read: what is counted later is in a later window
+func (c *Counter) ChangesSince(revision uint64) (Update, uint64) {
+	closed := c.LastClosed() // before the counts are read: what is counted later is in a later window
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	u := Update{Process: c.process, Closed: closed}
 	for window, tenants := range c.windows {
-		part := Part{Window: window}
+		part := WindowCounts{Window: window}
 		for name, one := range tenants {
 			if one.revision > revision {
 				part.Names, part.Counts = append(part.Names, name), append(part.Counts, one.n)
@@ -170,7 +170,7 @@
 			u.Parts = append(u.Parts, part)
 		}
 	}
-	slices.SortFunc(u.Parts, func(a, b Part) int { return int(a.Window - b.Window) })
+	slices.SortFunc(u.Parts, func(a, b WindowCounts) int { return int(a.Window - b.Window) })
 	return u, c.revision
 }
 
--- a/internal/mesh/usage/ledger.go
+++ b/internal/mesh/usage/ledger.go
@@ -6,7 +6,7 @@
 )
 
 // MostOpen reports may wait for the platform; beyond it the oldest is given up.
-const MostOpen = 256
+const MaxOpenReports = 256
 
 // Report is what is said of a window. It never changes.
 type Report struct {
@@ -26,7 +26,7 @@
 
 // Fix makes a report final. It is refused if the window, or a later one, is fixed already: what the
 // report says never changes, whoever counts again.
-func (l *Ledger) Fix(r *Report) error {
+func (l *Ledger) Finalize(r *Report) error {
 	switch {
 	case r == nil || r.Window <= 0:
 		return fmt.Errorf("window: there is none")
@@ -37,7 +37,7 @@
 		l.Missed += uint64(r.Window - l.Through - 1)
 	}
 	l.Through = r.Window
-	if len(l.Open) >= MostOpen {
+	if len(l.Open) >= MaxOpenReports {
 		l.Open = slices.Delete(slices.Clone(l.Open), 0, 1)
 		l.GaveUp++
 	}
@@ -46,7 +46,7 @@
 }
 
 // Take takes in that the platform has a report.
-func (l *Ledger) Take(window int64) error {
+func (l *Ledger) MarkAccepted(window int64) error {
 	i := slices.IndexFunc(l.Open, func(r *Report) bool { return r.Window == window })
 	if i < 0 {
 		return fmt.Errorf("window: no report of %d waits", window)
--- a/internal/mesh/usage/usage_test.go
+++ b/internal/mesh/usage/usage_test.go
@@ -29,8 +29,8 @@
 				counters[agent] = NewCounter(process, length, clock)
 			}
 			tell := func(agent string) {
-				u, revision := counters[agent].Since(told[agent])
-				collector.Hear(agent, &u)
+				u, revision := counters[agent].ChangesSince(told[agent])
+				collector.Merge(agent, &u)
 				told[agent] = revision
 			}
 			for range rapid.IntRange(1, 200).Draw(r, "steps") {
@@ -38,11 +38,11 @@
 				tenant := rapid.SampledFrom([]string{"x", "y", ""}).Draw(r, "tenant")
 				switch rapid.IntRange(0, 6).Draw(r, "what") {
 				case 0, 1, 2:
-					m := counters[agent].Begin(tenant)
+					m := counters[agent].Add(tenant)
 					if rapid.IntRange(0, 4).Draw(r, "undo") == 0 {
 						counters[agent].Undo(m)
 					} else if tenant != "" {
-						w := meshtime.Window(clock.Now(), length)
+						w := meshtime.WindowAt(clock.Now(), length)
 						if truth[w] == nil {
 							truth[w] = map[string]uint64{}
 						}
@@ -61,7 +61,7 @@
 				}
 			}
 			time.Sleep(length + 2*closeAfter)
-			last := counters["a"].Closed() // not that before now: a window closes some time after its end
+			last := counters["a"].LastClosed() // not that before now: a window closes some time after its end
 			require.False(t, collector.Complete(last, agents), "nobody has told since it ended")
 			for _, agent := range agents {
 				tell(agent)
@@ -69,16 +69,16 @@
 			require.True(t, collector.Complete(last, agents))
 			require.False(t, collector.Complete(last, append(agents, "d")))
 			for w, tenants := range truth {
-				if w > last-MostWindows {
+				if w > last-MaxPendingWindows {
 					require.Equal(t, tenants, collector.Total(w))
 				}
 			}
-			collector.Settle(last)
-			counters["a"].Settle(last)
-			u, _ := counters["a"].Since(0)
+			collector.DiscardThrough(last)
+			counters["a"].DiscardThrough(last)
+			u, _ := counters["a"].ChangesSince(0)
 			require.Empty(t, u.Parts)
 			require.Empty(t, collector.Total(last))
-			require.Equal(t, Mark{}, (*Counter)(nil).Begin("x"))
+			require.Equal(t, CountID{}, (*Counter)(nil).Add("x"))
 		})
 	})
 }
@@ -86,16 +86,16 @@
 // No report changes, and of too many the oldest is given up.
 func TestLedger(t *testing.T) {
 	l := &Ledger{}
-	for w := int64(100); w < 100+MostOpen+3; w++ {
+	for w := int64(100); w < 100+MaxOpenReports+3; w++ {
 		before := l.Clone()
-		require.NoError(t, l.Fix(&Report{Window: w}))
-		require.Error(t, l.Fix(&Report{Window: w, Counts: map[string]uint64{"x": 1}}))
-		require.NoError(t, before.Fix(&Report{Window: w + 7}), "the other ledger goes its own way")
+		require.NoError(t, l.Finalize(&Report{Window: w}))
+		require.Error(t, l.Finalize(&Report{Window: w, Counts: map[string]uint64{"x": 1}}))
+		require.NoError(t, before.Finalize(&Report{Window: w + 7}), "the other ledger goes its own way")
 	}
-	require.Len(t, l.Open, MostOpen)
+	require.Len(t, l.Open, MaxOpenReports)
 	require.Equal(t, []any{int64(103), uint64(3), uint64(0)}, []any{l.Open[0].Window, l.GaveUp, l.Missed})
-	require.NoError(t, l.Take(103))
-	require.Error(t, l.Take(103))
-	require.NoError(t, l.Fix(&Report{Window: l.Through + 4}))
+	require.NoError(t, l.MarkAccepted(103))
+	require.Error(t, l.MarkAccepted(103))
+	require.NoError(t, l.Finalize(&Report{Window: l.Through + 4}))
 	require.Equal(t, uint64(3), l.Missed)
 }
