--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -22,22 +22,22 @@
 	figures := &admin.Figures{Attempts: l.backends.writtenAttempts.Load(), InFlight: a.server.openRequests.Load() - a.server.receivingBodies.Load()}
 	err := l.runInLoop(ctx, func() {
 		for i, c := range l.counts.classes {
-			figures.Classes = append(figures.Classes, admin.Class{Name: l.set.Classes[i], Served: c.served, Refused: c.refused, Failed: c.failed})
+			figures.Classes = append(figures.Classes, admin.Class{Name: l.settings.Classes[i], Served: c.served, Refused: c.refused, Failed: c.failed})
 		}
-		figures.Known = len(l.listed)
+		figures.Known = len(l.listedServers)
 		excluded := map[policy.ServerID]bool{}
-		for id, e := range l.listed {
-			excluded[id] = l.held(e).State != policy.Ready
+		for id, e := range l.listedServers {
+			excluded[id] = l.effectiveEntry(e).State != policy.Ready
 		}
 		if decider, ok := l.current.Decider.(observableDecider); ok {
 			for _, s := range decider.View(l.clock.now()) {
-				if len(s.Ejected) == len(l.set.Classes) {
+				if len(s.Ejected) == len(l.settings.Classes) {
 					excluded[s.ID] = true
 				}
 			}
 		}
 		for id, isExcluded := range excluded {
-			if _, listed := l.listed[id]; listed && isExcluded {
+			if _, listed := l.listedServers[id]; listed && isExcluded {
 				figures.Excluded++
 			}
 		}
@@ -73,7 +73,7 @@
 	mode := a.modeController.ModeAt(a.loop.clock.now())
 	a.server.mode.Store(&mode)
 	if mode.CloseIdle {
-		a.clientConns.endIdle()
+		a.clientConns.closeIdle()
 	}
 	switch {
 	case !mode.CloseAfterAnswer || a.modeTimerArmed:
--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -44,7 +44,7 @@
 	if err != nil || figures.Known != 3 || figures.Excluded != 2 || figures.Attempts != 30 || figures.Classes[2].Served != 30 {
 		t.Errorf("figures %+v, %v", figures, err)
 	}
-	if s := controlState(t, a).Backends[0]; len(x.Got) > 0 || s.HeldBy != byOperator {
+	if s := controlState(t, a).Backends[0]; len(x.Got) > 0 || s.HeldBy != heldByOperator {
 		t.Errorf("%d requests sent to the banned backend; shown as %+v", len(x.Got), s)
 	}
 	ban("x", false, true)
@@ -130,7 +130,7 @@
 	eventLoop.send(input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{
 		{ID: "x", HostPort: x.Addr, Phase: "Ready"}, {ID: "y", HostPort: y.Addr, Phase: "Ready"},
 	}})
-	pending := &call{callID: "c", class: 2, deadline: eventLoop.clock.now() + testTimeout, answered: make(chan answer, 1)}
+	pending := &call{callID: "c", class: 2, deadline: eventLoop.clock.now() + testTimeout, answers: make(chan answer, 1)}
 	pending.message = newMessage(http.MethodPost, "/unsafe/1", "x", http.Header{callIDHeader: {"c"}}, nil, nil)
 	eventLoop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: pending})
 	chosen, other := x, y
@@ -138,10 +138,10 @@
 	if receive(t, "choice", network.dialing) == y.Addr {
 		chosen, other, bannedID = y, x, "y"
 	}
-	eventLoop.locked(func() { eventLoop.hold(t.Context(), bannedID, forGood, byOperator) })
+	eventLoop.withLock(func() { eventLoop.setHold(t.Context(), bannedID, indefiniteHold, heldByOperator) })
 	network.proceed <- struct{}{}
 	network.proceed <- struct{}{}
-	if a := receive(t, "answer", pending.answered); a.status != http.StatusOK || len(chosen.Got) != 0 || len(other.Got) != 1 {
+	if a := receive(t, "answer", pending.answers); a.status != http.StatusOK || len(chosen.Got) != 0 || len(other.Got) != 1 {
 		t.Errorf("answered %d, %d requests sent to the banned backend, %d to the other", a.status, len(chosen.Got), len(other.Got))
 	}
 }
--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -21,15 +21,15 @@
 // without a request longest goes, and where there is none a newcomer waits. Danger: a listener that merely stops
 // accepting lets clients that keep silent connections shut out all others; one that goes by what has been read ends
 // those whose requests an agent without processor has not come to yet, and they are lost.
-type admission struct {
+type connLimiter struct {
 	net.Listener
-	most int
+	maxConns int
 
-	mu     sync.Mutex
-	open   int
-	silent list.List     // of *clientConn: those without a whole request, the longest first
-	less   chan struct{} // closed once there may be room, made by whoever waits for that
-	ended  bool
+	mu        sync.Mutex
+	openConns int
+	silent    list.List     // of *clientConn: those without a whole request, the longest first
+	less      chan struct{} // closed once there may be room, made by whoever waits for that
+	ended     bool
 }
 
 // slowest is how long a client may take from a request's first byte until all of it is here that is kept: the time for its head,
@@ -42,15 +42,15 @@
 // clientConn is one of them. Its fields are guarded by the admission's mutex.
 type clientConn struct {
 	net.Conn
-	watch   *hangup.Watcher
-	place   *list.Element // among the silent; nil while a request is open
-	closed  bool          // to make room, or by its server
-	leaving atomic.Bool   // it makes room, unless a request has come: its reader finds out
-	busy    atomic.Int64  // when the first of a request came, Unix nanoseconds; 0: nothing has
-	since   time.Time     // it is idle
-	head    []byte        // what has come since then, up to the body
-	inBody  atomic.Bool   // the head has come; net/http may look for the next request before its handler says so
-	writeBy time.Time     // the deadline that is set
+	hangupWatcher *hangup.Watcher
+	place         *list.Element // among the silent; nil while a request is open
+	closed        bool          // to make room, or by its server
+	leaving       atomic.Bool   // it makes room, unless a request has come: its reader finds out
+	busy          atomic.Int64  // when the first of a request came, Unix nanoseconds; 0: nothing has
+	since         time.Time     // it is idle
+	head          []byte        // what has come since then, up to the body
+	inBody        atomic.Bool   // the head has come; net/http may look for the next request before its handler says so
+	writeBy       time.Time     // the deadline that is set
 }
 
 // Read reads. Danger: the deadline of an idle connection may pass while the agent gets no processor, and a request that came
@@ -65,7 +65,7 @@
 		}
 	}
 	if n > 0 {
-		c.watch.RecordReadAhead()
+		c.hangupWatcher.RecordReadAhead()
 	}
 	if c.inBody.Load() || n == 0 {
 		return n, err
@@ -82,7 +82,7 @@
 
 // saysLength says whether the chunked request whose head has come names a Content-Length too. It is not known where the head
 // came with the request before.
-func (c *clientConn) saysLength() (says, known bool) {
+func (c *clientConn) namesContentLength() (says, known bool) {
 	head := c.head
 	if i := bytes.Index(head, []byte("\n\r\n")); i >= 0 {
 		head = head[:i+1]
@@ -113,12 +113,12 @@
 }
 
 // Accept returns the next connection, once there is room for it. Serve calls it from one goroutine.
-func (a *admission) Accept() (net.Conn, error) {
+func (a *connLimiter) Accept() (net.Conn, error) {
 	conn, err := a.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &clientConn{Conn: conn, watch: hangup.New(conn)}
+	c := &clientConn{Conn: conn, hangupWatcher: hangup.New(conn)}
 	for {
 		less := a.admit(c)
 		if less == nil {
@@ -139,7 +139,7 @@
 }
 
 // Close ends the listening, and the wait of a newcomer.
-func (a *admission) Close() error {
+func (a *connLimiter) Close() error {
 	a.mu.Lock()
 	a.ended = true
 	a.makeRoom()
@@ -148,7 +148,7 @@
 }
 
 // makeRoom wakes who waits for room. The mutex is held.
-func (a *admission) makeRoom() {
+func (a *connLimiter) makeRoom() {
 	if a.less != nil {
 		close(a.less)
 		a.less = nil
@@ -156,10 +156,10 @@
 }
 
 // admit takes a connection in. Where there is no room, it returns what is closed once there may be.
-func (a *admission) admit(c *clientConn) (less <-chan struct{}) {
+func (a *connLimiter) admit(c *clientConn) (less <-chan struct{}) {
 	a.mu.Lock()
 	var victim *clientConn
-	if a.open >= a.most {
+	if a.openConns >= a.maxConns {
 		if victim = a.spare(); victim == nil {
 			defer a.mu.Unlock()
 			if a.less == nil {
@@ -169,7 +169,7 @@
 		}
 		a.leave(victim)
 	}
-	a.open++
+	a.openConns++
 	c.since = time.Now()
 	c.place = a.silent.PushBack(c)
 	a.mu.Unlock()
@@ -178,9 +178,9 @@
 
 // leave has a connection end on which nothing is. Danger: what has left the socket and is not noted yet can't be seen from here, and to
 // close the connection would lose it. So its reader is woken, and ends it if there is nothing to be read. The mutex is held.
-func (a *admission) leave(c *clientConn) {
+func (a *connLimiter) leave(c *clientConn) {
 	slow := c.busy.Load() > 0
-	a.open--
+	a.openConns--
 	a.makeRoom()
 	a.silent.Remove(c.place)
 	c.place = nil
@@ -195,7 +195,7 @@
 
 // spare returns the connection that makes room: the longest without a request, or one whose request comes more slowly than
 // any may. The mutex is held.
-func (a *admission) spare() *clientConn {
+func (a *connLimiter) spare() *clientConn {
 	now := time.Now()
 	for e := a.silent.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
@@ -225,7 +225,7 @@
 const newest = 200 * time.Millisecond
 
 // endIdle closes the connections on which nothing is, nor waits to be read.
-func (a *admission) endIdle() {
+func (a *connLimiter) closeIdle() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for e := a.silent.Front(); e != nil; {
@@ -238,21 +238,21 @@
 }
 
 // resize changes how many connections there may be. What is over it goes as it becomes silent and room is wanted.
-func (a *admission) resize(most int) {
+func (a *connLimiter) setMaxConns(most int) {
 	a.mu.Lock()
-	a.most = most
+	a.maxConns = most
 	a.mu.Unlock()
 }
 
 // release takes a connection out of the count. The mutex is held.
-func (a *admission) release(c *clientConn) {
+func (a *connLimiter) release(c *clientConn) {
 	if c.closed {
 		return
 	}
 	if c.closed = true; c.leaving.Load() {
 		return
 	}
-	a.open--
+	a.openConns--
 	a.makeRoom()
 	if c.place != nil {
 		a.silent.Remove(c.place)
@@ -262,7 +262,7 @@
 
 // take notes that a whole request has come on a connection, which is closed to make room no more. It is false if
 // the connection has been: what nobody can be told of must not be sent on.
-func (a *admission) take(c *clientConn) bool {
+func (a *connLimiter) beginRequest(c *clientConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if c.place != nil {
@@ -273,7 +273,7 @@
 }
 
 // noteState follows what net/http makes of a connection.
-func (a *admission) noteState(conn net.Conn, state http.ConnState) {
+func (a *connLimiter) trackState(conn net.Conn, state http.ConnState) {
 	c := conn.(*clientConn)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -286,7 +286,7 @@
 			c.head = nil
 		}
 		if c.leaving.CompareAndSwap(true, false) && !c.closed {
-			a.open++ // a request had come after all, and is answered
+			a.openConns++ // a request had come after all, and is answered
 		}
 		if c.place != nil {
 			a.silent.MoveToBack(c.place)
--- a/internal/agent/admission_test.go
+++ b/internal/agent/admission_test.go
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &admission{Listener: listener, most: 4}
+	a := &connLimiter{Listener: listener, maxConns: 4}
 	conns := make(chan *clientConn, 8)
 	go func() {
 		defer close(conns)
@@ -151,19 +151,19 @@
 	}
 	io.WriteString(slow, "GET")
 	s.Read(make([]byte, 8))
-	if !a.take(open) {
+	if !a.beginRequest(open) {
 		t.Fatal("an open request has no connection")
 	}
 
 	ended := make(chan error, 1)
 	go func() { // as net/http does
 		_, err := k.Read(make([]byte, 8))
-		a.noteState(k, http.StateClosed)
+		a.trackState(k, http.StateClosed)
 		k.Close()
 		ended <- err
 	}()
 	newcomer, n := accept()
-	if err := receive(t, "end of the silent connection", ended); !errors.Is(err, os.ErrDeadlineExceeded) || a.take(k) || !a.take(n) {
+	if err := receive(t, "end of the silent connection", ended); !errors.Is(err, os.ErrDeadlineExceeded) || a.beginRequest(k) || !a.beginRequest(n) {
 		t.Errorf("the silent connection has not made room: %v", err)
 	}
 	if _, err := kept.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
@@ -175,30 +175,30 @@
 		t.Error("a connection whose request had come made room")
 	case <-time.After(3 * lookAgain):
 	}
-	a.noteState(n, http.StateIdle) // answered, and quiet
+	a.trackState(n, http.StateIdle) // answered, and quiet
 	last := receive(t, "connection of who has waited", conns)
 	// A request that came to it when it was to make room is read, taken, and counts again once it is answered.
 	io.WriteString(newcomer, "GET /up HTTP/1.1\r\n")
 	for got := 0; got == 0; {
 		got, _ = n.Read(make([]byte, 32))
 	}
-	if !a.take(n) {
+	if !a.beginRequest(n) {
 		t.Error("a request that came at the last moment is lost")
 	}
-	a.noteState(n, http.StateIdle)
-	a.noteState(n, http.StateClosed)
+	a.trackState(n, http.StateIdle)
+	a.trackState(n, http.StateClosed)
 	s.busy.Store(time.Now().Add(-2 * slowest).UnixNano())
 	accept()
 	if _, err := slow.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("a request that comes too slowly keeps its room: %v", err)
 	}
-	if !a.take(u) {
+	if !a.beginRequest(u) {
 		t.Error("the request that nobody has read is lost")
 	}
-	a.take(last)
+	a.beginRequest(last)
 	a.mu.Lock()
-	if a.open != a.most {
-		t.Errorf("%d connections are counted", a.open)
+	if a.openConns != a.maxConns {
+		t.Errorf("%d connections are counted", a.openConns)
 	}
 	a.mu.Unlock()
 	dial()
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -61,9 +61,9 @@
 	log              *slog.Logger
 	loop             *loop
 	discovery        *discoveryClient
-	clientConns      *admission
+	clientConns      *connLimiter
 	server           *server
-	peers            *chatter     // nil: agents exchange no messages
+	peers            *peerLink    // nil: agents exchange no messages
 	discoveryChanges chan *Config // another discovery address, set by operators
 	discoveryAddr    string       // the address that operators set last, or the configured one
 
@@ -97,19 +97,19 @@
 	if cfg.knownList.Complete && len(cfg.knownList.Members) > 0 {
 		discovery.revision = cfg.knownList.Revision
 	}
-	eventLoop.follow = discovery.requestWatch
-	peers, err := openPeers(&cfg.Peers, network)
+	eventLoop.subscribe = discovery.requestWatch
+	peers, err := openPeerLink(&cfg.Peers, network)
 	if err != nil {
 		return nil, err
 	}
 	if peers != nil {
-		eventLoop.tell = peers.tell
+		eventLoop.broadcast = peers.broadcast
 	}
 	// The application uses at most a third of the sockets for its requests. If the agent let it
 	// keep more connections open, the idle ones could leave it no socket for its next request.
 	maxClientConns := min(maxBackendConns, cfg.Sockets*3/10)
 	a := &Agent{
-		cfg: cfg, log: log, loop: eventLoop, discovery: discovery, clientConns: &admission{Listener: listener, most: maxClientConns},
+		cfg: cfg, log: log, loop: eventLoop, discovery: discovery, clientConns: &connLimiter{Listener: listener, maxConns: maxClientConns},
 		server: &server{loop: eventLoop, defaultMaxRequests: int64(maxClientConns - maxClientConns/8)}, discoveryChanges: make(chan *Config),
 		discoveryAddr: cfg.Discovery, peers: peers, modeController: leave.Controller{SharedSocket: cfg.SharedSocket},
 	}
@@ -118,8 +118,8 @@
 	a.server.mode.Store(&leave.Mode{Ready: true, Accept: true})
 	a.maxBackendConns, a.maxClientConns = maxBackendConns, maxClientConns
 	if cfg.Handover != nil {
-		a.handover = handover.New(cfg.Handover, side{a}, log)
-		eventLoop.said = a.handover.Tell
+		a.handover = handover.New(cfg.Handover, handoverSide{a}, log)
+		eventLoop.onHoldChange = a.handover.Tell
 	}
 	return a, nil
 }
@@ -142,7 +142,7 @@
 	a.discovery.onList(policy.ListCached, cfg.knownList.Members)
 	workers.Go(func() { a.discovery.run(workCtx, reloads, a.discoveryChanges) })
 	if a.peers != nil {
-		workers.Go(func() { a.peers.hear(workCtx, eventLoop) })
+		workers.Go(func() { a.peers.receiveLoop(workCtx, eventLoop) })
 	}
 	defer func() {
 		stopWorkers()
@@ -157,7 +157,7 @@
 	}()
 	srv := &http.Server{
 		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnContext: withConn, ConnState: a.clientConns.noteState,
+		ConnContext: withConn, ConnState: a.clientConns.trackState,
 		ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelWarn),
 	}
 	defer srv.Close() // closes the connections that Shutdown has left open
@@ -180,7 +180,7 @@
 		return fmt.Errorf("serving: %w", err)
 	case <-time.After(leave.AcceptGrace + modeCheckInterval):
 	}
-	a.clientConns.endIdle()
+	a.clientConns.closeIdle()
 	longestDeadline := shutdownSlack
 	for _, c := range cfg.Settings.Module.Classes {
 		longestDeadline = max(longestDeadline, c.Deadline+shutdownSlack)
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -42,7 +42,7 @@
 	*connpool.Pool
 	streamMemory    atomic.Int64 // bytes that new streams can still reserve
 	writtenAttempts atomic.Int64 // attempts whose request was written completely
-	lagMonitor      *lateness    // measures how late the agent itself runs
+	lagMonitor      *lagMonitor  // measures how late the agent itself runs
 	log             *slog.Logger
 }
 
@@ -51,7 +51,7 @@
 func newBackendClient(network Network, s *settings.Settings, maxConns int, streamMemory int64, log *slog.Logger) *backendClient {
 	b := &backendClient{
 		Pool:       connpool.New(connpool.Options{Network: network, ConnectTimeout: s.ConnectTimeout, BackendIdleTimeout: s.Module.IdleClose, MaxConns: maxConns}),
-		lagMonitor: newLateness(s, network), log: log,
+		lagMonitor: newLagMonitor(s, network), log: log,
 	}
 	b.streamMemory.Store(streamMemory)
 	return b
@@ -135,10 +135,10 @@
 func (b *backendClient) exchange(ctx context.Context, target *connpool.Target, msg *message, sendBy time.Time, fields []string) result {
 	r := result{load: settings.NoLoad()}
 	var attempt life.Attempt
-	writtenAt := b.lagMonitor.time.now()
+	writtenAt := b.lagMonitor.timeSource.now()
 	resp, body, download, err := b.roundTrip(ctx, target, msg, sendBy, &attempt, &writtenAt)
-	r.endedAt = b.lagMonitor.time.now()
-	r.backendTime = max(0, r.endedAt-b.lagMonitor.own()-writtenAt)
+	r.endedAt = b.lagMonitor.timeSource.now()
+	r.backendTime = max(0, r.endedAt-b.lagMonitor.ownDelay()-writtenAt)
 	if err == nil {
 		r.load = parseLoad(resp.Header.Get(loadHeader), fields)
 		b.applyInput(&attempt, answerInput(resp))
@@ -147,7 +147,7 @@
 	}
 	r.outcome = attempt.State().Outcome()
 	if r.outcome == policy.OK {
-		r.answer = answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), body: body, rest: download}
+		r.answer = answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), body: body, bodyStream: download}
 	}
 	return r
 }
@@ -175,7 +175,7 @@
 	case timedOut, errors.Is(err, errAnswerTimeout):
 		b.applyInput(attempt, life.Deadline)
 		b.applyInput(attempt, life.IOReturned)
-	case attempt.State() == life.Connecting && errors.Is(err, os.ErrDeadlineExceeded) && b.lagMonitor.own() > 0:
+	case attempt.State() == life.Connecting && errors.Is(err, os.ErrDeadlineExceeded) && b.lagMonitor.ownDelay() > 0:
 		b.applyInput(attempt, life.NoSocket) // it may have connected in time while the agent was late
 	case attempt.State() == life.Connecting:
 		b.applyInput(attempt, life.ConnectFailed)
@@ -260,7 +260,7 @@
 		if !msg.isProbe {
 			b.writtenAttempts.Add(1)
 		}
-		*writtenAt = b.lagMonitor.time.now()
+		*writtenAt = b.lagMonitor.timeSource.now()
 		if msg.upload != nil {
 			answerTimer := time.AfterFunc(msg.upload.onComplete(), conn.Expire)
 			defer answerTimer.Stop()
--- a/internal/agent/backends_test.go
+++ b/internal/agent/backends_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	list := func(mode policy.ListMode, members ...member) {
-		eventLoop.take(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: mode}, members: members})
+		eventLoop.processInput(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: mode}, members: members})
 	}
 	old, next := member{ID: "old", HostPort: b.Addr, Phase: "Ready"}, member{ID: "next", HostPort: b.Addr, Phase: "Ready"}
 	list(policy.ListFull, old)
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -37,7 +37,7 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if !l.locked(f) {
+	if !l.withLock(f) {
 		return errAgentEnded
 	}
 	return nil
@@ -109,16 +109,16 @@
 // requests that it has.
 func (l *loop) replaceModule(ctx context.Context, decider Decider, decisions policy.Settings) {
 	old := l.current
-	if old.retired = true; old.open == 0 {
+	if old.retired = true; old.openRequests == 0 {
 		l.modules = slices.DeleteFunc(l.modules, func(m *module) bool { return m == old })
 	}
 	l.current = &module{Decider: decider}
 	l.modules = append(l.modules, l.current)
-	l.decisions = decisions
-	l.allow()
+	l.moduleSettings = decisions
+	l.applyLevelLimits()
 	var entries []policy.ServerEntry
-	for _, e := range l.listed {
-		entries = append(entries, l.held(e))
+	for _, e := range l.listedServers {
+		entries = append(entries, l.effectiveEntry(e))
 	}
 	slices.SortFunc(entries, func(a, b policy.ServerEntry) int { return cmp.Compare(a.ID, b.ID) })
 	l.handle(ctx, l.current, policy.Event{Kind: policy.EventList, ListMode: policy.ListFull, Servers: entries})
@@ -143,9 +143,9 @@
 	now := l.clock.now()
 	state := &control.State{Taking: !a.server.refuseAll.Load(), Held: len(l.requests), Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}}
 	state.Service = control.Service{
-		Requests: l.counts.requests, InAim: l.counts.inAim, Served: l.counts.served, Refused: l.counts.refused, Failed: l.counts.failed, Left: l.counts.left,
+		Requests: l.counts.requests, InAim: l.counts.inAim, Served: l.counts.served, Refused: l.counts.refused, Failed: l.counts.failed, Left: l.counts.clientGone,
 	}
-	delay, shareUsed := l.late.figures()
+	delay, shareUsed := l.lagMonitor.stats()
 	state.Own = control.Own{Late: roundForDisplay(delay.MeanDelay.Seconds()), Part: roundForDisplay(shareUsed), Worst: roundForDisplay(delay.MaxDelay.Seconds()), Times: delay.LateTicks}
 	if decider, ok := l.current.Decider.(observableDecider); ok {
 		state.Pressure = decider.Pressure()
@@ -153,13 +153,13 @@
 			state.Backends = append(state.Backends, a.backendState(&view, now))
 		}
 	}
-	state.Classes, state.Accounts = make([]control.Class, len(l.set.Classes)), make([]control.Account, len(l.set.Tenants))
-	for i, name := range l.set.Classes {
-		c := &l.decisions.Classes[i]
+	state.Classes, state.Accounts = make([]control.Class, len(l.settings.Classes)), make([]control.Account, len(l.settings.Tenants))
+	for i, name := range l.settings.Classes {
+		c := &l.moduleSettings.Classes[i]
 		state.Classes[i] = control.Class{Name: name, Effect: effectNames[c.Effect], Aim: c.Aim.Seconds(), Deadline: c.Deadline.Seconds(), Worth: c.Worth}
 	}
-	for i, name := range l.set.Tenants {
-		state.Accounts[i] = control.Account{Name: name, Portion: l.decisions.Tenants[i].Portion}
+	for i, name := range l.settings.Tenants {
+		state.Accounts[i] = control.Account{Name: name, Portion: l.moduleSettings.Tenants[i].Portion}
 	}
 	slices.SortFunc(state.Backends, func(x, y control.Backend) int { return cmp.Compare(x.Name, y.Name) })
 	for _, r := range l.requests {
@@ -168,11 +168,11 @@
 		}
 		state.Classes[r.class].Open++
 		shown := control.Request{
-			Call: r.callID, Class: l.set.Classes[r.class], Age: (now - r.begun).Seconds(), Left: (r.deadline - now).Seconds(),
-			Attempts: len(r.attempts), Out: r.out,
+			Call: r.callID, Class: l.settings.Classes[r.class], Age: (now - r.startedAt).Seconds(), Left: (r.deadline - now).Seconds(),
+			Attempts: len(r.attemptCancels), Out: r.inFlight,
 		}
-		if r.tenant < len(l.set.Tenants) {
-			shown.Account = l.set.Tenants[r.tenant]
+		if r.tenant < len(l.settings.Tenants) {
+			shown.Account = l.settings.Tenants[r.tenant]
 			state.Accounts[r.tenant].Open++
 		}
 		state.Requests = append(state.Requests, shown)
@@ -184,7 +184,7 @@
 		if key.refused {
 			ending = "refused"
 		}
-		state.Causes = append(state.Causes, control.Cause{Answer: ending, Class: l.set.Classes[key.class], Cause: key.why, Count: count})
+		state.Causes = append(state.Causes, control.Cause{Answer: ending, Class: l.settings.Classes[key.class], Cause: key.reason, Count: count})
 	}
 	slices.SortFunc(state.Causes, func(x, y control.Cause) int {
 		return cmp.Or(cmp.Compare(x.Answer, y.Answer), cmp.Compare(x.Class, y.Class), cmp.Compare(x.Cause, y.Cause))
@@ -196,7 +196,7 @@
 func (a *Agent) backendState(view *policy.ServerView, now time.Duration) control.Backend {
 	l := a.loop
 	backend := control.Backend{
-		Name: l.servers.names[view.ID], Phase: phaseNames[l.listed[view.ID].State], Speed: roundForDisplay(view.Speed), Warmth: roundForDisplay(view.WarmFraction),
+		Name: l.servers.names[view.ID], Phase: phaseNames[l.listedServers[view.ID].State], Speed: roundForDisplay(view.Speed), Warmth: roundForDisplay(view.WarmFraction),
 		InFlight: view.InFlight, Silent: view.Overdue, Load: roundForDisplay(view.Outstanding), Full: roundForDisplay(view.AvoidedFor.Seconds()),
 	}
 	if target := l.targets[view.ID]; target != nil {
@@ -210,7 +210,7 @@
 		backend.ReportAge = &age
 	}
 	for _, e := range view.Ejected {
-		backend.Ejected = append(backend.Ejected, control.Ejection{Class: l.set.Classes[e.Class], For: roundForDisplay(e.Remaining.Seconds()), Times: e.Consecutive})
+		backend.Ejected = append(backend.Ejected, control.Ejection{Class: l.settings.Classes[e.Class], For: roundForDisplay(e.Remaining.Seconds()), Times: e.Consecutive})
 	}
 	return backend
 }
--- a/internal/agent/control_test.go
+++ b/internal/agent/control_test.go
@@ -141,7 +141,7 @@
 	a.applyDocument(t, `{"decisions":{"max_attempts":7,"classes":{"unsafe":{"worth":9}}}}`)
 	a.serveRequests(t, 10)
 	modules := func() (count, maxAttempts int) {
-		if err := a.agent.loop.runInLoop(t.Context(), func() { count, maxAttempts = len(a.agent.loop.modules), a.agent.loop.decisions.MaxAttempts }); err != nil {
+		if err := a.agent.loop.runInLoop(t.Context(), func() { count, maxAttempts = len(a.agent.loop.modules), a.agent.loop.moduleSettings.MaxAttempts }); err != nil {
 			t.Fatal(err)
 		}
 		return count, maxAttempts
@@ -250,7 +250,7 @@
 		t.Fatal(err)
 	}
 	events := 0
-	retired := &module{retired: true, open: 1, Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
+	retired := &module{retired: true, openRequests: 1, Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
 		return append(out, policy.Action{Kind: policy.ActRefuse, Request: 7})
 	})}
 	eventLoop.current = &module{Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
@@ -258,9 +258,9 @@
 		return out
 	})}
 	eventLoop.modules = []*module{retired, eventLoop.current}
-	r := &request{module: retired, call: &call{id: 7, answered: make(chan answer, 1)}}
+	r := &request{module: retired, call: &call{id: 7, answers: make(chan answer, 1)}}
 	eventLoop.requests[r.id] = r
-	eventLoop.take(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
+	eventLoop.processInput(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
 	if events != 1 || len(eventLoop.modules) != 1 || eventLoop.modules[0] != eventLoop.current || len(eventLoop.requests) != 0 {
 		t.Errorf("%d events received, %d modules and %d requests are left", events, len(eventLoop.modules), len(eventLoop.requests))
 	}
--- a/internal/agent/counts.go
+++ b/internal/agent/counts.go
@@ -7,8 +7,8 @@
 
 // counts are the requests since the start, by how they ended.
 type counts struct {
-	requests, inAim, served, refused, failed, left int64
-	byLevel                                        int64 // of the refused, those that came to no module
+	requests, inAim, served, refused, failed, clientGone int64
+	byLevel                                              int64 // of the refused, those that came to no module
 
 	classes []classCounts
 	causes  map[cause]int64 // of refusals and failures: as many as there are classes and outcomes
@@ -25,7 +25,7 @@
 type cause struct {
 	refused bool
 	class   int
-	why     string
+	reason  string
 }
 
 // end counts the end of a request.
@@ -35,7 +35,7 @@
 	case http.StatusOK:
 		c.served++
 		of.served++
-		if now-r.begun <= aim {
+		if now-r.startedAt <= aim {
 			c.inAim++
 		}
 		return
@@ -50,14 +50,14 @@
 	switch {
 	case r.refusedBy != "":
 		why = r.refusedBy
-	case len(r.attempts) > 0:
+	case len(r.attemptCancels) > 0:
 		why = r.last.String()
 	}
 	c.causes[cause{status == statusRefused, r.class, why}]++
 }
 
 // broke counts a request as failed that was counted as served when its answer began.
-func (c *counts) broke(class int) {
+func (c *counts) recordBrokenAnswer(class int) {
 	c.served--
 	c.classes[class].served--
 	c.failed++
@@ -66,7 +66,7 @@
 }
 
 // turnAway counts a request that was refused before the loop saw it.
-func (c *counts) turnAway(class int) {
+func (c *counts) recordOverloadRefusal(class int) {
 	c.requests++
 	c.refused++
 	c.classes[class].refused++
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -12,7 +12,7 @@
 
 // Shared are the duties that this agent could hold for others: pacing the return of each site. There are none where no sites are
 // watched.
-func (a *Agent) Shared() (duties []string) {
+func (a *Agent) SharedDuties() (duties []string) {
 	if a.loop.sites != nil {
 		for _, name := range a.cfg.Settings.Zones {
 			duties = append(duties, pacing+name)
@@ -27,13 +27,13 @@
 	if own, zones := a.cfg.Settings.Module.Zone, a.cfg.Settings.Zones; own >= 0 && own < len(zones) && zones[own] == name {
 		return 0
 	}
-	a.loop.locked(func() { weight = a.loop.sites.PacerWeight(name) })
+	a.loop.withLock(func() { weight = a.loop.sites.PacerWeight(name) })
 	return weight
 }
 
 // Say is what this agent says as a site's pacer.
 func (a *Agent) Say(duty string) (word []byte) {
-	a.loop.locked(func() {
+	a.loop.withLock(func() {
 		if w, ok := a.loop.sites.PacerStatus(strings.TrimPrefix(duty, pacing)); ok {
 			word, _ = json.Marshal(w) // numbers only
 		}
@@ -50,5 +50,5 @@
 			w = nil // as if nothing were said: each goes on alone
 		}
 	}
-	a.loop.locked(func() { a.loop.sites.FollowPacer(a.loop.clock.now(), strings.TrimPrefix(duty, pacing), epoch, w) })
+	a.loop.withLock(func() { a.loop.sites.FollowPacer(a.loop.clock.now(), strings.TrimPrefix(duty, pacing), epoch, w) })
 }
--- a/internal/agent/holds.go
+++ b/internal/agent/holds.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	forGood = 100 * 365 * 24 * time.Hour // until it is called back
+	indefiniteHold = 100 * 365 * 24 * time.Hour // until it is called back
 	// mostHolds bounds the backends that are held out at once, those that have left the list among them.
 	mostHolds = 4096
 	// oldNews is how long after its return discovery tells a backend's true start at the latest.
@@ -23,14 +23,14 @@
 
 // Through what a backend is held out.
 const (
-	byControl  = "control"
-	byOperator = "operator's call"
+	byControl      = "control"
+	heldByOperator = "operator's call"
 )
 
 // held is what the modules are told of a backend: one that is held out drains, and one that was held out starts when it
 // is let in, since it was out for a restart, unless discovery has told when that was. Danger: discovery tells late, and a
 // cold backend that is taken for a warm one is pushed over.
-func (l *loop) held(e policy.ServerEntry) policy.ServerEntry {
+func (l *loop) effectiveEntry(e policy.ServerEntry) policy.ServerEntry {
 	if l.sites != nil {
 		e = l.sites.entry(e)
 	}
@@ -46,7 +46,7 @@
 }
 
 // hold keeps a backend out for so long, or lets it in again if that is 0. It says whether the backend is known.
-func (l *loop) hold(ctx context.Context, backend string, d time.Duration, by string) (known bool, err error) {
+func (l *loop) setHold(ctx context.Context, backend string, d time.Duration, by string) (known bool, err error) {
 	_, listed := l.servers.ids[backend]
 	h, said := l.holds[backend]
 	switch out := said && h.Out; {
@@ -62,9 +62,9 @@
 	if said && h.Out {
 		from = h.From
 	}
-	l.say(ctx, backend, handover.Entry{Out: d > 0, Since: now, Until: now + min(d, forGood), From: from, By: by})
+	l.say(ctx, backend, handover.Entry{Out: d > 0, Since: now, Until: now + min(d, indefiniteHold), From: from, By: by})
 	l.log.Info("operators", "backend", backend, "held_for", d, "by", by)
-	l.said()
+	l.onHoldChange()
 	return true, nil
 }
 
@@ -81,7 +81,7 @@
 		l.backends.Retire(t)
 		l.targets[id] = l.backends.NewTarget(t.Addr, t.ProcessStart)
 	}
-	l.handleAll(ctx, policy.Event{Kind: policy.EventList, ListMode: policy.ListDelta, Servers: []policy.ServerEntry{l.held(l.listed[id])}})
+	l.handleAll(ctx, policy.Event{Kind: policy.EventList, ListMode: policy.ListDelta, Servers: []policy.ServerEntry{l.effectiveEntry(l.listedServers[id])}})
 }
 
 // endHolds lets those in again whose time is over, and forgets those that have been in for long.
@@ -92,7 +92,7 @@
 			l.say(ctx, name, handover.Entry{Since: now, From: h.From, By: h.By})
 		}
 	}
-	l.holds.Forget(now - l.decisions.WarmAfter - oldNews)
+	l.holds.Forget(now - l.moduleSettings.WarmAfter - oldNews)
 }
 
 // Hold keeps a backend out for so long, or lets it in again if that is 0. Danger: what discovery says goes before it: a
@@ -105,30 +105,30 @@
 func (a *Agent) Ban(ctx context.Context, backend string, out bool) (known bool, err error) {
 	d := time.Duration(0)
 	if out {
-		d = forGood
+		d = indefiniteHold
 	}
-	return a.holdBy(ctx, backend, d, byOperator)
+	return a.holdBy(ctx, backend, d, heldByOperator)
 }
 
 func (a *Agent) holdBy(ctx context.Context, backend string, d time.Duration, by string) (known bool, err error) {
 	var wrong error
-	err = a.loop.runInLoop(ctx, func() { known, wrong = a.loop.hold(context.WithoutCancel(ctx), backend, d, by) })
+	err = a.loop.runInLoop(ctx, func() { known, wrong = a.loop.setHold(context.WithoutCancel(ctx), backend, d, by) })
 	return known, errors.Join(err, wrong)
 }
 
 // side is the agent's part in a handover.
-type side struct{ *Agent }
+type handoverSide struct{ *Agent }
 
 // Known returns what operators have said.
-func (s side) Known() (known handover.Register) {
-	s.loop.locked(func() { known = maps.Clone(s.loop.holds) })
+func (s handoverSide) Known() (known handover.Register) {
+	s.loop.withLock(func() { known = maps.Clone(s.loop.holds) })
 	return known
 }
 
 // Learn takes in what operators have said to the other process.
-func (s side) Learn(from handover.Register) {
+func (s handoverSide) Learn(from handover.Register) {
 	l := s.loop
-	l.locked(func() {
+	l.withLock(func() {
 		changed := l.holds.Merge(from, mostHolds)
 		slices.Sort(changed) // the same events have the same actions
 		for _, name := range changed {
@@ -138,7 +138,7 @@
 }
 
 // Beside has the agent use half of its room while there is another process.
-func (s side) Beside(is bool) {
+func (s handoverSide) Beside(is bool) {
 	s.log.Info("handover", "another_process", is)
 	s.updateLimits(is)
 }
--- a/internal/agent/judge.go
+++ b/internal/agent/judge.go
@@ -41,7 +41,7 @@
 	f.Refused = int(c.refused - c.byLevel - (before.refused - before.byLevel))
 	f.Shed = int(c.byLevel - before.byLevel)
 	l.looked = *c
-	_, f.AgentLateness = l.late.figures()
+	_, f.AgentLateness = l.lagMonitor.stats()
 	if l.sites != nil {
 		f.WithdrawnSites = l.sites.WithdrawnShare()
 	}
@@ -65,20 +65,20 @@
 		return
 	}
 	l.log.Warn("level of service", "from", c.From, "to", c.To, "why", c.Reason)
-	l.allow()
+	l.applyLevelLimits()
 }
 
 // allow tells the decision module what the level leaves it.
-func (l *loop) allow() {
+func (l *loop) applyLevelLimits() {
 	m, ok := l.current.Decider.(allower)
 	if l.levels == nil || !ok {
 		return
 	}
-	may, attempts := l.levels.Allowed(), l.decisions.MaxAttempts
+	may, attempts := l.levels.Allowed(), l.moduleSettings.MaxAttempts
 	if !may.Retries {
 		attempts = 1
 	}
-	m.Allow(attempts, may.Hedges && l.decisions.SecondCopies, may.Probes && l.decisions.Probes)
+	m.Allow(attempts, may.Hedges && l.moduleSettings.SecondCopies, may.Probes && l.moduleSettings.Probes)
 }
 
 // Level returns the level of service; nil where there are none.
--- a/internal/agent/lateness.go
+++ b/internal/agent/lateness.go
@@ -15,11 +15,11 @@
 }
 
 // lateness tells how late the agent itself is, while it has requests. An idle agent has no beats.
-type lateness struct {
-	time    clock
-	matters time.Duration          // the soonest aim
-	wait    func()                 // for a processor
-	tell    func(by time.Duration) // of a beat that is late by more than half of that
+type lagMonitor struct {
+	timeSource clock
+	matters    time.Duration          // the soonest aim
+	wait       func()                 // for a processor
+	tell       func(by time.Duration) // of a beat that is late by more than half of that
 
 	mu    sync.Mutex
 	clock lag.Detector
@@ -29,12 +29,12 @@
 }
 
 // newLateness returns that of an agent whose requests are wanted as the settings say: the soonest is what matters.
-func newLateness(s *settings.Settings, network Network) *lateness {
+func newLagMonitor(s *settings.Settings, network Network) *lagMonitor {
 	matters := s.Module.Classes[0].Aim
 	for _, c := range s.Module.Classes {
 		matters = min(matters, c.Aim)
 	}
-	l := &lateness{time: clock{time.Now()}, clock: lag.New(matters), wait: func() {}, matters: matters, tell: func(time.Duration) {}}
+	l := &lagMonitor{timeSource: clock{time.Now()}, clock: lag.New(matters), wait: func() {}, matters: matters, tell: func(time.Duration) {}}
 	if p, ok := network.(Processor); ok {
 		l.wait = p.Wait
 	}
@@ -42,13 +42,13 @@
 }
 
 // begin has beats come as long as there are requests.
-func (l *lateness) begin() {
+func (l *lagMonitor) begin() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open++; l.clock.Running() {
 		return
 	}
-	now := l.time.now()
+	now := l.timeSource.now()
 	l.next = l.clock.Start(now)
 	wait := l.next - now
 	if l.timer == nil {
@@ -59,7 +59,7 @@
 }
 
 // end is to be called once for each begin.
-func (l *lateness) end() {
+func (l *lagMonitor) end() {
 	l.mu.Lock()
 	l.open--
 	l.mu.Unlock()
@@ -67,15 +67,15 @@
 
 // due has a beat wait its turn as a reader does whose answer has come. The runtime runs the goroutine of a timer, as any that
 // was started last, before all others; the next one that is started sends it to the end of the queue.
-func (l *lateness) due() {
+func (l *lagMonitor) due() {
 	go l.beat()
 	go func() {}()
 }
 
-func (l *lateness) beat() {
+func (l *lagMonitor) beat() {
 	l.wait()
 	l.mu.Lock()
-	now := l.time.now()
+	now := l.timeSource.now()
 	by := max(0, now-l.next)
 	l.next = l.clock.Tick(now)
 	if l.open == 0 {
@@ -90,14 +90,14 @@
 }
 
 // own is how much of a delay that ends now may be the agent's own.
-func (l *lateness) own() time.Duration {
+func (l *lagMonitor) ownDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.clock.OwnDelay(l.time.now())
+	return l.clock.OwnDelay(l.timeSource.now())
 }
 
 // figures are what is known of the lateness, and the part of the soonest aim that is used up by it.
-func (l *lateness) figures() (f lag.Stats, part float64) {
+func (l *lagMonitor) stats() (f lag.Stats, part float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f = l.clock.Stats()
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -37,11 +37,11 @@
 
 // input is what has happened, on its way to the loop: an event for the module and what it has no use for.
 type input struct {
-	event   policy.Event
-	call    *call    // of EventRequest and EventHangup
-	answer  answer   // of EventOutcome, if it is OK
-	members []member // of EventList
-	by      *call    // whose handler brings it, and carries out one attempt for it
+	event          policy.Event
+	call           *call    // of EventRequest and EventHangup
+	answer         answer   // of EventOutcome, if it is OK
+	members        []member // of EventList
+	deliveringCall *call    // whose handler brings it, and carries out one attempt for it
 
 	sent, took time.Duration // of EventOutcome: when it was decided, and how long it was at the backend, at least
 	seen       time.Duration // of EventProbed: when the answer was, less what may be the agent's own lateness
@@ -54,9 +54,9 @@
 	retry         bool
 	deadline      time.Duration // of the clock
 	message       message
-	answered      chan answer // holds one, so that the loop never waits for a handler
-	attempt       func()      // for the handler to carry out, if set
-	client        *hangup.Watcher
+	answers       chan answer // holds one, so that the loop never waits for a handler
+	inlineAttempt func()      // for the handler to carry out, if set
+	hangupWatcher *hangup.Watcher
 
 	id policy.RequestID // the loop's
 }
@@ -67,19 +67,19 @@
 	retryAfter  time.Duration // 0: no advice
 	contentType string
 	body        []byte
-	rest        *downloadStream // behind the body; nil: nothing
+	bodyStream  *downloadStream // behind the body; nil: nothing
 }
 
 // request is what the loop knows of a call until it is answered and its attempts are back.
 type request struct {
 	*call
-	module   *module
-	begun    time.Duration        // of the clock
-	attempts []context.CancelFunc // to give each up
-	tries    []try                // where they went; nothing where no sites are watched
-	out      int                  // attempts out
-	last     policy.Outcome       // of the attempts that are back
-	ended    bool                 // answered, or its client is gone
+	module         *module
+	startedAt      time.Duration        // of the clock
+	attemptCancels []context.CancelFunc // to give each up
+	tries          []try                // where they went; nothing where no sites are watched
+	inFlight       int                  // attempts out
+	last           policy.Outcome       // of the attempts that are back
+	ended          bool                 // answered, or its client is gone
 
 	refusedBy string // what refused it before a module saw it
 }
@@ -88,8 +88,8 @@
 // finishes the requests that it has.
 type module struct {
 	Decider
-	open    int  // requests that it decides for
-	retired bool // it gets no new ones
+	openRequests int  // requests that it decides for
+	retired      bool // it gets no new ones
 }
 
 // decision is an event on its way to a module.
@@ -111,36 +111,36 @@
 	wake  *time.Timer
 	armed time.Duration // of the clock, when wake is due; 0: it is not
 
-	set       *settings.Settings
-	clock     clock
-	current   *module         // gets new requests
-	modules   []*module       // it, and those before it that are not done
-	decisions policy.Settings // of the current one
-	backends  *backendClient
-	late      *lateness
-	follow    func()       // asks discovery for the list
-	tell      func([]byte) // tells all other agents
-	log       *slog.Logger
-	done      chan struct{} // closed when run returns
-	ready     atomic.Bool   // a list has come
-
-	servers  serverIDs
-	targets  map[policy.ServerID]*connpool.Target
-	requests map[policy.RequestID]*request
-	callIDs  callIDs
-	lastID   policy.RequestID
-	listed   map[policy.ServerID]policy.ServerEntry // as discovery tells
-	holds    handover.Register                      // what operators have said of backends
-	said     func()                                 // operators have said something
-	counts   counts
-	levels   *level.Controller // nil: there are none
-	every    time.Duration     // between looks at their figures
-	heard    time.Duration     // of the clock, when discovery last told anything
-	looked   counts            // as the levels last saw them
-	sites    *sites            // nil: they are not watched
-	timers   timers
-	events   []decision // to be handed over
-	actions  []policy.Action
+	settings       *settings.Settings
+	clock          clock
+	current        *module         // gets new requests
+	modules        []*module       // it, and those before it that are not done
+	moduleSettings policy.Settings // of the current one
+	backends       *backendClient
+	lagMonitor     *lagMonitor
+	subscribe      func()       // asks discovery for the list
+	broadcast      func([]byte) // tells all other agents
+	log            *slog.Logger
+	done           chan struct{} // closed when run returns
+	ready          atomic.Bool   // a list has come
+
+	servers       serverIDs
+	targets       map[policy.ServerID]*connpool.Target
+	requests      map[policy.RequestID]*request
+	callIDs       callIDs
+	lastID        policy.RequestID
+	listedServers map[policy.ServerID]policy.ServerEntry // as discovery tells
+	holds         handover.Register                      // what operators have said of backends
+	onHoldChange  func()                                 // operators have said something
+	counts        counts
+	levels        *level.Controller // nil: there are none
+	every         time.Duration     // between looks at their figures
+	heard         time.Duration     // of the clock, when discovery last told anything
+	looked        counts            // as the levels last saw them
+	sites         *sites            // nil: they are not watched
+	timers        timers
+	events        []decision // to be handed over
+	actions       []policy.Action
 }
 
 func newLoop(cfg *Config, backends *backendClient, log *slog.Logger) (*loop, error) {
@@ -150,11 +150,11 @@
 	}
 	first := &module{Decider: decider}
 	l := &loop{
-		set: &cfg.Settings, clock: backends.lagMonitor.time, late: backends.lagMonitor, current: first, modules: []*module{first}, decisions: cfg.Settings.Module, backends: backends, log: log,
-		listed: map[policy.ServerID]policy.ServerEntry{}, holds: handover.Register{}, said: func() {},
-		counts: newCounts(len(cfg.Settings.Classes)),
-		tell:   func([]byte) {},
-		ctx:    context.Background(), wake: time.NewTimer(time.Hour),
+		settings: &cfg.Settings, clock: backends.lagMonitor.timeSource, lagMonitor: backends.lagMonitor, current: first, modules: []*module{first}, moduleSettings: cfg.Settings.Module, backends: backends, log: log,
+		listedServers: map[policy.ServerID]policy.ServerEntry{}, holds: handover.Register{}, onHoldChange: func() {},
+		counts:    newCounts(len(cfg.Settings.Classes)),
+		broadcast: func([]byte) {},
+		ctx:       context.Background(), wake: time.NewTimer(time.Hour),
 		done:     make(chan struct{}),
 		servers:  serverIDs{ids: map[string]policy.ServerID{}, names: map[policy.ServerID]string{}},
 		targets:  map[policy.ServerID]*connpool.Target{},
@@ -163,7 +163,7 @@
 	}
 	l.send = l.receive
 	var told atomic.Int64 // Unix nanoseconds
-	l.late.tell = func(by time.Duration) {
+	l.lagMonitor.tell = func(by time.Duration) {
 		// Danger: the next beat may come while this one still waits for a processor.
 		last, now := told.Load(), time.Now().UnixNano()
 		if now-last >= int64(lateEvery) && told.CompareAndSwap(last, now) {
@@ -191,16 +191,16 @@
 
 // receive takes an input in.
 func (l *loop) receive(in input) {
-	l.late.wait()
-	l.locked(func() {
-		l.by = in.by
-		l.take(l.ctx, in)
+	l.lagMonitor.wait()
+	l.withLock(func() {
+		l.by = in.deliveringCall
+		l.processInput(l.ctx, in)
 		l.by = nil
 	})
 }
 
 // locked calls a function between two inputs, and says whether it has: not once the loop has ended.
-func (l *loop) locked(f func()) bool {
+func (l *loop) withLock(f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer func() {
@@ -254,11 +254,11 @@
 		case <-siteLooks:
 			due = l.lookAtSites
 		case <-ctx.Done():
-			l.locked(func() { l.ended = true })
+			l.withLock(func() { l.ended = true })
 			return
 		}
-		l.late.wait()
-		l.locked(due)
+		l.lagMonitor.wait()
+		l.withLock(due)
 	}
 }
 
@@ -268,20 +268,20 @@
 	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].due <= now; {
 		t := heap.Pop(&l.timers).(timer)
 		if slices.Contains(l.modules, t.module) {
-			l.handle(l.ctx, t.module, policy.Event{Kind: policy.EventTimer, Token: t.token, AgentDelay: l.late.own()})
+			l.handle(l.ctx, t.module, policy.Event{Kind: policy.EventTimer, Token: t.token, AgentDelay: l.lagMonitor.ownDelay()})
 		}
 	}
 }
 
 // take brings an input's facts up to date and hands its event to the module.
-func (l *loop) take(ctx context.Context, in input) {
+func (l *loop) processInput(ctx context.Context, in input) {
 	ev := in.event
 	switch ev.Kind {
 	case policy.EventList:
 		ev.Servers = l.entries(in.members)
 		l.listSites(ev.ListMode, ev.Servers)
 		for i := range ev.Servers {
-			ev.Servers[i] = l.held(ev.Servers[i])
+			ev.Servers[i] = l.effectiveEntry(ev.Servers[i])
 		}
 		l.handleAll(ctx, ev)
 		if ev.ListMode != policy.ListFailed {
@@ -292,14 +292,14 @@
 	case policy.EventRequest:
 		if !l.callIDs.take(in.call.callID) {
 			l.counts.classes[in.call.class].failed++
-			in.call.answered <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(callIDHeader + " is in use\n")}
+			in.call.answers <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(callIDHeader + " is in use\n")}
 			return
 		}
 		in.call.id = l.newID()
-		r := &request{call: in.call, module: l.current, begun: l.clock.now()}
+		r := &request{call: in.call, module: l.current, startedAt: l.clock.now()}
 		l.requests[in.call.id] = r
-		l.late.begin()
-		r.module.open++
+		l.lagMonitor.begin()
+		r.module.openRequests++
 		l.counts.requests++
 		ev.Request, ev.Class, ev.Tenant, ev.Retry = in.call.id, in.call.class, in.call.tenant, in.call.retry
 		ev.TimeLeft, ev.BodyPending = in.call.deadline-l.clock.now(), in.call.message.upload != nil
@@ -317,30 +317,30 @@
 		if r == nil || r.ended {
 			return
 		}
-		r.begun = l.clock.now()
-		r.deadline = r.begun + r.message.upload.budget
+		r.startedAt = l.clock.now()
+		r.deadline = r.startedAt + r.message.upload.budget
 		ev.Request, ev.TimeLeft = r.id, r.message.upload.budget
 		l.handle(ctx, r.module, ev)
 	case policy.EventClientGone:
 		r := l.requests[in.call.id]
 		if r == nil || r.ended { // it crossed the answer, if there was one
 			select {
-			case a := <-in.call.answered:
+			case a := <-in.call.answers:
 				a.discard()
 			default:
 			}
 			return
 		}
 		r.ended = true
-		l.counts.left++
+		l.counts.clientGone++
 		ev.Request = r.id
 		l.handle(ctx, r.module, ev)
 		l.forget(r)
 	case policy.EventOutcome:
 		r := l.requests[ev.Request]
 		ev.AgentDelay = max(0, l.clock.now()-in.sent-in.took)
-		r.attempts[ev.Attempt]()
-		r.out--
+		r.attemptCancels[ev.Attempt]()
+		r.inFlight--
 		r.last = ev.Outcome
 		l.heardOf(r, &ev)
 		if ev.Outcome == policy.OK && !l.end(r, in.answer) {
@@ -375,21 +375,21 @@
 		return false
 	}
 	r.ended = true
-	l.counts.end(r, a.status, l.clock.now(), l.decisions.Classes[r.class].Aim)
-	r.answered <- a
+	l.counts.end(r, a.status, l.clock.now(), l.moduleSettings.Classes[r.class].Aim)
+	r.answers <- a
 	return true
 }
 
 // forget drops a request of which nothing more is to be heard.
 func (l *loop) forget(r *request) {
-	if r.ended && r.out == 0 {
+	if r.ended && r.inFlight == 0 {
 		if l.requests[r.id] == nil {
 			return // it has been
 		}
 		delete(l.requests, r.id)
-		l.late.end()
+		l.lagMonitor.end()
 		l.callIDs.release(r.callID)
-		if r.module.open--; r.module.retired && r.module.open == 0 {
+		if r.module.openRequests--; r.module.retired && r.module.openRequests == 0 {
 			l.modules = slices.DeleteFunc(l.modules, func(m *module) bool { return m == r.module })
 		}
 	}
@@ -430,15 +430,15 @@
 	for _, m := range members {
 		e := policy.ServerEntry{
 			ID:     l.servers.idFor(m.ID),
-			Zone:   slices.Index(l.set.Zones, m.Locality),
-			Kind:   slices.Index(l.set.Kinds, m.Flavor),
+			Zone:   slices.Index(l.settings.Zones, m.Locality),
+			Kind:   slices.Index(l.settings.Kinds, m.Flavor),
 			Cell:   m.Cell,
 			State:  stateByPhase[m.Phase],
 			Weight: m.Size,
 			Start:  time.Duration(math.Round(m.UpSince * float64(time.Millisecond))),
 			Key:    keyOf(m.ID),
 		}
-		l.listed[e.ID] = e
+		l.listedServers[e.ID] = e
 		entries = append(entries, e)
 		if e.State == policy.Gone {
 			continue // forgotten once the module has heard of it
@@ -477,6 +477,6 @@
 			delete(l.targets, id)
 		}
 		l.servers.release(id)
-		delete(l.listed, id)
+		delete(l.listedServers, id)
 	}
 }
--- a/internal/agent/loop_actions.go
+++ b/internal/agent/loop_actions.go
@@ -55,18 +55,18 @@
 			l.forget(r)
 		}
 	case policy.ActCancel:
-		if r != nil && a.Attempt < len(r.attempts) {
-			r.attempts[a.Attempt]()
+		if r != nil && a.Attempt < len(r.attemptCancels) {
+			r.attemptCancels[a.Attempt]()
 		}
 	case policy.ActTimer:
 		heap.Push(&l.timers, timer{due: l.clock.now() + a.Wait, token: a.Token, module: by})
 	case policy.ActProbe:
 		l.probe(ctx, by, a.Server)
 	case policy.ActSubscribe:
-		l.follow()
+		l.subscribe()
 	case policy.ActBroadcast:
 		if by == l.current { // danger: two modules' counts under one name would take turns
-			l.tell(a.Data)
+			l.broadcast(a.Data)
 		}
 	case policy.ActLog:
 		l.log.Info(a.Text)
@@ -75,7 +75,7 @@
 
 // attempt sends a request to a backend. What cannot be sent any more ends as moot.
 func (l *loop) attempt(ctx context.Context, r *request, a *policy.Action) {
-	n := len(r.attempts)
+	n := len(r.attemptCancels)
 	left := r.deadline - l.clock.now()
 	if a.Wait != 0 {
 		left = min(left, a.Wait)
@@ -83,9 +83,9 @@
 	t := l.targets[a.Server]
 	rest := r.message.upload
 	// Danger: what has been read of a stream is nowhere any more, and two can't read it.
-	gone := rest != nil && (r.out > 0 || rest.forwarding.Load())
-	if r.ended || left <= 0 || t == nil || n >= l.decisions.MaxAttempts || gone {
-		r.attempts = append(r.attempts, func() {})
+	gone := rest != nil && (r.inFlight > 0 || rest.forwarding.Load())
+	if r.ended || left <= 0 || t == nil || n >= l.moduleSettings.MaxAttempts || gone {
+		r.attemptCancels = append(r.attemptCancels, func() {})
 		l.events = append(l.events, decision{r.module, policy.Event{
 			Kind: policy.EventOutcome, Request: r.id, Attempt: n, Server: a.Server,
 			Outcome: policy.NotSent, Final: r.ended, Load: settings.NoLoad(),
@@ -100,30 +100,30 @@
 	if rest == nil { // else its time begins with its last byte
 		attemptCtx, cancel = context.WithTimeout(ctx, left)
 	}
-	r.attempts = append(r.attempts, cancel)
-	r.out++
+	r.attemptCancels = append(r.attemptCancels, cancel)
+	r.inFlight++
 	if l.sites != nil {
 		r.tries = append(r.tries, try{n, a.Server, l.clock.now()})
 	}
 	id, server, msg, sent := r.id, a.Server, &r.message, l.clock.now()
 	by := l.by
-	if by != r.call || by.attempt != nil || !l.decisions.Cancel {
+	if by != r.call || by.inlineAttempt != nil || !l.moduleSettings.Cancel {
 		by = nil
 	}
 	call := r.call
 	carryOut := func() {
-		if rest == nil && call.client.ClientClosed() { // danger: after the process stood still its close waits unread
+		if rest == nil && call.hangupWatcher.ClientClosed() { // danger: after the process stood still its close waits unread
 			l.send(input{event: policy.Event{Kind: policy.EventClientGone}, call: call})
-			l.send(input{sent: sent, by: by, event: policy.Event{
+			l.send(input{sent: sent, deliveringCall: by, event: policy.Event{
 				Kind: policy.EventOutcome, Request: id, Attempt: n, Server: server, Outcome: policy.NotSent, Load: settings.NoLoad(),
 			}})
 			return
 		}
-		res := l.backends.exchange(attemptCtx, t, msg, sendBy, l.set.ReportFields)
+		res := l.backends.exchange(attemptCtx, t, msg, sendBy, l.settings.ReportFields)
 		if rest != nil && rest.hasFailed() {
 			l.send(input{event: policy.Event{Kind: policy.EventClientGone}, call: call})
 		}
-		l.send(input{answer: res.answer, sent: sent, took: res.backendTime, by: by, event: policy.Event{
+		l.send(input{answer: res.answer, sent: sent, took: res.backendTime, deliveringCall: by, event: policy.Event{
 			Kind: policy.EventOutcome, Request: id, Attempt: n, Server: server, Outcome: res.outcome, Load: res.load,
 		}})
 	}
@@ -132,7 +132,7 @@
 		return
 	}
 	// Its handler has nothing else to do, and may be called back from it: what ends the request cancels its attempts.
-	by.attempt = carryOut
+	by.inlineAttempt = carryOut
 }
 
 func (l *loop) probe(ctx context.Context, by *module, server policy.ServerID) {
@@ -144,8 +144,8 @@
 		return
 	}
 	go func() {
-		res := l.backends.probe(ctx, t, l.set)
-		l.send(input{seen: res.endedAt - l.late.own(), event: policy.Event{
+		res := l.backends.probe(ctx, t, l.settings)
+		l.send(input{seen: res.endedAt - l.lagMonitor.ownDelay(), event: policy.Event{
 			Kind: policy.EventProbeResult, Server: server, Outcome: res.outcome, Load: res.load,
 		}})
 	}()
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -135,12 +135,12 @@
 	inputs := hold(l)
 	ctx := t.Context()
 	list := func(mode policy.ListMode, phase string) {
-		l.take(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: mode},
+		l.processInput(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: mode},
 			members: []member{{ID: "x", HostPort: b.Addr, Phase: phase}}})
 	}
 	list(policy.ListFull, "Ready")
 	x := l.servers.idFor("x")
-	r := &request{module: l.current, call: &call{id: 7, deadline: l.clock.now() + testTimeout, answered: make(chan answer, 1),
+	r := &request{module: l.current, call: &call{id: 7, deadline: l.clock.now() + testTimeout, answers: make(chan answer, 1),
 		message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}}
 	l.requests[r.id] = r
 	send := policy.Action{Kind: policy.ActSend, Request: r.id, Server: x, Wait: testTimeout}
@@ -175,19 +175,19 @@
 	}
 	hold(l)
 	ctx := t.Context()
-	l.take(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull},
+	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull},
 		members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
-	c := &call{class: 2, deadline: l.clock.now() + testTimeout, answered: make(chan answer, 1), message: newMessage("POST", "/", "x", nil, nil, nil)}
-	l.take(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
-	if len(l.requests) != 1 || l.requests[c.id].out != 1 {
+	c := &call{class: 2, deadline: l.clock.now() + testTimeout, answers: make(chan answer, 1), message: newMessage("POST", "/", "x", nil, nil, nil)}
+	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
+	if len(l.requests) != 1 || l.requests[c.id].inFlight != 1 {
 		t.Fatalf("after the request: %+v", l.requests)
 	}
 	hangup := input{event: policy.Event{Kind: policy.EventClientGone}, call: c}
-	l.take(ctx, hangup)
-	l.take(ctx, input{answer: answer{status: 200}, event: policy.Event{Kind: policy.EventOutcome, Request: c.id}})
-	l.take(ctx, hangup)
-	if len(c.answered) != 0 || len(l.requests) != 0 {
-		t.Errorf("%d answers, %d requests left", len(c.answered), len(l.requests))
+	l.processInput(ctx, hangup)
+	l.processInput(ctx, input{answer: answer{status: 200}, event: policy.Event{Kind: policy.EventOutcome, Request: c.id}})
+	l.processInput(ctx, hangup)
+	if len(c.answers) != 0 || len(l.requests) != 0 {
+		t.Errorf("%d answers, %d requests left", len(c.answers), len(l.requests))
 	}
 }
 
@@ -284,10 +284,10 @@
 	}
 	inputs := hold(l)
 	ctx := t.Context()
-	l.take(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull},
+	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull},
 		members: []member{{ID: "x", HostPort: x.Addr, Phase: "Ready"}, {ID: "y", HostPort: y.Addr, Phase: "Ready"}}})
-	c := &call{deadline: l.clock.now() + testTimeout, answered: make(chan answer, 1), message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
-	l.take(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
+	c := &call{deadline: l.clock.now() + testTimeout, answers: make(chan answer, 1), message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
+	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
 	swallower := x
 	select {
 	case <-x.Got:
@@ -301,9 +301,9 @@
 		l.handle(ctx, look.module, policy.Event{Kind: policy.EventTimer, Token: look.token})
 	}
 	for range 2 { // the copy's answer, and the end of the first attempt
-		l.take(ctx, receive(t, "outcome", inputs))
+		l.processInput(ctx, receive(t, "outcome", inputs))
 	}
-	if a := receive(t, "answer", c.answered); a.status != http.StatusOK {
+	if a := receive(t, "answer", c.answers); a.status != http.StatusOK {
 		t.Errorf("answered %d", a.status)
 	}
 	receive(t, "close of the silent connection", swallower.Ended)
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -17,14 +17,14 @@
 
 // chatter carries messages between this agent and the others. They may be lost on the way, so whatever goes wrong with
 // one is as if it were.
-type chatter struct {
+type peerLink struct {
 	conn PacketConn
 	all  netip.AddrPort
 	from map[netip.AddrPort]bool
 }
 
 // openPeers opens the socket for other agents' messages; nil is none.
-func openPeers(p *Peers, network Network) (*chatter, error) {
+func openPeerLink(p *Peers, network Network) (*peerLink, error) {
 	packets, ok := network.(PacketNetwork)
 	if !ok || !p.Listen.IsValid() {
 		return nil, nil
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	c := &chatter{conn: conn, all: p.Broadcast, from: map[netip.AddrPort]bool{}}
+	c := &peerLink{conn: conn, all: p.Broadcast, from: map[netip.AddrPort]bool{}}
 	for _, addr := range p.Sources {
 		c.from[addr] = true
 	}
@@ -41,12 +41,12 @@
 }
 
 // tell sends a message to all other agents.
-func (c *chatter) tell(msg []byte) {
+func (c *peerLink) broadcast(msg []byte) {
 	c.conn.WriteToUDPAddrPort(msg, c.all)
 }
 
 // hear hands messages to the loop until the socket is closed.
-func (c *chatter) hear(ctx context.Context, l *loop) {
+func (c *peerLink) receiveLoop(ctx context.Context, l *loop) {
 	buf := make([]byte, peers.MostBytes+1) // what is longer is cut, and told by its length
 	for {
 		n, from, err := c.conn.ReadFromUDPAddrPort(buf)
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -27,12 +27,12 @@
 	all, allAt := udp(t)
 	friend, friendAt := udp(t)
 	stranger, _ := udp(t)
-	c, err := openPeers(&Peers{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Broadcast: allAt, Sources: []netip.AddrPort{friendAt}}, TCP{})
+	c, err := openPeerLink(&Peers{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Broadcast: allAt, Sources: []netip.AddrPort{friendAt}}, TCP{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := c.conn.(*net.UDPConn).LocalAddr().(*net.UDPAddr).AddrPort()
-	c.tell([]byte("out"))
+	c.broadcast([]byte("out"))
 	buf := make([]byte, 16)
 	all.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if n, from, err := all.ReadFromUDPAddrPort(buf); err != nil || string(buf[:n]) != "out" || from != at {
@@ -42,7 +42,7 @@
 	inputs := make(chan input, 1)
 	l := &loop{send: func(in input) { inputs <- in }}
 	var hearing sync.WaitGroup
-	hearing.Go(func() { c.hear(context.Background(), l) })
+	hearing.Go(func() { c.receiveLoop(context.Background(), l) })
 	stranger.WriteToUDPAddrPort([]byte("stranger"), at)
 	friend.WriteToUDPAddrPort(make([]byte, 257), at)
 	friend.WriteToUDPAddrPort([]byte("in"), at)
--- a/internal/agent/replace.go
+++ b/internal/agent/replace.go
@@ -56,7 +56,7 @@
 		maxRequests = min(maxRequests, operatorLimit)
 	}
 	a.server.maxRequests.Store(maxRequests)
-	a.clientConns.resize(a.maxClientConns / int(processes))
+	a.clientConns.setMaxConns(a.maxClientConns / int(processes))
 	a.loop.backends.SetMaxConns(a.maxBackendConns / int(processes))
 	if memoryLimit := debug.SetMemoryLimit(-1); otherProcess && !hadOtherProcess {
 		debug.SetMemoryLimit(memoryLimit / 2)
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -50,7 +50,7 @@
 // writes the answers as responses.
 type server struct {
 	loop               *loop
-	clientConns        *admission
+	clientConns        *connLimiter
 	defaultMaxRequests int64 // limit of concurrent requests if operators set none
 
 	maxRequests     atomic.Int64 // limit of concurrent requests
@@ -100,7 +100,7 @@
 	case errors.As(err, &clientErr):
 		s.respond(w, clientErr.answer())
 		return
-	case err != nil, !s.clientConns.take(connOf(r)): // the connection is closed
+	case err != nil, !s.clientConns.beginRequest(connOf(r)): // the connection is closed
 		panic(http.ErrAbortHandler)
 	}
 	upload := pending.message.upload
@@ -109,7 +109,7 @@
 		// The connection closes after the answer, so that the rest of the body need not be awaited.
 		w.Header().Set("Connection", "close")
 		if !s.loop.backends.reserveStreamMemory(memoryPerStream) {
-			s.loop.locked(func() { s.loop.counts.turnAway(pending.class) })
+			s.loop.withLock(func() { s.loop.counts.recordOverloadRefusal(pending.class) })
 			s.respond(w, answer{status: statusRefused, retryAfter: overloadRetryAfter})
 			return
 		}
@@ -123,7 +123,7 @@
 	}
 	defer s.openRequests.Add(-1)
 	if s.openRequests.Add(1) > s.maxRequests.Load() || s.refuseAll.Load() {
-		s.loop.locked(func() { s.loop.counts.turnAway(pending.class) })
+		s.loop.withLock(func() { s.loop.counts.recordOverloadRefusal(pending.class) })
 		s.respond(w, answer{status: statusRefused, retryAfter: overloadRetryAfter})
 		return
 	}
@@ -131,11 +131,11 @@
 	// clientLeft is closed if the client disconnects after the first bytes of its next request.
 	clientLeft := make(chan struct{})
 	if upload == nil {
-		pending.client = connOf(r).watch
-		defer pending.client.NotifyOnClose(func() { s.loop.send(clientGone); close(clientLeft) })()
+		pending.hangupWatcher = connOf(r).hangupWatcher
+		defer pending.hangupWatcher.NotifyOnClose(func() { s.loop.send(clientGone); close(clientLeft) })()
 	}
-	s.loop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: pending, by: pending})
-	if pending.attempt != nil {
+	s.loop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: pending, deliveringCall: pending})
+	if pending.inlineAttempt != nil {
 		stopWatching := context.AfterFunc(r.Context(), func() {
 			if upload == nil || upload.complete.Load() {
 				s.loop.send(clientGone)
@@ -143,9 +143,9 @@
 		})
 		// The loop leaves an attempt to this goroutine, which would otherwise only wait for the
 		// answer.
-		for pending.attempt != nil {
-			attempt := pending.attempt
-			pending.attempt = nil
+		for pending.inlineAttempt != nil {
+			attempt := pending.inlineAttempt
+			pending.inlineAttempt = nil
 			attempt()
 		}
 		stopWatching()
@@ -158,11 +158,11 @@
 		}
 	}
 	select {
-	case a := <-pending.answered:
+	case a := <-pending.answers:
 		if upload != nil {
 			upload.stop() // net/http does not support reading the body while the answer is written
 		}
-		if a.rest == nil {
+		if a.bodyStream == nil {
 			s.respond(w, a)
 		} else {
 			s.respondStreaming(w, pending, a)
@@ -191,17 +191,17 @@
 // respondStreaming writes an answer and forwards the rest of its body as it arrives. If the body
 // breaks off, the handler is aborted, so that the answer does not look complete to the client.
 func (s *server) respondStreaming(w http.ResponseWriter, c *call, a answer) {
-	s.writeHead(w, &a, a.rest.size)
+	s.writeHead(w, &a, a.bodyStream.size)
 	complete, clientFault := false, true
 	if _, err := w.Write(a.body); err == nil {
-		complete, clientFault = a.rest.forwardTo(w)
+		complete, clientFault = a.bodyStream.forwardTo(w)
 	}
-	a.rest.release(complete)
+	a.bodyStream.release(complete)
 	if complete {
 		return
 	}
 	if !clientFault {
-		s.loop.locked(func() { s.loop.counts.broke(c.class) })
+		s.loop.withLock(func() { s.loop.counts.recordBrokenAnswer(c.class) })
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -235,7 +235,7 @@
 		// the end of the body, which hides a second request in it from a proxy that uses the other
 		// one (request smuggling). If it is not known whether both were sent, no further request is
 		// read from the connection (RFC 9112, section 6.1).
-		hasLength, known := connOf(r).saysLength()
+		hasLength, known := connOf(r).namesContentLength()
 		if hasLength {
 			return &clientError{http.StatusBadRequest, "both Transfer-Encoding and Content-Length"}
 		}
@@ -255,7 +255,7 @@
 // readRequest checks the headers of a request and reads its body, of which it buffers at most
 // maxBufferedBody bytes. The request's budget counts from the last byte of its body.
 func (s *server) readRequest(w http.ResponseWriter, r *http.Request) (*call, error) {
-	set := s.loop.set
+	set := s.loop.settings
 	// Headers of this connection are removed before any check, because the Connection header may
 	// name a required header, which then counts as missing.
 	for _, list := range r.Header["Connection"] {
@@ -272,9 +272,9 @@
 		}
 	}
 	pending := &call{
-		class:    slices.Index(set.Classes, r.Header.Get(classHeader)),
-		retry:    r.Header.Get(retryHeader) == "1",
-		answered: make(chan answer, 1),
+		class:   slices.Index(set.Classes, r.Header.Get(classHeader)),
+		retry:   r.Header.Get(retryHeader) == "1",
+		answers: make(chan answer, 1),
 	}
 	if pending.class < 0 {
 		return nil, badRequestf("%s is unknown", classHeader)
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -76,7 +76,7 @@
 		list = append(list, site.Server{ID: e.ID, Site: e.Zone, Ready: e.State == policy.Ready, Start: e.Start})
 	}
 	if mode == policy.ListDelta {
-		for _, e := range l.listed {
+		for _, e := range l.listedServers {
 			add(&e)
 		}
 	} else {
@@ -122,7 +122,7 @@
 func (l *loop) lookAtSites() {
 	s, now := l.sites, l.clock.now()
 	if now-s.looked > 3*siteEvery {
-		s.blind = now + l.decisions.Classes[0].Aim // danger: answers lie unread that came long ago
+		s.blind = now + l.moduleSettings.Classes[0].Aim // danger: answers lie unread that came long ago
 	}
 	s.looked = now
 	var uses []site.Load
@@ -136,7 +136,7 @@
 	if now >= s.blind {
 		for _, r := range l.requests {
 			for i := range r.tries {
-				if t := &r.tries[i]; silent[t.server] && now-t.sent >= l.decisions.Classes[r.class].Aim/4 {
+				if t := &r.tries[i]; silent[t.server] && now-t.sent >= l.moduleSettings.Classes[r.class].Aim/4 {
 					s.ReportOutcome(now, t.server, site.Failed, t.sent)
 				}
 			}
@@ -150,8 +150,8 @@
 	if len(r.Changed) > 0 {
 		ev := policy.Event{Kind: policy.EventList, ListMode: policy.ListDelta}
 		for _, id := range r.Changed {
-			if e, listed := l.listed[id]; listed {
-				ev.Servers = append(ev.Servers, l.held(e))
+			if e, listed := l.listedServers[id]; listed {
+				ev.Servers = append(ev.Servers, l.effectiveEntry(e))
 			}
 		}
 		l.handleAll(context.WithoutCancel(l.ctx), ev)
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -277,7 +277,7 @@
 
 // discard releases an answer that is not sent to a client.
 func (a *answer) discard() {
-	if a.rest != nil {
-		a.rest.release(false)
+	if a.bodyStream != nil {
+		a.bodyStream.release(false)
 	}
 }
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -273,14 +273,14 @@
 			t.Fatal("idle connections are not closed")
 		}
 	}
-	a.agent.clientConns.endIdle()
+	a.agent.clientConns.closeIdle()
 	close(proceed)
 	if n, err := io.Copy(io.Discard, resp.Body); n != maxBufferedBody || err != nil {
 		t.Errorf("%d more bytes, %v", n, err)
 	}
 	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		a.agent.clientConns.mu.Lock()
-		open := a.agent.clientConns.open
+		open := a.agent.clientConns.openConns
 		a.agent.clientConns.mu.Unlock()
 		if open == 0 {
 			break
