--- a/internal/mesh/controlplane/core.go
+++ b/internal/mesh/controlplane/core.go
@@ -139,8 +139,8 @@
 	go c.own(owner)
 	c.node, err = consensus.Start(consensus.Options{
 		Self: c.set.Control, Seeds: c.set.Seeds, FirstStart: c.set.FirstStart, Dir: c.set.DataFolder, Table: c.table,
-		Send: c.peers.send, Log: c.log, OnChange: c.onChange, Replace: c.set.Bounds.CatchUp / 2,
-		Voters: consensus.VotersToTolerate(c.set.Tolerate.Machines), Zone: c.set.Zone,
+		Send: c.peers.send, Log: c.log, OnChange: c.onChange, ReplaceAfter: c.set.Bounds.CatchUp / 2,
+		TargetVoters: consensus.VotersToTolerate(c.set.Tolerate.Machines), Zone: c.set.Zone,
 	})
 	if err != nil {
 		return oops.In("agreement").Wrap(err)
--- a/internal/mesh/controlplane/stats.go
+++ b/internal/mesh/controlplane/stats.go
@@ -64,7 +64,7 @@
 	f.Add("micaline_mesh_core_applied_index", float64(status.Applied))
 	f.Add("micaline_mesh_core_members", float64(len(status.Members)))
 	f.Add("micaline_mesh_core_syncs_total", float64(status.Syncs))
-	f.Add("micaline_mesh_core_sync_longest_seconds", status.SyncMax.Seconds())
+	f.Add("micaline_mesh_core_sync_longest_seconds", status.LongestSync.Seconds())
 	for i, n := range []*atomic.Uint64{&c.count.agreed, &c.count.refused, &c.count.unknown, &c.count.notTaken} {
 		f.Add("micaline_mesh_core_proposals_total", float64(n.Load()), meshmetrics.Proposals[i])
 	}
--- a/internal/mesh/controlplane/window_left.go
+++ b/internal/mesh/controlplane/window_left.go
@@ -107,7 +107,7 @@
 	for _, member := range status.Members {
 		switch {
 		case covers(w, status, member, self, zone):
-		case slices.Contains(status.Silent, member):
+		case slices.Contains(status.Unreachable, member):
 			silent++
 		default:
 			stay++
--- a/internal/mesh/controlplane/window_table_test.go
+++ b/internal/mesh/controlplane/window_table_test.go
@@ -61,7 +61,7 @@
 		Zones: map[string]string{"10.0.0.2:1": "b", "10.0.0.3:1": "c"}}
 	without := func() string { return quorumWithout(window, status, "10.0.0.1:1", "a") }
 	require.Empty(t, without())
-	status.Silent = []string{"10.0.0.3:1"}
+	status.Unreachable = []string{"10.0.0.3:1"}
 	require.Contains(t, without(), "1 would stay")
 	status.Learners = []string{"10.0.0.4:1"}
 	status.Zones["10.0.0.4:1"] = "b"
