--- a/internal/mesh/controlplane/answers.go
+++ b/internal/mesh/controlplane/answers.go
@@ -23,10 +23,10 @@
 // 5xx: that is for what isn't decided.
 func refusalOf(err error) *refusal {
 	var (
-		invalid   *meshconfig.Invalid
-		conflict  *meshconfig.Conflict
-		forgotten *meshconfig.Forgotten
-		stale     *meshconfig.Stale
+		invalid   *meshconfig.InvalidError
+		conflict  *meshconfig.ConflictError
+		forgotten *meshconfig.ForgottenVersionError
+		stale     *meshconfig.StaleOrderError
 	)
 	r := &refusal{Status: http.StatusBadRequest, Error: err.Error()}
 	switch {
--- a/internal/mesh/controlplane/core.go
+++ b/internal/mesh/controlplane/core.go
@@ -129,7 +129,7 @@
 
 // Run serves until the context ends, hands leadership over and returns.
 func (c *Core) Run(ctx context.Context) error {
-	inner, err := net.Listen("tcp4", sidecar.Inner(c.set, c.set.Control))
+	inner, err := net.Listen("tcp4", sidecar.InternalAddress(c.set, c.set.Control))
 	if err != nil {
 		return oops.In("listen").Wrap(err)
 	}
--- a/internal/mesh/controlplane/handlers.go
+++ b/internal/mesh/controlplane/handlers.go
@@ -82,7 +82,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		w.Write(h.c.table.now.Load().config.Items())
+		w.Write(h.c.table.now.Load().config.ItemsJSON())
 	case http.MethodPatch:
 		b, ok := body(w, r, mostPatch)
 		if !ok {
--- a/internal/mesh/controlplane/orders_sim_test.go
+++ b/internal/mesh/controlplane/orders_sim_test.go
@@ -65,10 +65,10 @@
 	before := t.now.Load()
 	reply := t.table.Apply(index, encodeOrder(&o))
 	if t.planted == overtakenRefused && len(reply) == 0 && o.Op == meshconfig.OpPatch && before == t.now.Load() {
-		held := itemsOf(before.config.Items())
+		held := itemsOf(before.config.ItemsJSON())
 		for _, i := range decodePatch(o.Body) {
 			if h, stands := held[i.Name]; stands && h.Version > i.Version {
-				return refusalOf(&meshconfig.Conflict{Item: i.Name}).encode()
+				return refusalOf(&meshconfig.ConflictError{Item: i.Name}).encode()
 			}
 		}
 	}
--- a/internal/mesh/controlplane/peers.go
+++ b/internal/mesh/controlplane/peers.go
@@ -79,7 +79,7 @@
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			var err error
-			c, err = transport.Dial(ctx, transport.UsePeer, p.set.Control, sidecar.Inner(p.set, to))
+			c, err = transport.Dial(ctx, transport.UsePeer, p.set.Control, sidecar.InternalAddress(p.set, to))
 			cancel()
 			if err != nil {
 				c, failed = nil, time.Now()
--- a/internal/mesh/controlplane/peers_test.go
+++ b/internal/mesh/controlplane/peers_test.go
@@ -41,7 +41,7 @@
 		_, err = fmt.Sscan(port, &set.SparePorts[0]) // read by the peer's goroutine before it is set again
 		require.NoError(t, err)
 		to := net.JoinHostPort(host, "8620")
-		require.Equal(t, at, sidecar.Inner(set, to))
+		require.Equal(t, at, sidecar.InternalAddress(set, to))
 		p.send(consensus.Message{To: to})
 		select {
 		case got := <-heard:
--- a/internal/mesh/controlplane/stats.go
+++ b/internal/mesh/controlplane/stats.go
@@ -42,7 +42,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(map[string]string{"address": sidecar.Inner(h.c.set, h.c.set.Control)})
+	json.NewEncoder(w).Encode(map[string]string{"address": sidecar.InternalAddress(h.c.set, h.c.set.Control)})
 }
 
 // figures answers a question for the core machine's figures; nil if the owner does not get to it in
@@ -108,7 +108,7 @@
 			answer.Core.Duties = c.duty.state()
 		}
 		for _, m := range status.Members {
-			answer.Core.Members = append(answer.Core.Members, transport.Member{Control: m, Link: sidecar.Inner(c.set, m)})
+			answer.Core.Members = append(answer.Core.Members, transport.Member{Control: m, Link: sidecar.InternalAddress(c.set, m)})
 		}
 	}
 	return answer
--- a/internal/mesh/controlplane/steps_test.go
+++ b/internal/mesh/controlplane/steps_test.go
@@ -45,8 +45,8 @@
 			size += len(s.Order.Body)
 		}
 		require.LessOrEqual(t, len(now.steps), mostSteps)
-		require.LessOrEqual(t, size, min(max(now.config.Size(), pushedBytes), mostStepBytes))
-		require.LessOrEqual(t, now.config.Size(), len(now.config.Encode()))
+		require.LessOrEqual(t, size, min(max(now.config.TextSize(), pushedBytes), mostStepBytes))
+		require.LessOrEqual(t, now.config.TextSize(), len(now.config.Encode()))
 		require.LessOrEqual(t, sizeOf(now.pushed(had[r.IntN(len(had))].index)), pushedBytes)
 
 		old := had[r.IntN(len(had))]
@@ -62,7 +62,7 @@
 		for _, s := range steps {
 			require.Equal(t, at, s.Before)
 			var err error
-			config, err = config.Carry(&s.Order)
+			config, err = config.ApplyOrder(&s.Order)
 			require.NoError(t, err)
 			at = s.Index
 		}
@@ -97,7 +97,7 @@
 	require.NoError(t, err)
 	config := before.config
 	for _, s := range steps {
-		config, err = config.Carry(&s.Order)
+		config, err = config.ApplyOrder(&s.Order)
 		require.NoError(t, err)
 	}
 	require.Equal(t, down.Digest, config.Digest())
@@ -126,7 +126,7 @@
 	}
 	for index := uint64(4); index < 40; index++ { // each as large as a tenth of the whole
 		table.Apply(index, encodeOrder(routesOrder(0, 300, int(index))))
-		size := table.now.Load().config.Size()
+		size := table.now.Load().config.TextSize()
 		require.LessOrEqual(t, sizeOf(table.now.Load().steps), size)
 	}
 	require.Empty(t, table.now.Load().since(before.index), "more than the whole is kept of steps")
--- a/internal/mesh/controlplane/table.go
+++ b/internal/mesh/controlplane/table.go
@@ -81,7 +81,7 @@
 		return s.asked.raw
 	}
 	steps := s.since(have)
-	if len(steps) == 0 || sizeOf(steps) >= max(s.config.Size(), pushedBytes) {
+	if len(steps) == 0 || sizeOf(steps) >= max(s.config.TextSize(), pushedBytes) {
 		return nil
 	}
 	raw := transport.EncodeSteps(steps)
@@ -115,7 +115,7 @@
 	// The array is shared with the states before, which see no more of it than they have: each state
 	// is followed by one other.
 	steps := append(s.steps, transport.ConfigStep{Before: s.index, Index: index, Order: *o})
-	size, most := 0, min(max(next.Size(), pushedBytes), mostStepBytes)
+	size, most := 0, min(max(next.TextSize(), pushedBytes), mostStepBytes)
 	for i := len(steps) - 1; i >= 0; i-- {
 		if size += len(steps[i].Order.Body); size > most || len(steps)-i > mostSteps {
 			steps = slices.Clone(steps[i+1:])
@@ -193,7 +193,7 @@
 		return t.applyWindow(index, o.Body)
 	}
 	old := t.newest
-	next, err := t.history.Carry(index, old.config, o)
+	next, err := t.history.ApplyOrder(index, old.config, o)
 	if err != nil {
 		return refusalOf(err).encode()
 	}
@@ -229,7 +229,7 @@
 	if err != nil {
 		return oops.In("snapshot").Wrap(err)
 	}
-	history := meshconfig.HistoryOf(config) // of a program that kept none
+	history := meshconfig.HistoryFromConfig(config) // of a program that kept none
 	if len(k.History) > 0 {
 		if history, err = meshconfig.DecodeHistory(k.History); err != nil {
 			return oops.In("snapshot").Wrap(err)
--- a/internal/mesh/controlplane/window_table.go
+++ b/internal/mesh/controlplane/window_table.go
@@ -32,7 +32,7 @@
 		return
 	}
 	order := meshconfig.Order{Op: meshconfig.OpCordons, Body: meshconfig.EncodeCordons(cordons)}
-	next, err := old.config.Carry(&order)
+	next, err := old.config.ApplyOrder(&order)
 	if err != nil {
 		return // a window that was accepted makes no cordon that can't be carried out
 	}
--- a/internal/mesh/controlplane/window_table_test.go
+++ b/internal/mesh/controlplane/window_table_test.go
@@ -31,7 +31,7 @@
 		require.Empty(t, do(uint64(5+step), maintenance.Command{Now: time.Hour, Advance: a}).Refused)
 		now := table.now.Load()
 		require.Equal(t, uint64(5+step), now.index)
-		next, err := agent.Carry(&now.steps[len(now.steps)-1].Order)
+		next, err := agent.ApplyOrder(&now.steps[len(now.steps)-1].Order)
 		require.NoError(t, err)
 		require.Equal(t, now.config.Digest(), next.Digest())
 		agent = next
--- a/internal/mesh/maintenance/maintenance.go
+++ b/internal/mesh/maintenance/maintenance.go
@@ -120,17 +120,17 @@
 // at which it is asked for.
 func (w *Window) Validate(now time.Duration) error {
 	wrong := func(field, format string, args ...any) error {
-		return &meshconfig.Invalid{Field: field, Problem: fmt.Sprintf(format, args...)}
+		return &meshconfig.InvalidError{Field: field, Problem: fmt.Sprintf(format, args...)}
 	}
 	switch {
 	case !namePattern.MatchString(w.Name):
 		return wrong("name", "1 to 63 lower case letters, digits, dots and hyphens, not %.70q", w.Name)
 	case (len(w.Zones) == 0) == (len(w.Nodes) == 0):
 		return wrong("zones", "name zones or nodes, and not both")
-	case len(w.Zones) > meshconfig.MostZones:
-		return wrong("zones", "there are %d, at most %d", len(w.Zones), meshconfig.MostZones)
-	case len(w.Nodes) > meshconfig.MostCordonNodes:
-		return wrong("nodes", "there are %d, at most %d", len(w.Nodes), meshconfig.MostCordonNodes)
+	case len(w.Zones) > meshconfig.MaxZones:
+		return wrong("zones", "there are %d, at most %d", len(w.Zones), meshconfig.MaxZones)
+	case len(w.Nodes) > meshconfig.MaxCordonNodes:
+		return wrong("nodes", "there are %d, at most %d", len(w.Nodes), meshconfig.MaxCordonNodes)
 	case w.Lead < MinLead || w.Lead > MaxLead:
 		return wrong("lead", "%v is not from %v to %v", w.Lead, MinLead, MaxLead)
 	case w.Start <= now:
--- a/internal/mesh/maintenance/table.go
+++ b/internal/mesh/maintenance/table.go
@@ -104,7 +104,7 @@
 		return Reply{Refused: fmt.Sprintf("name: a window %s was planned with other content", old.Name), Field: "name"}
 	}
 	if err := asked.Validate(now); err != nil {
-		invalid := err.(*meshconfig.Invalid)
+		invalid := err.(*meshconfig.InvalidError)
 		return Reply{Refused: err.Error(), Field: invalid.Field, Invalid: true}
 	}
 	for _, other := range t.Windows {
