--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -9,45 +9,47 @@
 	"example.org/micaline/policy"
 )
 
-// sweepIdle is how often connections are looked at that are to end.
-const sweepIdle = 50 * time.Millisecond
+// modeCheckInterval is how often the mode is applied again while the agent drains or shuts down.
+const modeCheckInterval = 50 * time.Millisecond
 
-// Ready says whether requests are served: there is a list, and the agent neither drains nor ends.
-func (a *Agent) Ready() bool { return a.loop.ready.Load() && a.server.stance.Load().Ready }
+// Ready reports whether the agent serves requests: it has a list of backends, and neither drains
+// nor shuts down.
+func (a *Agent) Ready() bool { return a.loop.ready.Load() && a.server.mode.Load().Ready }
 
-// Figures are what operators' staff read.
+// Figures returns the counters that operators read.
 func (a *Agent) Figures(ctx context.Context) (*admin.Figures, error) {
 	l := a.loop
-	f := &admin.Figures{Attempts: l.backends.written.Load(), InFlight: a.server.held.Load() - a.server.coming.Load()}
-	err := l.do(ctx, func() {
+	figures := &admin.Figures{Attempts: l.backends.writtenAttempts.Load(), InFlight: a.server.openRequests.Load() - a.server.receivingBodies.Load()}
+	err := l.runInLoop(ctx, func() {
 		for i, c := range l.counts.classes {
-			f.Classes = append(f.Classes, admin.Class{Name: l.settings.Classes[i], Served: c.served, Refused: c.refused, Failed: c.failed})
+			figures.Classes = append(figures.Classes, admin.Class{Name: l.settings.Classes[i], Served: c.served, Refused: c.refused, Failed: c.failed})
 		}
-		f.Known = len(l.listedServers)
-		avoided := map[policy.ServerID]bool{}
+		figures.Known = len(l.listedServers)
+		excluded := map[policy.ServerID]bool{}
 		for id, e := range l.listedServers {
-			avoided[id] = l.effectiveEntry(e).State != policy.Ready
+			excluded[id] = l.effectiveEntry(e).State != policy.Ready
 		}
-		if v, ok := l.current.Decider.(viewer); ok {
-			for _, s := range v.View(l.clock.now()) {
+		if decider, ok := l.current.Decider.(observableDecider); ok {
+			for _, s := range decider.View(l.clock.now()) {
 				if len(s.Ejected) == len(l.settings.Classes) {
-					avoided[s.ID] = true
+					excluded[s.ID] = true
 				}
 			}
 		}
-		for id, out := range avoided {
-			if _, listed := l.listedServers[id]; listed && out {
-				f.Excluded++
+		for id, isExcluded := range excluded {
+			if _, listed := l.listedServers[id]; listed && isExcluded {
+				figures.Excluded++
 			}
 		}
 	})
-	return f, err
+	return figures, err
 }
 
-// SetDraining begins or ends a drain by hand: clients are to go elsewhere, and the process stays.
+// SetDraining starts or ends a drain that operators request: clients are sent to other agents, and
+// the process goes on running.
 func (a *Agent) SetDraining(on bool) {
 	a.log.Info("operators", "draining", on)
-	a.changeStance(func(m *leave.Controller, now time.Duration) {
+	a.changeMode(func(m *leave.Controller, now time.Duration) {
 		if on {
 			m.Drain(now)
 		} else {
@@ -56,33 +58,35 @@
 	})
 }
 
-// changeStance takes in what is asked of the agent, and has the connections follow.
-func (a *Agent) changeStance(f func(m *leave.Controller, now time.Duration)) {
-	a.leaveMu.Lock()
-	defer a.leaveMu.Unlock()
-	f(&a.leave, a.loop.clock.now())
-	a.follow()
+// changeMode changes the state of the mode controller, and applies the resulting mode.
+func (a *Agent) changeMode(change func(m *leave.Controller, now time.Duration)) {
+	a.modeMu.Lock()
+	defer a.modeMu.Unlock()
+	change(&a.modeController, a.loop.clock.now())
+	a.applyMode()
 }
 
-// follow brings the stance into force, as often as it changes by itself. The mutex is held.
-func (a *Agent) follow() {
-	s := a.leave.ModeAt(a.loop.clock.now())
-	a.server.stance.Store(&s)
-	if s.CloseIdle {
-		a.clients.closeIdle()
+// applyMode applies the current mode to the server and to idle connections. The mode changes with
+// time during a drain or shutdown, so applyMode then runs again every modeCheckInterval. The caller
+// holds modeMu.
+func (a *Agent) applyMode() {
+	mode := a.modeController.ModeAt(a.loop.clock.now())
+	a.server.mode.Store(&mode)
+	if mode.CloseIdle {
+		a.clientConns.closeIdle()
 	}
 	switch {
-	case !s.CloseAfterAnswer || a.following:
-	case a.sweep == nil:
-		a.following = true
-		a.sweep = time.AfterFunc(sweepIdle, func() {
-			a.leaveMu.Lock()
-			defer a.leaveMu.Unlock()
-			a.following = false
-			a.follow()
+	case !mode.CloseAfterAnswer || a.modeTimerArmed:
+	case a.modeTimer == nil:
+		a.modeTimerArmed = true
+		a.modeTimer = time.AfterFunc(modeCheckInterval, func() {
+			a.modeMu.Lock()
+			defer a.modeMu.Unlock()
+			a.modeTimerArmed = false
+			a.applyMode()
 		})
 	default:
-		a.following = true
-		a.sweep.Reset(sweepIdle)
+		a.modeTimerArmed = true
+		a.modeTimer.Reset(modeCheckInterval)
 	}
 }
--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -14,15 +14,15 @@
 	"example.org/micaline/policy"
 )
 
-// A backend that is called out gets nothing, also once it has left the list and come back; called out twice, it is in by
-// one call back, and is taken for one that has just started.
+// A banned backend gets no requests, even after it has left the list and returned. Two bans are
+// ended by one call, after which the backend counts as just started.
 func TestBanOutlivesTheList(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0), host("y", y.Addr, "Ready", 0)))
-	a := start(t, config(t, l.Addr, testSettings))
-	ban := func(id string, out, want bool) {
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
+	a := startAgent(t, testConfig(t, discoveryServer.Addr, testSettings))
+	ban := func(id string, banned, want bool) {
 		t.Helper()
-		if known, err := a.agent.Ban(t.Context(), id, out); known != want || err != nil {
+		if known, err := a.agent.Ban(t.Context(), id, banned); known != want || err != nil {
 			t.Fatalf("ban of %s: known %v, %v", id, known, err)
 		}
 	}
@@ -30,46 +30,48 @@
 	ban("x", true, true)
 	ban("z", true, false)
 	ban("z", false, false)
-	l.Next <- hosts(2, false, `{"id":"x","phase":"Gone"}`)
-	l.Next <- hosts(3, false, host("x", x.Addr, "Ready", 0))
-	l.Next <- hosts(4, false, host("z", y.Addr, "Terminating", 0)) // which shows that the one before was taken
-	for begun := time.Now(); len(look(t, a).Backends) < 3; time.Sleep(time.Millisecond) {
-		if time.Since(begun) > wait {
-			t.Fatal("the list does not come")
+	discoveryServer.Next <- listJSON(2, false, `{"id":"x","phase":"Gone"}`)
+	discoveryServer.Next <- listJSON(3, false, memberJSON("x", x.Addr, "Ready", 0))
+	discoveryServer.Next <- listJSON(4, false, memberJSON("z", y.Addr, "Terminating", 0))
+	// Once z is shown, the lists before it have been processed.
+	for start := time.Now(); len(controlState(t, a).Backends) < 3; time.Sleep(time.Millisecond) {
+		if time.Since(start) > testTimeout {
+			t.Fatal("the list was not processed")
 		}
 	}
-	a.serve(t, 30)
-	f, err := a.agent.Figures(t.Context())
-	if err != nil || f.Known != 3 || f.Excluded != 2 || f.Attempts != 30 || f.Classes[2].Served != 30 {
-		t.Errorf("figures %+v, %v", f, err)
+	a.serveRequests(t, 30)
+	figures, err := a.agent.Figures(t.Context())
+	if err != nil || figures.Known != 3 || figures.Excluded != 2 || figures.Attempts != 30 || figures.Classes[2].Served != 30 {
+		t.Errorf("figures %+v, %v", figures, err)
 	}
-	if s := look(t, a).Backends[0]; len(x.Got) > 0 || s.HeldBy != heldByOperator {
-		t.Errorf("%d sent to who is out; shown as %+v", len(x.Got), s)
+	if s := controlState(t, a).Backends[0]; len(x.Got) > 0 || s.HeldBy != heldByOperator {
+		t.Errorf("%d requests sent to the banned backend; shown as %+v", len(x.Got), s)
 	}
 	ban("x", false, true)
-	if s := look(t, a).Backends[0]; s.Warmth >= 1 || s.HeldBy != "" {
-		t.Errorf("back from a restart it is shown as %+v", s)
+	if s := controlState(t, a).Backends[0]; s.Warmth >= 1 || s.HeldBy != "" {
+		t.Errorf("after the end of the ban it is shown as %+v", s)
 	}
-	for begun := time.Now(); len(x.Got) == 0; a.serve(t, 1) {
-		if time.Since(begun) > wait {
-			t.Fatal("nothing is sent to who is back")
+	for start := time.Now(); len(x.Got) == 0; a.serveRequests(t, 1) {
+		if time.Since(start) > testTimeout {
+			t.Fatal("no request is sent to the backend after its ban")
 		}
 	}
 }
 
-// A drained agent says no, answers what still comes and ends its connections, idle ones by themselves; when the drain
-// ends it serves as before.
+// A draining agent reports that it is not ready, answers the requests that still arrive, and closes
+// its connections: active ones after their answer, idle ones after a while. After the drain it
+// serves as before.
 func TestDrainByHand(t *testing.T) {
-	a := agentFor(t, testSettings, newBackend(t, serves))
+	a := startAgentWith(t, testSettings, newBackend(t, alwaysOK))
 	addr := strings.TrimPrefix(a.url, "http://")
 	idle, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	idle.SetDeadline(time.Now().Add(wait))
+	idle.SetDeadline(time.Now().Add(testTimeout))
 	br := bufio.NewReader(idle)
-	ask := func() *http.Response {
+	checkReadiness := func() *http.Response {
 		io.WriteString(idle, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil {
@@ -78,68 +80,68 @@
 		io.Copy(io.Discard, resp.Body)
 		return resp
 	}
-	if resp := ask(); resp.StatusCode != http.StatusOK || resp.Close {
-		t.Fatalf("up: %v", resp.Status)
+	if resp := checkReadiness(); resp.StatusCode != http.StatusOK || resp.Close {
+		t.Fatalf("readiness: %v", resp.Status)
 	}
 	a.agent.SetDraining(true)
 	if a.agent.Ready() {
-		t.Error("ready while it drains")
+		t.Error("the agent is ready during a drain")
 	}
 	if resp, err := a.client.Get(a.url + readyPath); err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-		t.Errorf("up while it drains: %+v, %v", resp, err)
+		t.Errorf("readiness during the drain: %+v, %v", resp, err)
 	}
 	resp, err := a.client.Do(a.request("safe", "15000m")) // on a new connection
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("a request on a drained agent: %+v, %v", resp, err)
+		t.Errorf("a request during the drain: %+v, %v", resp, err)
 	}
 	if _, err := br.ReadByte(); err != io.EOF {
-		t.Errorf("an idle connection ends with %v", err)
+		t.Errorf("an idle connection ended with %v", err)
 	}
 	a.agent.SetDraining(false)
-	a.serve(t, 3)
+	a.serveRequests(t, 3)
 	if resp, err := a.client.Get(a.url + readyPath); err != nil || resp.StatusCode != http.StatusOK || resp.Close {
-		t.Errorf("up after the drain: %+v, %v", resp, err)
+		t.Errorf("readiness after the drain: %+v, %v", resp, err)
 	}
 }
 
-// slowDial is a network on which connections come up when they are let.
-type slowDial struct {
+// slowDialNetwork is a network on which each dial waits for a value from proceed.
+type slowDialNetwork struct {
 	TCP
 	dialing chan string
-	let     chan struct{}
+	proceed chan struct{}
 }
 
-func (n *slowDial) Dial(ctx context.Context, addr string) (net.Conn, error) {
+func (n *slowDialNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	n.dialing <- addr
-	<-n.let
+	<-n.proceed
 	return n.TCP.Dial(ctx, addr)
 }
 
-// A backend that is called out in the instant between the choice and the first byte gets nothing; what was to go there goes
-// elsewhere.
+// A backend that is banned after it was chosen for a request, but before the request's first byte
+// is sent, gets nothing. The request is sent to another backend.
 func TestBanBetweenChoiceAndFirstByte(t *testing.T) {
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	net := &slowDial{dialing: make(chan string, 10), let: make(chan struct{}, 10)}
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	l, err := newLoop(cfg, newBackends(net, &cfg.Settings, 8, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	network := &slowDialNetwork{dialing: make(chan string, 10), proceed: make(chan struct{}, 10)}
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	eventLoop, err := newLoop(cfg, newBackendClient(network, &cfg.Settings, 8, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.send(input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{
+	eventLoop.send(input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{
 		{ID: "x", HostPort: x.Addr, Phase: "Ready"}, {ID: "y", HostPort: y.Addr, Phase: "Ready"},
 	}})
-	c := &call{callID: "c", class: 2, deadline: l.clock.now() + wait, answers: make(chan answer, 1)}
-	c.message = newMessage(http.MethodPost, "/unsafe/1", "x", http.Header{callIDHeader: {"c"}}, nil, nil)
-	l.send(input{event: policy.Event{Kind: policy.EventRequest}, call: c})
-	first, other := x, y
-	out := "x"
-	if receive(t, "choice", net.dialing) == y.Addr {
-		first, other, out = y, x, "y"
-	}
-	l.withLock(func() { l.setHold(t.Context(), out, indefiniteHold, heldByOperator) })
-	net.let <- struct{}{}
-	net.let <- struct{}{}
-	if a := receive(t, "answer", c.answers); a.status != http.StatusOK || len(first.Got) != 0 || len(other.Got) != 1 {
-		t.Errorf("answered %d, %d sent to who is out, %d to the other", a.status, len(first.Got), len(other.Got))
+	pending := &call{callID: "c", class: 2, deadline: eventLoop.clock.now() + testTimeout, answers: make(chan answer, 1)}
+	pending.message = newMessage(http.MethodPost, "/unsafe/1", "x", http.Header{callIDHeader: {"c"}}, nil, nil)
+	eventLoop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: pending})
+	chosen, other := x, y
+	bannedID := "x"
+	if receive(t, "choice", network.dialing) == y.Addr {
+		chosen, other, bannedID = y, x, "y"
+	}
+	eventLoop.withLock(func() { eventLoop.setHold(t.Context(), bannedID, indefiniteHold, heldByOperator) })
+	network.proceed <- struct{}{}
+	network.proceed <- struct{}{}
+	if a := receive(t, "answer", pending.answers); a.status != http.StatusOK || len(chosen.Got) != 0 || len(other.Got) != 1 {
+		t.Errorf("answered %d, %d requests sent to the banned backend, %d to the other", a.status, len(chosen.Got), len(other.Got))
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,13 @@
-// Package agent is the real agent: it carries what happens on sockets to the decision module as events, and
-// carries out the module's actions.
+// Package agent is a load-balancing reverse proxy that runs beside an application. It accepts the
+// requests of clients, sends each of them to a backend and returns the backend's answer.
+//
+// The decision module (package policy) decides where, when and how often a request is sent. It does
+// no I/O: the agent reports what happens on its sockets to the module as events, and carries out
+// the actions that the module returns. One event loop owns the module and the state of all
+// requests; HTTP handlers, attempts and the discovery client pass their inputs to it.
+//
+// Serve runs an agent from a Config until its context ends. Callers that operate the agent while it
+// runs use New and Agent.Run.
 package agent
 
 import (
@@ -19,21 +27,25 @@
 )
 
 const (
-	// reservedSockets is for the descriptors that are neither clients' nor backends': the standard streams, the
-	// listener, the runtime's poller, discovery, and connections that are just being closed.
+	// reservedSockets is the number of descriptors kept for other uses than connections of clients
+	// and backends: the standard streams, the listener, the runtime's poller, discovery, and
+	// connections that are being closed.
 	reservedSockets = 32
-	// requestTimeout is how long a client may take to send a head, from its first byte, or from when it connected.
-	requestTimeout = 2500 * time.Millisecond
-	// idleClients is how long a client's connection may be without a request. Danger: clients that ask once and keep
-	// their connection would use up the sockets.
-	idleClients = 2500 * time.Millisecond
-	// streamShare is the part of the memory that streams may hold.
-	streamShare = 4
-	leaveSlack  = 100 * time.Millisecond
+	// readHeaderTimeout is how long a client may take to send the header of a request, counted from
+	// its first byte, or from the start of the connection for the first request.
+	readHeaderTimeout = 2500 * time.Millisecond
+	// clientIdleTimeout is how long a client connection may stay open without a request. Without
+	// it, clients that send one request and keep their connection would use up the sockets.
+	clientIdleTimeout = 2500 * time.Millisecond
+	// streamMemoryDivisor sets the memory available to streamed bodies: the memory limit divided by
+	// this.
+	streamMemoryDivisor = 4
+	// shutdownSlack is added to the longest deadline of a class when a shutdown waits for requests.
+	shutdownSlack = 100 * time.Millisecond
 )
 
-// Serve runs an agent until the context ends, and until what it has taken is finished. Of a configuration that is
-// reloaded it takes discovery's address. It closes the listener.
+// Serve runs an agent until the context ends and the requests it has accepted are finished. From a
+// reloaded configuration it uses only the address of discovery. It closes the listener.
 func Serve(ctx context.Context, cfg *Config, reloads <-chan *Config, listener net.Listener, network Network, log *slog.Logger) error {
 	a, err := New(cfg, listener, network, log)
 	if err != nil {
@@ -43,94 +55,97 @@
 	return a.Run(ctx, reloads)
 }
 
-// Agent is one agent.
+// Agent is one agent. It is created by New and serves while Run runs.
 type Agent struct {
-	cfg       *Config
-	log       *slog.Logger
-	loop      *loop
-	discovery *discovery
-	clients   *connLimiter
-	server    *server
-	peers     *peerLink    // nil: there is no talk among agents
-	moves     chan *Config // to another discovery, by operators
-	followed  string       // the discovery that they have moved to last
+	cfg              *Config
+	log              *slog.Logger
+	loop             *loop
+	discovery        *discoveryClient
+	clientConns      *connLimiter
+	server           *server
+	peers            *peerLink    // nil: agents exchange no messages
+	discoveryChanges chan *Config // another discovery address, set by operators
+	discoveryAddr    string       // the address that operators set last, or the configured one
 
-	handover *handover.Handover // nil: the process is never replaced
-	half     int                // of the sockets, for backends
-	room     int                // connections of clients
-	beside   atomic.Bool        // another process of the agent runs
-	wanted   atomic.Int64       // requests held at once, by operators; 0: they say nothing
+	handover        *handover.Handover // nil: the process is never replaced
+	maxBackendConns int                // if no other process of the agent runs
+	maxClientConns  int                // if no other process of the agent runs
+	otherProcess    atomic.Bool        // whether another process of the agent runs
+	operatorLimit   atomic.Int64       // concurrent requests, set by operators; 0: not set
 
-	leaveMu   sync.Mutex // guards what follows
-	leave     leave.Controller
-	sweep     *time.Timer
-	following bool // the sweep is to come
+	modeMu         sync.Mutex // guards the fields below
+	modeController leave.Controller
+	modeTimer      *time.Timer
+	modeTimerArmed bool // whether modeTimer is running
 }
 
-// New returns an agent that is not running yet.
+// New returns an agent that does not run yet.
 func New(cfg *Config, listener net.Listener, network Network, log *slog.Logger) (*Agent, error) {
-	// Half of the sockets is for backends.
-	half := (cfg.Sockets - reservedSockets) / 2
-	l, err := newLoop(cfg, newBackends(network, &cfg.Settings, half, int64(cfg.MemoryMB)<<20/streamShare, log), log)
+	// Half of the sockets are for backends.
+	maxBackendConns := (cfg.Sockets - reservedSockets) / 2
+	eventLoop, err := newLoop(cfg, newBackendClient(network, &cfg.Settings, maxBackendConns, int64(cfg.MemoryMB)<<20/streamMemoryDivisor, log), log)
 	if err != nil {
 		return nil, err
 	}
-	tell := func(mode policy.ListMode, members []member) {
-		l.send(input{event: policy.Event{Kind: policy.EventList, ListMode: mode}, members: members})
+	onList := func(mode policy.ListMode, members []member) {
+		eventLoop.send(input{event: policy.Event{Kind: policy.EventList, ListMode: mode}, members: members})
 	}
-	d := newDiscovery(network, cfg.Discovery, cfg.Settings.Module.AskList, tell, log)
-	// Danger: discovery's work is the lines that it sends, and after a release all agents ask at once.
-	if cfg.known.Complete && len(cfg.known.Members) > 0 {
-		d.revision = cfg.known.Revision
+	discovery := newDiscoveryClient(network, cfg.Discovery, cfg.Settings.Module.AskList, onList, log)
+	// With the revision of a known list, discovery sends only the changes since then. The load on
+	// discovery depends on the number of entries that it sends, and after a release all agents ask
+	// at once.
+	if cfg.knownList.Complete && len(cfg.knownList.Members) > 0 {
+		discovery.revision = cfg.knownList.Revision
 	}
-	l.subscribe = d.asked
-	talk, err := openPeerLink(&cfg.Peers, network)
+	eventLoop.subscribe = discovery.requestWatch
+	peers, err := openPeerLink(&cfg.Peers, network)
 	if err != nil {
 		return nil, err
 	}
-	if talk != nil {
-		l.broadcast = talk.broadcast
+	if peers != nil {
+		eventLoop.broadcast = peers.broadcast
 	}
-	// Danger: the application holds a third of the sockets at most for its requests. Were there room for more, those
-	// that it has used once and keeps would leave it none for the next request.
-	room := min(half, cfg.Sockets*3/10)
+	// The application uses at most a third of the sockets for its requests. If the agent let it
+	// keep more connections open, the idle ones could leave it no socket for its next request.
+	maxClientConns := min(maxBackendConns, cfg.Sockets*3/10)
 	a := &Agent{
-		cfg: cfg, log: log, loop: l, discovery: d, clients: &connLimiter{Listener: listener, maxConns: room},
-		server: &server{loop: l, usual: int64(room - room/8)}, moves: make(chan *Config),
-		followed: cfg.Discovery, peers: talk, leave: leave.Controller{SharedSocket: cfg.Inherited},
-	}
-	a.server.clients = a.clients
-	a.server.most.Store(a.server.usual)
-	a.server.stance.Store(&leave.Mode{Ready: true, Accept: true})
-	a.half, a.room = half, room
-	if cfg.Beside != nil {
-		a.handover = handover.New(cfg.Beside, handoverSide{a}, log)
-		l.onHoldChange = a.handover.Tell
+		cfg: cfg, log: log, loop: eventLoop, discovery: discovery, clientConns: &connLimiter{Listener: listener, maxConns: maxClientConns},
+		server: &server{loop: eventLoop, defaultMaxRequests: int64(maxClientConns - maxClientConns/8)}, discoveryChanges: make(chan *Config),
+		discoveryAddr: cfg.Discovery, peers: peers, modeController: leave.Controller{SharedSocket: cfg.SharedSocket},
+	}
+	a.server.clientConns = a.clientConns
+	a.server.maxRequests.Store(a.server.defaultMaxRequests)
+	a.server.mode.Store(&leave.Mode{Ready: true, Accept: true})
+	a.maxBackendConns, a.maxClientConns = maxBackendConns, maxClientConns
+	if cfg.Handover != nil {
+		a.handover = handover.New(cfg.Handover, handoverSide{a}, log)
+		eventLoop.onHoldChange = a.handover.Tell
 	}
 	return a, nil
 }
 
-// Run serves until the context ends, then finishes what it has taken. It closes the listener.
+// Run serves until the context ends, then finishes the requests that it has accepted. It closes the
+// listener.
 func (a *Agent) Run(ctx context.Context, reloads <-chan *Config) error {
-	cfg, l, handler := a.cfg, a.loop, a.server
-	defer a.clients.Close()
-	if cfg.Started != nil {
-		cfg.Started(a)
-	}
-	// What the agent has taken it finishes, so its workers outlive the context.
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
+	cfg, eventLoop, handler := a.cfg, a.loop, a.server
+	defer a.clientConns.Close()
+	if cfg.OnStart != nil {
+		cfg.OnStart(a)
+	}
+	// The workers outlive the context, because the agent finishes the requests it has accepted.
+	workCtx, stopWorkers := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopWorkers()
 	var workers sync.WaitGroup
-	l.ctx = work
-	workers.Go(func() { l.run(work) })
-	a.takeOver(ctx)
-	a.discovery.tell(policy.ListCached, cfg.known.Members)
-	workers.Go(func() { a.discovery.run(work, reloads, a.moves) })
+	eventLoop.ctx = workCtx
+	workers.Go(func() { eventLoop.run(workCtx) })
+	a.takeOverState(ctx)
+	a.discovery.onList(policy.ListCached, cfg.knownList.Members)
+	workers.Go(func() { a.discovery.run(workCtx, reloads, a.discoveryChanges) })
 	if a.peers != nil {
-		workers.Go(func() { a.peers.receiveLoop(work, l) })
+		workers.Go(func() { a.peers.receiveLoop(workCtx, eventLoop) })
 	}
 	defer func() {
-		stop()
+		stopWorkers()
 		if a.peers != nil {
 			a.peers.conn.Close()
 		}
@@ -138,42 +153,43 @@
 			a.handover.Close()
 		}
 		workers.Wait()
-		l.backends.Close()
+		eventLoop.backends.Close()
 	}()
 	srv := &http.Server{
-		Handler: handler, ReadHeaderTimeout: requestTimeout, IdleTimeout: idleClients, MaxHeaderBytes: maxHeader,
-		ConnContext: withConn, ConnState: a.clients.trackState,
+		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnContext: withConn, ConnState: a.clientConns.trackState,
 		ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelWarn),
 	}
-	defer srv.Close() // what outlasts Shutdown
+	defer srv.Close() // closes the connections that Shutdown has left open
 	a.awaitReady(ctx)
-	failed := make(chan error, 1)
-	go func() { failed <- srv.Serve(a.clients) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.Serve(a.clientConns) }()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return fmt.Errorf("serving: %w", err)
 	case <-ctx.Done():
 	}
-	a.changeStance(func(m *leave.Controller, now time.Duration) { m.Shutdown(now) })
-	if cfg.Inherited { // who else accepts is there for new connections
-		a.clients.Close()
-		<-failed
-		failed = nil
+	a.changeMode(func(m *leave.Controller, now time.Duration) { m.Shutdown(now) })
+	if cfg.SharedSocket { // the other processes accept new connections
+		a.clientConns.Close()
+		<-serveErr
+		serveErr = nil
 	}
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return fmt.Errorf("serving: %w", err)
-	case <-time.After(leave.AcceptGrace + sweepIdle):
+	case <-time.After(leave.AcceptGrace + modeCheckInterval):
 	}
-	a.clients.closeIdle()
-	longest := leaveSlack
+	a.clientConns.closeIdle()
+	longestDeadline := shutdownSlack
 	for _, c := range cfg.Settings.Module.Classes {
-		longest = max(longest, c.Deadline+leaveSlack)
+		longestDeadline = max(longestDeadline, c.Deadline+shutdownSlack)
 	}
-	last, cancel := context.WithTimeout(work, longest)
+	shutdownCtx, cancel := context.WithTimeout(workCtx, longestDeadline)
 	defer cancel()
-	// A connection that was opened and never used would keep Shutdown from returning.
-	if err := srv.Shutdown(last); err != nil && !errors.Is(err, context.DeadlineExceeded) {
+	// A connection that has never carried a request would keep Shutdown from returning, so running
+	// into the timeout is no error.
+	if err := srv.Shutdown(shutdownCtx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("shutting down: %w", err)
 	}
 	return nil
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,7 +15,8 @@
 	"example.org/micaline/internal/standin"
 )
 
-// The classes: a keyed one dropped by all, a keyed one dropped by its cell, an unsafe one and a safe one.
+// testSettings has four classes: a keyed one that all backends deduplicate, a keyed one that only
+// the backends of one cell deduplicate, an unsafe one and a safe one.
 const testSettings = `{
  "categories":[
   {"name":"keyed","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"all","repeatWindow":30000},
@@ -28,22 +29,23 @@
  "limits":{"maxAttempts":3,"cancel":true,"secondCopies":true,"connectTimeout":2000,"idleClose":30000},
  "rules":{"coldFrom":0.5,"warmAfter":1000,"overloadFactor":2,"extraFloor":100,"extraWindow":1000}}`
 
-// wait bounds what a test waits for; nothing passes by it.
-const wait = 20 * time.Second
+// testTimeout bounds each wait of a test. A test that runs into it fails.
+const testTimeout = 20 * time.Second
 
+// receive returns the next value of a channel, and fails the test if none arrives in time.
 func receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(wait):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 		panic("unreachable")
 	}
 }
 
-// running is an agent under test.
-type running struct {
+// runningAgent is an agent under test.
+type runningAgent struct {
 	url    string
 	stop   context.CancelFunc
 	ended  chan error
@@ -51,20 +53,20 @@
 
 	agent   *Agent
 	reloads chan *Config
-	calls   atomic.Int64 // requests made
+	calls   atomic.Int64 // requests created
 }
 
-// start runs an agent and waits until it is up, which it is once it has a list that names a backend.
-func start(t *testing.T, cfg *Config) *running {
+// startAgent runs an agent and waits until it is ready, which requires a list with a backend.
+func startAgent(t *testing.T, cfg *Config) *runningAgent {
 	t.Helper()
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{
+	r := &runningAgent{
 		url: "http://" + listener.Addr().String(), stop: stop, ended: make(chan error, 1),
-		client:  &http.Client{Transport: &http.Transport{}, Timeout: wait},
+		client:  &http.Client{Transport: &http.Transport{}, Timeout: testTimeout},
 		reloads: make(chan *Config),
 	}
 	if r.agent, err = New(cfg, listener, TCP{}, slog.New(slog.DiscardHandler)); err != nil {
@@ -75,7 +77,7 @@
 		stop()
 		r.client.CloseIdleConnections()
 	})
-	for begun := time.Now(); time.Since(begun) < wait; time.Sleep(time.Millisecond) {
+	for start := time.Now(); time.Since(start) < testTimeout; time.Sleep(time.Millisecond) {
 		resp, err := r.client.Get(r.url + readyPath)
 		if err != nil {
 			continue
@@ -85,39 +87,39 @@
 			return r
 		}
 	}
-	t.Fatal("the agent does not come up")
+	t.Fatal("the agent did not become ready")
 	return nil
 }
 
-// eventually waits until a condition holds, and fails if it does not within the time that a test waits for anything.
-func (r *running) eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition holds, and fails the test after testTimeout.
+func (r *runningAgent) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for begun := time.Now(); !holds(); time.Sleep(time.Millisecond) {
-		if time.Since(begun) > wait {
-			t.Fatalf("not within %v: %s", wait, what)
+	for start := time.Now(); !condition(); time.Sleep(time.Millisecond) {
+		if time.Since(start) > testTimeout {
+			t.Fatalf("condition not met within %v: %s", testTimeout, what)
 		}
 	}
 }
 
-// sendHeldRequest starts an agent over a backend that answers once goOn is closed or sent to, and sends it a request; status is
-// told what the client got.
-func sendHeldRequest(t *testing.T) (a *running, backend *standin.Script, goOn chan struct{}, status chan int) {
+// sendPendingRequest starts an agent with a backend that answers once proceed is closed or receives
+// a value, and sends it a request. The status of the answer is sent to the status channel.
+func sendPendingRequest(t *testing.T) (a *runningAgent, backend *standin.Script, proceed chan struct{}, status chan int) {
 	t.Helper()
-	goOn, status = make(chan struct{}), make(chan int, 1)
+	proceed, status = make(chan struct{}), make(chan int, 1)
 	backend = newBackend(t, func(int, *http.Request) (string, bool) {
-		<-goOn
-		return okText, false
+		<-proceed
+		return okResponse, false
 	})
-	a = agentFor(t, testSettings, backend)
+	a = startAgentWith(t, testSettings, backend)
 	go func() {
 		got, _ := a.do(t, a.request("unsafe", "15000m"))
 		status <- got
 	}()
-	return a, backend, goOn, status
+	return a, backend, proceed, status
 }
 
-// request makes a client's request of a class.
-func (r *running) request(class string, budget string) *http.Request {
+// request creates a client's request of a class.
+func (r *runningAgent) request(class string, budget string) *http.Request {
 	method, body := http.MethodPost, "body of "+class
 	if class == "safe" {
 		method, body = http.MethodGet, ""
@@ -133,7 +135,8 @@
 	return req
 }
 
-func (r *running) do(t *testing.T, req *http.Request) (int, string) {
+// do sends a request and returns the status and the body of its answer.
+func (r *runningAgent) do(t *testing.T, req *http.Request) (int, string) {
 	t.Helper()
 	resp, err := r.client.Do(req)
 	if err != nil {
@@ -147,11 +150,12 @@
 	return resp.StatusCode, string(body)
 }
 
-const okText = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Type: text/x-made\r\n\r\nserved"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Type: text/x-made\r\n\r\nserved"
 
-func serves(int, *http.Request) (string, bool) { return okText, false }
+// alwaysOK is a script of a backend that answers each request with okResponse.
+func alwaysOK(int, *http.Request) (string, bool) { return okResponse, false }
 
-// newBackend starts a scripted backend that ends with the test.
+// newBackend starts a scripted backend that is closed at the end of the test.
 func newBackend(t *testing.T, answer standin.Answer) *standin.Script {
 	t.Helper()
 	s, err := standin.NewScript(answer)
@@ -162,10 +166,10 @@
 	return s
 }
 
-// newLists starts a scripted discovery that ends with the test.
-func newLists(t *testing.T, whole []byte) *standin.ListScript {
+// newScriptedDiscovery starts a scripted discovery service that is closed at the end of the test.
+func newScriptedDiscovery(t *testing.T, fullList []byte) *standin.ListScript {
 	t.Helper()
-	l, err := standin.NewListScript(whole)
+	l, err := standin.NewListScript(fullList)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,20 +177,20 @@
 	return l
 }
 
-// agentFor starts an agent that knows the backends, each in a cell of its own number.
-func agentFor(t *testing.T, settings string, backends ...*standin.Script) *running {
+// startAgentWith starts an agent whose list has the given backends, each in a cell of its own.
+func startAgentWith(t *testing.T, settings string, backends ...*standin.Script) *runningAgent {
 	t.Helper()
 	var members []string
 	for i, b := range backends {
-		members = append(members, host(fmt.Sprintf("s-%d", i), b.Addr, "Ready", i))
+		members = append(members, memberJSON(fmt.Sprintf("s-%d", i), b.Addr, "Ready", i))
 	}
-	l := newLists(t, hosts(1, true, members...))
-	return start(t, config(t, l.Addr, settings))
+	l := newScriptedDiscovery(t, listJSON(1, true, members...))
+	return startAgent(t, testConfig(t, l.Addr, settings))
 }
 
 func TestPassesOnUnchanged(t *testing.T) {
-	b := newBackend(t, serves)
-	a := agentFor(t, testSettings, b)
+	b := newBackend(t, alwaysOK)
+	a := startAgentWith(t, testSettings, b)
 	req := a.request("keyed", "1500m")
 	req.Header.Set("Traceparent", "00-1-2-01")
 	resp, err := a.client.Do(req)
@@ -203,43 +207,43 @@
 	if got.Method != "POST" || got.RequestURI != "/keyed/7f%2F3a?x=1&y" || string(sent) != "body of keyed" ||
 		got.Header.Get(callIDHeader) != "call-1" || got.Header.Get(keyHeader) != "key-1" ||
 		got.Header.Get("Traceparent") != "00-1-2-01" {
-		t.Errorf("the backend got %s %s %q %v", got.Method, got.RequestURI, sent, got.Header)
+		t.Errorf("the backend received %s %s %q %v", got.Method, got.RequestURI, sent, got.Header)
 	}
 	if left, err := parseBudget(got.Header.Get(budgetHeader)); err != nil || left > 1500*time.Millisecond {
 		t.Errorf("budget %v, error %v", left, err)
 	}
 }
 
-// An agent that is to stop answers what it has taken and what still comes, closes its connections behind the
-// answers, and ends well.
+// An agent that shuts down answers the requests it has accepted and those that still arrive, closes
+// each connection after its answer, and ends without an error.
 func TestStop(t *testing.T) {
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	b := newBackend(t, func(int, *http.Request) (string, bool) {
-		<-goOn
-		return okText, false
+		<-proceed
+		return okResponse, false
 	})
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	answers := make(chan *http.Response, 2)
-	ask := func() {
+	sendRequest := func() {
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(a.request("unsafe", "15000m"))
 		if err != nil {
 			t.Error(err)
 		}
 		answers <- resp
 	}
-	go ask()
+	go sendRequest()
 	receive(t, "request", b.Got)
 	a.stop()
-	go ask() // the listener is still open
-	receive(t, "request after the signal", b.Got)
-	close(goOn)
+	go sendRequest() // the listener still accepts
+	receive(t, "request during the shutdown", b.Got)
+	close(proceed)
 	for range 2 {
 		resp := receive(t, "answer", answers)
 		if resp == nil || resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("answered %v", resp)
 		}
 	}
-	if err := receive(t, "end", a.ended); err != nil {
+	if err := receive(t, "end of the agent", a.ended); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -25,157 +25,168 @@
 )
 
 const (
-	maxHeader    = 32 << 10
-	probeTimeout = 300 * time.Millisecond
+	maxHeaderBytes = 32 << 10 // of a request or an answer
+	probeTimeout   = 300 * time.Millisecond
 )
 
-// errOverdue says that a stream's answer did not come in time.
-var errOverdue = errors.New("no answer in time")
+// errAnswerTimeout is the error of a streamed request whose answer has not arrived in time.
+var errAnswerTimeout = errors.New("no answer in time")
 
-// errTooLate says that a request is not to be sent any more: its backend is out, or the backends no longer remember what it repeats.
-var errTooLate = errors.New("too late to send the request")
+// errTooLateToSend is the error of a request that must not be sent any more: its backend was taken
+// out of service, or the time in which backends deduplicate the retry is over.
+var errTooLateToSend = errors.New("too late to send the request")
 
-// backends sends messages to backends over the connections of a pool, and keeps what their answers need.
-type backends struct {
+// backendClient sends requests to backends over pooled connections. It bounds the memory of
+// streamed bodies in both directions.
+type backendClient struct {
 	*connpool.Pool
-	room    atomic.Int64 // bytes left for streams
-	written atomic.Int64 // attempts whose last byte went out
-	late    *lagMonitor  // the agent's own
-	log     *slog.Logger
+	streamMemory    atomic.Int64 // bytes that new streams can still reserve
+	writtenAttempts atomic.Int64 // attempts whose request was written completely
+	lagMonitor      *lagMonitor  // measures how late the agent itself runs
+	log             *slog.Logger
 }
 
-// newBackends returns those of a pool of so many connections at most, with room for so many bytes of streams.
-func newBackends(net Network, s *settings.Settings, most int, room int64, log *slog.Logger) *backends {
-	b := &backends{
-		Pool: connpool.New(connpool.Options{Network: net, ConnectTimeout: s.ConnectTimeout, BackendIdleTimeout: s.Module.IdleClose, MaxConns: most}),
-		late: newLagMonitor(s, net), log: log,
+// newBackendClient returns a client with at most maxConns connections, and streamMemory bytes for
+// streamed bodies.
+func newBackendClient(network Network, s *settings.Settings, maxConns int, streamMemory int64, log *slog.Logger) *backendClient {
+	b := &backendClient{
+		Pool:       connpool.New(connpool.Options{Network: network, ConnectTimeout: s.ConnectTimeout, BackendIdleTimeout: s.Module.IdleClose, MaxConns: maxConns}),
+		lagMonitor: newLagMonitor(s, network), log: log,
 	}
-	b.room.Store(room)
+	b.streamMemory.Store(streamMemory)
 	return b
 }
 
-// reserve takes so many bytes of the room for streams, if they are there. Danger: as many streams as there are connections
-// would not fit into the memory.
-func (b *backends) reserve(n int64) bool {
-	if b.room.Add(-n) >= 0 {
+// reserveStreamMemory reserves n bytes for a stream, and reports whether they were available.
+// Without this bound, one stream on each connection would exceed the memory.
+func (b *backendClient) reserveStreamMemory(n int64) bool {
+	if b.streamMemory.Add(-n) >= 0 {
 		return true
 	}
-	b.room.Add(n)
+	b.streamMemory.Add(n)
 	return false
 }
 
-// free gives them back.
-func (b *backends) free(n int64) { b.room.Add(n) }
+// freeStreamMemory returns n bytes reserved by reserveStreamMemory.
+func (b *backendClient) freeStreamMemory(n int64) { b.streamMemory.Add(n) }
 
-// message is a client's request as it goes on to a backend, unchanged but for its budget.
+// message is a request as it is sent to a backend: a client's request, of which only the budget
+// changes, or a probe.
 type message struct {
-	head  []byte // the request line and the headers but for the budget
-	body  []byte
-	probe bool    // the agent's own
-	rest  *upload // what is still to come of the body; nil: nothing
+	head    []byte        // the request line and the headers except the budget
+	body    []byte        // as far as it is buffered
+	isProbe bool          // whether the agent itself sends it
+	upload  *uploadStream // the rest of the body, which is streamed; nil: body is complete
 }
 
-// notPassedOn is what a message says anew each time.
-var notPassedOn = map[string]bool{budgetHeader: true}
+// rewrittenHeaders are the headers that each attempt writes with a value of its own.
+var rewrittenHeaders = map[string]bool{budgetHeader: true}
 
-func newMessage(method, uri, host string, header http.Header, body []byte, rest *upload) message {
+// newMessage encodes the header of a request except its budget. If upload is not nil, it streams
+// the rest of the request's body.
+func newMessage(method, uri, host string, header http.Header, body []byte, upload *uploadStream) message {
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, uri, host)
 	switch {
-	case rest != nil && rest.size < 0:
+	case upload != nil && upload.size < 0:
 		head.WriteString("Transfer-Encoding: chunked\r\n")
-	case rest != nil:
-		fmt.Fprintf(&head, "Content-Length: %d\r\n", rest.size)
+	case upload != nil:
+		fmt.Fprintf(&head, "Content-Length: %d\r\n", upload.size)
 	case len(body) > 0 || method == http.MethodPost:
 		fmt.Fprintf(&head, "Content-Length: %d\r\n", len(body))
 	}
-	header.WriteSubset(&head, notPassedOn) // to a buffer, which takes all
-	return message{head: head.Bytes(), body: body, rest: rest}
+	header.WriteSubset(&head, rewrittenHeaders) // writing to a buffer can't fail
+	return message{head: head.Bytes(), body: body, upload: upload}
 }
 
-// size is how long the body is in bytes, or how much of it is known to come.
+// size returns the length of the body in bytes. If it is not known, it returns the number of bytes
+// that are buffered.
 func (m *message) size() int {
-	if m.rest != nil {
-		return int(max(m.rest.size, int64(len(m.body))))
+	if m.upload != nil {
+		return int(max(m.upload.size, int64(len(m.body))))
 	}
 	return len(m.body)
 }
 
-// encode writes the message with the time that is left for it.
-func (m *message) encode(left time.Duration) []byte {
+// encode returns the bytes to send, with the remaining time as the budget. For a streamed body they
+// end with the buffered part of it.
+func (m *message) encode(timeLeft time.Duration) []byte {
 	text := make([]byte, 0, len(m.head)+len(budgetHeader)+32+len(m.body))
 	text = append(text, m.head...)
-	text = fmt.Appendf(text, "%s: %du\r\n\r\n", budgetHeader, max(1, left.Microseconds()))
-	if m.rest != nil && m.rest.size < 0 {
+	text = fmt.Appendf(text, "%s: %du\r\n\r\n", budgetHeader, max(1, timeLeft.Microseconds()))
+	if m.upload != nil && m.upload.size < 0 {
 		return fmt.Appendf(text, "%x\r\n%s\r\n", len(m.body), m.body)
 	}
 	return append(text, m.body...)
 }
 
-// result is how an attempt or a probe ended.
+// result is the result of an attempt or a probe.
 type result struct {
-	outcome policy.Outcome
-	took    time.Duration // at the backend, at least
-	seen    time.Duration // of the clock, when it ended
-	load    policy.Load
-	answer  answer // a whole one, if the outcome is OK
+	outcome     policy.Outcome
+	backendTime time.Duration // lower bound of the time spent at the backend
+	endedAt     time.Duration // clock time of the end
+	load        policy.Load
+	answer      answer // set if the outcome is OK
 }
 
-// exchange sends a message once and waits for its answer until the context ends. If sendBy is set and has passed
-// when a connection is up, nothing is sent.
-func (b *backends) exchange(ctx context.Context, t *connpool.Target, m *message, sendBy time.Time, fields []string) result {
+// exchange sends a message once and waits for its answer until the context ends. If sendBy is set
+// and has passed when a connection is available, nothing is sent. fields are the names that a load
+// report may contain.
+func (b *backendClient) exchange(ctx context.Context, target *connpool.Target, msg *message, sendBy time.Time, fields []string) result {
 	r := result{load: settings.NoLoad()}
-	var a life.Attempt
-	wrote := b.late.timeSource.now()
-	resp, body, rest, err := b.roundTrip(ctx, t, m, sendBy, &a, &wrote)
-	r.seen = b.late.timeSource.now()
-	r.took = max(0, r.seen-b.late.ownDelay()-wrote)
+	var attempt life.Attempt
+	writtenAt := b.lagMonitor.timeSource.now()
+	resp, body, download, err := b.roundTrip(ctx, target, msg, sendBy, &attempt, &writtenAt)
+	r.endedAt = b.lagMonitor.timeSource.now()
+	r.backendTime = max(0, r.endedAt-b.lagMonitor.ownDelay()-writtenAt)
 	if err == nil {
 		r.load = parseLoad(resp.Header.Get(loadHeader), fields)
-		b.on(&a, meaning(resp))
+		b.applyInput(&attempt, answerInput(resp))
 	} else {
-		b.onError(ctx, &a, err)
+		b.applyError(ctx, &attempt, err)
 	}
-	r.outcome = a.State().Outcome()
+	r.outcome = attempt.State().Outcome()
 	if r.outcome == policy.OK {
-		r.answer = answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), body: body, bodyStream: rest}
+		r.answer = answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), body: body, bodyStream: download}
 	}
 	return r
 }
 
-// on takes in what happens to an attempt. Danger: what does not fit would have the attempt end as something that it is not,
-// so it is told; and the attempt stays as it is, which never calls unsent what may have run.
-func (b *backends) on(a *life.Attempt, i life.Input) {
-	if err := a.Apply(i); err != nil {
+// applyInput applies an input to the life cycle of an attempt. An input that is invalid in the
+// attempt's state is logged and otherwise ignored: applying it could give the attempt a wrong
+// outcome, while its unchanged state never declares a request unsent that may have run.
+func (b *backendClient) applyInput(attempt *life.Attempt, in life.Input) {
+	if err := attempt.Apply(in); err != nil {
 		b.log.Error("attempt", "error", err)
 	}
 }
 
-// onError takes in why an attempt's I/O has come back without an answer.
-func (b *backends) onError(ctx context.Context, a *life.Attempt, err error) {
-	overdue := errors.Is(context.Cause(ctx), context.DeadlineExceeded)
+// applyError applies the error of an attempt that got no answer to its life cycle.
+func (b *backendClient) applyError(ctx context.Context, attempt *life.Attempt, err error) {
+	timedOut := errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 	switch {
-	case ctx.Err() != nil && !overdue, errors.Is(err, errClient):
-		b.on(a, life.Cancel)
-		b.on(a, life.IOReturned)
-	case errors.Is(err, errTooLate):
-		b.on(a, life.TooLateToSend)
-	case connpool.IsSocketShortage(err) && a.State() == life.Connecting:
-		b.on(a, life.NoSocket)
-	case overdue, errors.Is(err, errOverdue):
-		b.on(a, life.Deadline)
-		b.on(a, life.IOReturned)
-	case a.State() == life.Connecting && errors.Is(err, os.ErrDeadlineExceeded) && b.late.ownDelay() > 0:
-		b.on(a, life.NoSocket) // it may have come up in time while the agent was late
-	case a.State() == life.Connecting:
-		b.on(a, life.ConnectFailed)
+	case ctx.Err() != nil && !timedOut, errors.Is(err, errUploadFailed):
+		b.applyInput(attempt, life.Cancel)
+		b.applyInput(attempt, life.IOReturned)
+	case errors.Is(err, errTooLateToSend):
+		b.applyInput(attempt, life.TooLateToSend)
+	case connpool.IsSocketShortage(err) && attempt.State() == life.Connecting:
+		b.applyInput(attempt, life.NoSocket)
+	case timedOut, errors.Is(err, errAnswerTimeout):
+		b.applyInput(attempt, life.Deadline)
+		b.applyInput(attempt, life.IOReturned)
+	case attempt.State() == life.Connecting && errors.Is(err, os.ErrDeadlineExceeded) && b.lagMonitor.ownDelay() > 0:
+		b.applyInput(attempt, life.NoSocket) // it may have connected in time while the agent was late
+	case attempt.State() == life.Connecting:
+		b.applyInput(attempt, life.ConnectFailed)
 	default:
-		b.on(a, life.ConnectionBroken)
+		b.applyInput(attempt, life.ConnectionBroken)
 	}
 }
 
-// meaning reads a whole answer. What the protocol does not name may have run.
-func meaning(resp *http.Response) life.Input {
+// answerInput classifies a complete answer by its status. A request may have run after any status
+// that the protocol does not define as a rejection.
+func answerInput(resp *http.Response) life.Input {
 	switch resp.StatusCode {
 	case http.StatusOK:
 		return life.GoodAnswer
@@ -187,176 +198,185 @@
 	return life.ErrorAnswer
 }
 
-// roundTrip returns an answer, the rest of its body if that is too long to be read here, or an error. How far it has come before that the attempt tells, and wrote when its last
-// byte went out, if it did.
-func (b *backends) roundTrip(ctx context.Context, t *connpool.Target, m *message, sendBy time.Time, a *life.Attempt, wrote *time.Duration) (resp *http.Response, body []byte, rest *download, err error) {
-	b.on(a, life.Start)
-	c, err := b.Get(ctx, t)
+// roundTrip sends a message over one connection and reads the answer. If the answer is too long to
+// be buffered, body is its first part and download streams the rest. Progress is recorded in
+// attempt, and the time of the request's last byte, if it was written, in writtenAt.
+func (b *backendClient) roundTrip(ctx context.Context, target *connpool.Target, msg *message, sendBy time.Time, attempt *life.Attempt, writtenAt *time.Duration) (resp *http.Response, body []byte, download *downloadStream, err error) {
+	b.applyInput(attempt, life.Start)
+	conn, err := b.Get(ctx, target)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	b.on(a, life.Connected)
+	b.applyInput(attempt, life.Connected)
 	reusable := false
 	stop := context.AfterFunc(ctx, func() {
 		if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-			c.Expire()
+			conn.Expire()
 		} else {
-			c.Close() // which also gives the attempt up
+			conn.Close() // makes the pending I/O fail
 		}
-		if m.rest != nil {
-			m.rest.interrupt()
+		if msg.upload != nil {
+			msg.upload.interrupt()
 		}
 	})
 	defer func() {
-		switch on := stop(); {
-		case on && rest != nil: // its body holds the connection
-		case rest != nil:
-			rest.end(false)
-			resp, rest, err = nil, nil, context.Cause(ctx)
-		case on && reusable:
-			b.Put(c)
+		switch active := stop(); {
+		case active && download != nil: // the download owns the connection
+		case download != nil:
+			download.release(false)
+			resp, download, err = nil, nil, context.Cause(ctx)
+		case active && reusable:
+			b.Put(conn)
 		default:
-			b.Discard(c)
+			b.Discard(conn)
 		}
 	}()
-	// Danger: backends drop a keyed repeat only for a while, and a connection that was slow to come up may outlast
-	// it. What is not sent has not run.
-	// Nor is anything sent to a backend that was called out meanwhile, or has gone.
-	if !sendBy.IsZero() && !time.Now().Before(sendBy) || b.Retired(t) {
+	// Backends deduplicate a keyed retry only for a limited time, which may be over when a slow
+	// connection is established. A request that is not sent has certainly not run. A backend that
+	// was taken out of service in the meantime, or has left the list, gets no request either.
+	if !sendBy.IsZero() && !time.Now().Before(sendBy) || b.Retired(target) {
 		reusable = true
-		return nil, nil, nil, errTooLate
+		return nil, nil, nil, errTooLateToSend
 	}
-	var left time.Duration
-	if m.rest != nil {
-		left = m.rest.budget
+	var timeLeft time.Duration
+	if msg.upload != nil {
+		timeLeft = msg.upload.budget
 	} else {
 		deadline, _ := ctx.Deadline()
-		left = time.Until(deadline)
+		timeLeft = time.Until(deadline)
 	}
-	b.on(a, life.WriteStarted)
-	if _, err := c.Write(m.encode(left)); err != nil {
+	b.applyInput(attempt, life.WriteStarted)
+	if _, err := conn.Write(msg.encode(timeLeft)); err != nil {
 		return nil, nil, nil, err
 	}
-	whole := true
-	if m.rest != nil {
-		if whole, err = b.passOn(c, m.rest); err != nil {
+	bodySent := true
+	if msg.upload != nil {
+		if bodySent, err = b.forwardBody(conn, msg.upload); err != nil {
 			return nil, nil, nil, err
 		}
 	}
-	if whole {
-		b.on(a, life.RequestWritten)
-		if !m.probe {
-			b.written.Add(1)
+	if bodySent {
+		b.applyInput(attempt, life.RequestWritten)
+		if !msg.isProbe {
+			b.writtenAttempts.Add(1)
 		}
-		*wrote = b.late.timeSource.now()
-		if m.rest != nil {
-			overdue := time.AfterFunc(m.rest.arrived(), c.Expire)
-			defer overdue.Stop()
+		*writtenAt = b.lagMonitor.timeSource.now()
+		if msg.upload != nil {
+			answerTimer := time.AfterFunc(msg.upload.onComplete(), conn.Expire)
+			defer answerTimer.Stop()
 		}
 	}
-	if resp, body, rest, err = b.read(c, a); err != nil {
-		if m.rest != nil && errors.Is(err, os.ErrDeadlineExceeded) && c.IsExpired() {
-			err = errOverdue
+	if resp, body, download, err = b.readAnswer(conn, attempt); err != nil {
+		if msg.upload != nil && errors.Is(err, os.ErrDeadlineExceeded) && conn.IsExpired() {
+			err = errAnswerTimeout
 		}
 		return nil, nil, nil, err
 	}
-	// Danger: what stands behind an answer, a copy of it or noise, would be taken for the next one's.
-	reusable = whole && !resp.Close && c.Reader.Buffered() == 0
-	return resp, body, rest, nil
+	// Bytes after an answer, such as a duplicate of it, would be read as the answer to the next
+	// request, so a connection that has any is not reused.
+	reusable = bodySent && !resp.Close && conn.Reader.Buffered() == 0
+	return resp, body, download, nil
 }
 
-// passOn passes the rest of a request's body on, until the backend answers: one that does so before the last byte has no
-// use for what is left. It says whether that was all of it.
-func (b *backends) passOn(c *connpool.Conn, rest *upload) (whole bool, err error) {
-	c.LimitRead(maxHeader + keep)
-	c.StallTimeout = 0
-	var early error
-	heard := make(chan struct{})
+// forwardBody forwards the rest of a request's body until it ends or the backend begins to answer:
+// a backend that answers before the last byte does not need the rest. It reports whether the whole
+// body was sent.
+func (b *backendClient) forwardBody(conn *connpool.Conn, upload *uploadStream) (bodySent bool, err error) {
+	conn.LimitRead(maxHeaderBytes + maxBufferedBody)
+	conn.StallTimeout = 0
+	var peekErr error
+	peekDone := make(chan struct{})
 	go func() {
-		defer close(heard)
-		if _, early = c.Reader.Peek(1); !errors.Is(early, os.ErrDeadlineExceeded) {
-			rest.interrupt()
+		defer close(peekDone)
+		if _, peekErr = conn.Reader.Peek(1); !errors.Is(peekErr, os.ErrDeadlineExceeded) {
+			upload.interrupt()
 		}
 	}()
-	err = rest.pump(c)
-	// Nobody else may read the connection until the watch has ended. What it has seen stays to be read.
-	c.InterruptRead()
-	<-heard
-	if e := c.ResumeRead(); e != nil && err == nil {
-		err = e
+	err = upload.forwardTo(conn)
+	// The connection must not be read elsewhere before Peek has returned. The byte that Peek has
+	// seen stays in the buffer.
+	conn.InterruptRead()
+	<-peekDone
+	if resumeErr := conn.ResumeRead(); resumeErr != nil && err == nil {
+		err = resumeErr
 	}
 	switch {
 	case err == nil:
 		return true, nil
-	case early == nil && !rest.hasFailed():
+	case peekErr == nil && !upload.hasFailed():
 		return false, nil
-	case rest.hasFailed():
-		return false, errClient
+	case upload.hasFailed():
+		return false, errUploadFailed
 	}
-	return false, fmt.Errorf("passing a body on: %w", cmp.Or(early, err))
+	return false, fmt.Errorf("forwarding the request body: %w", cmp.Or(peekErr, err))
 }
 
-// read reads one answer: to its end if it is short, else its head and what of it has come. One whose end only the closing of
-// the connection shows is whole if that is no reset (RFC 9112, section 6.3).
-func (b *backends) read(c *connpool.Conn, a *life.Attempt) (*http.Response, []byte, *download, error) {
-	c.LimitRead(maxHeader + keep)
+// readAnswer reads one answer. It reads a short answer completely. Of a long one it reads the
+// header and the first part of the body, and returns a download for the rest. An answer that is
+// delimited by the end of the connection is complete unless the connection was reset (RFC 9112,
+// section 6.3).
+func (b *backendClient) readAnswer(conn *connpool.Conn, attempt *life.Attempt) (*http.Response, []byte, *downloadStream, error) {
+	conn.LimitRead(maxHeaderBytes + maxBufferedBody)
 	for {
-		c.StallTimeout = 0 // however long it takes until something comes
-		if _, err := c.Reader.Peek(1); err != nil {
+		conn.StallTimeout = 0 // no limit until the answer begins
+		if _, err := conn.Reader.Peek(1); err != nil {
 			return nil, nil, nil, err
 		}
-		if s := a.State(); s == life.Sent || s == life.Writing { // not behind an interim one
-			b.on(a, life.FirstAnswerByte)
+		if state := attempt.State(); state == life.Sent || state == life.Writing { // not after an interim answer
+			b.applyInput(attempt, life.FirstAnswerByte)
 		}
-		// Danger: an answer that says that it is longer than it is ends on no connection that stays open.
-		c.StallTimeout = answerStall
-		resp, err := http.ReadResponse(c.Reader, nil)
+		// An answer that is shorter than its Content-Length never ends if the connection stays
+		// open, so each read has a timeout.
+		conn.StallTimeout = answerStallTimeout
+		resp, err := http.ReadResponse(conn.Reader, nil)
 		if err != nil {
 			return nil, nil, nil, err
 		}
-		good := resp.StatusCode == http.StatusOK
+		isOK := resp.StatusCode == http.StatusOK
 		switch {
 		case resp.StatusCode == http.StatusSwitchingProtocols:
 			return nil, nil, nil, errors.New("an answer in another protocol")
 		case resp.StatusCode/100 == 1:
-			continue // the answer is still to come
-		case resp.ContentLength > mostBody, resp.ContentLength > keep && !good:
-			return nil, nil, nil, fmt.Errorf("an answer of %d bytes", resp.ContentLength)
+			continue // skips an interim answer
+		case resp.ContentLength > maxBody, resp.ContentLength > maxBufferedBody && !isOK:
+			return nil, nil, nil, fmt.Errorf("an answer of %d bytes is too long", resp.ContentLength)
 		}
-		body, whole, err := readBody(resp)
+		body, complete, err := readBody(resp)
 		if err != nil {
 			return nil, nil, nil, err
 		}
-		if whole {
-			c.StallTimeout = 0
-			return resp, body, nil, c.ArmReadDeadline()
+		if complete {
+			conn.StallTimeout = 0
+			return resp, body, nil, conn.ArmReadDeadline()
 		}
-		if !good {
-			return nil, nil, nil, fmt.Errorf("an answer of over %d bytes", len(body))
+		if !isOK {
+			return nil, nil, nil, fmt.Errorf("an answer of over %d bytes that is not a success", len(body))
 		}
-		if !b.reserve(streamRoom) {
-			return nil, nil, nil, errors.New("no room for an answer")
+		if !b.reserveStreamMemory(memoryPerStream) {
+			return nil, nil, nil, errors.New("no memory left to stream the answer")
 		}
-		c.LimitRead(math.MaxInt64)
-		c.StallTimeout = streamStall
-		return resp, body, &download{
-			backends: b, conn: c, body: resp.Body, size: resp.ContentLength, got: int64(len(body)), reusable: !resp.Close,
+		conn.LimitRead(math.MaxInt64)
+		conn.StallTimeout = streamStallTimeout
+		return resp, body, &downloadStream{
+			backends: b, conn: conn, body: resp.Body, size: resp.ContentLength, received: int64(len(body)), reusable: !resp.Close,
 		}, nil
 	}
 }
 
-// readBody reads a body that is short. Of another it returns what has come, once that is much or has gone on for a while.
-func readBody(resp *http.Response) (body []byte, whole bool, err error) {
-	if resp.ContentLength >= 0 && resp.ContentLength <= keep {
+// readBody reads a short body completely. Of a longer one it reads up to maxBufferedBody bytes, or
+// what has arrived within bufferingTime, and reports that the body is not complete.
+func readBody(resp *http.Response) (body []byte, complete bool, err error) {
+	if resp.ContentLength >= 0 && resp.ContentLength <= maxBufferedBody {
 		body = make([]byte, resp.ContentLength)
 		_, err = io.ReadFull(resp.Body, body)
 		return body, true, err
 	}
-	// Danger: one that says that it is longer than it is would be chosen for its head, and could not be sent for again.
-	begun := time.Now()
-	for len(body) < keep && (len(body) == 0 || time.Since(begun) < settle) {
+	// Once the header is passed on, the request can't be retried. Buffering the beginning of the
+	// body detects many answers that break off before that.
+	start := time.Now()
+	for len(body) < maxBufferedBody && (len(body) == 0 || time.Since(start) < bufferingTime) {
 		body = slices.Grow(body, 4<<10)
-		n, err := resp.Body.Read(body[len(body):min(cap(body), keep)])
+		n, err := resp.Body.Read(body[len(body):min(cap(body), maxBufferedBody)])
 		body = body[:len(body)+n]
 		if err == io.EOF {
 			return body, true, nil
@@ -368,51 +388,52 @@
 	return body, false, nil
 }
 
-// probe asks a backend how it does: for its load where probes bring reports, else whether it is alive.
-func (b *backends) probe(ctx context.Context, t *connpool.Target, s *settings.Settings) result {
-	path, reports := alivePath, s.Module.Reports != policy.ReportsOff
+// probe requests the load report of a backend if the settings enable reports, else its liveness.
+func (b *backendClient) probe(ctx context.Context, target *connpool.Target, set *settings.Settings) result {
+	path, reports := alivePath, set.Module.Reports != policy.ReportsOff
 	if reports {
 		path = loadPath
 	}
-	m := newMessage(http.MethodGet, path, t.Addr, nil, nil, nil)
-	m.probe = true
+	msg := newMessage(http.MethodGet, path, target.Addr, nil, nil, nil)
+	msg.isProbe = true
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	r := b.exchange(ctx, t, &m, time.Time{}, s.ReportFields)
-	r.answer.drop()
+	r := b.exchange(ctx, target, &msg, time.Time{}, set.ReportFields)
+	r.answer.discard()
 	if r.outcome == policy.OK && reports {
-		r.load = parseLoad(string(r.answer.body), s.ReportFields)
+		r.load = parseLoad(string(r.answer.body), set.ReportFields)
 	}
 	return r
 }
 
-// parseLoad reads a report such as inflight=7,queue=2. Names that the settings do not list, and what is no
-// number, are left out: a bad report is an absent one.
+// parseLoad parses a load report such as inflight=7,queue=2. Names that are not in fields and
+// values that are not numbers are ignored, so an invalid report counts as no report.
 func parseLoad(text string, fields []string) policy.Load {
 	load := settings.NoLoad()
 	if text == "" {
-		return load // as most answers have none
+		return load // most answers have no report
 	}
 	for pair := range strings.SplitSeq(strings.TrimSpace(text), ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		name = strings.TrimSpace(name)
-		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
+		number, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 		if err == nil && slices.Contains(fields, name) {
-			settings.AddLoad(&load, name, v)
+			settings.AddLoad(&load, name, number)
 		}
 	}
 	return load
 }
 
-// serverIDs derives numbers from the backends' names, the same in every life of the agent.
+// serverIDs maps names of backends to numbers. The numbers are hashes of the names, so that they
+// stay the same when the agent restarts.
 type serverIDs struct {
 	ids   map[string]policy.ServerID
 	names map[policy.ServerID]string
 }
 
-// of returns the number of a name, and takes one for it if it is new. Names that would share a number are kept
-// apart: the later one gets the next that is free.
-func (s *serverIDs) of(name string) policy.ServerID {
+// idFor returns the number of a name, and assigns one if the name is new. If two names have the
+// same hash, the later one gets the next free number.
+func (s *serverIDs) idFor(name string) policy.ServerID {
 	if id, ok := s.ids[name]; ok {
 		return id
 	}
@@ -429,8 +450,8 @@
 	return id
 }
 
-// free forgets a name that has left the list.
-func (s *serverIDs) free(id policy.ServerID) {
+// release forgets the number of a backend that has left the list.
+func (s *serverIDs) release(id policy.ServerID) {
 	delete(s.ids, s.names[id])
 	delete(s.names, id)
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -17,54 +17,58 @@
 	"example.org/micaline/policy"
 )
 
-// minSockets is what an agent needs to hold a few clients and backends beside its own descriptors.
+// minSockets is the number of sockets that an agent needs for its own descriptors and connections
+// to a few clients and backends.
 const minSockets = 2*reservedSockets + 32
 
-// Config is what the platform tells an agent at its start.
+// Config is the configuration of an agent at its start. ParseConfig reads it from the platform's
+// file. The fields that the file does not contain are set by the program that runs the agent.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	Settings  settings.Settings
-	Peers     Peers              // used where the settings allow it
-	Admin     string             // where operators call; empty: nowhere
-	Inherited bool               // other processes accept from the same socket
-	Beside    handover.Transport // the way to other processes of the agent; nil: there is none
-	// Started is told of the agent before it serves, for who operates it from the same process; nil: nobody does.
-	Started func(*Agent)
-
-	Levels level.Config // of reduced service, from the operators' file; none where it is empty
-
-	Sites site.Config // whether they are watched, and withdrawn when they are lost
-
-	// Decide makes what decides for the agent; nil is policy.New.
-	Decide func(policy.Settings, uint64) (Decider, error)
-
-	known memberList
+	Name         string // stays the same after a restart
+	Listen       string // address for clients
+	Discovery    string // address of the discovery service
+	Seed         uint64 // for the random decisions
+	Cores        float64
+	MemoryMB     int
+	Sockets      int // limit of file descriptors
+	Settings     settings.Settings
+	Peers        Peers              // zero if the settings do not allow peer messages
+	Admin        string             // address of the operators' interface; empty: none
+	SharedSocket bool               // whether other processes accept from the same socket
+	Handover     handover.Transport // connects to other processes of the agent; nil: none
+	// OnStart, if not nil, is called with the agent before it serves, so that code in the same
+	// process can operate it.
+	OnStart func(*Agent)
+
+	Levels level.Config // levels of reduced service, from the operators' file; may be empty
+
+	Sites site.Config // whether sites are monitored, and withdrawn when they are lost
+
+	// NewDecider creates the decision module of the agent. If it is nil, peers.NewDecider does.
+	NewDecider func(policy.Settings, uint64) (Decider, error)
+
+	knownList memberList // the list of backends that the file contains, if any
 }
 
-// Peers are the addresses of the other agents.
+// Peers are the addresses for messages between agents.
 type Peers struct {
-	Listen netip.AddrPort // where their messages come
-	All    netip.AddrPort // whatever is sent there comes to all of them
-	From   []netip.AddrPort
+	Listen    netip.AddrPort   // receives the messages of the other agents
+	Broadcast netip.AddrPort   // messages sent there reach all other agents
+	Sources   []netip.AddrPort // messages from other addresses are ignored
 }
 
-// Decider decides for an agent: a policy.Balancer, or what that is held against.
+// Decider is a decision module: a policy.Balancer, or another algorithm that it is compared with.
 type Decider = peers.Decider
 
-func (c *Config) decider() (Decider, error) {
-	if c.Decide != nil {
-		return c.Decide(c.Settings.Module, c.Seed)
+// buildDecider creates the decision module that handles requests from the start.
+func (c *Config) buildDecider() (Decider, error) {
+	if c.NewDecider != nil {
+		return c.NewDecider(c.Settings.Module, c.Seed)
 	}
 	return peers.NewDecider(c.Settings.Module, c.Seed)
 }
 
-// LoadConfig reads and checks the configuration file. Its errors name the field that cannot be used.
+// LoadConfig reads and checks the configuration file. Its errors name the field that is invalid.
 func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -77,9 +81,10 @@
 	return cfg, nil
 }
 
-// ParseConfig reads and checks the text of a configuration.
+// ParseConfig parses and checks the text of a configuration. Its errors name the field that is
+// invalid.
 func ParseConfig(text []byte) (*Config, error) {
-	var f struct {
+	var file struct {
 		Name, Listen, Discovery, Seed, Admin string
 
 		Limits struct {
@@ -93,81 +98,82 @@
 		Known      json.RawMessage
 		Settings   json.RawMessage
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
+	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, err
 	}
 	cfg := &Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Admin: f.Admin,
-		Cores: f.Limits.Cores, MemoryMB: int(f.Limits.MemoryMB), Sockets: f.Limits.Sockets,
+		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin,
+		Cores: file.Limits.Cores, MemoryMB: int(file.Limits.MemoryMB), Sockets: file.Limits.Sockets,
 	}
 	var err error
-	if _, err = netip.ParseAddrPort(f.Listen); err != nil {
+	if _, err = netip.ParseAddrPort(file.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	if _, err = netip.ParseAddrPort(f.Discovery); err != nil {
+	if _, err = netip.ParseAddrPort(file.Discovery); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	if f.Admin != "" {
-		if _, err = netip.ParseAddrPort(f.Admin); err != nil {
+	if file.Admin != "" {
+		if _, err = netip.ParseAddrPort(file.Admin); err != nil {
 			return nil, fmt.Errorf("admin: %w", err)
 		}
 	}
-	if cfg.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
+	if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
 	switch {
 	case !(cfg.Cores > 0 && cfg.Cores <= 1024):
 		return nil, fmt.Errorf("limits.cores cannot be %v", cfg.Cores)
 	case cfg.MemoryMB < 16:
-		return nil, fmt.Errorf("limits.memory_mb cannot be %v", f.Limits.MemoryMB)
+		return nil, fmt.Errorf("limits.memory_mb cannot be %v", file.Limits.MemoryMB)
 	case cfg.Sockets < minSockets:
 		return nil, fmt.Errorf("limits.sockets cannot be %d: at least %d are needed", cfg.Sockets, minSockets)
 	}
-	if len(f.Known) > 0 {
-		if cfg.known, err = parseList(f.Known); err != nil {
+	if len(file.Known) > 0 {
+		if cfg.knownList, err = parseList(file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	if len(f.Settings) == 0 {
+	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if cfg.Settings, err = settings.Parse(f.Settings); err != nil {
+	if cfg.Settings, err = settings.Parse(file.Settings); err != nil {
 		return nil, err
 	}
-	if cfg.Settings.Module.Peers && f.PeerListen != "" {
-		if cfg.Peers, err = parsePeers(f.PeerListen, f.PeersAll, f.Peers); err != nil {
+	if cfg.Settings.Module.Peers && file.PeerListen != "" {
+		if cfg.Peers, err = parsePeers(file.PeerListen, file.PeersAll, file.Peers); err != nil {
 			return nil, err
 		}
 	}
 	return cfg, checkSettings(&cfg.Settings)
 }
 
-func parsePeers(listen, all string, from []string) (p Peers, err error) {
+func parsePeers(listen, broadcast string, sources []string) (p Peers, err error) {
 	if p.Listen, err = netip.ParseAddrPort(listen); err != nil {
 		return p, fmt.Errorf("peer_listen: %w", err)
 	}
-	if p.All, err = netip.ParseAddrPort(all); err != nil {
+	if p.Broadcast, err = netip.ParseAddrPort(broadcast); err != nil {
 		return p, fmt.Errorf("peers_all: %w", err)
 	}
-	for i, text := range from {
+	for i, text := range sources {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return p, fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		p.From = append(p.From, addr)
+		p.Sources = append(p.Sources, addr)
 	}
 	return p, nil
 }
 
-// checkSettings checks what the agent needs beside the module, whose own check is policy.New.
+// checkSettings checks the settings that the agent itself uses, and those of the decision module by
+// policy.New.
 func checkSettings(s *settings.Settings) error {
 	if s.ConnectTimeout <= 0 {
 		return errors.New("settings: limits.connectTimeout must be above 0")
 	}
-	for what, names := range map[string][]string{"categories": s.Classes, "accounts": s.Tenants} {
+	for list, names := range map[string][]string{"categories": s.Classes, "accounts": s.Tenants} {
 		for i, name := range names {
 			if name == "" || slices.Contains(names[:i], name) {
-				return fmt.Errorf("settings: %s[%d].name %q is empty or taken", what, i, name)
+				return fmt.Errorf("settings: %s[%d].name %q is empty or not unique", list, i, name)
 			}
 		}
 	}
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -16,43 +16,47 @@
 	"example.org/micaline/policy"
 )
 
-// What the control interface shows and changes. All of it happens in the loop, between two inputs.
+// This file implements control.Instance, with which operators read and change the state of the
+// agent. State of the event loop is accessed inside the loop, between two inputs.
 
-// mostShown is how many open requests are shown.
-const mostShown = 1000
+// maxShownRequests bounds the number of open requests in a control.State.
+const maxShownRequests = 1000
 
-var errEnded = errors.New("the agent has ended")
+// errAgentEnded is the error of calls to an agent whose event loop has ended.
+var errAgentEnded = errors.New("the agent has ended")
 
-// viewer is a Decider that shows what it makes of the backends.
-type viewer interface {
+// observableDecider is a Decider that shows its internal state.
+type observableDecider interface {
 	Pressure() float64
 	View(now time.Duration) []policy.ServerView
 }
 
-// do calls a function between two inputs.
-func (l *loop) do(ctx context.Context, f func()) error {
+// runInLoop calls a function between two inputs of the loop. It returns the context's error, or
+// errAgentEnded if the loop has ended, without calling the function.
+func (l *loop) runInLoop(ctx context.Context, f func()) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
 	if !l.withLock(f) {
-		return errEnded
+		return errAgentEnded
 	}
 	return nil
 }
 
-// Name is the agent's, the same after a restart.
+// Name returns the name of the agent, which stays the same after a restart.
 func (a *Agent) Name() string { return a.cfg.Name }
 
-// Base are the settings that the platform has configured.
+// Base returns the settings that the platform has configured, without the changes of operators.
 func (a *Agent) Base() *settings.Settings { return &a.cfg.Settings }
 
-// SetTaking says whether requests are taken. One that is not is refused, and told when to come back.
+// SetTaking sets whether requests are accepted. Otherwise they are refused with a Retry-After
+// header.
 func (a *Agent) SetTaking(on bool) {
-	a.server.closed.Store(!on)
+	a.server.refuseAll.Store(!on)
 	a.log.Info("operators", "taking", on)
 }
 
-// Apply puts a part of a document in force.
+// Apply applies one part of an operators' document.
 func (a *Agent) Apply(ctx context.Context, part string, d *document.Document) error {
 	switch part {
 	case document.Service:
@@ -62,52 +66,55 @@
 	case document.Decisions:
 		return a.applyDecisions(ctx, d.Module(&a.cfg.Settings))
 	}
-	return fmt.Errorf("there is no part %q", part)
+	return fmt.Errorf("unknown document part %q", part)
 }
 
+// applyService applies the address of discovery and the limit of concurrent requests. Where the
+// document leaves one of them out, the configured value is restored.
 func (a *Agent) applyService(ctx context.Context, s *document.ServicePart) error {
 	addr := a.cfg.Discovery
 	if s.Discovery != nil {
 		addr = *s.Discovery
 	}
-	if addr != a.followed {
-		moved := *a.cfg
-		moved.Discovery = addr
+	if addr != a.discoveryAddr {
+		updated := *a.cfg
+		updated.Discovery = addr
 		select {
-		case a.moves <- &moved:
-			a.followed = addr
+		case a.discoveryChanges <- &updated:
+			a.discoveryAddr = addr
 		case <-a.loop.done:
-			return errEnded
+			return errAgentEnded
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	a.wanted.Store(0)
+	a.operatorLimit.Store(0)
 	if s.Requests != nil {
-		a.wanted.Store(int64(*s.Requests)) // more than the sockets bear is not to be had
+		a.operatorLimit.Store(int64(*s.Requests)) // updateLimits caps this at what the sockets allow
 	}
-	a.shareRoom(a.beside.Load())
+	a.updateLimits(a.otherProcess.Load())
 	return nil
 }
 
-// applyDecisions has another module decide for new requests.
+// applyDecisions creates a decision module with the given settings, which handles new requests.
 func (a *Agent) applyDecisions(ctx context.Context, s policy.Settings) error {
 	next, err := peers.NewDecider(s, a.cfg.Seed+uint64(time.Now().UnixNano()))
 	if err != nil {
 		return err
 	}
-	return a.loop.do(ctx, func() { a.loop.replace(context.WithoutCancel(ctx), next, s) })
+	return a.loop.runInLoop(ctx, func() { a.loop.replaceModule(context.WithoutCancel(ctx), next, s) })
 }
 
-// replace lets another module decide from now on. The one before finishes what it has.
-func (l *loop) replace(ctx context.Context, d Decider, s policy.Settings) {
+// replaceModule makes another decision module handle new requests. The previous one finishes the
+// requests that it has.
+func (l *loop) replaceModule(ctx context.Context, decider Decider, decisions policy.Settings) {
 	old := l.current
 	if old.retired = true; old.openRequests == 0 {
 		l.modules = slices.DeleteFunc(l.modules, func(m *module) bool { return m == old })
 	}
-	l.current = &module{Decider: d}
+	l.current = &module{Decider: decider}
 	l.modules = append(l.modules, l.current)
-	l.moduleSettings = s
+	l.moduleSettings = decisions
 	l.applyLevelLimits()
 	var entries []policy.ServerEntry
 	for _, e := range l.listedServers {
@@ -117,96 +124,99 @@
 	l.handle(ctx, l.current, policy.Event{Kind: policy.EventList, ListMode: policy.ListFull, Servers: entries})
 }
 
+// phaseNames are the phases of backends as discovery names them.
 var phaseNames = [...]string{policy.Gone: "Gone", policy.Ready: "Ready", policy.Draining: "Terminating"}
 
+// effectNames are the effects of classes as the settings name them.
 var effectNames = [...]string{policy.Pure: "pure", policy.Keyed: "token", policy.SideEffect: "side_effect"}
 
-// Look returns the present state.
+// Look returns the current state for operators.
 func (a *Agent) Look(ctx context.Context) (*control.State, error) {
-	var s *control.State
-	err := a.loop.do(ctx, func() { s = a.look() })
-	return s, err
+	var state *control.State
+	err := a.loop.runInLoop(ctx, func() { state = a.state() })
+	return state, err
 }
 
-func (a *Agent) look() *control.State {
+// state collects what Look returns. It must be called inside the loop.
+func (a *Agent) state() *control.State {
 	l := a.loop
 	now := l.clock.now()
-	s := &control.State{Taking: !a.server.closed.Load(), Held: len(l.requests), Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}}
-	s.Service = control.Service{
+	state := &control.State{Taking: !a.server.refuseAll.Load(), Held: len(l.requests), Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}}
+	state.Service = control.Service{
 		Requests: l.counts.requests, InAim: l.counts.inAim, Served: l.counts.served, Refused: l.counts.refused, Failed: l.counts.failed, Left: l.counts.clientGone,
 	}
-	own, part := l.lagMonitor.stats()
-	s.Own = control.Own{Late: round(own.MeanDelay.Seconds()), Part: round(part), Worst: round(own.MaxDelay.Seconds()), Times: own.LateTicks}
-	if b, ok := l.current.Decider.(viewer); ok {
-		s.Pressure = b.Pressure()
-		for _, v := range b.View(now) {
-			s.Backends = append(s.Backends, a.backend(&v, now))
+	delay, shareUsed := l.lagMonitor.stats()
+	state.Own = control.Own{Late: roundForDisplay(delay.MeanDelay.Seconds()), Part: roundForDisplay(shareUsed), Worst: roundForDisplay(delay.MaxDelay.Seconds()), Times: delay.LateTicks}
+	if decider, ok := l.current.Decider.(observableDecider); ok {
+		state.Pressure = decider.Pressure()
+		for _, view := range decider.View(now) {
+			state.Backends = append(state.Backends, a.backendState(&view, now))
 		}
 	}
-	s.Classes, s.Accounts = make([]control.Class, len(l.settings.Classes)), make([]control.Account, len(l.settings.Tenants))
+	state.Classes, state.Accounts = make([]control.Class, len(l.settings.Classes)), make([]control.Account, len(l.settings.Tenants))
 	for i, name := range l.settings.Classes {
 		c := &l.moduleSettings.Classes[i]
-		s.Classes[i] = control.Class{Name: name, Effect: effectNames[c.Effect], Aim: c.Aim.Seconds(), Deadline: c.Deadline.Seconds(), Worth: c.Worth}
+		state.Classes[i] = control.Class{Name: name, Effect: effectNames[c.Effect], Aim: c.Aim.Seconds(), Deadline: c.Deadline.Seconds(), Worth: c.Worth}
 	}
 	for i, name := range l.settings.Tenants {
-		s.Accounts[i] = control.Account{Name: name, Portion: l.moduleSettings.Tenants[i].Portion}
+		state.Accounts[i] = control.Account{Name: name, Portion: l.moduleSettings.Tenants[i].Portion}
 	}
-	slices.SortFunc(s.Backends, func(x, y control.Backend) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(state.Backends, func(x, y control.Backend) int { return cmp.Compare(x.Name, y.Name) })
 	for _, r := range l.requests {
 		if r.ended {
 			continue
 		}
-		s.Classes[r.class].Open++
+		state.Classes[r.class].Open++
 		shown := control.Request{
 			Call: r.callID, Class: l.settings.Classes[r.class], Age: (now - r.startedAt).Seconds(), Left: (r.deadline - now).Seconds(),
 			Attempts: len(r.attemptCancels), Out: r.inFlight,
 		}
 		if r.tenant < len(l.settings.Tenants) {
 			shown.Account = l.settings.Tenants[r.tenant]
-			s.Accounts[r.tenant].Open++
+			state.Accounts[r.tenant].Open++
 		}
-		s.Requests = append(s.Requests, shown)
-	}
-	slices.SortFunc(s.Requests, func(x, y control.Request) int { return cmp.Or(cmp.Compare(y.Age, x.Age), cmp.Compare(x.Call, y.Call)) })
-	s.Requests = s.Requests[:min(len(s.Requests), mostShown)]
-	for c, n := range l.counts.causes {
-		answer := "failed"
-		if c.refused {
-			answer = "refused"
+		state.Requests = append(state.Requests, shown)
+	}
+	slices.SortFunc(state.Requests, func(x, y control.Request) int { return cmp.Or(cmp.Compare(y.Age, x.Age), cmp.Compare(x.Call, y.Call)) })
+	state.Requests = state.Requests[:min(len(state.Requests), maxShownRequests)]
+	for key, count := range l.counts.causes {
+		ending := "failed"
+		if key.refused {
+			ending = "refused"
 		}
-		s.Causes = append(s.Causes, control.Cause{Answer: answer, Class: l.settings.Classes[c.class], Cause: c.reason, Count: n})
+		state.Causes = append(state.Causes, control.Cause{Answer: ending, Class: l.settings.Classes[key.class], Cause: key.reason, Count: count})
 	}
-	slices.SortFunc(s.Causes, func(x, y control.Cause) int {
+	slices.SortFunc(state.Causes, func(x, y control.Cause) int {
 		return cmp.Or(cmp.Compare(x.Answer, y.Answer), cmp.Compare(x.Class, y.Class), cmp.Compare(x.Cause, y.Cause))
 	})
-	return s
+	return state
 }
 
-// backend is one backend for people to read.
-func (a *Agent) backend(v *policy.ServerView, now time.Duration) control.Backend {
+// backendState returns the state of one backend for operators.
+func (a *Agent) backendState(view *policy.ServerView, now time.Duration) control.Backend {
 	l := a.loop
-	b := control.Backend{
-		Name: l.servers.names[v.ID], Phase: phaseNames[l.listedServers[v.ID].State], Speed: round(v.Speed), Warmth: round(v.WarmFraction),
-		InFlight: v.InFlight, Silent: v.Overdue, Load: round(v.Outstanding), Full: round(v.AvoidedFor.Seconds()),
+	backend := control.Backend{
+		Name: l.servers.names[view.ID], Phase: phaseNames[l.listedServers[view.ID].State], Speed: roundForDisplay(view.Speed), Warmth: roundForDisplay(view.WarmFraction),
+		InFlight: view.InFlight, Silent: view.Overdue, Load: roundForDisplay(view.Outstanding), Full: roundForDisplay(view.AvoidedFor.Seconds()),
 	}
-	if t := l.targets[v.ID]; t != nil {
-		b.Addr = t.Addr
+	if target := l.targets[view.ID]; target != nil {
+		backend.Addr = target.Addr
 	}
-	if h := l.holds[b.Name]; h.Out {
-		b.Held, b.HeldBy = round((h.Until - now).Seconds()), h.By
+	if hold := l.holds[backend.Name]; hold.Out {
+		backend.Held, backend.HeldBy = roundForDisplay((hold.Until - now).Seconds()), hold.By
 	}
-	if v.ReportAge >= 0 {
-		age := round(v.ReportAge.Seconds())
-		b.ReportAge = &age
+	if view.ReportAge >= 0 {
+		age := roundForDisplay(view.ReportAge.Seconds())
+		backend.ReportAge = &age
 	}
-	for _, e := range v.Ejected {
-		b.Ejected = append(b.Ejected, control.Ejection{Class: l.settings.Classes[e.Class], For: round(e.Remaining.Seconds()), Times: e.Consecutive})
+	for _, e := range view.Ejected {
+		backend.Ejected = append(backend.Ejected, control.Ejection{Class: l.settings.Classes[e.Class], For: roundForDisplay(e.Remaining.Seconds()), Times: e.Consecutive})
 	}
-	return b
+	return backend
 }
 
-// round leaves what a person reads.
-func round(v float64) float64 {
+// roundForDisplay rounds to three decimals. Values that JSON can't represent become 0.
+func roundForDisplay(v float64) float64 {
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return 0
 	}
--- a/internal/agent/control_test.go
+++ b/internal/agent/control_test.go
@@ -13,9 +13,10 @@
 	"example.org/micaline/policy"
 )
 
-func look(t *testing.T, a *running) *control.State {
+// controlState returns what operators see of an agent.
+func controlState(t *testing.T, a *runningAgent) *control.State {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), wait)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	s, err := a.agent.Look(ctx)
 	if err != nil {
@@ -24,7 +25,9 @@
 	return s
 }
 
-func (r *running) hold(t *testing.T, backend string, d time.Duration) bool {
+// holdBackend puts a backend on hold, or ends its hold if the duration is 0. It reports whether the
+// backend is known.
+func (r *runningAgent) holdBackend(t *testing.T, backend string, d time.Duration) bool {
 	t.Helper()
 	known, err := r.agent.Hold(t.Context(), backend, d)
 	if err != nil {
@@ -33,7 +36,8 @@
 	return known
 }
 
-func (r *running) apply(t *testing.T, text string) {
+// applyDocument parses, checks and applies an operators' document.
+func (r *runningAgent) applyDocument(t *testing.T, text string) {
 	t.Helper()
 	d, err := document.Parse([]byte(text))
 	if err != nil {
@@ -49,8 +53,8 @@
 	}
 }
 
-// serve makes so many requests, all of which are to be served.
-func (r *running) serve(t *testing.T, n int) {
+// serveRequests makes n requests and fails the test if any is not served.
+func (r *runningAgent) serveRequests(t *testing.T, n int) {
 	t.Helper()
 	for range n {
 		if status, _ := r.do(t, r.request("unsafe", "15000m")); status != http.StatusOK {
@@ -59,70 +63,71 @@
 	}
 }
 
-// A backend that is held out gets nothing, and is in again when it is let in or its time is over. One that drains gets
-// nothing, whoever lets it in.
+// A backend on hold gets no requests until the hold is ended or expires. A draining backend gets
+// none, even when a hold on it is ended.
 func TestHold(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0), host("y", y.Addr, "Ready", 0)))
-	a := start(t, config(t, l.Addr, testSettings))
-	if a.hold(t, "nobody", time.Hour) {
-		t.Error("a backend that nobody knows is held")
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
+	a := startAgent(t, testConfig(t, discoveryServer.Addr, testSettings))
+	if a.holdBackend(t, "nobody", time.Hour) {
+		t.Error("an unknown backend was put on hold")
 	}
-	if !a.hold(t, "x", time.Hour) {
-		t.Fatal("x is not known")
+	if !a.holdBackend(t, "x", time.Hour) {
+		t.Fatal("backend x is unknown")
 	}
-	a.serve(t, 30)
+	a.serveRequests(t, 30)
 	if len(x.Got) > 0 {
-		t.Errorf("%d sent to who is held out", len(x.Got))
+		t.Errorf("%d requests sent to the backend on hold", len(x.Got))
 	}
-	if s := look(t, a); s.Backends[0].Held <= 0 || s.Backends[0].Phase != "Ready" {
+	if s := controlState(t, a); s.Backends[0].Held <= 0 || s.Backends[0].Phase != "Ready" {
 		t.Errorf("shown as %+v", s.Backends[0])
 	}
-	a.hold(t, "x", 0)
-	a.serve(t, 60)
+	a.holdBackend(t, "x", 0)
+	a.serveRequests(t, 60)
 	if len(x.Got) == 0 {
-		t.Error("nothing is sent to who is let in")
-	}
-	// A list that comes while x is held does not let it in, and its drain stays when the hold ends.
-	a.hold(t, "x", time.Hour)
-	l.Next <- hosts(2, false, host("x", x.Addr, "Ready", 0))
-	l.Next <- hosts(3, false, host("x", x.Addr, "Terminating", 0)) // which the agent takes after the one before
-	for begun := time.Now(); look(t, a).Backends[0].Phase != "Terminating"; time.Sleep(time.Millisecond) {
-		if time.Since(begun) > wait {
-			t.Fatal("the drain does not come")
+		t.Error("no request is sent after the end of the hold")
+	}
+	// A list that arrives during the hold does not end it, and a drain stays in force after the
+	// hold. Lists are processed in order.
+	a.holdBackend(t, "x", time.Hour)
+	discoveryServer.Next <- listJSON(2, false, memberJSON("x", x.Addr, "Ready", 0))
+	discoveryServer.Next <- listJSON(3, false, memberJSON("x", x.Addr, "Terminating", 0))
+	for start := time.Now(); controlState(t, a).Backends[0].Phase != "Terminating"; time.Sleep(time.Millisecond) {
+		if time.Since(start) > testTimeout {
+			t.Fatal("the drain was not processed")
 		}
 	}
 	sent := len(x.Got)
-	a.hold(t, "x", 0)
-	a.serve(t, 30)
+	a.holdBackend(t, "x", 0)
+	a.serveRequests(t, 30)
 	if n := len(x.Got) - sent; n > 0 {
-		t.Errorf("%d sent to who drains and was let in", n)
+		t.Errorf("%d requests sent to a draining backend after its hold", n)
 	}
 }
 
 func TestHoldEndsByItself(t *testing.T) {
-	x := newBackend(t, serves)
-	a := agentFor(t, testSettings, x)
-	a.hold(t, "s-0", time.Millisecond)
-	for begun := time.Now(); len(x.Got) == 0; {
+	x := newBackend(t, alwaysOK)
+	a := startAgentWith(t, testSettings, x)
+	a.holdBackend(t, "s-0", time.Millisecond)
+	for start := time.Now(); len(x.Got) == 0; {
 		a.do(t, a.request("unsafe", "15000m"))
-		if time.Since(begun) > wait {
-			t.Fatal("held out for good")
+		if time.Since(start) > testTimeout {
+			t.Fatal("the hold did not end")
 		}
 	}
 }
 
-// What is decided by changes while requests are open: they are answered all the same, by the module that took them,
-// which then ends.
+// When the decision module is replaced while requests are open, the previous module still answers
+// them and is then removed.
 func TestDecisionsChangeUnderTraffic(t *testing.T) {
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	b := newBackend(t, func(n int, _ *http.Request) (string, bool) {
 		if n < 5 {
-			<-goOn
+			<-proceed
 		}
-		return okText, false
+		return okResponse, false
 	})
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	answers := make(chan int, 5)
 	for range 5 {
 		go func() {
@@ -133,93 +138,94 @@
 	for range 5 {
 		receive(t, "request", b.Got)
 	}
-	a.apply(t, `{"decisions":{"max_attempts":7,"classes":{"unsafe":{"worth":9}}}}`)
-	a.serve(t, 10)
-	modules := func() (n, most int) {
-		if err := a.agent.loop.do(t.Context(), func() { n, most = len(a.agent.loop.modules), a.agent.loop.moduleSettings.MaxAttempts }); err != nil {
+	a.applyDocument(t, `{"decisions":{"max_attempts":7,"classes":{"unsafe":{"worth":9}}}}`)
+	a.serveRequests(t, 10)
+	modules := func() (count, maxAttempts int) {
+		if err := a.agent.loop.runInLoop(t.Context(), func() { count, maxAttempts = len(a.agent.loop.modules), a.agent.loop.moduleSettings.MaxAttempts }); err != nil {
 			t.Fatal(err)
 		}
-		return n, most
+		return count, maxAttempts
 	}
-	if n, most := modules(); n != 2 || most != 7 {
-		t.Errorf("%d modules, %d attempts at most", n, most)
+	if count, maxAttempts := modules(); count != 2 || maxAttempts != 7 {
+		t.Errorf("%d modules, at most %d attempts", count, maxAttempts)
 	}
-	if s := look(t, a); len(s.Requests) != 5 || s.Requests[0].Out != 1 {
-		t.Errorf("open: %+v", s.Requests)
+	if s := controlState(t, a); len(s.Requests) != 5 || s.Requests[0].Out != 1 {
+		t.Errorf("open requests: %+v", s.Requests)
 	}
-	close(goOn)
+	close(proceed)
 	for range 5 {
 		if status := receive(t, "answer", answers); status != http.StatusOK {
 			t.Errorf("answered %d", status)
 		}
 	}
-	if n, _ := modules(); n != 1 {
-		t.Errorf("%d modules are left", n)
+	if count, _ := modules(); count != 1 {
+		t.Errorf("%d modules are left after the last answer", count)
 	}
 	if a.agent.Base().Module.MaxAttempts != 3 {
-		t.Error("the platform's settings have changed")
+		t.Error("the platform's settings were modified")
 	}
-	a.apply(t, `{}`)
-	if _, most := modules(); most != 3 {
-		t.Errorf("without a document %d attempts at most", most)
+	a.applyDocument(t, `{}`)
+	if _, maxAttempts := modules(); maxAttempts != 3 {
+		t.Errorf("without a document: at most %d attempts", maxAttempts)
 	}
 }
 
-// The service part: how many requests are held at once, whether any are taken, and where discovery is.
+// The service part of a document sets the limit of concurrent requests and the address of
+// discovery. SetTaking sets whether requests are accepted.
 func TestServicePart(t *testing.T) {
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	b := newBackend(t, func(int, *http.Request) (string, bool) {
-		<-goOn
-		return okText, false
+		<-proceed
+		return okResponse, false
 	})
-	a := agentFor(t, testSettings, b)
-	a.apply(t, `{"service":{"requests":1}}`)
-	first := make(chan int, 1)
+	a := startAgentWith(t, testSettings, b)
+	a.applyDocument(t, `{"service":{"requests":1}}`)
+	firstStatus := make(chan int, 1)
 	go func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
-		first <- status
+		firstStatus <- status
 	}()
 	receive(t, "request", b.Got)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused {
-		t.Errorf("one more than are held: answered %d", status)
+		t.Errorf("above the limit of concurrent requests: answered %d", status)
 	}
 	a.agent.SetTaking(false)
-	close(goOn)
-	if status := receive(t, "answer", first); status != http.StatusOK {
-		t.Errorf("what was taken before is answered %d", status)
+	close(proceed)
+	if status := receive(t, "answer", firstStatus); status != http.StatusOK {
+		t.Errorf("the request accepted before was answered %d", status)
 	}
-	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused || look(t, a).Taking {
-		t.Errorf("while nothing is taken: answered %d", status)
+	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused || controlState(t, a).Taking {
+		t.Errorf("while no requests are accepted: answered %d", status)
 	}
-	if s := look(t, a); s.Service.Refused != 2 || s.Service.Requests != 3 || len(s.Causes) != 1 || s.Causes[0].Count != 2 {
+	if s := controlState(t, a); s.Service.Refused != 2 || s.Service.Requests != 3 || len(s.Causes) != 1 || s.Causes[0].Count != 2 {
 		t.Errorf("counted %+v, causes %+v", s.Service, s.Causes)
 	}
 	a.agent.SetTaking(true)
-	a.serve(t, 3)
-	next := newLists(t, hosts(1, true, host("z", b.Addr, "Ready", 0)))
-	a.apply(t, `{"service":{"discovery":"`+next.Addr+`"}}`)
-	if q := receive(t, "call to the new discovery", next.Calls); q != "" {
-		t.Errorf("the first call asks %q", q)
-	}
-	receive(t, "watch", next.Calls)
-	if s := look(t, a); len(s.Backends) != 1 || s.Backends[0].Name != "z" {
+	a.serveRequests(t, 3)
+	newServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("z", b.Addr, "Ready", 0)))
+	a.applyDocument(t, `{"service":{"discovery":"`+newServer.Addr+`"}}`)
+	if query := receive(t, "call to the new discovery", newServer.Calls); query != "" {
+		t.Errorf("the query of the first call is %q", query)
+	}
+	receive(t, "watch", newServer.Calls)
+	if s := controlState(t, a); len(s.Backends) != 1 || s.Backends[0].Name != "z" {
 		t.Errorf("shown: %+v", s.Backends)
 	}
-	a.serve(t, 3)
+	a.serveRequests(t, 3)
 }
 
-// Requests are counted by how they ended, and refusals and failures by why.
+// Requests are counted by their result, and refusals and failures also by their cause.
 func TestCounts(t *testing.T) {
 	b := newBackend(t, func(n int, _ *http.Request) (string, bool) {
 		if n == 0 {
 			return "", true
 		}
-		return okText, false
+		return okResponse, false
 	})
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	a.do(t, a.request("unsafe", "15000m"))
-	a.serve(t, 2)
-	s := look(t, a)
+	a.serveRequests(t, 2)
+	s := controlState(t, a)
 	if want := (control.Service{Requests: 3, InAim: 2, Served: 2, Failed: 1}); s.Service != want {
 		t.Errorf("counted %+v", s.Service)
 	}
@@ -228,33 +234,34 @@
 	}
 }
 
-// deciderFunc is a decision module of a test.
+// deciderFunc is a function that acts as the decision module in a test.
 type deciderFunc func(ev policy.Event, out []policy.Action) []policy.Action
 
 func (f deciderFunc) Handle(_ time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
 	return f(ev, out)
 }
 
-// A module that ends by an event does not keep the next one from hearing of it: it might be a drain.
+// If a retired module is removed while an event is handed to all modules, the remaining module must
+// still get the event, which might be a drain.
 func TestModuleThatEndsByAnEvent(t *testing.T) {
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	eventLoop, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := 0
-	old := &module{retired: true, openRequests: 1, Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
+	events := 0
+	retired := &module{retired: true, openRequests: 1, Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
 		return append(out, policy.Action{Kind: policy.ActRefuse, Request: 7})
 	})}
-	l.current = &module{Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
-		heard++
+	eventLoop.current = &module{Decider: deciderFunc(func(ev policy.Event, out []policy.Action) []policy.Action {
+		events++
 		return out
 	})}
-	l.modules = []*module{old, l.current}
-	r := &request{module: old, call: &call{id: 7, answers: make(chan answer, 1)}}
-	l.requests[r.id] = r
-	l.processInput(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
-	if heard != 1 || len(l.modules) != 1 || l.modules[0] != l.current || len(l.requests) != 0 {
-		t.Errorf("heard %d times, %d modules and %d requests are left", heard, len(l.modules), len(l.requests))
+	eventLoop.modules = []*module{retired, eventLoop.current}
+	r := &request{module: retired, call: &call{id: 7, answers: make(chan answer, 1)}}
+	eventLoop.requests[r.id] = r
+	eventLoop.processInput(t.Context(), input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
+	if events != 1 || len(eventLoop.modules) != 1 || eventLoop.modules[0] != eventLoop.current || len(eventLoop.requests) != 0 {
+		t.Errorf("%d events received, %d modules and %d requests are left", events, len(eventLoop.modules), len(eventLoop.requests))
 	}
 }
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -6,29 +6,32 @@
 	"testing"
 )
 
-func hosts(revision int, complete bool, members ...string) []byte {
+// listJSON returns an answer of discovery with the given members.
+func listJSON(revision int, complete bool, members ...string) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
-func host(id, addr, phase string, cell int) string {
+// memberJSON returns one member of a list.
+func memberJSON(id, addr, phase string, cell int) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"m1","cell":%d,"phase":%q,"size":1,"up_since_ms":0}`,
 		id, addr, cell, phase)
 }
 
-// A backend that drains gets nothing new once a watch has told so, and its list is followed without a gap.
+// A draining backend gets no new requests once a watch has reported the drain. Each watch continues
+// from the revision of the previous answer.
 func TestDrain(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0), host("y", y.Addr, "Ready", 0)))
-	a := start(t, config(t, l.Addr, testSettings))
-	if q := receive(t, "first call", l.Calls); q != "" {
-		t.Errorf("the first call asks %q", q)
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
+	a := startAgent(t, testConfig(t, discoveryServer.Addr, testSettings))
+	if query := receive(t, "first call", discoveryServer.Calls); query != "" {
+		t.Errorf("the query of the first call is %q", query)
 	}
-	if q := receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=1&wait_ms=") {
-		t.Errorf("the second call asks %q", q)
+	if query := receive(t, "watch", discoveryServer.Calls); !strings.HasPrefix(query, "after=1&wait_ms=") {
+		t.Errorf("the query of the second call is %q", query)
 	}
-	l.Next <- hosts(2, false, host("x", x.Addr, "Terminating", 0))
-	if q := receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=2&") {
-		t.Errorf("the third call asks %q", q)
+	discoveryServer.Next <- listJSON(2, false, memberJSON("x", x.Addr, "Terminating", 0))
+	if query := receive(t, "watch", discoveryServer.Calls); !strings.HasPrefix(query, "after=2&") {
+		t.Errorf("the query of the third call is %q", query)
 	}
 	for range 40 {
 		if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
@@ -36,65 +39,66 @@
 		}
 	}
 	if len(x.Got) > 0 || len(y.Got) != 40 {
-		t.Errorf("%d sent to the draining one, %d to the other", len(x.Got), len(y.Got))
+		t.Errorf("%d requests sent to the draining backend, %d to the other", len(x.Got), len(y.Got))
 	}
 }
 
-// An agent that starts with a list asks for what has changed since. Danger: most agents come back at once, and discovery,
-// whose work is the lines that it sends, would turn them away one after the other while they go by their old lists. Where
-// discovery can't tell what has changed it says so, and its whole list is asked for.
+// An agent that starts with a known list requests only the changes since then. Many agents restart
+// at once, and the load on discovery depends on the entries that it sends: with full lists it would
+// reject agent after agent, which meanwhile use outdated lists. If discovery does not know the
+// revision, the agent requests the full list.
 func TestKnownListIsFollowed(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
 	for _, c := range []struct {
-		name   string
-		answer []byte // to the first call
-		then   string // what the next one asks
+		name      string
+		answer    []byte // of discovery to the first call
+		nextQuery string // prefix of the next query
 	}{
-		{"changes", hosts(8, false, host("x", x.Addr, "Gone", 0), host("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
-		{"whole list", hosts(8, true, host("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
+		{"changes", listJSON(8, false, memberJSON("x", x.Addr, "Gone", 0), memberJSON("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
+		{"whole list", listJSON(8, true, memberJSON("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
 		{"unknown revision", nil, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := newLists(t, hosts(2, true, host("y", y.Addr, "Ready", 0)))
-			cfg := config(t, l.Addr, testSettings)
-			known, err := parseList(hosts(5, true, host("x", x.Addr, "Ready", 0)))
+			discoveryServer := newScriptedDiscovery(t, listJSON(2, true, memberJSON("y", y.Addr, "Ready", 0)))
+			cfg := testConfig(t, discoveryServer.Addr, testSettings)
+			known, err := parseList(listJSON(5, true, memberJSON("x", x.Addr, "Ready", 0)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			cfg.known = known
+			cfg.knownList = known
 			if c.answer == nil {
-				c.answer = hosts(3, false)
+				c.answer = listJSON(3, false)
 			}
-			start(t, cfg)
-			if q := receive(t, "first call", l.Calls); !strings.HasPrefix(q, "after=5&wait_ms=") {
-				t.Errorf("the first call asks %q", q)
+			startAgent(t, cfg)
+			if query := receive(t, "first call", discoveryServer.Calls); !strings.HasPrefix(query, "after=5&wait_ms=") {
+				t.Errorf("the query of the first call is %q", query)
 			}
-			l.Next <- c.answer
-			if q := receive(t, "second call", l.Calls); !strings.HasPrefix(q, c.then) || c.then == "" && q != "" {
-				t.Errorf("the second call asks %q", q)
+			discoveryServer.Next <- c.answer
+			if query := receive(t, "second call", discoveryServer.Calls); !strings.HasPrefix(query, c.nextQuery) || c.nextQuery == "" && query != "" {
+				t.Errorf("the query of the second call is %q", query)
 			}
 		})
 	}
 }
 
-// A reload moves to another discovery, which is asked for its whole list although its revisions are lower; the old
-// one's watch is given up.
+// After a reload with another discovery address, the agent requests the full list there, although
+// the revisions are lower, and cancels the watch at the old address.
 func TestReload(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	old := newLists(t, hosts(7, true, host("x", x.Addr, "Ready", 0)))
-	next := newLists(t, hosts(2, true, host("y", y.Addr, "Ready", 0)))
-	cfg := config(t, old.Addr, testSettings)
-	a := start(t, cfg)
-	receive(t, "first call", old.Calls)
-	receive(t, "watch", old.Calls)
-	moved := *cfg
-	moved.Discovery = next.Addr
-	a.reloads <- &moved
-	if q := receive(t, "call to the new discovery", next.Calls); q != "" {
-		t.Errorf("the first call asks %q", q)
-	}
-	if q := receive(t, "watch", next.Calls); !strings.HasPrefix(q, "after=2&") {
-		t.Errorf("the second call asks %q", q)
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	oldServer := newScriptedDiscovery(t, listJSON(7, true, memberJSON("x", x.Addr, "Ready", 0)))
+	newServer := newScriptedDiscovery(t, listJSON(2, true, memberJSON("y", y.Addr, "Ready", 0)))
+	cfg := testConfig(t, oldServer.Addr, testSettings)
+	a := startAgent(t, cfg)
+	receive(t, "first call", oldServer.Calls)
+	receive(t, "watch", oldServer.Calls)
+	updated := *cfg
+	updated.Discovery = newServer.Addr
+	a.reloads <- &updated
+	if query := receive(t, "call to the new discovery", newServer.Calls); query != "" {
+		t.Errorf("the query of the first call is %q", query)
+	}
+	if query := receive(t, "watch", newServer.Calls); !strings.HasPrefix(query, "after=2&") {
+		t.Errorf("the query of the second call is %q", query)
 	}
 	for range 5 {
 		if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
@@ -102,80 +106,81 @@
 		}
 	}
 	if len(x.Got) > 0 || len(y.Got) != 5 {
-		t.Errorf("%d sent to the old list's backend, %d to the new one's", len(x.Got), len(y.Got))
+		t.Errorf("%d requests sent to the backend of the old list, %d to that of the new one", len(x.Got), len(y.Got))
 	}
-	if n := len(old.Calls); n > 0 {
-		t.Errorf("the old discovery was asked %d more times", n)
+	if n := len(oldServer.Calls); n > 0 {
+		t.Errorf("%d more calls to the old discovery", n)
 	}
 }
 
-// Without discovery, and with lists that cannot be read, the agent goes on with what it has; then it asks for
-// the whole list.
+// While discovery fails or sends invalid lists, the agent keeps using its last list. After such a
+// failure it requests the full list.
 func TestDiscoveryLoss(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0)))
-	a := start(t, config(t, l.Addr, testSettings))
-	receive(t, "first call", l.Calls)
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0)))
+	a := startAgent(t, testConfig(t, discoveryServer.Addr, testSettings))
+	receive(t, "first call", discoveryServer.Calls)
 	for i, text := range []string{"no list", `{"revision":7,"complete":true,"members":[{"id":"x","phase":"Odd"}]}`, `{"complete":true}`} {
-		receive(t, "watch", l.Calls)
+		receive(t, "watch", discoveryServer.Calls)
 		if i == 2 {
-			l.Whole(func() []byte { return nil })
+			discoveryServer.Whole(func() []byte { return nil })
 		}
-		l.Next <- []byte(text)
-		if q := receive(t, "call", l.Calls); q != "" {
-			t.Errorf("after %s: asked %q", text, q)
+		discoveryServer.Next <- []byte(text)
+		if query := receive(t, "call", discoveryServer.Calls); query != "" {
+			t.Errorf("after %s: the query is %q", text, query)
 		}
 	}
-	receive(t, "call again", l.Calls)
+	receive(t, "call again", discoveryServer.Calls)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
-		t.Errorf("without discovery: answered %d", status)
+		t.Errorf("while discovery fails: answered %d", status)
 	}
-	l.Whole(func() []byte { return hosts(9, true, host("y", y.Addr, "Ready", 0)) })
+	discoveryServer.Whole(func() []byte { return listJSON(9, true, memberJSON("y", y.Addr, "Ready", 0)) })
 	for {
-		if q := receive(t, "call", l.Calls); strings.HasPrefix(q, "after=9&") {
+		if query := receive(t, "call", discoveryServer.Calls); strings.HasPrefix(query, "after=9&") {
 			break
 		}
 	}
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 || len(y.Got) != 1 {
-		t.Errorf("with discovery back: answered %d, %d at the new backend", status, len(y.Got))
+		t.Errorf("after discovery has recovered: answered %d, %d requests at the new backend", status, len(y.Got))
 	}
 }
 
-// Changes that do not follow the list held, as after a restart of discovery, lead to the whole list; so does a
-// discovery that is silent when a watch is over.
+// Changes that do not continue from the last revision, as after a restart of discovery, make the
+// agent request the full list. After a watch that gets no answer, the agent watches again.
 func TestDiscoveryGapAndSilence(t *testing.T) {
-	b := newBackend(t, serves)
-	l := newLists(t, hosts(8, true, host("x", b.Addr, "Ready", 0)))
-	start(t, config(t, l.Addr, testSettings))
-	receive(t, "first call", l.Calls)
-	receive(t, "watch", l.Calls)
-	l.Next <- hosts(3, false)
-	if q := receive(t, "call after the gap", l.Calls); q != "" {
-		t.Errorf("after a gap: asked %q", q)
-	}
-	for range 2 { // the watch that gets no answer, and the one after it
-		if q := receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=8&") {
-			t.Errorf("asked %q", q)
+	b := newBackend(t, alwaysOK)
+	discoveryServer := newScriptedDiscovery(t, listJSON(8, true, memberJSON("x", b.Addr, "Ready", 0)))
+	startAgent(t, testConfig(t, discoveryServer.Addr, testSettings))
+	receive(t, "first call", discoveryServer.Calls)
+	receive(t, "watch", discoveryServer.Calls)
+	discoveryServer.Next <- listJSON(3, false)
+	if query := receive(t, "call after the gap", discoveryServer.Calls); query != "" {
+		t.Errorf("after a gap: the query is %q", query)
+	}
+	for range 2 { // the watch without an answer, and the one after it
+		if query := receive(t, "watch", discoveryServer.Calls); !strings.HasPrefix(query, "after=8&") {
+			t.Errorf("the query of the watch is %q", query)
 		}
 	}
 }
 
-// Where the list must be asked for, the module hears of a failure and decides when to ask again.
+// If the settings require that the module requests the list, it is told of failures and decides
+// when to retry.
 func TestAskedDiscovery(t *testing.T) {
-	b := newBackend(t, serves)
-	set := strings.Replace(testSettings, `"automatic"`, `"subscribe"`, 1)
-	set = strings.Replace(set, `"extraFloor"`, `"mustAskIn":50,"extraFloor"`, 1)
-	l := newLists(t, hosts(1, true, host("x", b.Addr, "Ready", 0)))
-	whole, calls := hosts(1, true, host("x", b.Addr, "Ready", 0)), 0
-	l.Whole(func() []byte {
+	b := newBackend(t, alwaysOK)
+	settings := strings.Replace(testSettings, `"automatic"`, `"subscribe"`, 1)
+	settings = strings.Replace(settings, `"extraFloor"`, `"mustAskIn":50,"extraFloor"`, 1)
+	discoveryServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", b.Addr, "Ready", 0)))
+	fullList, calls := listJSON(1, true, memberJSON("x", b.Addr, "Ready", 0)), 0
+	discoveryServer.Whole(func() []byte {
 		if calls++; calls <= 2 {
 			return nil
 		}
-		return whole
+		return fullList
 	})
-	a := start(t, config(t, l.Addr, set)) // which returns when the list has come
-	if n := len(l.Calls); n < 3 {
-		t.Errorf("up after %d calls, of which two failed", n)
+	a := startAgent(t, testConfig(t, discoveryServer.Addr, settings)) // returns when the list was received
+	if n := len(discoveryServer.Calls); n < 3 {
+		t.Errorf("ready after %d calls, although the first two failed", n)
 	}
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
 		t.Errorf("answered %d", status)
--- a/internal/agent/replace.go
+++ b/internal/agent/replace.go
@@ -7,13 +7,15 @@
 )
 
 const (
-	// readyWithin is how long a process waits for a list before it accepts all the same.
-	readyWithin = 3 * time.Second
-	readyLook   = 5 * time.Millisecond
+	// readyTimeout is how long a process waits for a list of backends. After that, it accepts
+	// connections without one.
+	readyTimeout      = 3 * time.Second
+	readyPollInterval = 5 * time.Millisecond
 )
 
-// takeOver takes what the process before this one knows, and lets the next one find this.
-func (a *Agent) takeOver(ctx context.Context) {
+// takeOverState fetches the state of the previous process of the agent, and offers the state of
+// this process to the next one.
+func (a *Agent) takeOverState(ctx context.Context) {
 	if a.handover == nil {
 		return
 	}
@@ -27,36 +29,38 @@
 	}
 }
 
-// awaitReady waits until there is a list. Danger: where another process accepts from the same socket, what this one takes
-// before that would be refused, and need not be.
+// awaitReady waits until there is a list of backends, if other processes accept from the same
+// socket. A request that this process accepted earlier would be refused, while another process
+// could have served it.
 func (a *Agent) awaitReady(ctx context.Context) {
-	if !a.cfg.Inherited {
+	if !a.cfg.SharedSocket {
 		return
 	}
-	end := time.Now().Add(readyWithin)
-	for !a.loop.ready.Load() && ctx.Err() == nil && time.Now().Before(end) {
-		time.Sleep(readyLook)
+	deadline := time.Now().Add(readyTimeout)
+	for !a.loop.ready.Load() && ctx.Err() == nil && time.Now().Before(deadline) {
+		time.Sleep(readyPollInterval)
 	}
 }
 
-// shareRoom has the agent use half of its room while another process of it runs: their descriptors and their memory count
-// together.
-func (a *Agent) shareRoom(beside bool) {
-	was := a.beside.Swap(beside)
-	of := int64(1)
-	if beside {
-		of = 2
-	}
-	most := a.server.usual / of
-	if wanted := a.wanted.Load(); wanted > 0 {
-		most = min(most, wanted)
-	}
-	a.server.most.Store(most)
-	a.clients.setMaxConns(a.room / int(of))
-	a.loop.backends.SetMaxConns(a.half / int(of))
-	if limit := debug.SetMemoryLimit(-1); beside && !was {
-		debug.SetMemoryLimit(limit / 2)
-	} else if !beside && was {
-		debug.SetMemoryLimit(limit * 2)
+// updateLimits sets the limits of connections, concurrent requests and memory. While another
+// process of the agent runs, they are halved, because the descriptors and the memory of both
+// processes count together.
+func (a *Agent) updateLimits(otherProcess bool) {
+	hadOtherProcess := a.otherProcess.Swap(otherProcess)
+	processes := int64(1)
+	if otherProcess {
+		processes = 2
+	}
+	maxRequests := a.server.defaultMaxRequests / processes
+	if operatorLimit := a.operatorLimit.Load(); operatorLimit > 0 {
+		maxRequests = min(maxRequests, operatorLimit)
+	}
+	a.server.maxRequests.Store(maxRequests)
+	a.clientConns.setMaxConns(a.maxClientConns / int(processes))
+	a.loop.backends.SetMaxConns(a.maxBackendConns / int(processes))
+	if memoryLimit := debug.SetMemoryLimit(-1); otherProcess && !hadOtherProcess {
+		debug.SetMemoryLimit(memoryLimit / 2)
+	} else if !otherProcess && hadOtherProcess {
+		debug.SetMemoryLimit(memoryLimit * 2)
 	}
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -18,61 +18,66 @@
 )
 
 const (
-	callIDHeader   = "X-Call-Id"
-	classHeader    = "X-Call-Class"
-	tenantHeader   = "X-Caller"
-	budgetHeader   = "X-Budget"
-	retryHeader    = "X-Again"
-	keyHeader      = "Idempotency-Key"
+	// Headers of requests.
+	callIDHeader = "X-Call-Id"
+	classHeader  = "X-Call-Class"
+	tenantHeader = "X-Caller"
+	budgetHeader = "X-Budget" // the time left for the answer, see parseBudget
+	retryHeader  = "X-Again"  // 1: the client retries an earlier request
+	keyHeader    = "Idempotency-Key"
+	// Headers of backends' answers.
 	loadHeader     = "X-Load-Report"
-	rejectedHeader = "X-Rejected"
+	rejectedHeader = "X-Rejected" // 1: the backend has not run the request
 
-	readyPath = "/up"
-	alivePath = "/alive"
-	loadPath  = "/metrics/load"
+	readyPath = "/up"           // readiness of the agent
+	alivePath = "/alive"        // liveness of a backend
+	loadPath  = "/metrics/load" // load report of a backend
 
-	statusRefused = http.StatusServiceUnavailable
-	statusFailed  = http.StatusBadGateway
+	statusRefused = http.StatusServiceUnavailable // the request did not run
+	statusFailed  = http.StatusBadGateway         // the request may have run
 
-	maxBudget    = time.Hour
-	writeTimeout = 5 * time.Second // for a client to take its answer, or half of it
-	maxCallID    = 256             // bytes
-	fullAdvice   = time.Second     // when to come back to an agent that holds all the requests it can
+	maxBudget          = time.Hour
+	writeTimeout       = 5 * time.Second // for a client to accept each write; at least half of it
+	maxCallIDBytes     = 256
+	overloadRetryAfter = time.Second // Retry-After of an agent that accepts no more requests
 )
 
-// hopHeaders concern one connection only and are not passed on.
-var hopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
+// hopByHopHeaders concern a single connection and are not forwarded.
+var hopByHopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Expect", "Content-Length"}
 
-// server is the client's side: it turns requests into calls for the loop, and its answers into responses.
+// server is the HTTP handler for clients. It passes their requests to the event loop as calls, and
+// writes the answers as responses.
 type server struct {
-	loop    *loop
-	clients *connLimiter
-	usual   int64 // requests held at once, if operators say nothing
+	loop               *loop
+	clientConns        *connLimiter
+	defaultMaxRequests int64 // limit of concurrent requests if operators set none
 
-	most   atomic.Int64 // requests held at once
-	held   atomic.Int64
-	coming atomic.Int64 // of these, those whose last byte is not here
-	closed atomic.Bool  // operators let nothing in
-	stance atomic.Pointer[leave.Mode]
+	maxRequests     atomic.Int64 // limit of concurrent requests
+	openRequests    atomic.Int64
+	receivingBodies atomic.Int64 // those of openRequests whose body has not arrived completely
+	refuseAll       atomic.Bool  // whether operators have stopped the acceptance of requests
+	mode            atomic.Pointer[leave.Mode]
 }
 
-// badRequest is what a client did wrong, and the status that tells it so.
-type badRequest struct {
+// clientError is an error in a client's request, and the HTTP status that reports it.
+type clientError struct {
 	status int
-	what   string
+	text   string
 }
 
-func (e *badRequest) Error() string { return e.what }
+func (e *clientError) Error() string { return e.text }
 
-func (e *badRequest) answer() answer {
-	return answer{status: e.status, contentType: "text/plain", body: []byte(e.what + "\n")}
+func (e *clientError) answer() answer {
+	return answer{status: e.status, contentType: "text/plain", body: []byte(e.text + "\n")}
 }
 
-func bad(format string, args ...any) error {
-	return &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+// badRequestf returns a clientError with status 400.
+func badRequestf(format string, args ...any) error {
+	return &clientError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
+// ServeHTTP answers a client's request, or a readiness check at readyPath.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	connOf(r).inBody.Store(true)
 	if err := checkFraming(w, r); err != nil {
@@ -80,133 +85,139 @@
 		return
 	}
 	if r.URL.Path == readyPath {
-		stance := s.stance.Load()
-		if stance.CloseAfterAnswer {
+		mode := s.mode.Load()
+		if mode.CloseAfterAnswer {
 			w.Header().Set("Connection", "close")
 		}
-		if !s.loop.ready.Load() || !stance.Ready {
+		if !s.loop.ready.Load() || !mode.Ready {
 			http.Error(w, "no list of backends yet, or leaving", http.StatusServiceUnavailable)
 		}
 		return
 	}
-	c, err := s.read(w, r)
-	var b *badRequest
+	pending, err := s.readRequest(w, r)
+	var clientErr *clientError
 	switch {
-	case errors.As(err, &b):
-		s.respond(w, b.answer())
+	case errors.As(err, &clientErr):
+		s.respond(w, clientErr.answer())
 		return
-	case err != nil, !s.clients.beginRequest(connOf(r)): // the connection is gone
+	case err != nil, !s.clientConns.beginRequest(connOf(r)): // the connection is closed
 		panic(http.ErrAbortHandler)
 	}
-	rest := c.message.rest
-	if rest != nil {
-		defer rest.stop() // danger: who reads the body must not outlast its handler
-		// What is left of it when there is an answer is not waited for.
+	upload := pending.message.upload
+	if upload != nil {
+		defer upload.stop() // the body must not be read after its handler has returned
+		// The connection closes after the answer, so that the rest of the body need not be awaited.
 		w.Header().Set("Connection", "close")
-		if !s.loop.backends.reserve(streamRoom) {
-			s.loop.withLock(func() { s.loop.counts.recordOverloadRefusal(c.class) })
-			s.respond(w, answer{status: statusRefused, retryAfter: fullAdvice})
+		if !s.loop.backends.reserveStreamMemory(memoryPerStream) {
+			s.loop.withLock(func() { s.loop.counts.recordOverloadRefusal(pending.class) })
+			s.respond(w, answer{status: statusRefused, retryAfter: overloadRetryAfter})
 			return
 		}
-		defer s.loop.backends.free(streamRoom)
-		s.coming.Add(1)
+		defer s.loop.backends.freeStreamMemory(memoryPerStream)
+		s.receivingBodies.Add(1)
 		defer func() {
-			if !rest.ended.Load() {
-				s.coming.Add(-1)
+			if !upload.complete.Load() {
+				s.receivingBodies.Add(-1)
 			}
 		}()
 	}
-	defer s.held.Add(-1)
-	if s.held.Add(1) > s.most.Load() || s.closed.Load() {
-		s.loop.withLock(func() { s.loop.counts.recordOverloadRefusal(c.class) })
-		s.respond(w, answer{status: statusRefused, retryAfter: fullAdvice})
+	defer s.openRequests.Add(-1)
+	if s.openRequests.Add(1) > s.maxRequests.Load() || s.refuseAll.Load() {
+		s.loop.withLock(func() { s.loop.counts.recordOverloadRefusal(pending.class) })
+		s.respond(w, answer{status: statusRefused, retryAfter: overloadRetryAfter})
 		return
 	}
-	hangup := input{event: policy.Event{Kind: policy.EventClientGone}, call: c}
-	left := make(chan struct{}) // closed if the client leaves behind the first bytes of its next request
-	if rest == nil {
-		c.hangupWatcher = connOf(r).hangupWatcher
-		defer c.hangupWatcher.NotifyOnClose(func() { s.loop.send(hangup); close(left) })()
-	}
-	s.loop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: c, deliveringCall: c})
-	if c.inlineAttempt != nil {
-		stop := context.AfterFunc(r.Context(), func() {
-			if rest == nil || rest.ended.Load() {
-				s.loop.send(hangup)
+	clientGone := input{event: policy.Event{Kind: policy.EventClientGone}, call: pending}
+	// clientLeft is closed if the client disconnects after the first bytes of its next request.
+	clientLeft := make(chan struct{})
+	if upload == nil {
+		pending.hangupWatcher = connOf(r).hangupWatcher
+		defer pending.hangupWatcher.NotifyOnClose(func() { s.loop.send(clientGone); close(clientLeft) })()
+	}
+	s.loop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: pending, deliveringCall: pending})
+	if pending.inlineAttempt != nil {
+		stopWatching := context.AfterFunc(r.Context(), func() {
+			if upload == nil || upload.complete.Load() {
+				s.loop.send(clientGone)
 			}
 		})
-		for c.inlineAttempt != nil {
-			carryOut := c.inlineAttempt
-			c.inlineAttempt = nil
-			carryOut()
+		// The loop leaves an attempt to this goroutine, which would otherwise only wait for the
+		// answer.
+		for pending.inlineAttempt != nil {
+			attempt := pending.inlineAttempt
+			pending.inlineAttempt = nil
+			attempt()
 		}
-		stop()
+		stopWatching()
 	}
-	var failed chan struct{}
-	gone := r.Context().Done()
-	if rest != nil {
-		if failed = rest.failed; !rest.ended.Load() {
-			gone = nil // danger: net/http takes a read that was interrupted for a client that has gone
+	var uploadFailed chan struct{}
+	ctxDone := r.Context().Done()
+	if upload != nil {
+		if uploadFailed = upload.failed; !upload.complete.Load() {
+			ctxDone = nil // net/http takes an interrupted read for a disconnected client
 		}
 	}
 	select {
-	case a := <-c.answers:
-		if rest != nil {
-			rest.stop() // danger: net/http bears no reader of the body beside an answer
+	case a := <-pending.answers:
+		if upload != nil {
+			upload.stop() // net/http does not support reading the body while the answer is written
 		}
 		if a.bodyStream == nil {
 			s.respond(w, a)
 		} else {
-			s.pass(w, c, a)
+			s.respondStreaming(w, pending, a)
 		}
-	case <-failed:
-		s.loop.send(hangup)
+	case <-uploadFailed:
+		s.loop.send(clientGone)
 		s.respond(w, answer{status: http.StatusRequestTimeout})
-	case <-left:
+	case <-clientLeft:
 		panic(http.ErrAbortHandler)
-	case <-gone:
-		s.loop.send(hangup)
-		// Danger: a handler that returns without a word answers 200, and a client that has closed only its own
-		// side would take that for what a backend made.
+	case <-ctxDone:
+		s.loop.send(clientGone)
+		// A handler that returns without writing sends an empty 200 answer. A client that has
+		// closed only its sending side would take it for a backend's answer.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// respond writes an answer. Whether the connection is to close is asked only now: a request that was taken before
-// the agent was told to stop must not leave a connection on which the next one crosses the close.
+// respond writes an answer. Whether the connection closes after it is decided only now. A request
+// that was accepted before a shutdown began would otherwise leave its connection open, and the
+// client's next request could be lost when that connection is closed.
 func (s *server) respond(w http.ResponseWriter, a answer) {
-	s.head(w, &a, int64(len(a.body)))
-	w.Write(a.body) // a client that does not take it is gone
+	s.writeHead(w, &a, int64(len(a.body)))
+	w.Write(a.body) // a write fails only if the client has disconnected or is too slow
 }
 
-// pass writes an answer whose body passes through. Danger: one that breaks must not look whole.
-func (s *server) pass(w http.ResponseWriter, c *call, a answer) {
-	s.head(w, &a, a.bodyStream.size)
-	whole, client := false, true
+// respondStreaming writes an answer and forwards the rest of its body as it arrives. If the body
+// breaks off, the handler is aborted, so that the answer does not look complete to the client.
+func (s *server) respondStreaming(w http.ResponseWriter, c *call, a answer) {
+	s.writeHead(w, &a, a.bodyStream.size)
+	complete, clientFault := false, true
 	if _, err := w.Write(a.body); err == nil {
-		whole, client = a.bodyStream.pass(w)
+		complete, clientFault = a.bodyStream.forwardTo(w)
 	}
-	a.bodyStream.end(whole)
-	if whole {
+	a.bodyStream.release(complete)
+	if complete {
 		return
 	}
-	if !client {
+	if !clientFault {
 		s.loop.withLock(func() { s.loop.counts.recordBrokenAnswer(c.class) })
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// head writes the head of an answer with a body of so many bytes; -1 are not known.
-func (s *server) head(w http.ResponseWriter, a *answer, size int64) {
+// writeHead writes the status and the headers of an answer. size is the length of its body in
+// bytes, or -1 if it is not known.
+func (s *server) writeHead(w http.ResponseWriter, a *answer, size int64) {
 	h := w.Header()
-	// What else a client sends that has sent nonsense is not to be trusted either.
-	if s.stance.Load().CloseAfterAnswer || a.status/100 == 4 {
+	// After an invalid request, nothing else on its connection can be trusted.
+	if s.mode.Load().CloseAfterAnswer || a.status/100 == 4 {
 		h.Set("Connection", "close")
 	}
 	if a.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	h["Content-Type"] = nil // or net/http guesses one
+	h["Content-Type"] = nil // keeps net/http from guessing one
 	if a.contentType != "" {
 		h.Set("Content-Type", a.contentType)
 	}
@@ -216,99 +227,103 @@
 	w.WriteHeader(a.status)
 }
 
-// checkFraming checks how a request's body is said to end, before any of it is read.
-func checkFraming(w http.ResponseWriter, r *http.Request) *badRequest {
+// checkFraming checks how the end of a request's body is declared, before any of it is read.
+func checkFraming(w http.ResponseWriter, r *http.Request) *clientError {
 	switch {
 	case len(r.TransferEncoding) > 0:
-		// Danger: net/http drops the length that stands beside it, and one of both hides a request in the body
-		// from whoever goes by the other. Where that can't be told nothing else is read from the connection (RFC 9112,
-		// section 6.1).
-		says, known := connOf(r).namesContentLength()
-		if says {
-			return &badRequest{http.StatusBadRequest, "both Transfer-Encoding and Content-Length"}
+		// net/http ignores a Content-Length beside a Transfer-Encoding. The two may disagree about
+		// the end of the body, which hides a second request in it from a proxy that uses the other
+		// one (request smuggling). If it is not known whether both were sent, no further request is
+		// read from the connection (RFC 9112, section 6.1).
+		hasLength, known := connOf(r).namesContentLength()
+		if hasLength {
+			return &clientError{http.StatusBadRequest, "both Transfer-Encoding and Content-Length"}
 		}
 		if !known {
 			w.Header().Set("Connection", "close")
 		}
-	case r.ContentLength > mostBody:
-		return &badRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", mostBody)}
+	case r.ContentLength > maxBody:
+		return &clientError{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", maxBody)}
 	}
 	return nil
 }
 
-// onceHeaders say what a request is; two of one would leave open which counts.
-var onceHeaders = []string{callIDHeader, classHeader, tenantHeader, budgetHeader, retryHeader, keyHeader}
+// singletonHeaders may occur only once in a request, since it would be ambiguous which of two
+// counts.
+var singletonHeaders = []string{callIDHeader, classHeader, tenantHeader, budgetHeader, retryHeader, keyHeader}
 
-// read checks a request's head, and then reads it to its last byte, from which its budget counts; or as much as is kept of one
-// that is longer.
-func (s *server) read(w http.ResponseWriter, r *http.Request) (*call, error) {
+// readRequest checks the headers of a request and reads its body, of which it buffers at most
+// maxBufferedBody bytes. The request's budget counts from the last byte of its body.
+func (s *server) readRequest(w http.ResponseWriter, r *http.Request) (*call, error) {
 	set := s.loop.settings
-	// What concerns this connection only goes before anything is checked: it may name what is needed.
-	for _, name := range r.Header["Connection"] {
-		for field := range strings.SplitSeq(name, ",") {
+	// Headers of this connection are removed before any check, because the Connection header may
+	// name a required header, which then counts as missing.
+	for _, list := range r.Header["Connection"] {
+		for field := range strings.SplitSeq(list, ",") {
 			r.Header.Del(textproto.TrimString(field))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		r.Header.Del(name)
 	}
-	for _, name := range onceHeaders {
+	for _, name := range singletonHeaders {
 		if len(r.Header[name]) > 1 {
-			return nil, bad("%s stands there twice", name)
+			return nil, badRequestf("%s stands there twice", name)
 		}
 	}
-	c := &call{
+	pending := &call{
 		class:   slices.Index(set.Classes, r.Header.Get(classHeader)),
 		retry:   r.Header.Get(retryHeader) == "1",
 		answers: make(chan answer, 1),
 	}
-	if c.class < 0 {
-		return nil, bad("%s is unknown", classHeader)
+	if pending.class < 0 {
+		return nil, badRequestf("%s is unknown", classHeader)
 	}
 	uri := originForm(r.RequestURI)
-	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != set.Classes[c.class] || uri == "" {
-		return nil, bad("the path does not begin with the class")
+	if firstSegment, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); firstSegment != set.Classes[pending.class] || uri == "" {
+		return nil, badRequestf("the path does not begin with the class")
 	}
-	if err := checkEffect(set.Module.Classes[c.class].Effect, r); err != nil {
+	if err := checkEffect(set.Module.Classes[pending.class].Effect, r); err != nil {
 		return nil, err
 	}
 	if len(set.Tenants) > 0 {
-		if c.tenant = slices.Index(set.Tenants, r.Header.Get(tenantHeader)); c.tenant < 0 {
-			return nil, bad("%s is unknown", tenantHeader)
+		if pending.tenant = slices.Index(set.Tenants, r.Header.Get(tenantHeader)); pending.tenant < 0 {
+			return nil, badRequestf("%s is unknown", tenantHeader)
 		}
 	}
 	budget, err := parseBudget(r.Header.Get(budgetHeader))
 	if err != nil {
 		return nil, err
 	}
-	if c.callID = r.Header.Get(callIDHeader); c.callID == "" || len(c.callID) > maxCallID {
-		return nil, bad("%s is missing or too long", callIDHeader)
+	if pending.callID = r.Header.Get(callIDHeader); pending.callID == "" || len(pending.callID) > maxCallIDBytes {
+		return nil, badRequestf("%s is missing or too long", callIDHeader)
 	}
-	rest := &upload{body: r.Body, conn: connOf(r), size: r.ContentLength, budget: budget, failed: make(chan struct{})}
-	body, err := rest.kept()
+	upload := &uploadStream{body: r.Body, conn: connOf(r), size: r.ContentLength, budget: budget, failed: make(chan struct{})}
+	body, err := upload.readBuffered()
 	if err != nil {
-		return nil, &badRequest{http.StatusRequestTimeout, fmt.Sprintf("the body does not come: %v", err)}
+		return nil, &clientError{http.StatusRequestTimeout, fmt.Sprintf("the body does not come: %v", err)}
 	}
-	c.deadline = s.loop.clock.now() + budget
-	if rest.ended.Load() {
-		rest = nil
+	pending.deadline = s.loop.clock.now() + budget
+	if upload.complete.Load() {
+		upload = nil
 	} else {
-		c.deadline += longest(rest.size)
-		rest.arrived = func() time.Duration {
-			s.coming.Add(-1)
-			s.loop.send(input{event: policy.Event{Kind: policy.EventBodyReceived}, call: c})
+		pending.deadline += maxUploadTime(upload.size)
+		upload.onComplete = func() time.Duration {
+			s.receivingBodies.Add(-1)
+			s.loop.send(input{event: policy.Event{Kind: policy.EventBodyReceived}, call: pending})
 			return budget
 		}
 	}
-	c.message = newMessage(r.Method, uri, r.Host, r.Header, body, rest)
-	return c, nil
+	pending.message = newMessage(r.Method, uri, r.Host, r.Header, body, upload)
+	return pending, nil
 }
 
-// originForm is a request's target without scheme and authority (RFC 9112, section 3.2), empty if it has no path.
+// originForm returns a request target without its scheme and authority (RFC 9112, section 3.2). It
+// returns an empty string for a target without a path.
 func originForm(target string) string {
-	if _, rest, absolute := strings.Cut(target, "://"); absolute && !strings.HasPrefix(target, "/") {
-		if i := strings.IndexAny(rest, "/?"); i >= 0 && rest[i] == '/' {
-			return rest[i:]
+	if _, afterScheme, absolute := strings.Cut(target, "://"); absolute && !strings.HasPrefix(target, "/") {
+		if i := strings.IndexAny(afterScheme, "/?"); i >= 0 && afterScheme[i] == '/' {
+			return afterScheme[i:]
 		}
 		return ""
 	}
@@ -318,23 +333,24 @@
 	return target
 }
 
-// checkEffect checks that a request is sent as its class's effect asks. Danger: a keyed request without its
-// key would be repeated as if backends could tell.
+// checkEffect checks that a request has the method and the idempotency key that the effect of its
+// class requires. A keyed request without a key would be retried although backends can't
+// deduplicate it.
 func checkEffect(effect policy.Effect, r *http.Request) error {
-	method, keyed := http.MethodPost, effect == policy.Keyed
+	method, needsKey := http.MethodPost, effect == policy.Keyed
 	if effect == policy.Pure {
 		method = http.MethodGet
 	}
 	if r.Method != method {
-		return &badRequest{http.StatusMethodNotAllowed, "the class wants " + method}
+		return &clientError{http.StatusMethodNotAllowed, "the class wants " + method}
 	}
-	if keyed && r.Header.Get(keyHeader) == "" {
-		return bad("the class wants %s", keyHeader)
+	if needsKey && r.Header.Get(keyHeader) == "" {
+		return badRequestf("the class wants %s", keyHeader)
 	}
 	return nil
 }
 
-// parseBudget reads a time such as 480m or 350000u: milliseconds or microseconds.
+// parseBudget parses a duration in milliseconds or microseconds, such as 480m or 350000u.
 func parseBudget(text string) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(text, "m")
@@ -342,9 +358,9 @@
 		unit = time.Microsecond
 		number, ok = strings.CutSuffix(text, "u")
 	}
-	v, err := strconv.ParseFloat(number, 64)
-	if budget := v * float64(unit); ok && err == nil && budget > 0 && budget <= float64(maxBudget) {
+	value, err := strconv.ParseFloat(number, 64)
+	if budget := value * float64(unit); ok && err == nil && budget > 0 && budget <= float64(maxBudget) {
 		return time.Duration(math.Round(budget)), nil
 	}
-	return 0, bad("%s is no time", budgetHeader)
+	return 0, badRequestf("%s is no time", budgetHeader)
 }
--- a/internal/agent/server_test.go
+++ b/internal/agent/server_test.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// A client that closes its own side only has gone as well, and must not be told that it was served.
+// A client that closes only its sending side counts as disconnected, and must not get an empty 200
+// answer.
 func TestHalfCloseIsNotServed(t *testing.T) {
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -24,16 +25,16 @@
 	}
 	receive(t, "request", b.Got)
 	c.(*net.TCPConn).CloseWrite()
-	c.SetReadDeadline(time.Now().Add(wait))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if text, _ := io.ReadAll(c); len(text) > 0 {
 		t.Errorf("answered %q", text)
 	}
 }
 
 func TestBadRequests(t *testing.T) {
-	b := newBackend(t, serves)
-	a := agentFor(t, testSettings, b)
-	for what, change := range map[string]func(*http.Request){
+	b := newBackend(t, alwaysOK)
+	a := startAgentWith(t, testSettings, b)
+	for name, change := range map[string]func(*http.Request){
 		"class":    func(r *http.Request) { r.Header.Set(classHeader, "nobody") },
 		"path":     func(r *http.Request) { r.URL.Path = "/safe/1"; r.URL.RawPath = "" },
 		"tenant":   func(r *http.Request) { r.Header.Set(tenantHeader, "nobody") },
@@ -42,28 +43,28 @@
 		"infinite": func(r *http.Request) { r.Header.Set(budgetHeader, "Infm") },
 		"negative": func(r *http.Request) { r.Header.Set(budgetHeader, "-3m") },
 		"id":       func(r *http.Request) { r.Header.Del(callIDHeader) },
-		"long id":  func(r *http.Request) { r.Header.Set(callIDHeader, strings.Repeat("x", maxCallID+1)) },
+		"long id":  func(r *http.Request) { r.Header.Set(callIDHeader, strings.Repeat("x", maxCallIDBytes+1)) },
 		"key":      func(r *http.Request) { r.Header.Del(keyHeader) },
 		"method":   func(r *http.Request) { r.Method = http.MethodPut },
 		"body": func(r *http.Request) {
-			r.Body = io.NopCloser(bytes.NewReader(make([]byte, mostBody+1)))
-			r.ContentLength = mostBody + 1
+			r.Body = io.NopCloser(bytes.NewReader(make([]byte, maxBody+1)))
+			r.ContentLength = maxBody + 1
 		},
 	} {
 		req := a.request("keyed", "15000m")
 		change(req)
 		if status, _ := a.do(t, req); status < 400 || status >= 500 {
-			t.Errorf("%s: answered %d", what, status)
+			t.Errorf("%s: answered %d", name, status)
 		}
 	}
 	if len(b.Got) > 0 {
-		t.Errorf("%d reached the backend", len(b.Got))
+		t.Errorf("%d requests reached the backend", len(b.Got))
 	}
 }
 
 func TestRefusalTellsWhenToComeBack(t *testing.T) {
-	l := newLists(t, hosts(1, true, host("x", "127.0.0.1:1", "Terminating", 0)))
-	a := start(t, config(t, l.Addr, testSettings))
+	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", "127.0.0.1:1", "Terminating", 0)))
+	a := startAgent(t, testConfig(t, l.Addr, testSettings))
 	resp, err := a.client.Do(a.request("unsafe", "15000m"))
 	if err != nil {
 		t.Fatal(err)
