--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -75,7 +75,7 @@
 func IsShared(name string) bool { return strings.Contains(name, ":") }
 
 // Client asks a member.
-type Client struct{ at *api.Caller }
+type Client struct{ caller *api.Caller }
 
 // NewClient returns a client of the member that a caller calls.
 func NewClient(at *api.Caller) *Client { return &Client{at} }
@@ -83,42 +83,42 @@
 // Group asks for what the member says of the group.
 func (c *Client) Group(ctx context.Context) (*Group, error) {
 	var v Group
-	return &v, c.at.Call(ctx, http.MethodGet, "group", nil, nil, &v)
+	return &v, c.caller.Call(ctx, http.MethodGet, "group", nil, nil, &v)
 }
 
 // Remove has a member go for good.
 func (c *Client) Remove(ctx context.Context, name string) (*Group, error) {
 	var v Group
-	return &v, c.at.Call(ctx, http.MethodDelete, "group/members/"+url.PathEscape(name), nil, nil, &v)
+	return &v, c.caller.Call(ctx, http.MethodDelete, "group/members/"+url.PathEscape(name), nil, nil, &v)
 }
 
 // Duties asks for the duties.
 func (c *Client) Duties(ctx context.Context) (*Duties, error) {
 	var v Duties
-	return &v, c.at.Call(ctx, http.MethodGet, "duties", nil, nil, &v)
+	return &v, c.caller.Call(ctx, http.MethodGet, "duties", nil, nil, &v)
 }
 
 // Words asks for what holders say.
 func (c *Client) HolderMessages(ctx context.Context) (*HolderMessages, error) {
 	var v HolderMessages
-	return &v, c.at.Call(ctx, http.MethodGet, "duties/words", nil, nil, &v)
+	return &v, c.caller.Call(ctx, http.MethodGet, "duties/words", nil, nil, &v)
 }
 
 // Lease asks for a duty, renews it or gives it back.
 func (c *Client) Lease(ctx context.Context, op *lease.Op) (lease.Answer, error) {
 	var v lease.Answer
-	err := c.at.Call(ctx, http.MethodPost, "duties/"+url.PathEscape(op.Duty)+"/lease", nil, op, &v)
+	err := c.caller.Call(ctx, http.MethodPost, "duties/"+url.PathEscape(op.Duty)+"/lease", nil, op, &v)
 	return v, err
 }
 
 // Hand has a duty handed to a member, once its holder has ended what it does.
 func (c *Client) HandOver(ctx context.Context, name, to string) (*Duties, error) {
 	var v Duties
-	return &v, c.at.Call(ctx, http.MethodPost, "duties/"+url.PathEscape(name)+"/hand", nil, map[string]string{"to": to}, &v)
+	return &v, c.caller.Call(ctx, http.MethodPost, "duties/"+url.PathEscape(name)+"/hand", nil, map[string]string{"to": to}, &v)
 }
 
 // Revoke has a duty renewed no more. Nobody else has it before its holder's time is over.
 func (c *Client) Revoke(ctx context.Context, name, why string) (*Duties, error) {
 	var v Duties
-	return &v, c.at.Call(ctx, http.MethodPost, "duties/"+url.PathEscape(name)+"/revoke", nil, map[string]string{"why": why}, &v)
+	return &v, c.caller.Call(ctx, http.MethodPost, "duties/"+url.PathEscape(name)+"/revoke", nil, map[string]string{"why": why}, &v)
 }
--- a/internal/duty/link.go
+++ b/internal/duty/link.go
@@ -15,9 +15,9 @@
 	// Term is for how long an agent is granted a duty. A word is followed for as long after it was last renewed.
 	LeaseTerm = 3 * time.Second
 	// listen is how often the group is asked for words: a pacer takes a step in half a second.
-	listen = LeaseTerm / 12
+	pollInterval = LeaseTerm / 12
 	// askIn is how long a member has to answer before another is asked.
-	askIn = LeaseTerm / 3
+	requestTimeout = LeaseTerm / 3
 )
 
 // Local is the agent on this side of a Link. It must not wait for anything.
@@ -45,125 +45,125 @@
 	Agent   Agent
 	Log     *slog.Logger
 
-	began   time.Time
-	answers chan func()
-	at      int // the member that is asked
-	asking  bool
-	heard   time.Duration // when it last answered; 0: never
-	posts   []*post
+	startedAt    time.Time
+	answers      chan func()
+	memberIndex  int // the member that is asked
+	pollInFlight bool
+	lastAnswerAt time.Duration // when it last answered; 0: never
+	duties       []*dutyState
 }
 
 // post is what is known of one duty.
-type post struct {
-	name   string
-	holder lease.Holder
-	follow lease.Follower
-	free   bool
-	meant  bool   // it is handed to this agent
-	held   uint64 // epoch, as it was logged
+type dutyState struct {
+	name        string
+	holder      lease.Holder
+	follower    lease.Follower
+	free        bool
+	reserved    bool   // it is handed to this agent
+	loggedEpoch uint64 // epoch, as it was logged
 }
 
-func (l *LeaseClient) now() time.Duration { return time.Since(l.began) + 1 }
+func (l *LeaseClient) now() time.Duration { return time.Since(l.startedAt) + 1 }
 
 // Run goes on until the context ends, and gives back then what is held.
 func (l *LeaseClient) Run(ctx context.Context) {
-	l.began, l.answers, l.at = time.Now(), make(chan func(), 2*len(l.Duties)+2), rand.IntN(len(l.Members))
-	life := fmt.Sprintf("%s/%x", l.Name, rand.Uint64())
+	l.startedAt, l.answers, l.memberIndex = time.Now(), make(chan func(), 2*len(l.Duties)+2), rand.IntN(len(l.Members))
+	processName := fmt.Sprintf("%s/%x", l.Name, rand.Uint64())
 	for _, name := range l.Duties {
-		l.posts = append(l.posts, &post{
-			name: name, holder: lease.Holder{Duty: name, Name: life, Term: LeaseTerm}, follow: lease.Follower{MaxAge: LeaseTerm}, free: true,
+		l.duties = append(l.duties, &dutyState{
+			name: name, holder: lease.Holder{Duty: name, Name: processName, Term: LeaseTerm}, follower: lease.Follower{MaxAge: LeaseTerm}, free: true,
 		})
 	}
-	var out sync.WaitGroup
-	defer out.Wait()
-	clock := time.NewTicker(listen)
-	defer clock.Stop()
+	var requests sync.WaitGroup
+	defer requests.Wait()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case f := <-l.answers:
-			f()
-		case <-clock.C:
-			l.listen(ctx, &out)
-			for _, p := range l.posts {
-				l.step(ctx, p, &out)
+		case handle := <-l.answers:
+			handle()
+		case <-ticker.C:
+			l.pollMessages(ctx, &requests)
+			for _, d := range l.duties {
+				l.tickDuty(ctx, d, &requests)
 			}
 		}
 	}
-	for _, p := range l.posts {
-		if _, _, holds := p.holder.Holds(l.now()); holds {
-			l.ask(context.WithoutCancel(ctx), p, p.holder.Release(l.now(), "", nil), &out)
+	for _, d := range l.duties {
+		if _, _, holds := d.holder.Holds(l.now()); holds {
+			l.sendRequest(context.WithoutCancel(ctx), d, d.holder.Release(l.now(), "", nil), &requests)
 		}
 	}
 }
 
 // step goes on with one duty.
-func (l *LeaseClient) step(ctx context.Context, p *post, out *sync.WaitGroup) {
-	t := l.now()
-	epoch, _, holds := p.holder.Holds(t)
+func (l *LeaseClient) tickDuty(ctx context.Context, d *dutyState, requests *sync.WaitGroup) {
+	now := l.now()
+	epoch, _, holds := d.holder.Holds(now)
 	if !holds {
 		epoch = 0
 	}
-	if epoch != p.held {
-		l.Log.Info("duty", "name", p.name, "holding", holds, "epoch", max(epoch, p.held))
-		p.held = epoch
+	if epoch != d.loggedEpoch {
+		l.Log.Info("duty", "name", d.name, "holding", holds, "epoch", max(epoch, d.loggedEpoch))
+		d.loggedEpoch = epoch
 	}
-	weight := l.Agent.Weight(p.name)
+	weight := l.Agent.Weight(d.name)
 	switch {
-	case holds && (weight <= 0 || p.holder.ReleaseReason() != ""):
-		l.ask(ctx, p, p.holder.Release(t, "", nil), out)
+	case holds && (weight <= 0 || d.holder.ReleaseReason() != ""):
+		l.sendRequest(ctx, d, d.holder.Release(now, "", nil), requests)
 	default:
 		if holds {
-			p.holder.Publish(l.Agent.MessageToPublish(p.name))
+			d.holder.Publish(l.Agent.MessageToPublish(d.name))
 		}
-		patience := time.Duration(0)
-		if weight > 0 && !p.meant {
-			patience = lease.AcquireDelay(p.name, l.Name, weight, LeaseTerm)
+		acquireDelay := time.Duration(0)
+		if weight > 0 && !d.reserved {
+			acquireDelay = lease.AcquireDelay(d.name, l.Name, weight, LeaseTerm)
 		}
 		// Who has heard nothing of late knows of nothing that is free.
-		l.ask(ctx, p, p.holder.Tick(t, p.free && weight > 0 && l.heard > 0 && t-l.heard < LeaseTerm, patience), out)
+		l.sendRequest(ctx, d, d.holder.Tick(now, d.free && weight > 0 && l.lastAnswerAt > 0 && now-l.lastAnswerAt < LeaseTerm, acquireDelay), requests)
 	}
-	word, said := p.follow.Current(t)
+	message, messageEpoch := d.follower.Current(now)
 	if holds {
-		word, said = nil, 0 // its own: it does as it says
+		message, messageEpoch = nil, 0 // its own: it does as it says
 	}
-	l.Agent.HandleMessage(p.name, said, word)
+	l.Agent.HandleMessage(d.name, messageEpoch, message)
 }
 
 // ask asks the group. A holder has one question out, and gives it up within a third of a term.
-func (l *LeaseClient) ask(ctx context.Context, p *post, q *lease.Request, out *sync.WaitGroup) {
-	if q == nil {
+func (l *LeaseClient) sendRequest(ctx context.Context, d *dutyState, request *lease.Request, requests *sync.WaitGroup) {
+	if request == nil {
 		return
 	}
-	m := l.Members[l.at]
-	out.Go(func() {
-		within, cancel := context.WithTimeout(ctx, askIn)
+	m := l.Members[l.memberIndex]
+	requests.Go(func() {
+		requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
-		a, err := m.Lease(within, &q.Op)
-		done := func() { p.holder.HandleAnswer(l.now(), q.Number, a) }
+		answer, err := m.Lease(requestCtx, &request.Op)
+		handle := func() { d.holder.HandleAnswer(l.now(), request.Number, answer) }
 		if err != nil { // in time it is asked again
-			done = func() { l.passBy(m) }
+			handle = func() { l.skipMember(m) }
 		}
 		select {
-		case l.answers <- done:
+		case l.answers <- handle:
 		case <-ctx.Done():
 		}
 	})
 }
 
 // listen asks for words. One question is out at a time.
-func (l *LeaseClient) listen(ctx context.Context, out *sync.WaitGroup) {
-	if l.asking {
+func (l *LeaseClient) pollMessages(ctx context.Context, requests *sync.WaitGroup) {
+	if l.pollInFlight {
 		return
 	}
-	l.asking = true
-	m, asked := l.Members[l.at], l.now()
-	out.Go(func() {
-		within, cancel := context.WithTimeout(ctx, askIn)
+	l.pollInFlight = true
+	m, requestedAt := l.Members[l.memberIndex], l.now()
+	requests.Go(func() {
+		requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
-		all, err := m.HolderMessages(within)
+		messages, err := m.HolderMessages(requestCtx)
 		select {
-		case l.answers <- func() { l.take(m, asked, all, err) }:
+		case l.answers <- func() { l.handleMessages(m, requestedAt, messages, err) }:
 		case <-ctx.Done():
 		}
 	})
@@ -171,26 +171,26 @@
 
 // passBy has another member be asked than one that did not answer. Danger: one that hears the others and is not heard by them tells
 // words as they should be, and what it is asked for is never agreed on.
-func (l *LeaseClient) passBy(m Grantor) {
-	if l.Members[l.at] == m {
-		l.at = (l.at + 1) % len(l.Members)
+func (l *LeaseClient) skipMember(m Grantor) {
+	if l.Members[l.memberIndex] == m {
+		l.memberIndex = (l.memberIndex + 1) % len(l.Members)
 	}
 }
 
-func (l *LeaseClient) take(m Grantor, asked time.Duration, all *HolderMessages, err error) {
-	l.asking = false
+func (l *LeaseClient) handleMessages(m Grantor, requestedAt time.Duration, messages *HolderMessages, err error) {
+	l.pollInFlight = false
 	if err != nil {
-		l.passBy(m)
+		l.skipMember(m)
 		return
 	}
-	l.heard = l.now()
-	for _, p := range l.posts {
-		p.free, p.meant = true, false // a duty that nobody has ever had
-		for i := range all.Words {
-			if w := &all.Words[i]; w.Duty == p.name {
-				p.meant = w.To != "" && lease.MatchesHolder(w.To, p.holder.Name)
-				p.free = w.Free && (w.To == "" || p.meant)
-				p.follow.Update(asked, w.Epoch, w.Version, w.Word)
+	l.lastAnswerAt = l.now()
+	for _, d := range l.duties {
+		d.free, d.reserved = true, false // a duty that nobody has ever had
+		for i := range messages.Words {
+			if message := &messages.Words[i]; message.Duty == d.name {
+				d.reserved = message.To != "" && lease.MatchesHolder(message.To, d.holder.Name)
+				d.free = message.Free && (message.To == "" || d.reserved)
+				d.follower.Update(requestedAt, message.Epoch, message.Version, message.Word)
 			}
 		}
 	}
--- a/internal/duty/link_test.go
+++ b/internal/duty/link_test.go
@@ -13,88 +13,88 @@
 )
 
 // table is a group in this process.
-type table struct {
+type fakeGroup struct {
 	mu    sync.Mutex
 	lease lease.Table
 }
 
-func (t *table) HolderMessages(context.Context) (*HolderMessages, error) {
+func (t *fakeGroup) HolderMessages(context.Context) (*HolderMessages, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := &HolderMessages{}
+	messages := &HolderMessages{}
 	for name, d := range t.lease.Duties {
-		w.Words = append(w.Words, HolderMessage{Duty: name, Free: d.Holder == "", Epoch: d.Epoch, Version: d.Version, Word: d.Word, To: d.To})
+		messages.Words = append(messages.Words, HolderMessage{Duty: name, Free: d.Holder == "", Epoch: d.Epoch, Version: d.Version, Word: d.Word, To: d.To})
 	}
-	return w, nil
+	return messages, nil
 }
 
-func (t *table) Lease(_ context.Context, op *lease.Op) (lease.Answer, error) {
+func (t *fakeGroup) Lease(_ context.Context, op *lease.Op) (lease.Answer, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lease.Apply(op), nil
 }
 
-type mute struct{ *table }
+type unresponsiveMember struct{ *fakeGroup }
 
-func (mute) Lease(ctx context.Context, _ *lease.Op) (lease.Answer, error) {
+func (unresponsiveMember) Lease(ctx context.Context, _ *lease.Op) (lease.Answer, error) {
 	<-ctx.Done()
 	return lease.Answer{}, errors.New("nobody agrees")
 }
 
-type local struct {
-	mu     sync.Mutex
-	weight float64
-	heard  string
+type fakeAgent struct {
+	mu          sync.Mutex
+	weight      float64
+	lastMessage string
 }
 
-func (l *local) Weight(string) float64 {
+func (l *fakeAgent) Weight(string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.weight
 }
-func (l *local) MessageToPublish(string) []byte { return []byte("on") }
-func (l *local) HandleMessage(_ string, _ uint64, word []byte) {
+func (l *fakeAgent) MessageToPublish(string) []byte { return []byte("on") }
+func (l *fakeAgent) HandleMessage(_ string, _ uint64, word []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard = string(word)
+	l.lastMessage = string(word)
 }
 
-func (l *local) hears() string {
+func (l *fakeAgent) message() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.heard
+	return l.lastMessage
 }
 
 // Two agents of one group, of which all members but one are mute: one holds and says, the other follows; one that can't any more lets go,
 // and one that ends gives back.
 func TestLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		group := &table{}
-		locals := []*local{{weight: 1}, {weight: 1}}
+		group := &fakeGroup{}
+		agents := []*fakeAgent{{weight: 1}, {weight: 1}}
 		var running sync.WaitGroup
-		ctx, end := context.WithCancel(t.Context())
-		for i, at := range locals {
-			link := &LeaseClient{Name: string(rune('a' + i)), Duties: []string{"pace:x"}, Members: []Grantor{mute{group}, mute{group}, group}, Agent: at, Log: slog.New(slog.DiscardHandler)}
+		ctx, cancel := context.WithCancel(t.Context())
+		for i, agent := range agents {
+			link := &LeaseClient{Name: string(rune('a' + i)), Duties: []string{"pace:x"}, Members: []Grantor{unresponsiveMember{group}, unresponsiveMember{group}, group}, Agent: agent, Log: slog.New(slog.DiscardHandler)}
 			running.Go(func() { link.Run(ctx) })
 		}
-		holder := func() (at int) {
+		holder := func() (index int) {
 			group.mu.Lock()
 			defer group.mu.Unlock()
 			return map[byte]int{'a': 1, 'b': 2}[(group.lease.Duties["pace:x"].Holder + "-")[0]] - 1
 		}
 		time.Sleep(6 * LeaseTerm)
 		first := holder()
-		if first < 0 || locals[1-first].hears() != "on" || locals[first].hears() != "" {
-			t.Fatalf("agent %d holds, and they hear %q and %q", first, locals[0].hears(), locals[1].hears())
+		if first < 0 || agents[1-first].message() != "on" || agents[first].message() != "" {
+			t.Fatalf("agent %d holds, and they hear %q and %q", first, agents[0].message(), agents[1].message())
 		}
-		locals[first].mu.Lock()
-		locals[first].weight = 0
-		locals[first].mu.Unlock()
+		agents[first].mu.Lock()
+		agents[first].weight = 0
+		agents[first].mu.Unlock()
 		time.Sleep(3 * LeaseTerm)
 		if holder() != 1-first {
 			t.Errorf("agent %d holds, and %d can't", holder(), first)
 		}
-		end()
+		cancel()
 		running.Wait()
 		if holder() != -1 {
 			t.Errorf("agent %d has ended, and holds", holder())
--- a/internal/group/core.go
+++ b/internal/group/core.go
@@ -38,18 +38,18 @@
 var Buckets = []string{logBucket, stateBucket}
 
 const (
-	hardKey, baseKey, selfKey, entryPrefix = "hard", "base", "self", "e"
-	stateKey, historyKey, dutyPrefix       = "state", "history", "duty/"
-
-	electionTicks  = 10
-	heartbeatTicks = 2
-	mostMessage    = 256 << 10 // bytes of entries
-	mostCommand    = 1 << 20   // bytes of one
-	mostInflight   = 64
-	mostPending    = 4 << 20 // bytes that are not agreed on yet
+	hardStateKey, snapshotKey, selfKey, entryPrefix = "hard", "base", "self", "e"
+	stateKey, historyKey, dutyPrefix                = "state", "history", "duty/"
+
+	electionTicks       = 10
+	heartbeatTicks      = 2
+	maxMessageBytes     = 256 << 10 // bytes of entries
+	maxCommandBytes     = 1 << 20   // bytes of one
+	maxInflightMessages = 64
+	maxUncommittedBytes = 4 << 20 // bytes that are not agreed on yet
 	// keepLog entries stay behind the one that was applied, for members that come a little late; more is cut by so many at once.
-	keepLog = 1024
-	mostLog = 2 * keepLog
+	keptLogEntries      = 1024
+	compactionThreshold = 2 * keptLogEntries
 	// MostMembers is how many there may be.
 	MaxMembers = 7
 )
@@ -62,7 +62,7 @@
 }
 
 // self is what a member keeps of itself.
-type self struct {
+type localRecord struct {
 	Name string `json:"name"`
 	ID   uint64 `json:"id"`
 	Boot
@@ -77,33 +77,33 @@
 	Gone    []uint64           `json:"gone,omitempty"` // the latest that were removed
 	// Starts are the latest of the members that any of them has heard, and Old those of whom two have been heard of which neither
 	// can follow the other.
-	Starts  map[uint64]*Boot `json:"starts,omitempty"`
-	Old     map[uint64]bool  `json:"old,omitempty"`
-	Leases  lease.Table      `json:"leases"`
-	Wrote   map[string]wrote `json:"wrote"` // by duty
-	Applied uint64           `json:"applied"`
-	Conf    []byte           `json:"conf"` // raft's members
+	Starts  map[uint64]*Boot     `json:"starts,omitempty"`
+	Old     map[uint64]bool      `json:"old,omitempty"`
+	Leases  lease.Table          `json:"leases"`
+	Wrote   map[string]lastWrite `json:"wrote"` // by duty
+	Applied uint64               `json:"applied"`
+	Conf    []byte               `json:"conf"` // raft's members
 }
 
 // wrote is the last write under a duty.
-type wrote struct {
+type lastWrite struct {
 	Epoch uint64 `json:"epoch"`
 	Seq   uint64 `json:"seq"`
 }
 
 // mostGone bounds what is remembered of members that were removed.
-const mostGone = 64
+const maxRemovedIDs = 64
 
 // command is what an entry of the log says.
 type command struct {
-	ID    string    `json:"id,omitempty"` // of who waits for it
-	Start *started  `json:"start,omitempty"`
-	Lease *lease.Op `json:"lease,omitempty"`
-	Write *write    `json:"write,omitempty"`
+	ID    string        `json:"id,omitempty"` // of who waits for it
+	Start *bootReport   `json:"start,omitempty"`
+	Lease *lease.Op     `json:"lease,omitempty"`
+	Write *writeCommand `json:"write,omitempty"`
 }
 
 // write are records under a duty. Seq counts the writes of an epoch: one that comes again, or out of turn, is none.
-type write struct {
+type writeCommand struct {
 	Duty    string           `json:"duty"`
 	Epoch   uint64           `json:"epoch"`
 	Seq     uint64           `json:"seq"`
@@ -138,36 +138,36 @@
 
 // Core is one member. It is not safe for concurrent use.
 type Core struct {
-	self    self
-	buckets []string // that are agreed on
-	raw     *raft.RawNode
-	log     *raft.MemoryStorage
-	state   state
-	conf    *raftpb.ConfState
-	data    map[string]map[string][]byte
-	first   uint64 // index of the log's first entry
-	waits   map[string]bool
-	ready   *raft.Ready
-	found   bool  // the group exists, as far as this member knows
-	wrong   error // why it takes no part
-	results []Result
-	met     bool // self has changed
-	ticks   int
-	clock   lease.ExpiryTracker
-	dirty   map[string]bool // duties that are not in the records as they are
-	steps   uint64          // of the history that is
-	peers   int             // how many others the deployment names
-	agreed  uint64          // term whose leader's log and this one's have been found the same since the start
+	self         localRecord
+	buckets      []string // that are agreed on
+	raft         *raft.RawNode
+	log          *raft.MemoryStorage
+	state        state
+	confState    *raftpb.ConfState
+	data         map[string]map[string][]byte
+	firstIndex   uint64 // index of the log's first entry
+	awaitedIDs   map[string]bool
+	ready        *raft.Ready
+	inGroup      bool  // the group exists, as far as this member knows
+	failure      error // why it takes no part
+	results      []Result
+	selfChanged  bool // self has changed
+	ticks        int
+	leaseExpiry  lease.ExpiryTracker
+	dirtyDuties  map[string]bool // duties that are not in the records as they are
+	savedSteps   uint64          // of the history that is
+	peerCount    int             // how many others the deployment names
+	verifiedTerm uint64          // term whose leader's log and this one's have been found the same since the start
 	// confirmed are the peers that have taken this start for one that may follow those they know; nil if none need to.
-	confirmed map[string]bool
+	confirmedBy map[string]bool
 }
 
 // safely keeps what raft panics about, a journal that contradicts itself, from ending the process.
-func (c *Core) safely(f func() error) (err error) {
+func (c *Core) recoverPanic(f func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			c.wrong = fmt.Errorf("its journal contradicts itself: %v", r)
-			err = c.wrong
+			c.failure = fmt.Errorf("its journal contradicts itself: %v", r)
+			err = c.failure
 		}
 	}()
 	return f()
@@ -175,12 +175,12 @@
 
 // Tick takes in that a tick has passed.
 func (c *Core) Tick() {
-	if c.part() == nil {
-		c.safely(func() error {
-			c.raw.Tick()
+	if c.checkParticipates() == nil {
+		c.recoverPanic(func() error {
+			c.raft.Tick()
 			c.PromoteLearners()
 			if c.ticks++; c.ticks%electionTicks == 0 {
-				c.spread()
+				c.proposeBoots()
 			}
 			return nil
 		})
@@ -192,27 +192,27 @@
 	if m.GetTo() != c.self.ID {
 		return fmt.Errorf("the message is for member %x, and this is %x", m.GetTo(), c.self.ID)
 	}
-	if c.wrong != nil {
-		return c.wrong
+	if c.failure != nil {
+		return c.failure
 	}
 	if raft.IsLocalMsg(m.GetType()) {
 		return errors.New("such a message comes from nobody else")
 	}
-	if !c.found {
+	if !c.inGroup {
 		// Somebody has added it. What it is sent is the beginning of what it knows.
 		if m.GetType() != raftpb.MsgApp && m.GetType() != raftpb.MsgSnap && m.GetType() != raftpb.MsgHeartbeat {
-			return c.part()
+			return c.checkParticipates()
 		}
-		c.found = true
-		if err := c.start(); err != nil {
+		c.inGroup = true
+		if err := c.startRaft(); err != nil {
 			return err
 		}
 	}
-	if last, _ := c.log.LastIndex(); m.GetType() == raftpb.MsgHeartbeat && m.GetCommit() > last && m.GetTerm() >= c.raw.BasicStatus().GetTerm() {
-		c.wrong = fmt.Errorf("%w: entry %d was agreed on with it, and its log ends at %d", ErrStaleDisk, m.GetCommit(), last) // else raft ends the process for it; a lead of before may know of entries that were replaced
-		return c.wrong
+	if lastIndex, _ := c.log.LastIndex(); m.GetType() == raftpb.MsgHeartbeat && m.GetCommit() > lastIndex && m.GetTerm() >= c.raft.BasicStatus().GetTerm() {
+		c.failure = fmt.Errorf("%w: entry %d was agreed on with it, and its log ends at %d", ErrStaleDisk, m.GetCommit(), lastIndex) // else raft ends the process for it; a lead of before may know of entries that were replaced
+		return c.failure
 	}
-	err := c.safely(func() error { return c.raw.Step(c.checked(m)) })
+	err := c.recoverPanic(func() error { return c.raft.Step(c.limitCommit(m)) })
 	if errors.Is(err, raft.ErrProposalDropped) || errors.Is(err, raft.ErrStepPeerNotFound) {
 		return nil
 	}
@@ -222,18 +222,18 @@
 // checked is a message of a leader without what this start has not found out to hold. Danger: a heartbeat says how much is
 // committed of what the leader takes this log to have in common with its own. A disk that was put back may have other entries
 // there, of an earlier leader, and would apply these. Only an append or a snapshot shows that both logs are the same.
-func (c *Core) checked(m *raftpb.Message) *raftpb.Message {
+func (c *Core) limitCommit(m *raftpb.Message) *raftpb.Message {
 	switch m.GetType() {
 	case raftpb.MsgApp:
 		if term, err := c.log.Term(m.GetIndex()); err == nil && term == m.GetLogTerm() {
-			c.agreed = m.GetTerm()
+			c.verifiedTerm = m.GetTerm()
 		}
 	case raftpb.MsgSnap:
-		c.agreed = m.GetTerm()
+		c.verifiedTerm = m.GetTerm()
 	case raftpb.MsgHeartbeat:
-		if c.agreed != m.GetTerm() {
+		if c.verifiedTerm != m.GetTerm() {
 			m = proto.CloneOf(m)
-			m.Commit = new(min(m.GetCommit(), c.raw.BasicStatus().GetCommit()))
+			m.Commit = new(min(m.GetCommit(), c.raft.BasicStatus().GetCommit()))
 		}
 	}
 	return m
@@ -241,108 +241,108 @@
 
 // Unreachable takes in that a message could not be sent.
 func (c *Core) ReportUnreachable(m *raftpb.Message) {
-	if c.part() != nil {
+	if c.checkParticipates() != nil {
 		return
 	}
-	c.raw.ReportUnreachable(m.GetTo())
+	c.raft.ReportUnreachable(m.GetTo())
 	if m.GetType() == raftpb.MsgSnap {
-		c.raw.ReportSnapshot(m.GetTo(), raft.SnapshotFailure)
+		c.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFailure)
 	}
 }
 
 // Sent takes in that a snapshot has arrived.
 func (c *Core) ReportSent(m *raftpb.Message) {
-	if m.GetType() == raftpb.MsgSnap && c.part() == nil {
-		c.raw.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
+	if m.GetType() == raftpb.MsgSnap && c.checkParticipates() == nil {
+		c.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 }
 
 // propose has a command agreed on, if all goes well. What became of it comes with a Work.
 func (c *Core) propose(cmd *command) error {
-	if err := c.part(); err != nil {
+	if err := c.checkParticipates(); err != nil {
 		return err
 	}
-	text, err := json.Marshal(cmd)
+	encoded, err := json.Marshal(cmd)
 	if err != nil {
 		return err
 	}
-	if len(text) > mostCommand {
-		return fmt.Errorf("a command of %d bytes, and %d are allowed", len(text), mostCommand)
+	if len(encoded) > maxCommandBytes {
+		return fmt.Errorf("a command of %d bytes, and %d are allowed", len(encoded), maxCommandBytes)
 	}
 	if cmd.ID != "" {
-		c.waits[cmd.ID] = true
+		c.awaitedIDs[cmd.ID] = true
 	}
-	return c.safely(func() error { return c.raw.Propose(text) })
+	return c.recoverPanic(func() error { return c.raft.Propose(encoded) })
 }
 
 // forget ends the wait for a command.
-func (c *Core) forget(id string) { delete(c.waits, id) }
+func (c *Core) forgetCommand(id string) { delete(c.awaitedIDs, id) }
 
 // Ready returns what is to be done, nil if there is nothing.
-func (c *Core) Ready() (w *Output) {
-	c.safely(func() error {
-		w = c.next()
+func (c *Core) Ready() (output *Output) {
+	c.recoverPanic(func() error {
+		output = c.nextOutput()
 		return nil
 	})
-	if c.wrong != nil && !errors.Is(c.wrong, ErrRemoved) { // which the others are told of
+	if c.failure != nil && !errors.Is(c.failure, ErrRemoved) { // which the others are told of
 		return nil
 	}
-	return w
+	return output
 }
 
-func (c *Core) next() *Output {
-	if c.raw == nil || c.wrong != nil || !c.raw.HasReady() && !c.met {
+func (c *Core) nextOutput() *Output {
+	if c.raft == nil || c.failure != nil || !c.raft.HasReady() && !c.selfChanged {
 		return nil
 	}
-	w := &Output{}
-	if c.met {
-		c.met = false
-		w.Records = append(w.Records, put(logBucket, selfKey, c.self))
+	output := &Output{}
+	if c.selfChanged {
+		c.selfChanged = false
+		output.Records = append(output.Records, jsonRecord(logBucket, selfKey, c.self))
 	}
-	if !c.raw.HasReady() {
-		return w
+	if !c.raft.HasReady() {
+		return output
 	}
-	rd := c.raw.Ready()
-	c.ready, w.Messages = &rd, rd.Messages
-	if !raft.IsEmptyHardState(rd.HardState) {
-		w.Records = append(w.Records, putProto(logBucket, hardKey, rd.HardState))
-		c.log.SetHardState(rd.HardState)
+	ready := c.raft.Ready()
+	c.ready, output.Messages = &ready, ready.Messages
+	if !raft.IsEmptyHardState(ready.HardState) {
+		output.Records = append(output.Records, protoRecord(logBucket, hardStateKey, ready.HardState))
+		c.log.SetHardState(ready.HardState)
 	}
-	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := c.restore(w, rd.Snapshot); err != nil {
-			c.wrong = err
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		if err := c.restoreSnapshot(output, ready.Snapshot); err != nil {
+			c.failure = err
 			return nil
 		}
 	}
-	last, _ := c.log.LastIndex()
-	for _, e := range rd.Entries {
-		w.Records = append(w.Records, putProto(logBucket, entryKey(e.GetIndex()), e))
+	lastIndex, _ := c.log.LastIndex()
+	for _, e := range ready.Entries {
+		output.Records = append(output.Records, protoRecord(logBucket, entryKey(e.GetIndex()), e))
 	}
-	if n := len(rd.Entries); n > 0 {
-		for i := rd.Entries[n-1].GetIndex() + 1; i <= last; i++ { // an earlier lead's, which nobody agreed on
-			w.Records = append(w.Records, journal.Record{Bucket: logBucket, Key: entryKey(i)})
+	if n := len(ready.Entries); n > 0 {
+		for i := ready.Entries[n-1].GetIndex() + 1; i <= lastIndex; i++ { // an earlier lead's, which nobody agreed on
+			output.Records = append(output.Records, journal.Record{Bucket: logBucket, Key: entryKey(i)})
 		}
-		if err := c.log.Append(rd.Entries); err != nil {
-			c.wrong = err
+		if err := c.log.Append(ready.Entries); err != nil {
+			c.failure = err
 			return nil
 		}
 	}
-	for _, e := range rd.CommittedEntries {
-		c.apply(w, e)
+	for _, e := range ready.CommittedEntries {
+		c.apply(output, e)
 	}
-	if len(rd.CommittedEntries) > 0 {
-		w.Records = append(w.Records, c.stateRecords()...)
+	if len(ready.CommittedEntries) > 0 {
+		output.Records = append(output.Records, c.stateRecords()...)
 	}
-	c.cut(w)
-	w.Results, c.results = c.results, nil
-	return w
+	c.compactLog(output)
+	output.Results, c.results = c.results, nil
+	return output
 }
 
 // Done takes in that the last Work has been done.
 func (c *Core) Advance() {
 	if c.ready != nil {
-		c.safely(func() error {
-			c.raw.Advance(*c.ready)
+		c.recoverPanic(func() error {
+			c.raft.Advance(*c.ready)
 			return nil
 		})
 		c.ready = nil
@@ -361,17 +361,17 @@
 
 // Lead returns who leads, 0 if that is not known.
 func (c *Core) LeaderID() uint64 {
-	if c.part() != nil {
+	if c.checkParticipates() != nil {
 		return 0
 	}
-	return c.raw.BasicStatus().Lead
+	return c.raft.BasicStatus().Lead
 }
 
 // Rules says that this member leads and has carried out all that was agreed on before.
 func (c *Core) IsCaughtUpLeader() bool {
-	if c.leads() != nil {
+	if c.checkLeader() != nil {
 		return false
 	}
 	term, err := c.log.Term(c.state.Applied)
-	return err == nil && term == c.raw.BasicStatus().GetTerm()
+	return err == nil && term == c.raft.BasicStatus().GetTerm()
 }
--- a/internal/group/founding.go
+++ b/internal/group/founding.go
@@ -18,90 +18,90 @@
 
 // Identity says who this is.
 func (n *Node) Identity(ctx context.Context) (*Identity, error) {
-	return within(ctx, n, func() (*Identity, error) {
-		return &Identity{n.core.self.Name, n.core.self.ID, n.core.found}, nil
+	return runInLoop(ctx, n, func() (*Identity, error) {
+		return &Identity{n.core.self.Name, n.core.self.ID, n.core.inGroup}, nil
 	})
 }
 
 // rule does what a lead does: it says which times are over. Danger: one that has not yet carried out what was agreed on before it led
 // does not know them.
-func (n *Node) rule() {
+func (n *Node) expireLeases() {
 	if !n.core.IsCaughtUpLeader() {
-		n.core.clock, n.ruled = lease.ExpiryTracker{}, false
+		n.core.leaseExpiry, n.wasLeader = lease.ExpiryTracker{}, false
 		return
 	}
-	if !n.ruled {
-		n.ruled = true
+	if !n.wasLeader {
+		n.wasLeader = true
 		n.opts.Log.Info("this member leads the group", "members", len(n.core.state.Members))
 	}
-	for _, op := range n.core.clock.Expired(n.now(), &n.core.state.Leases) {
+	for _, op := range n.core.leaseExpiry.Expired(n.now(), &n.core.state.Leases) {
 		n.core.propose(&command{Lease: &op}) // else at another tick
 	}
 }
 
 // invite asks those of the file who are no members who they are, and has them added; one that is in no group yet and is to found one
 // asks all, and so does one that has to be confirmed.
-func (n *Node) invite(ctx context.Context) {
-	t := n.now()
-	founds, unconfirmed := n.opts.Bootstrap && !n.core.found && n.single != nil, n.core.unconfirmed()
-	if !founds && !unconfirmed && n.core.leads() != nil || t-n.invited < inviteIn {
+func (n *Node) contactPeers(ctx context.Context) {
+	now := n.now()
+	bootstrapping, unconfirmed := n.opts.Bootstrap && !n.core.inGroup && n.ungrouped != nil, n.core.needsConfirmation()
+	if !bootstrapping && !unconfirmed && n.core.checkLeader() != nil || now-n.lastContactAt < contactInterval {
 		return
 	}
-	n.invited = t
-	if founds {
-		n.found()
+	n.lastContactAt = now
+	if bootstrapping {
+		n.bootstrap()
 	}
-	for name, p := range n.opts.Peers {
-		if m := n.core.member(name); n.asking[name] || m != nil && n.core.reached(m.ID) {
+	for name, peer := range n.opts.Peers {
+		if m := n.core.memberByName(name); n.contacting[name] || m != nil && n.core.isActive(m.ID) {
 			continue
 		}
-		n.asking[name] = true
+		n.contacting[name] = true
 		go func() {
-			within, cancel := context.WithTimeout(ctx, sendIn)
+			callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 			defer cancel()
-			id, err := p.Identity(within)
+			identity, err := peer.Identity(callCtx)
 			var objection error
 			if err == nil && unconfirmed {
-				objection = p.Deliver(within, &Batch{Name: n.opts.Name, From: n.core.self.ID, Boot: n.core.self.Boot})
+				objection = peer.Deliver(callCtx, &Batch{Name: n.opts.Name, From: n.core.self.ID, Boot: n.core.self.Boot})
 			}
-			n.happened(func() {
-				delete(n.asking, name)
+			n.enqueue(func() {
+				delete(n.contacting, name)
 				if err != nil {
 					return
 				}
 				if unconfirmed {
-					n.confirm(name, id, objection)
+					n.handleConfirmation(name, identity, objection)
 				}
-				if !n.core.found && id.Grouped {
-					if n.single != nil && n.opts.Bootstrap {
+				if !n.core.inGroup && identity.Grouped {
+					if n.ungrouped != nil && n.opts.Bootstrap {
 						n.opts.Log.Warn("there is a group already: this process founds none, and waits to be added", "member", name)
 					}
-					n.single = nil
-				} else if !n.core.found && n.single != nil {
-					n.single[name] = true
+					n.ungrouped = nil
+				} else if !n.core.inGroup && n.ungrouped != nil {
+					n.ungrouped[name] = true
 				}
-				n.welcome(name, id)
+				n.addPeer(name, identity)
 			})
 		}()
 	}
 }
 
 // confirm takes in what a peer says to this member's start.
-func (n *Node) confirm(name string, id *Identity, objection error) {
+func (n *Node) handleConfirmation(name string, identity *Identity, objection error) {
 	switch {
-	case errors.Is(objection, ErrStaleDisk) && n.core.wrong == nil:
-		n.core.wrong = ErrStaleDisk
-	case objection == nil && id.Name == name:
-		if err := n.core.Confirm(name, id.ID, id.Grouped); err != nil {
-			n.refuse(name, err)
+	case errors.Is(objection, ErrStaleDisk) && n.core.failure == nil:
+		n.core.failure = ErrStaleDisk
+	case objection == nil && identity.Name == name:
+		if err := n.core.Confirm(name, identity.ID, identity.Grouped); err != nil {
+			n.rejectPeer(name, err)
 		}
 	}
 }
 
 // found begins a group. Danger: a founder that has lost its disk would begin another one beside that which it has founded, so
 // most of those of the file must have said that they are in none: any group has one of them.
-func (n *Node) found() {
-	if 2*(len(n.single)+1) <= len(n.opts.Peers)+1 {
+func (n *Node) bootstrap() {
+	if 2*(len(n.ungrouped)+1) <= len(n.opts.Peers)+1 {
 		return
 	}
 	records, err := n.core.Bootstrap()
@@ -109,46 +109,46 @@
 		err = n.opts.Store.Write(records)
 	}
 	if err != nil {
-		n.core.wrong = fmt.Errorf("founding the group: %w", err)
+		n.core.failure = fmt.Errorf("founding the group: %w", err)
 		return
 	}
 	n.opts.Log.Info("a group is founded")
 }
 
-func (n *Node) welcome(name string, id *Identity) {
+func (n *Node) addPeer(name string, identity *Identity) {
 	var err error
-	m := n.core.member(name)
+	m := n.core.memberByName(name)
 	switch {
-	case n.core.leads() != nil || m != nil && m.ID == id.ID:
+	case n.core.checkLeader() != nil || m != nil && m.ID == identity.ID:
 		return
-	case id.Name != name:
-		err = fmt.Errorf("%q answers there", id.Name)
-	case id.Grouped && m == nil && !slices.Contains(n.core.state.Gone, id.ID):
+	case identity.Name != name:
+		err = fmt.Errorf("%q answers there", identity.Name)
+	case identity.Grouped && m == nil && !slices.Contains(n.core.state.Gone, identity.ID):
 		err = errors.New("it is in another group")
 	default:
-		err = n.core.Add(name, id.ID)
+		err = n.core.Add(name, identity.ID)
 	}
 	if err == nil {
-		delete(n.refused, name)
+		delete(n.rejected, name)
 		return
 	}
-	n.refuse(name, err)
+	n.rejectPeer(name, err)
 }
 
 // refuse notes why a peer can't be a member, and tells it once.
-func (n *Node) refuse(name string, why error) {
-	if n.refused[name] != why.Error() {
-		n.refused[name] = why.Error()
-		n.opts.Log.Warn("not a member", "name", name, "reason", why)
+func (n *Node) rejectPeer(name string, reason error) {
+	if n.rejected[name] != reason.Error() {
+		n.rejected[name] = reason.Error()
+		n.opts.Log.Warn("not a member", "name", name, "reason", reason)
 	}
 }
 
 // Remove has a member go for good. It waits until the group agrees.
 func (n *Node) Remove(ctx context.Context, name string) error {
-	if _, err := within(ctx, n, func() (struct{}, error) { return struct{}{}, n.core.Remove(name) }); err != nil {
+	if _, err := runInLoop(ctx, n, func() (struct{}, error) { return struct{}{}, n.core.Remove(name) }); err != nil {
 		return err
 	}
-	return n.await(ctx, func(v *view) bool {
+	return n.await(ctx, func(v *groupView) bool {
 		return !slices.ContainsFunc(v.members, func(m Member) bool { return m.Name == name })
 	})
 }
--- a/internal/group/load.go
+++ b/internal/group/load.go
@@ -18,69 +18,69 @@
 )
 
 // store is raft's view of the log: its snapshots are made when they are needed.
-type store struct {
+type raftStorage struct {
 	*raft.MemoryStorage
 	core *Core
 }
 
-func (s *store) InitialState() (*raftpb.HardState, *raftpb.ConfState, error) {
-	hard, _, err := s.MemoryStorage.InitialState()
-	return hard, s.core.conf, err
+func (s *raftStorage) InitialState() (*raftpb.HardState, *raftpb.ConfState, error) {
+	hardState, _, err := s.MemoryStorage.InitialState()
+	return hardState, s.core.confState, err
 }
 
-func (s *store) Snapshot() (*raftpb.Snapshot, error) {
+func (s *raftStorage) Snapshot() (*raftpb.Snapshot, error) {
 	c := s.core
 	term, err := s.Term(c.state.Applied)
 	if err != nil {
 		return nil, raft.ErrSnapshotTemporarilyUnavailable
 	}
 	return &raftpb.Snapshot{
-		Data:     c.image(),
-		Metadata: &raftpb.SnapshotMetadata{Index: new(c.state.Applied), Term: &term, ConfState: c.conf},
+		Data:     c.encodeSnapshot(),
+		Metadata: &raftpb.SnapshotMetadata{Index: new(c.state.Applied), Term: &term, ConfState: c.confState},
 	}, nil
 }
 
 // quiet is the logger of raft: what matters is in the status.
-type quiet struct{}
+type quietLogger struct{}
 
-func (quiet) Debug(...any)                   {}
-func (quiet) Debugf(string, ...any)          {}
-func (quiet) Error(...any)                   {}
-func (quiet) Errorf(string, ...any)          {}
-func (quiet) Info(...any)                    {}
-func (quiet) Infof(string, ...any)           {}
-func (quiet) Warning(...any)                 {}
-func (quiet) Warningf(string, ...any)        {}
-func (quiet) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
-func (quiet) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
-func (quiet) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
-func (quiet) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+func (quietLogger) Debug(...any)                   {}
+func (quietLogger) Debugf(string, ...any)          {}
+func (quietLogger) Error(...any)                   {}
+func (quietLogger) Errorf(string, ...any)          {}
+func (quietLogger) Info(...any)                    {}
+func (quietLogger) Infof(string, ...any)           {}
+func (quietLogger) Warning(...any)                 {}
+func (quietLogger) Warningf(string, ...any)        {}
+func (quietLogger) Fatal(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (quietLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+func (quietLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
+func (quietLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
 
 // Load makes a member of what its journal holds. The buckets are those whose records are agreed on; peers is how many others the
 // deployment names; id is that of its disk, if that is empty, and life at random. What it returns must be written first.
-func Load(s journal.Store, name string, peers int, buckets []string, id, life uint64) (*Core, []journal.Record, error) {
-	c := &Core{
-		self: self{Name: name, ID: id}, buckets: buckets, log: raft.NewMemoryStorage(), conf: &raftpb.ConfState{}, first: 1,
-		data: map[string]map[string][]byte{}, waits: map[string]bool{}, dirty: map[string]bool{},
-		state: state{Members: map[uint64]*Member{}, Wrote: map[string]wrote{}}, peers: peers,
+func Load(store journal.Store, name string, peers int, buckets []string, id, bootNumber uint64) (*Core, []journal.Record, error) {
+	core := &Core{
+		self: localRecord{Name: name, ID: id}, buckets: buckets, log: raft.NewMemoryStorage(), confState: &raftpb.ConfState{}, firstIndex: 1,
+		data: map[string]map[string][]byte{}, awaitedIDs: map[string]bool{}, dirtyDuties: map[string]bool{},
+		state: state{Members: map[uint64]*Member{}, Wrote: map[string]lastWrite{}}, peerCount: peers,
 	}
 	damaged := func(bucket, key string) error {
 		return fmt.Errorf("the journal's record %s/%q is damaged", bucket, key)
 	}
-	var hard raftpb.HardState
-	var base raftpb.SnapshotMetadata
+	var hardState raftpb.HardState
+	var snapshotMeta raftpb.SnapshotMetadata
 	var entries []*raftpb.Entry
-	err := s.Read(logBucket, func(key string, v []byte) error {
+	err := store.Read(logBucket, func(key string, v []byte) error {
 		var err error
 		switch {
 		case v == nil:
 			return damaged(logBucket, key)
-		case key == hardKey:
-			err = proto.Unmarshal(v, &hard)
-		case key == baseKey:
-			err = proto.Unmarshal(v, &base)
+		case key == hardStateKey:
+			err = proto.Unmarshal(v, &hardState)
+		case key == snapshotKey:
+			err = proto.Unmarshal(v, &snapshotMeta)
 		case key == selfKey:
-			err = json.Unmarshal(v, &c.self)
+			err = json.Unmarshal(v, &core.self)
 		case strings.HasPrefix(key, entryPrefix):
 			var e raftpb.Entry
 			err = proto.Unmarshal(v, &e)
@@ -94,13 +94,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if c.self.Name != name {
-		return nil, nil, fmt.Errorf("the journal is that of member %q, not of %q", c.self.Name, name)
+	if core.self.Name != name {
+		return nil, nil, fmt.Errorf("the journal is that of member %q, not of %q", core.self.Name, name)
 	}
 	duties := map[string]*lease.Duty{}
 	var history []lease.Change
-	err = s.Read(stateBucket, func(key string, v []byte) error {
-		c.found = true
+	err = store.Read(stateBucket, func(key string, v []byte) error {
+		core.inGroup = true
 		var err error
 		if name, ok := strings.CutPrefix(key, dutyPrefix); ok {
 			duties[name] = &lease.Duty{}
@@ -108,7 +108,7 @@
 		} else if key == historyKey {
 			err = json.Unmarshal(v, &history)
 		} else {
-			err = json.Unmarshal(v, &c.state)
+			err = json.Unmarshal(v, &core.state)
 		}
 		if v == nil || err != nil {
 			return damaged(stateBucket, key)
@@ -118,106 +118,106 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if c.state.Leases.Duties == nil {
-		c.state.Leases.Duties = duties
+	if core.state.Leases.Duties == nil {
+		core.state.Leases.Duties = duties
 	}
-	maps.Copy(c.state.Leases.Duties, duties)
+	maps.Copy(core.state.Leases.Duties, duties)
 	if history != nil {
-		c.state.Leases.History = history
+		core.state.Leases.History = history
 	}
-	for name := range c.state.Leases.Duties { // of a journal that had them in one record
-		c.dirty[name] = duties[name] == nil
+	for name := range core.state.Leases.Duties { // of a journal that had them in one record
+		core.dirtyDuties[name] = duties[name] == nil
 	}
 	for _, bucket := range buckets {
-		c.data[bucket] = map[string][]byte{}
-		err := s.Read(bucket, func(key string, v []byte) error {
-			if v == nil && c.found {
+		core.data[bucket] = map[string][]byte{}
+		err := store.Read(bucket, func(key string, v []byte) error {
+			if v == nil && core.inGroup {
 				return damaged(bucket, key)
 			}
-			c.data[bucket][key] = v
+			core.data[bucket][key] = v
 			return nil
 		})
 		if err != nil {
 			return nil, nil, err
 		}
 	}
-	if err := proto.Unmarshal(c.state.Conf, c.conf); err != nil {
+	if err := proto.Unmarshal(core.state.Conf, core.confState); err != nil {
 		return nil, nil, damaged(stateBucket, stateKey)
 	}
-	if c.self.Life != 0 {
-		c.self.Past = append(c.self.Past, c.self.Life)
-		c.self.Past = c.self.Past[max(0, len(c.self.Past)-mostPast):]
+	if core.self.Life != 0 {
+		core.self.Past = append(core.self.Past, core.self.Life)
+		core.self.Past = core.self.Past[max(0, len(core.self.Past)-maxPastBoots):]
 	}
-	c.self.Life = life
-	if base.GetIndex() > 0 {
-		c.first = base.GetIndex() + 1
-		c.log.ApplySnapshot(&raftpb.Snapshot{Metadata: &base}) // never older than an empty log
+	core.self.Life = bootNumber
+	if snapshotMeta.GetIndex() > 0 {
+		core.firstIndex = snapshotMeta.GetIndex() + 1
+		core.log.ApplySnapshot(&raftpb.Snapshot{Metadata: &snapshotMeta}) // never older than an empty log
 	}
 	slices.SortFunc(entries, func(a, b *raftpb.Entry) int { return cmp.Compare(a.GetIndex(), b.GetIndex()) })
 	for i, e := range entries {
-		if e.GetIndex() != c.first+uint64(i) {
-			return nil, nil, fmt.Errorf("the journal's log lacks entry %d", c.first+uint64(i))
+		if e.GetIndex() != core.firstIndex+uint64(i) {
+			return nil, nil, fmt.Errorf("the journal's log lacks entry %d", core.firstIndex+uint64(i))
 		}
 	}
-	if err := c.log.Append(entries); err != nil {
+	if err := core.log.Append(entries); err != nil {
 		return nil, nil, err
 	}
-	c.log.SetHardState(&hard)
-	if c.found {
-		if peers > 0 && c.onlyVoter() {
-			c.confirmed = map[string]bool{}
+	core.log.SetHardState(&hardState)
+	if core.inGroup {
+		if peers > 0 && core.isOnlyVoter() {
+			core.confirmedBy = map[string]bool{}
 		}
-		if err := c.start(); err != nil {
+		if err := core.startRaft(); err != nil {
 			return nil, nil, err
 		}
 	}
-	return c, []journal.Record{put(logBucket, selfKey, c.self)}, nil
+	return core, []journal.Record{jsonRecord(logBucket, selfKey, core.self)}, nil
 }
 
-func (c *Core) start() error {
-	return c.safely(func() (err error) {
-		c.raw, err = raft.NewRawNode(&raft.Config{
-			ID: c.self.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: &store{c.log, c}, Applied: c.state.Applied,
-			MaxSizePerMsg: mostMessage, MaxCommittedSizePerReady: 4 * mostMessage, MaxUncommittedEntriesSize: mostPending, MaxInflightMsgs: mostInflight,
-			CheckQuorum: true, PreVote: true, Logger: quiet{},
+func (c *Core) startRaft() error {
+	return c.recoverPanic(func() (err error) {
+		c.raft, err = raft.NewRawNode(&raft.Config{
+			ID: c.self.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: &raftStorage{c.log, c}, Applied: c.state.Applied,
+			MaxSizePerMsg: maxMessageBytes, MaxCommittedSizePerReady: 4 * maxMessageBytes, MaxUncommittedEntriesSize: maxUncommittedBytes, MaxInflightMsgs: maxInflightMessages,
+			CheckQuorum: true, PreVote: true, Logger: quietLogger{},
 		})
 		return err
 	})
 }
 
 // Grouped says whose journal it is, if it is that of a member of a group.
-func JournalOwner(s journal.Store) (name string, grouped bool, err error) {
-	if err := s.Read(stateBucket, func(string, []byte) error { grouped = true; return nil }); err != nil {
+func JournalOwner(store journal.Store) (name string, grouped bool, err error) {
+	if err := store.Read(stateBucket, func(string, []byte) error { grouped = true; return nil }); err != nil {
 		return "", false, err
 	}
-	err = s.Read(logBucket, func(key string, v []byte) error {
-		var me self
+	err = store.Read(logBucket, func(key string, v []byte) error {
+		var record localRecord
 		if key != selfKey {
 			return nil
 		}
-		if err := json.Unmarshal(v, &me); err != nil {
+		if err := json.Unmarshal(v, &record); err != nil {
 			return fmt.Errorf("the journal's record %s/%q is damaged", logBucket, key)
 		}
-		name = me.Name
+		name = record.Name
 		return nil
 	})
 	return name, grouped, err
 }
 
-func put(bucket, key string, v any) journal.Record {
-	text, err := json.Marshal(v)
+func jsonRecord(bucket, key string, v any) journal.Record {
+	encoded, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // of our own types
 	}
-	return journal.Record{Bucket: bucket, Key: key, Value: text}
+	return journal.Record{Bucket: bucket, Key: key, Value: encoded}
 }
 
-func putProto(bucket, key string, m proto.Message) journal.Record {
-	text, err := proto.Marshal(m)
+func protoRecord(bucket, key string, m proto.Message) journal.Record {
+	encoded, err := proto.Marshal(m)
 	if err != nil {
 		panic(err) // of raft's own types
 	}
-	return journal.Record{Bucket: bucket, Key: key, Value: text}
+	return journal.Record{Bucket: bucket, Key: key, Value: encoded}
 }
 
 func entryKey(index uint64) string {
@@ -226,23 +226,23 @@
 
 // stateRecords are what has changed of the state. Each duty has a record of its own: a renewal among thousands must not write them all.
 func (c *Core) stateRecords() []journal.Record {
-	text, err := proto.Marshal(c.conf)
+	encoded, err := proto.Marshal(c.confState)
 	if err != nil {
 		panic(err) // of raft's own type
 	}
-	c.state.Conf = text
-	rest := c.state
-	rest.Leases.Duties, rest.Leases.History = nil, nil
-	records := []journal.Record{put(stateBucket, stateKey, rest)}
-	if t := &c.state.Leases; c.steps != t.Steps {
-		c.steps = t.Steps
-		records = append(records, put(stateBucket, historyKey, t.History))
-	}
-	for _, name := range slices.Sorted(maps.Keys(c.dirty)) {
-		if d := c.state.Leases.Duties[name]; c.dirty[name] && d != nil {
-			records = append(records, put(stateBucket, dutyPrefix+name, d))
+	c.state.Conf = encoded
+	remainder := c.state
+	remainder.Leases.Duties, remainder.Leases.History = nil, nil
+	records := []journal.Record{jsonRecord(stateBucket, stateKey, remainder)}
+	if table := &c.state.Leases; c.savedSteps != table.Steps {
+		c.savedSteps = table.Steps
+		records = append(records, jsonRecord(stateBucket, historyKey, table.History))
+	}
+	for _, name := range slices.Sorted(maps.Keys(c.dirtyDuties)) {
+		if d := c.state.Leases.Duties[name]; c.dirtyDuties[name] && d != nil {
+			records = append(records, jsonRecord(stateBucket, dutyPrefix+name, d))
 		}
 	}
-	clear(c.dirty)
+	clear(c.dirtyDuties)
 	return records
 }
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -22,15 +22,15 @@
 
 const (
 	// tick is how often time passes for raft: a lead that is silent for 1 to 2 s is replaced.
-	tick      = 100 * time.Millisecond
-	inviteIn  = time.Second // that those of the file who are no members are asked
-	sendIn    = 2 * time.Second
-	mailbox   = 256 // messages that wait for one member
-	mostBatch = 64  // messages that are sent together
-	again     = 500 * time.Millisecond
-	inputs    = 1024
+	tickInterval     = 100 * time.Millisecond
+	contactInterval  = time.Second // that those of the file who are no members are asked
+	peerTimeout      = 2 * time.Second
+	outboxSize       = 256 // messages that wait for one member
+	maxBatchMessages = 64  // messages that are sent together
+	proposalInterval = 500 * time.Millisecond
+	inputQueueSize   = 1024
 	// writeIn is how long a write waits until the group agrees.
-	writeIn = 3 * time.Second
+	writeTimeout = 3 * time.Second
 )
 
 // Peer is another process that may be a member.
@@ -60,40 +60,40 @@
 // Node is a member with its journal, its clock and its links. A journal of a process that was in no group is the beginning
 // of what the group knows, if that process founds it.
 type Node struct {
-	opts   Options
-	inputs chan func()
-	done   chan struct{}
-	began  time.Time
+	opts      Options
+	inputs    chan func()
+	done      chan struct{}
+	startedAt time.Time
 
 	// Of the loop.
-	core    *Core
-	boxes   map[string]chan *raftpb.Message
-	names   map[uint64]string // of those who have spoken: who has just been added knows no members yet, and must answer
-	waiters map[string]chan Result
-	broken  error             // why the journal can't be written
-	refused map[string]string // peers that can't be members, and why
-	asking  map[string]bool
-	invited time.Duration
-	single  map[string]bool // peers that are in no group; nil once one is
-	ruled   bool
+	core          *Core
+	outboxes      map[string]chan *raftpb.Message
+	senderNames   map[uint64]string // of those who have spoken: who has just been added knows no members yet, and must answer
+	waiters       map[string]chan Result
+	writeError    error             // why the journal can't be written
+	rejected      map[string]string // peers that can't be members, and why
+	contacting    map[string]bool
+	lastContactAt time.Duration
+	ungrouped     map[string]bool // peers that are in no group; nil once one is
+	wasLeader     bool
 
-	mu   sync.Mutex // guards what others look at
-	seen view
-	own  sync.Map // duty: until when it is held here, by this clock
+	mu        sync.Mutex // guards what others look at
+	published groupView
+	heldUntil sync.Map // duty: until when it is held here, by this clock
 }
 
 // view is what is known of the group between two steps.
-type view struct {
-	lead    string
-	leads   bool
-	duties  map[string]lease.Duty
-	members []Member
-	wrong   error
-	left    map[string]time.Duration
-	history []lease.Change
-	refused map[string]string
-	applied uint64
-	changed chan struct{} // closed when there is a new one
+type groupView struct {
+	leader    string
+	isLeader  bool
+	duties    map[string]lease.Duty
+	members   []Member
+	failure   error
+	remaining map[string]time.Duration
+	history   []lease.Change
+	rejected  map[string]string
+	applied   uint64
+	changed   chan struct{} // closed when there is a new one
 }
 
 // NewNode returns a node that is not running yet.
@@ -108,105 +108,105 @@
 		return nil, err
 	}
 	n := &Node{
-		opts: o, inputs: make(chan func(), inputs), done: make(chan struct{}), core: core, boxes: map[string]chan *raftpb.Message{}, names: map[uint64]string{},
-		waiters: map[string]chan Result{}, refused: map[string]string{}, asking: map[string]bool{}, single: map[string]bool{}, began: time.Now(),
+		opts: o, inputs: make(chan func(), inputQueueSize), done: make(chan struct{}), core: core, outboxes: map[string]chan *raftpb.Message{}, senderNames: map[uint64]string{},
+		waiters: map[string]chan Result{}, rejected: map[string]string{}, contacting: map[string]bool{}, ungrouped: map[string]bool{}, startedAt: time.Now(),
 	}
-	n.seen.changed = make(chan struct{})
-	n.look()
+	n.published.changed = make(chan struct{})
+	n.publishView()
 	return n, nil
 }
 
 // now is a monotonic clock.
-func (n *Node) now() time.Duration { return time.Since(n.began) + 1 }
+func (n *Node) now() time.Duration { return time.Since(n.startedAt) + 1 }
 
 // Run takes part until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	defer close(n.done)
-	var mail sync.WaitGroup
+	var senders sync.WaitGroup
 	for name, p := range n.opts.Peers {
-		box := make(chan *raftpb.Message, mailbox)
-		n.boxes[name] = box
-		mail.Go(func() { n.carry(ctx, p, box) })
+		outbox := make(chan *raftpb.Message, outboxSize)
+		n.outboxes[name] = outbox
+		senders.Go(func() { n.sendMessages(ctx, p, outbox) })
 	}
-	defer mail.Wait()
-	clock := time.NewTicker(tick)
-	defer clock.Stop()
-	var work *Output // that could not be written yet
+	defer senders.Wait()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	var output *Output // that could not be written yet
 	for {
-		in := n.inputs
-		if work != nil {
-			in = nil // nothing is taken in that could not be answered for
+		input := n.inputs
+		if output != nil {
+			input = nil // nothing is taken in that could not be answered for
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-in:
+		case f := <-input:
 			f()
 			for more := true; more; { // what has come meanwhile shares the transaction
 				select {
-				case f := <-in:
+				case f := <-input:
 					f()
 				default:
 					more = false
 				}
 			}
-		case <-clock.C:
-			if work == nil {
+		case <-ticker.C:
+			if output == nil {
 				n.core.Tick()
-				n.rule()
-				n.invite(ctx)
+				n.expireLeases()
+				n.contactPeers(ctx)
 			}
 		}
 		for {
-			if work == nil {
-				if work = n.core.Ready(); work == nil {
+			if output == nil {
+				if output = n.core.Ready(); output == nil {
 					break
 				}
 			}
-			if !n.written(work) {
+			if !n.writeRecords(output) {
 				break
 			}
-			n.post(work.Messages)
-			for _, r := range work.Results {
-				if w := n.waiters[r.ID]; w != nil {
+			n.queueMessages(output.Messages)
+			for _, r := range output.Results {
+				if waiter := n.waiters[r.ID]; waiter != nil {
 					delete(n.waiters, r.ID)
-					w <- r
+					waiter <- r
 				}
 			}
 			n.core.Advance()
-			work = nil
+			output = nil
 		}
-		n.look()
+		n.publishView()
 	}
 }
 
 // written writes what must be in the journal before anything is sent.
-func (n *Node) written(w *Output) bool {
+func (n *Node) writeRecords(output *Output) bool {
 	var err error
-	if len(w.Records) > 0 {
-		err = n.opts.Store.Write(w.Records)
+	if len(output.Records) > 0 {
+		err = n.opts.Store.Write(output.Records)
 	}
-	if err != nil && n.broken == nil {
+	if err != nil && n.writeError == nil {
 		n.opts.Log.Error("the journal can't be written: this member says nothing until it can", "error", err)
-	} else if err == nil && n.broken != nil {
+	} else if err == nil && n.writeError != nil {
 		n.opts.Log.Info("the journal can be written again")
 	}
-	n.broken = err
+	n.writeError = err
 	return err == nil
 }
 
 // post hands messages to those who carry them. One for which there is no room is lost, as on any network.
-func (n *Node) post(messages []*raftpb.Message) {
+func (n *Node) queueMessages(messages []*raftpb.Message) {
 	for _, m := range messages {
-		name := n.names[m.GetTo()]
+		name := n.senderNames[m.GetTo()]
 		if to := n.core.state.Members[m.GetTo()]; to != nil {
 			name = to.Name
 		}
-		if n.boxes[name] == nil {
+		if n.outboxes[name] == nil {
 			continue
 		}
 		select {
-		case n.boxes[name] <- m:
+		case n.outboxes[name] <- m:
 		default:
 			n.core.ReportUnreachable(m)
 		}
@@ -214,38 +214,38 @@
 }
 
 // carry sends what is in a box.
-func (n *Node) carry(ctx context.Context, p Peer, box chan *raftpb.Message) {
+func (n *Node) sendMessages(ctx context.Context, peer Peer, outbox chan *raftpb.Message) {
 	for {
-		var all []*raftpb.Message
+		var messages []*raftpb.Message
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-box:
-			all = append(all, m)
+		case m := <-outbox:
+			messages = append(messages, m)
 		}
-		for more := true; more && len(all) < mostBatch; {
+		for more := true; more && len(messages) < maxBatchMessages; {
 			select {
-			case m := <-box:
-				all = append(all, m)
+			case m := <-outbox:
+				messages = append(messages, m)
 			default:
 				more = false
 			}
 		}
-		b := &Batch{Name: n.opts.Name, From: n.core.self.ID, Boot: n.core.self.Boot}
-		for _, m := range all {
-			text, err := proto.Marshal(m)
+		batch := &Batch{Name: n.opts.Name, From: n.core.self.ID, Boot: n.core.self.Boot}
+		for _, m := range messages {
+			encoded, err := proto.Marshal(m)
 			if err == nil {
-				b.Messages = append(b.Messages, text)
+				batch.Messages = append(batch.Messages, encoded)
 			}
 		}
-		within, cancel := context.WithTimeout(ctx, sendIn)
-		err := p.Deliver(within, b)
+		sendCtx, cancel := context.WithTimeout(ctx, peerTimeout)
+		err := peer.Deliver(sendCtx, batch)
 		cancel()
-		n.happened(func() {
-			if errors.Is(err, ErrStaleDisk) && n.core.wrong == nil {
-				n.core.wrong = ErrStaleDisk
+		n.enqueue(func() {
+			if errors.Is(err, ErrStaleDisk) && n.core.failure == nil {
+				n.core.failure = ErrStaleDisk
 			}
-			for _, m := range all {
+			for _, m := range messages {
 				if err != nil {
 					n.core.ReportUnreachable(m)
 				} else {
@@ -257,7 +257,7 @@
 }
 
 // happened hands something to the loop.
-func (n *Node) happened(f func()) bool {
+func (n *Node) enqueue(f func()) bool {
 	select {
 	case n.inputs <- f:
 		return true
@@ -268,16 +268,16 @@
 
 // within has the loop do something, and waits for what that returns. Who waits no longer gets nothing of it, though it may yet
 // be done.
-func within[T any](ctx context.Context, n *Node, f func() (T, error)) (v T, err error) {
+func runInLoop[T any](ctx context.Context, n *Node, f func() (T, error)) (v T, err error) {
 	type outcome struct {
 		v   T
 		err error
 	}
-	did := make(chan outcome, 1)
+	done := make(chan outcome, 1)
 	select {
 	case n.inputs <- func() {
 		v, err := f()
-		did <- outcome{v, err}
+		done <- outcome{v, err}
 	}:
 	case <-n.done:
 		return v, errEnded
@@ -285,7 +285,7 @@
 		return v, ctx.Err()
 	}
 	select {
-	case o := <-did:
+	case o := <-done:
 		return o.v, o.err
 	case <-n.done:
 		return v, errEnded
@@ -297,45 +297,45 @@
 var errEnded = errors.New("this member has ended")
 
 // Take takes in what another member sends.
-func (n *Node) Receive(ctx context.Context, b *Batch) error {
-	if len(b.Messages) > mostBatch {
-		return fmt.Errorf("%d messages, and %d are allowed", len(b.Messages), mostBatch)
+func (n *Node) Receive(ctx context.Context, batch *Batch) error {
+	if len(batch.Messages) > maxBatchMessages {
+		return fmt.Errorf("%d messages, and %d are allowed", len(batch.Messages), maxBatchMessages)
 	}
-	var all []*raftpb.Message
-	for _, text := range b.Messages {
+	var messages []*raftpb.Message
+	for _, encoded := range batch.Messages {
 		m := &raftpb.Message{}
-		if err := proto.Unmarshal(text, m); err != nil {
+		if err := proto.Unmarshal(encoded, m); err != nil {
 			return fmt.Errorf("a message that can't be read: %w", err)
 		}
-		if m.GetFrom() != b.From && m.GetType() != raftpb.MsgProp { // which whoever led passes on
+		if m.GetFrom() != batch.From && m.GetType() != raftpb.MsgProp { // which whoever led passes on
 			return errors.New("a message of somebody else")
 		}
-		all = append(all, m)
+		messages = append(messages, m)
 	}
-	_, err := within(ctx, n, func() (struct{}, error) {
-		if err := n.core.CheckBoot(b.From, b.Boot); err != nil {
+	_, err := runInLoop(ctx, n, func() (struct{}, error) {
+		if err := n.core.CheckBoot(batch.From, batch.Boot); err != nil {
 			return struct{}{}, err
 		}
-		if n.boxes[b.Name] != nil {
-			maps.DeleteFunc(n.names, func(_ uint64, name string) bool { return name == b.Name })
-			n.names[b.From] = b.Name
+		if n.outboxes[batch.Name] != nil {
+			maps.DeleteFunc(n.senderNames, func(_ uint64, name string) bool { return name == batch.Name })
+			n.senderNames[batch.From] = batch.Name
 		}
-		var wrong error
-		for _, m := range all {
+		var stepErr error
+		for _, m := range messages {
 			if err := n.core.Step(m); err != nil {
-				wrong = fmt.Errorf("not taken: %v", err) // danger: whose disk is old is this member's own matter, not who sends
+				stepErr = fmt.Errorf("not taken: %v", err) // danger: whose disk is old is this member's own matter, not who sends
 			}
 		}
-		return struct{}{}, wrong
+		return struct{}{}, stepErr
 	})
 	return err
 }
 
 // await waits until what is seen of the group is as wanted.
-func (n *Node) await(ctx context.Context, as func(v *view) bool) error {
+func (n *Node) await(ctx context.Context, condition func(v *groupView) bool) error {
 	for {
 		n.mu.Lock()
-		ok, changed := as(&n.seen), n.seen.changed
+		ok, changed := condition(&n.published), n.published.changed
 		n.mu.Unlock()
 		if ok {
 			return nil
@@ -351,31 +351,31 @@
 }
 
 // do has a command agreed on and carried out, however often it takes to propose it.
-func (n *Node) do(ctx context.Context, cmd *command) (Result, error) {
+func (n *Node) execute(ctx context.Context, cmd *command) (Result, error) {
 	var id [12]byte
 	rand.Read(id[:]) // never fails
 	cmd.ID = hex.EncodeToString(id[:])
-	got := make(chan Result, 1)
+	result := make(chan Result, 1)
 	defer func() {
 		select {
-		case n.inputs <- func() { n.forget(cmd.ID) }:
+		case n.inputs <- func() { n.forgetCommand(cmd.ID) }:
 		default: // danger: where the journal stands still nothing is taken in, and who asks must not wait for that
 		}
 	}()
 	for {
-		_, why := within(ctx, n, func() (struct{}, error) {
+		_, proposeErr := runInLoop(ctx, n, func() (struct{}, error) {
 			if ctx.Err() != nil {
 				return struct{}{}, ctx.Err() // nobody waits any more
 			}
-			n.waiters[cmd.ID] = got
+			n.waiters[cmd.ID] = result
 			return struct{}{}, n.core.propose(cmd)
 		})
 		select {
-		case r := <-got:
+		case r := <-result:
 			return r, nil
-		case <-time.After(again):
+		case <-time.After(proposalInterval):
 		case <-ctx.Done():
-			return Result{}, fmt.Errorf("the group has not agreed: %w", errors.Join(ctx.Err(), why))
+			return Result{}, fmt.Errorf("the group has not agreed: %w", errors.Join(ctx.Err(), proposeErr))
 		case <-n.done:
 			return Result{}, errEnded
 		}
@@ -383,56 +383,56 @@
 }
 
 // mostWaiters bounds those who wait: beyond, some are forgotten, and ask again.
-const mostWaiters = 4096
+const maxWaiters = 4096
 
-func (n *Node) forget(id string) {
+func (n *Node) forgetCommand(id string) {
 	delete(n.waiters, id)
-	n.core.forget(id)
+	n.core.forgetCommand(id)
 	for id := range n.waiters {
-		if len(n.waiters) <= mostWaiters {
+		if len(n.waiters) <= maxWaiters {
 			break
 		}
 		delete(n.waiters, id)
-		n.core.forget(id)
+		n.core.forgetCommand(id)
 	}
 }
 
 // Lease has an operation on the duties agreed on.
 func (n *Node) Lease(ctx context.Context, op lease.Op) (lease.Answer, error) {
-	r, err := n.do(ctx, &command{Lease: &op})
+	r, err := n.execute(ctx, &command{Lease: &op})
 	return r.Lease, err
 }
 
 // look publishes what others may see.
-func (n *Node) look() {
-	c := n.core
-	v := view{
-		wrong: c.part(), duties: map[string]lease.Duty{}, left: map[string]time.Duration{}, history: slices.Clone(c.state.Leases.History),
-		refused: maps.Clone(n.refused), applied: c.state.Applied, changed: make(chan struct{}),
+func (n *Node) publishView() {
+	core := n.core
+	view := groupView{
+		failure: core.checkParticipates(), duties: map[string]lease.Duty{}, remaining: map[string]time.Duration{}, history: slices.Clone(core.state.Leases.History),
+		rejected: maps.Clone(n.rejected), applied: core.state.Applied, changed: make(chan struct{}),
 	}
-	if n.broken != nil {
-		v.wrong = fmt.Errorf("its journal can't be written: %w", n.broken)
+	if n.writeError != nil {
+		view.failure = fmt.Errorf("its journal can't be written: %w", n.writeError)
 	}
-	if m := c.state.Members[c.LeaderID()]; m != nil {
-		v.lead, v.leads = m.Name, m.ID == c.self.ID
+	if m := core.state.Members[core.LeaderID()]; m != nil {
+		view.leader, view.isLeader = m.Name, m.ID == core.self.ID
 	}
-	for _, m := range c.state.Members {
-		v.members = append(v.members, *m)
+	for _, m := range core.state.Members {
+		view.members = append(view.members, *m)
 	}
-	slices.SortFunc(v.members, func(a, b Member) int { return int(int64(a.ID) - int64(b.ID)) })
-	for name, d := range c.state.Leases.Duties {
-		v.duties[name] = *d
-		v.left[name] = c.clock.Remaining(n.now(), name, d)
+	slices.SortFunc(view.members, func(a, b Member) int { return int(int64(a.ID) - int64(b.ID)) })
+	for name, d := range core.state.Leases.Duties {
+		view.duties[name] = *d
+		view.remaining[name] = core.leaseExpiry.Remaining(n.now(), name, d)
 	}
 	n.mu.Lock()
-	old := n.seen.changed
-	n.seen = v
+	changed := n.published.changed
+	n.published = view
 	n.mu.Unlock()
-	close(old)
+	close(changed)
 }
 
-func (n *Node) view() view {
+func (n *Node) view() groupView {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.seen
+	return n.published
 }
--- a/internal/group/starts.go
+++ b/internal/group/starts.go
@@ -14,15 +14,15 @@
 }
 
 // after says whether a start may follow another: it is the same, or names it among those before.
-func (b *Boot) after(o *Boot) bool {
-	return o.Life == 0 || b.Life == o.Life || slices.Contains(b.Past, o.Life)
+func (b *Boot) canFollow(other *Boot) bool {
+	return other.Life == 0 || b.Life == other.Life || slices.Contains(b.Past, other.Life)
 }
 
 // mostPast starts are remembered: who was started more often since it was last heard is taken for a copy.
-const mostPast = 64
+const maxPastBoots = 64
 
 // started is a start of a member that somebody has heard.
-type started struct {
+type bootReport struct {
 	Member uint64 `json:"member"`
 	Boot
 }
@@ -30,14 +30,14 @@
 // Meet takes in who speaks for a member. One whose disk is a copy is told so.
 func (c *Core) CheckBoot(id uint64, boot Boot) error {
 	known := c.self.Known[id]
-	if c.state.Old[id] || !boot.after(&known) {
+	if c.state.Old[id] || !boot.canFollow(&known) {
 		return ErrStaleDisk
 	}
 	if known.Life != boot.Life && c.state.Members[id] != nil {
 		if c.self.Known == nil {
 			c.self.Known = map[uint64]Boot{}
 		}
-		c.self.Known[id], c.met = boot, true
+		c.self.Known[id], c.selfChanged = boot, true
 		for id := range c.self.Known {
 			if c.state.Members[id] == nil {
 				delete(c.self.Known, id)
@@ -48,31 +48,31 @@
 }
 
 // spread has the others know of the starts that this member has heard.
-func (c *Core) spread() {
+func (c *Core) proposeBoots() {
 	for _, id := range slices.Sorted(maps.Keys(c.self.Known)) { // in one order, so that a run can be played again
 		boot, known := c.self.Known[id], c.state.Starts[id]
-		if c.state.Members[id] != nil && !c.state.Old[id] && (known == nil || !known.after(&boot)) {
-			c.propose(&command{Start: &started{id, boot}}) // else at another tick
+		if c.state.Members[id] != nil && !c.state.Old[id] && (known == nil || !known.canFollow(&boot)) {
+			c.propose(&command{Start: &bootReport{id, boot}}) // else at another tick
 		}
 	}
 }
 
 // heard takes in that somebody has heard of a start.
-func (c *Core) heard(s *started) {
-	known := c.state.Starts[s.Member]
+func (c *Core) applyBoot(report *bootReport) {
+	known := c.state.Starts[report.Member]
 	switch {
-	case c.state.Members[s.Member] == nil || known != nil && known.after(&s.Boot):
-	case known == nil || s.Boot.after(known):
+	case c.state.Members[report.Member] == nil || known != nil && known.canFollow(&report.Boot):
+	case known == nil || report.Boot.canFollow(known):
 		if c.state.Starts == nil {
 			c.state.Starts = map[uint64]*Boot{}
 		}
-		c.state.Starts[s.Member] = &s.Boot
+		c.state.Starts[report.Member] = &report.Boot
 	default:
 		if c.state.Old == nil {
 			c.state.Old = map[uint64]bool{}
 		}
-		if c.state.Old[s.Member] = true; s.Member == c.self.ID {
-			c.wrong = ErrStaleDisk
+		if c.state.Old[report.Member] = true; report.Member == c.self.ID {
+			c.failure = ErrStaleDisk
 		}
 	}
 }
--- a/internal/lease/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -13,82 +13,84 @@
 
 // world plays agents that want two duties, and a group with leads that come and go. Clocks drift, processes are stopped, crash
 // and are cut off; messages are late, doubled and lost. The table changes at one point in time, as a group that agrees has it.
-type world struct {
-	rng    *rand.Rand
-	now    time.Duration
-	table  Table
-	watch  ExpiryTracker
-	lead   float64 // how fast its clock runs
-	noLead time.Duration
-	agents []*worker
-	mail   []mail
-	plant  string
+type simulation struct {
+	rng             *rand.Rand
+	now             time.Duration
+	table           Table
+	watch           ExpiryTracker
+	leaderClockRate float64 // how fast its clock runs
+	noLeaderUntil   time.Duration
+	processes       []*agentProcess
+	deliveries      []delivery
+	bug             string
 
-	granted uint64
-	handed  map[string]string // duty: to whom, since the last release
-	revoked map[string]uint64 // duty: epoch
-	batons  map[string]string
-	lost    map[string]int // holders in a row
-	side    *rand.Rand
-	behind  map[string]*Duty // of somebody who hears nothing new
-	last    map[string]*Duty
-	found   []string
+	lastEpoch    uint64
+	reservedFor  map[string]string // duty: to whom, since the last release
+	revoked      map[string]uint64 // duty: epoch
+	batons       map[string]string
+	lostInRow    map[string]int // holders in a row
+	followerRNG  *rand.Rand
+	staleAnswers map[string]*Duty // of somebody who hears nothing new
+	olderAnswers map[string]*Duty
+	failures     []string
 }
 
-type worker struct {
-	name    string
-	life    int
-	rate    float64
-	offset  time.Duration
-	holders map[string]*Holder
-	follows map[string]*Follower
-	newest  map[string]uint64 // epoch that was followed, over all of this life
-	stopped time.Duration     // until then
-	cut     time.Duration
+type agentProcess struct {
+	name         string
+	restarts     int
+	clockRate    float64
+	clockOffset  time.Duration
+	holders      map[string]*Holder
+	followers    map[string]*Follower
+	newestEpoch  map[string]uint64 // epoch that was followed, over all of this life
+	stoppedUntil time.Duration     // until then
+	cutOffUntil  time.Duration
 }
 
-type mail struct {
-	at time.Duration
-	do func()
+type delivery struct {
+	at      time.Duration
+	deliver func()
 }
 
 const (
-	term  = 300 * time.Millisecond
-	beat  = 20 * time.Millisecond
-	play  = 16 * time.Second
-	quiet = 8 * time.Second // no faults from then on
+	leaseTerm       = 300 * time.Millisecond
+	maxAcquireDelay = 20 * time.Millisecond
+	simulatedTime   = 16 * time.Second
+	faultsEnd       = 8 * time.Second // no faults from then on
 )
 
-func (w *world) clock(rate float64) time.Duration { return time.Duration(float64(w.now) * rate) }
+func (w *simulation) leaderNow(rate float64) time.Duration {
+	return time.Duration(float64(w.now) * rate)
+}
 
-func (a *worker) clock(now time.Duration) time.Duration {
-	return a.offset + time.Duration(float64(now)*a.rate)
+func (a *agentProcess) localNow(now time.Duration) time.Duration {
+	return a.clockOffset + time.Duration(float64(now)*a.clockRate)
 }
 
-func (w *world) drift() float64 {
+func (w *simulation) randomClockRate() float64 {
 	return 1 + MaxClockDrift*[]float64{-1, 1, 2*w.rng.Float64() - 1}[w.rng.IntN(3)]
 }
 
-func (w *world) fail(property, format string, args ...any) {
-	if len(w.found) < 8 {
-		w.found = append(w.found, fmt.Sprintf("%s: at %v: ", property, w.now)+fmt.Sprintf(format, args...))
+func (w *simulation) fail(property, format string, args ...any) {
+	if len(w.failures) < 8 {
+		w.failures = append(w.failures, fmt.Sprintf("%s: at %v: ", property, w.now)+fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *world) born(a *worker) {
-	a.life++
-	a.offset = time.Duration(w.rng.Int64N(int64(time.Hour)))
-	a.holders, a.follows, a.newest = map[string]*Holder{}, map[string]*Follower{}, map[string]uint64{}
+func (w *simulation) startProcess(a *agentProcess) {
+	a.restarts++
+	a.clockOffset = time.Duration(w.rng.Int64N(int64(time.Hour)))
+	a.holders, a.followers, a.newestEpoch = map[string]*Holder{}, map[string]*Follower{}, map[string]uint64{}
 	for _, duty := range []string{"x", "y"} {
-		a.holders[duty] = &Holder{Duty: duty, Name: fmt.Sprintf("%s/%d", a.name, a.life), Term: term}
-		a.follows[duty] = &Follower{MaxAge: term}
+		a.holders[duty] = &Holder{Duty: duty, Name: fmt.Sprintf("%s/%d", a.name, a.restarts), Term: leaseTerm}
+		a.followers[duty] = &Follower{MaxAge: leaseTerm}
 	}
 }
 
 // apply is the table's, with what is planted.
-func (w *world) apply(op Op) Answer {
+func (w *simulation) apply(op Op) Answer {
 	d := w.table.Duties[op.Duty]
-	switch w.plant {
+	switch w.bug {
 	case "an older epoch is renewed":
 		if op.Kind == Renew && d != nil && d.Holder != "" {
 			return Answer{Holder: op.Holder, Epoch: op.Epoch}
@@ -140,225 +142,225 @@
 	if d != nil {
 		before = *d
 	}
-	a := w.table.Apply(&op)
+	answer := w.table.Apply(&op)
 	d = w.table.Duties[op.Duty]
-	if w.plant == "a word outlives its holder" && op.Kind != Renew && d != nil {
+	if w.bug == "a word outlives its holder" && op.Kind != Renew && d != nil {
 		d.Word = before.Word
 	}
 	if d != nil && d.Word != nil && string(d.Word) != fmt.Sprint(d.Epoch) {
 		w.fail("Word", "%q is said under epoch %d", d.Word, d.Epoch)
 	}
-	if op.Kind == Acquire && a.Refused == "" {
-		if a.Epoch <= w.granted {
-			w.fail("Order", "epoch %d after %d", a.Epoch, w.granted)
+	if op.Kind == Acquire && answer.Refused == "" {
+		if answer.Epoch <= w.lastEpoch {
+			w.fail("Order", "epoch %d after %d", answer.Epoch, w.lastEpoch)
 		}
-		w.granted = max(w.granted, a.Epoch)
-		if to := w.handed[op.Duty]; to != "" && to != op.Holder {
+		w.lastEpoch = max(w.lastEpoch, answer.Epoch)
+		if to := w.reservedFor[op.Duty]; to != "" && to != op.Holder {
 			w.fail("Hand", "%s got what was handed to %s", op.Holder, to)
 		}
-		if b := w.batons[op.Duty]; b != string(a.Baton) {
-			w.fail("Hand", "the baton is %q and was %q", a.Baton, b)
+		if baton := w.batons[op.Duty]; baton != string(answer.Baton) {
+			w.fail("Hand", "the baton is %q and was %q", answer.Baton, baton)
 		}
-		delete(w.handed, op.Duty)
+		delete(w.reservedFor, op.Duty)
 	}
 	switch {
-	case a.Refused != "":
+	case answer.Refused != "":
 	case op.Kind == Release:
-		w.handed[op.Duty], w.batons[op.Duty] = d.To, string(op.Baton)
+		w.reservedFor[op.Duty], w.batons[op.Duty] = d.To, string(op.Baton)
 	case op.Kind == Expire && before.Holder == "" && before.To != "":
-		delete(w.handed, op.Duty)
+		delete(w.reservedFor, op.Duty)
 	case op.Kind == HandOver:
-		w.handed[op.Duty] = d.To
+		w.reservedFor[op.Duty] = d.To
 	case op.Kind == Revoke:
 		w.revoked[op.Duty] = before.Epoch
 	case op.Kind == Renew && w.revoked[op.Duty] == op.Epoch:
 		w.fail("Revoked", "epoch %d of %s was revoked and renewed", op.Epoch, op.Duty)
-	case op.Kind == Expire && before.Holder != "" && !before.Revoked && before.Renewed < settled:
-		if w.lost[op.Duty]++; w.lost[op.Duty] >= mostLost && !d.Resting {
+	case op.Kind == Expire && before.Holder != "" && !before.Revoked && before.Renewed < settledRenewals:
+		if w.lostInRow[op.Duty]++; w.lostInRow[op.Duty] >= maxLostHolders && !d.Resting {
 			w.fail("Rest", "%s goes on", op.Duty)
 		}
 	}
-	if a.Refused == "" && (op.Kind == Release || d.Renewed >= settled || before.Resting) {
-		w.lost[op.Duty] = 0
+	if answer.Refused == "" && (op.Kind == Release || d.Renewed >= settledRenewals || before.Resting) {
+		w.lostInRow[op.Duty] = 0
 	}
-	return a
+	return answer
 }
 
 // late is how long a message takes: now and then far longer than usual.
-func (w *world) late() time.Duration {
-	d := time.Duration(w.rng.Int64N(int64(30 * time.Millisecond)))
-	if w.now < quiet && w.rng.IntN(8) == 0 {
-		d *= 10
+func (w *simulation) randomDelay() time.Duration {
+	delay := time.Duration(w.rng.Int64N(int64(30 * time.Millisecond)))
+	if w.now < faultsEnd && w.rng.IntN(8) == 0 {
+		delay *= 10
 	}
-	return d
+	return delay
 }
 
 // ask sends a question, which comes late, or twice, or never, as does its answer.
-func (w *world) ask(a *worker, h *Holder, q *Request) {
-	if q == nil {
+func (w *simulation) sendRequest(a *agentProcess, h *Holder, request *Request) {
+	if request == nil {
 		return
 	}
-	life := a.life
-	lost := func() bool { return w.now < a.cut || w.now < quiet && w.rng.IntN(20) == 0 }
-	answer := func(r Answer) {
-		if a.life == life && !lost() {
-			w.answered(a, h, q, r)
+	restarts := a.restarts
+	isLost := func() bool { return w.now < a.cutOffUntil || w.now < faultsEnd && w.rng.IntN(20) == 0 }
+	deliver := func(r Answer) {
+		if a.restarts == restarts && !isLost() {
+			w.deliverAnswer(a, h, request, r)
 		}
 	}
 	for range 1 + w.rng.IntN(8)/7 {
-		if lost() {
+		if isLost() {
 			continue
 		}
-		w.mail = append(w.mail, mail{w.now + w.late(), func() {
-			r := w.apply(q.Op)
+		w.deliveries = append(w.deliveries, delivery{w.now + w.randomDelay(), func() {
+			r := w.apply(request.Op)
 			for range 1 + w.rng.IntN(2) {
-				w.mail = append(w.mail, mail{w.now + w.late(), func() {
-					if w.now < a.stopped { // it reads that when it goes on
-						w.mail = append(w.mail, mail{a.stopped, func() { answer(r) }})
+				w.deliveries = append(w.deliveries, delivery{w.now + w.randomDelay(), func() {
+					if w.now < a.stoppedUntil { // it reads that when it goes on
+						w.deliveries = append(w.deliveries, delivery{a.stoppedUntil, func() { deliver(r) }})
 						return
 					}
-					answer(r)
+					deliver(r)
 				}})
 			}
 		}})
 	}
 }
 
-func (w *world) answered(a *worker, h *Holder, q *Request, r Answer) {
-	now := a.clock(w.now)
-	switch w.plant {
+func (w *simulation) deliverAnswer(a *agentProcess, h *Holder, request *Request, r Answer) {
+	now := a.localNow(w.now)
+	switch w.bug {
 	case "the term counts from the answer":
-		asked := h.asked
-		if h.asked = now; !h.out || q.Number != h.turn {
-			h.asked = asked
+		asked := h.requestedAt
+		if h.requestedAt = now; !h.inFlight || request.Number != h.requestNumber {
+			h.requestedAt = asked
 		}
 	case "any answer will do":
-		q.Number, h.out = h.turn, true
-		h.asked = now
+		request.Number, h.inFlight = h.requestNumber, true
+		h.requestedAt = now
 	}
-	h.HandleAnswer(now, q.Number, r)
+	h.HandleAnswer(now, request.Number, r)
 }
 
-func (w *world) step() {
-	w.now += beat / 4
-	for i := 0; i < len(w.mail); i++ {
-		if m := w.mail[i]; m.at <= w.now {
-			w.mail = slices.Delete(w.mail, i, i+1)
+func (w *simulation) step() {
+	w.now += maxAcquireDelay / 4
+	for i := 0; i < len(w.deliveries); i++ {
+		if m := w.deliveries[i]; m.at <= w.now {
+			w.deliveries = slices.Delete(w.deliveries, i, i+1)
 			i--
-			m.do()
+			m.deliver()
 		}
 	}
-	if w.now >= w.noLead {
-		lead := w.clock(w.lead)
-		if w.plant == "the lead's clock runs ahead of the margin" {
-			lead += lead / 5
+	if w.now >= w.noLeaderUntil {
+		leaderTime := w.leaderNow(w.leaderClockRate)
+		if w.bug == "the lead's clock runs ahead of the margin" {
+			leaderTime += leaderTime / 5
 		}
-		for _, op := range w.watch.Expired(lead, &w.table) {
-			w.mail = append(w.mail, mail{w.now + w.late(), func() { w.apply(op) }})
+		for _, op := range w.watch.Expired(leaderTime, &w.table) {
+			w.deliveries = append(w.deliveries, delivery{w.now + w.randomDelay(), func() { w.apply(op) }})
 		}
 	}
-	for _, a := range w.agents {
-		if w.now < a.stopped {
+	for _, a := range w.processes {
+		if w.now < a.stoppedUntil {
 			continue
 		}
 		for _, duty := range []string{"x", "y"} {
 			h := a.holders[duty]
-			now := a.clock(w.now)
+			now := a.localNow(w.now)
 			d := w.table.Duties[duty]
 			free := d == nil || d.Holder == ""
-			if _, _, holds := h.Holds(now); holds && (h.ReleaseReason() != "" || w.now < quiet && w.rng.IntN(600) == 0) {
+			if _, _, holds := h.Holds(now); holds && (h.ReleaseReason() != "" || w.now < faultsEnd && w.rng.IntN(600) == 0) {
 				to := ""
 				if w.rng.IntN(2) == 0 {
-					o := w.agents[w.rng.IntN(len(w.agents))]
-					to = o.holders[duty].Name
+					other := w.processes[w.rng.IntN(len(w.processes))]
+					to = other.holders[duty].Name
 				}
-				w.ask(a, h, h.Release(now, to, fmt.Appendf(nil, "%d", w.rng.IntN(1000))))
+				w.sendRequest(a, h, h.Release(now, to, fmt.Appendf(nil, "%d", w.rng.IntN(1000))))
 				continue
 			}
 			if h.epoch != 0 {
 				h.Publish(fmt.Append(nil, h.epoch))
 			}
-			w.follow(a, duty)
-			w.ask(a, h, h.Tick(now, free, time.Duration(w.rng.Int64N(int64(beat)))))
-			if w.plant == "it holds on when its time is over" && h.epoch != 0 {
-				h.until = now + term
+			w.checkFollower(a, duty)
+			w.sendRequest(a, h, h.Tick(now, free, time.Duration(w.rng.Int64N(int64(maxAcquireDelay)))))
+			if w.bug == "it holds on when its time is over" && h.epoch != 0 {
+				h.validUntil = now + leaseTerm
 			}
 		}
 	}
-	w.trouble()
+	w.injectFault()
 	for _, duty := range []string{"x", "y"} {
-		var who []string
-		for _, a := range w.agents {
+		var holders []string
+		for _, a := range w.processes {
 			// One that is stopped does nothing now. What it does when it wakes carries an epoch that is refused.
-			if _, _, holds := a.holders[duty].Holds(a.clock(w.now)); holds && w.now >= a.stopped {
-				who = append(who, a.holders[duty].Name)
+			if _, _, holds := a.holders[duty].Holds(a.localNow(w.now)); holds && w.now >= a.stoppedUntil {
+				holders = append(holders, a.holders[duty].Name)
 			}
 		}
-		if len(who) > 1 {
-			w.fail("One", "%s is held by %v", duty, who)
+		if len(holders) > 1 {
+			w.fail("One", "%s is held by %v", duty, holders)
 		}
 	}
 }
 
 // follow has an agent hear what a duty's holder says and judges what it makes of it. In the end one agent asks somebody who is
 // behind for good.
-func (w *world) follow(a *worker, duty string) {
-	f, asked := a.follows[duty], a.clock(w.now)
-	if d := w.table.Duties[duty]; d != nil && w.side.IntN(4) == 0 && w.now >= a.cut {
-		heard := Duty{Epoch: d.Epoch, Version: d.Version, Word: d.Word}
-		if a == w.agents[0] && w.now > quiet {
-			if w.behind[duty] == nil {
-				w.behind[duty] = &heard
+func (w *simulation) checkFollower(a *agentProcess, duty string) {
+	follower, now := a.followers[duty], a.localNow(w.now)
+	if d := w.table.Duties[duty]; d != nil && w.followerRNG.IntN(4) == 0 && w.now >= a.cutOffUntil {
+		answer := Duty{Epoch: d.Epoch, Version: d.Version, Word: d.Word}
+		if a == w.processes[0] && w.now > faultsEnd {
+			if w.staleAnswers[duty] == nil {
+				w.staleAnswers[duty] = &answer
 			}
-			heard = *w.behind[duty]
+			answer = *w.staleAnswers[duty]
 		}
-		switch w.plant {
+		switch w.bug {
 		case "whatever is heard last is followed":
-			f.epoch, f.version = 0, 0
+			follower.epoch, follower.version = 0, 0
 		case "a word is as old as its answer":
-			f.version = 0
+			follower.version = 0
 		}
-		if w.side.IntN(8) == 0 && w.last[duty] != nil && w.now <= quiet { // an answer of before
-			f.Update(asked, w.last[duty].Epoch, w.last[duty].Version, w.last[duty].Word)
+		if w.followerRNG.IntN(8) == 0 && w.olderAnswers[duty] != nil && w.now <= faultsEnd { // an answer of before
+			follower.Update(now, w.olderAnswers[duty].Epoch, w.olderAnswers[duty].Version, w.olderAnswers[duty].Word)
 		}
-		f.Update(asked, heard.Epoch, heard.Version, heard.Word)
-		if w.side.IntN(20) == 0 {
-			w.last[duty] = &heard
+		follower.Update(now, answer.Epoch, answer.Version, answer.Word)
+		if w.followerRNG.IntN(20) == 0 {
+			w.olderAnswers[duty] = &answer
 		}
 	}
-	word, epoch := f.Current(asked)
-	if word == nil {
+	message, epoch := follower.Current(now)
+	if message == nil {
 		return
 	}
-	if epoch < a.newest[duty] {
-		w.fail("Word", "%s follows epoch %d of %s after %d", a.name, epoch, duty, a.newest[duty])
+	if epoch < a.newestEpoch[duty] {
+		w.fail("Word", "%s follows epoch %d of %s after %d", a.name, epoch, duty, a.newestEpoch[duty])
 	}
-	a.newest[duty] = epoch
-	if a == w.agents[0] && w.now > quiet+5*term {
+	a.newestEpoch[duty] = epoch
+	if a == w.processes[0] && w.now > faultsEnd+5*leaseTerm {
 		w.fail("Word", "%s follows for ever what was said once", a.name)
 	}
 }
 
-func (w *world) trouble() {
-	if w.now >= quiet {
+func (w *simulation) injectFault() {
+	if w.now >= faultsEnd {
 		return
 	}
-	a := w.agents[w.rng.IntN(len(w.agents))]
-	long := time.Duration(w.rng.Int64N(int64(3 * term)))
+	a := w.processes[w.rng.IntN(len(w.processes))]
+	duration := time.Duration(w.rng.Int64N(int64(3 * leaseTerm)))
 	switch w.rng.IntN(400) {
 	case 0:
-		w.born(a)
+		w.startProcess(a)
 	case 1:
-		a.stopped = w.now + long
+		a.stoppedUntil = w.now + duration
 	case 2:
-		a.cut = w.now + long
+		a.cutOffUntil = w.now + duration
 	case 3: // another leads
-		w.lead, w.noLead = w.drift(), w.now+long/2
-		if w.plant != "a new lead goes on with the clock of the one before" {
+		w.leaderClockRate, w.noLeaderUntil = w.randomClockRate(), w.now+duration/2
+		if w.bug != "a new lead goes on with the clock of the one before" {
 			w.watch = ExpiryTracker{}
 		} else {
 			for name, s := range w.watch.seen {
-				s.version, s.since = w.table.Duties[name].Version, s.since-term
+				s.version, s.since = w.table.Duties[name].Version, s.since-leaseTerm
 				w.watch.seen[name] = s
 			}
 		}
@@ -373,36 +375,36 @@
 	}
 }
 
-func explore(seed uint64, plant string) []string {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), plant: plant, handed: map[string]string{}, revoked: map[string]uint64{}, batons: map[string]string{}, lost: map[string]int{}, side: rand.New(rand.NewPCG(seed, 9)), behind: map[string]*Duty{}, last: map[string]*Duty{}}
-	w.lead = w.drift()
+func explore(seed uint64, bug string) []string {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), bug: bug, reservedFor: map[string]string{}, revoked: map[string]uint64{}, batons: map[string]string{}, lostInRow: map[string]int{}, followerRNG: rand.New(rand.NewPCG(seed, 9)), staleAnswers: map[string]*Duty{}, olderAnswers: map[string]*Duty{}}
+	w.leaderClockRate = w.randomClockRate()
 	for _, name := range []string{"a", "b", "c"} {
-		a := &worker{name: name, rate: w.drift()}
-		w.born(a)
-		w.agents = append(w.agents, a)
+		a := &agentProcess{name: name, clockRate: w.randomClockRate()}
+		w.startProcess(a)
+		w.processes = append(w.processes, a)
 	}
-	held := map[string]int{}
-	steps := 0
-	for w.now < play {
+	heldSteps := map[string]int{}
+	checkedSteps := 0
+	for w.now < simulatedTime {
 		w.step()
-		if w.now < play-2*time.Second { // after ten terms of rest and one each for those that are gone
+		if w.now < simulatedTime-2*time.Second { // after ten terms of rest and one each for those that are gone
 			continue
 		}
-		steps++
+		checkedSteps++
 		for _, duty := range []string{"x", "y"} {
-			for _, a := range w.agents {
-				if _, _, holds := a.holders[duty].Holds(a.clock(w.now)); holds {
-					held[duty]++
+			for _, a := range w.processes {
+				if _, _, holds := a.holders[duty].Holds(a.localNow(w.now)); holds {
+					heldSteps[duty]++
 				}
 			}
 		}
 	}
 	for _, duty := range []string{"x", "y"} {
-		if held[duty] < steps/3 {
-			w.fail("Back", "%s is held in %d of %d looks of the end: %+v", duty, held[duty], steps, *w.table.Duties[duty])
+		if heldSteps[duty] < checkedSteps/3 {
+			w.fail("Back", "%s is held in %d of %d looks of the end: %+v", duty, heldSteps[duty], checkedSteps, *w.table.Duties[duty])
 		}
 	}
-	return w.found
+	return w.failures
 }
 
 func TestExplore(t *testing.T) {
@@ -411,8 +413,8 @@
 		seeds = 200
 	}
 	for seed := range seeds {
-		if found := explore(seed, ""); len(found) > 0 {
-			t.Fatalf("seed %d:\n%s", seed, strings.Join(found, "\n"))
+		if failures := explore(seed, ""); len(failures) > 0 {
+			t.Fatalf("seed %d:\n%s", seed, strings.Join(failures, "\n"))
 		}
 	}
 }
--- a/internal/lease/follower.go
+++ b/internal/lease/follower.go
@@ -11,7 +11,7 @@
 
 	epoch, version uint64
 	word           []byte
-	asked          time.Duration
+	requestedAt    time.Duration
 }
 
 // Heard takes in what was answered to a question that was asked at a time.
@@ -19,12 +19,12 @@
 	if epoch < f.epoch || epoch == f.epoch && version <= f.version {
 		return
 	}
-	f.epoch, f.version, f.word, f.asked = epoch, version, word, asked
+	f.epoch, f.version, f.word, f.requestedAt = epoch, version, word, asked
 }
 
 // Word is what is to be followed, and the epoch under which it was said; nil if there is nothing fresh.
 func (f *Follower) Current(now time.Duration) (word []byte, epoch uint64) {
-	if f.word == nil || now-f.asked >= f.MaxAge {
+	if f.word == nil || now-f.requestedAt >= f.MaxAge {
 		return nil, 0
 	}
 	return f.word, f.epoch
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -39,12 +39,12 @@
 	// MostWord is what a holder may say to those who follow it, in bytes.
 	MaxWordBytes = 1 << 10
 	// MostDuties and mostHistory bound the table.
-	MaxDuties   = 4096
-	mostHistory = 128
+	MaxDuties  = 4096
+	maxHistory = 128
 	// mostLost holders in a row that were lost soon: the duty seems to be what loses them.
-	mostLost = 3
+	maxLostHolders = 3
 	// settled renewals say that a holder was not lost by the duty.
-	settled = 20
+	settledRenewals = 20
 	// restTerms is for how many terms a duty rests then.
 	restTerms = 10
 	// MinTerm and MaxTerm bound terms.
@@ -155,8 +155,8 @@
 	if err := op.Check(); err != nil {
 		return Answer{Refused: err.Error()}
 	}
-	d := t.Duties[op.Duty]
-	if d == nil {
+	duty := t.Duties[op.Duty]
+	if duty == nil {
 		if op.Kind != Acquire {
 			return Answer{Refused: "nobody has ever had this duty"}
 		}
@@ -166,105 +166,105 @@
 		if t.Duties == nil {
 			t.Duties = map[string]*Duty{}
 		}
-		d = &Duty{}
-		t.Duties[op.Duty] = d
+		duty = &Duty{}
+		t.Duties[op.Duty] = duty
 	}
 	refused := func(format string, args ...any) Answer {
-		return Answer{Refused: fmt.Sprintf(format, args...), Holder: d.Holder, Epoch: d.Epoch}
+		return Answer{Refused: fmt.Sprintf(format, args...), Holder: duty.Holder, Epoch: duty.Epoch}
 	}
-	held := d.Holder != "" && d.Holder == op.Holder && d.Epoch == op.Epoch
+	isHolder := duty.Holder != "" && duty.Holder == op.Holder && duty.Epoch == op.Epoch
 	switch op.Kind {
 	case Acquire:
 		switch {
-		case d.Resting:
-			return refused("it rests: %d holders in a row were lost", mostLost)
-		case d.Holder != "":
-			return refused("%s holds it", d.Holder)
-		case d.To != "" && !MatchesHolder(d.To, op.Holder):
-			return refused("it is handed to %s", d.To)
+		case duty.Resting:
+			return refused("it rests: %d holders in a row were lost", maxLostHolders)
+		case duty.Holder != "":
+			return refused("%s holds it", duty.Holder)
+		case duty.To != "" && !MatchesHolder(duty.To, op.Holder):
+			return refused("it is handed to %s", duty.To)
 		}
 		t.Last++
-		baton := d.Baton
-		d.Holder, d.Epoch, d.Term, d.Renewed, d.Revoked, d.To, d.Word = op.Holder, t.Last, op.Term, 0, false, "", nil
-		d.NoRest = op.NoRest
-		t.moved(op.Duty, d, "granted")
-		return Answer{Holder: d.Holder, Epoch: d.Epoch, Baton: baton}
+		baton := duty.Baton
+		duty.Holder, duty.Epoch, duty.Term, duty.Renewed, duty.Revoked, duty.To, duty.Word = op.Holder, t.Last, op.Term, 0, false, "", nil
+		duty.NoRest = op.NoRest
+		t.recordChange(op.Duty, duty, "granted")
+		return Answer{Holder: duty.Holder, Epoch: duty.Epoch, Baton: baton}
 	case Renew:
 		switch {
-		case !held:
+		case !isHolder:
 			return refused("it is not held so")
-		case d.Revoked:
-			return refused("it is revoked: %s", d.Why)
+		case duty.Revoked:
+			return refused("it is revoked: %s", duty.Why)
 		}
-		d.Version++
-		d.Word = op.Word
-		if d.Renewed++; d.Renewed == settled {
-			d.Lost = 0
+		duty.Version++
+		duty.Word = op.Word
+		if duty.Renewed++; duty.Renewed == settledRenewals {
+			duty.Lost = 0
 		}
-		return Answer{Holder: d.Holder, Epoch: d.Epoch, Release: d.To != ""}
+		return Answer{Holder: duty.Holder, Epoch: duty.Epoch, Release: duty.To != ""}
 	case Release:
-		if !held {
+		if !isHolder {
 			return refused("it is not held so")
 		}
 		to := op.To
 		if to == "" {
-			to = d.To
+			to = duty.To
 		}
-		d.Holder, d.Baton, d.To, d.Lost, d.Word = "", op.Baton, to, 0, nil
-		t.moved(op.Duty, d, "released by "+op.Holder)
+		duty.Holder, duty.Baton, duty.To, duty.Lost, duty.Word = "", op.Baton, to, 0, nil
+		t.recordChange(op.Duty, duty, "released by "+op.Holder)
 	case Revoke:
 		switch {
-		case op.Epoch > d.Epoch:
+		case op.Epoch > duty.Epoch:
 			return refused("epoch %d has not been granted", op.Epoch)
-		case op.Epoch != 0 && (op.Epoch < d.Epoch || d.Holder == "" || d.Revoked):
-			return Answer{Holder: d.Holder, Epoch: d.Epoch} // it has come about
-		case d.Holder == "":
+		case op.Epoch != 0 && (op.Epoch < duty.Epoch || duty.Holder == "" || duty.Revoked):
+			return Answer{Holder: duty.Holder, Epoch: duty.Epoch} // it has come about
+		case duty.Holder == "":
 			return refused("nobody holds it")
 		}
-		d.Revoked = true // danger: its holder may act until its time is over, and nobody else before
-		t.moved(op.Duty, d, op.Why)
+		duty.Revoked = true // danger: its holder may act until its time is over, and nobody else before
+		t.recordChange(op.Duty, duty, op.Why)
 	case HandOver:
-		if MatchesHolder(op.To, d.Holder) {
-			if op.Epoch != 0 && op.Epoch < d.Epoch {
-				return Answer{Holder: d.Holder, Epoch: d.Epoch} // it has come about
+		if MatchesHolder(op.To, duty.Holder) {
+			if op.Epoch != 0 && op.Epoch < duty.Epoch {
+				return Answer{Holder: duty.Holder, Epoch: duty.Epoch} // it has come about
 			}
-			return refused("%s holds it", d.Holder)
+			return refused("%s holds it", duty.Holder)
 		}
-		if op.Epoch != 0 && op.Epoch != d.Epoch {
+		if op.Epoch != 0 && op.Epoch != duty.Epoch {
 			return refused("epoch %d is not the last that was granted", op.Epoch)
 		}
-		if op.Epoch != 0 && d.To == op.To {
-			return Answer{Holder: d.Holder, Epoch: d.Epoch} // it is under way
+		if op.Epoch != 0 && duty.To == op.To {
+			return Answer{Holder: duty.Holder, Epoch: duty.Epoch} // it is under way
 		}
-		d.To, d.Resting = op.To, false
-		t.moved(op.Duty, d, "to be handed to "+op.To)
+		duty.To, duty.Resting = op.To, false
+		t.recordChange(op.Duty, duty, "to be handed to "+op.To)
 	case Expire:
-		if op.Version != d.Version {
+		if op.Version != duty.Version {
 			return refused("its time has begun anew")
 		}
 		switch {
-		case d.Holder != "":
-			why := "the time of " + d.Holder + " is over"
-			if d.Revoked {
+		case duty.Holder != "":
+			why := "the time of " + duty.Holder + " is over"
+			if duty.Revoked {
 				why = "revoked"
-			} else if d.Renewed < settled {
-				d.Lost++
+			} else if duty.Renewed < settledRenewals {
+				duty.Lost++
 			}
-			d.Holder, d.Revoked, d.Word = "", false, nil
-			if d.Lost >= mostLost && !d.NoRest {
-				d.Resting, why = true, fmt.Sprintf("it rests: %d holders in a row were lost, %s", d.Lost, why)
+			duty.Holder, duty.Revoked, duty.Word = "", false, nil
+			if duty.Lost >= maxLostHolders && !duty.NoRest {
+				duty.Resting, why = true, fmt.Sprintf("it rests: %d holders in a row were lost, %s", duty.Lost, why)
 			}
-			t.moved(op.Duty, d, why)
-		case d.Resting:
-			d.Resting, d.Lost = false, 0
-			t.moved(op.Duty, d, "it has rested")
-		case d.To != "":
-			to := d.To
-			d.To = ""
-			t.moved(op.Duty, d, to+" has not taken it")
+			t.recordChange(op.Duty, duty, why)
+		case duty.Resting:
+			duty.Resting, duty.Lost = false, 0
+			t.recordChange(op.Duty, duty, "it has rested")
+		case duty.To != "":
+			to := duty.To
+			duty.To = ""
+			t.recordChange(op.Duty, duty, to+" has not taken it")
 		}
 	}
-	return Answer{Holder: d.Holder, Epoch: d.Epoch}
+	return Answer{Holder: duty.Holder, Epoch: duty.Epoch}
 }
 
 // Meant says whether a process is the one that a name names, or one of those of a member: a member's are called MEMBER/ONE.
@@ -273,18 +273,18 @@
 }
 
 // moved notes a change of a duty.
-func (t *Table) moved(name string, d *Duty, why string) {
+func (t *Table) recordChange(name string, d *Duty, why string) {
 	d.Version++
 	d.Why = why
 	t.Steps++
 	t.History = append(t.History, Change{t.Steps, name, d.Holder, d.Epoch, why})
-	if len(t.History) > mostHistory {
-		t.History = slices.Delete(t.History, 0, len(t.History)-mostHistory)
+	if len(t.History) > maxHistory {
+		t.History = slices.Delete(t.History, 0, len(t.History)-maxHistory)
 	}
 }
 
 // wait is how long what is of a duty's present version lasts; 0 for ever.
-func (d *Duty) wait() time.Duration {
+func (d *Duty) timeout() time.Duration {
 	switch {
 	case d.Holder != "":
 		return RegrantDelay(d.Term)
@@ -297,37 +297,37 @@
 }
 
 // Watch is a lead's clock of a table. Danger: what one lead has counted says nothing to the next.
-type ExpiryTracker struct{ seen map[string]seen }
+type ExpiryTracker struct{ seen map[string]versionSeen }
 
-type seen struct {
+type versionSeen struct {
 	version uint64
 	since   time.Duration
 }
 
 // Due returns what is over, to be proposed. It must see the table each time that it has changed.
-func (w *ExpiryTracker) Expired(now time.Duration, t *Table) (over []Op) {
+func (w *ExpiryTracker) Expired(now time.Duration, t *Table) (expired []Op) {
 	if w.seen == nil {
-		w.seen = map[string]seen{}
+		w.seen = map[string]versionSeen{}
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.Duties)) {
 		d := t.Duties[name]
-		s, known := w.seen[name]
-		if !known || s.version != d.Version {
-			w.seen[name] = seen{d.Version, now}
+		last, known := w.seen[name]
+		if !known || last.version != d.Version {
+			w.seen[name] = versionSeen{d.Version, now}
 			continue
 		}
-		if wait := d.wait(); wait > 0 && now-s.since >= wait {
-			over = append(over, Op{Kind: Expire, Duty: name, Version: d.Version})
+		if timeout := d.timeout(); timeout > 0 && now-last.since >= timeout {
+			expired = append(expired, Op{Kind: Expire, Duty: name, Version: d.Version})
 		}
 	}
-	return over
+	return expired
 }
 
 // Left is how much of a duty's time is left by this clock, as far as it has seen.
 func (w *ExpiryTracker) Remaining(now time.Duration, name string, d *Duty) time.Duration {
-	s, known := w.seen[name]
-	if !known || s.version != d.Version {
-		return d.wait()
+	last, known := w.seen[name]
+	if !known || last.version != d.Version {
+		return d.timeout()
 	}
-	return max(0, s.since+d.wait()-now)
+	return max(0, last.since+d.timeout()-now)
 }
--- a/internal/lease/many_test.go
+++ b/internal/lease/many_test.go
@@ -10,10 +10,10 @@
 // All is held again soon after, nobody has far more than the others but one of four times the weight, and few ask for what they don't
 // get. Each agent knows the table as it was up to a quarter of a second ago.
 func TestThousandDuties(t *testing.T) {
-	const agents, duties, dead = 50, 1000, 10
-	const long, beat, knows = 3 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond
+	const agents, duties, killed = 50, 1000, 10
+	const term, interval, refreshInterval = 3 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond
 	var table Table
-	var watch ExpiryTracker
+	var expiry ExpiryTracker
 	type agent struct {
 		name    string
 		holders []*Holder
@@ -26,80 +26,80 @@
 	}
 	all := make([]*agent, agents)
 	for i := range all {
-		a := &agent{name: fmt.Sprint("a", i), free: make([]bool, duties), weight: 1}
+		agent := &agent{name: fmt.Sprint("a", i), free: make([]bool, duties), weight: 1}
 		for _, name := range names {
-			a.holders = append(a.holders, &Holder{Duty: name, Name: a.name + "/1", Term: long})
+			agent.holders = append(agent.holders, &Holder{Duty: name, Name: agent.name + "/1", Term: term})
 		}
-		all[i] = a
+		all[i] = agent
 	}
 	all[agents-1].weight = 4
-	asks, refused := 0, 0
-	holds := func() (held int, most map[string]int) {
-		most = map[string]int{}
+	requests, refused := 0, 0
+	countHeld := func() (held int, heldBy map[string]int) {
+		heldBy = map[string]int{}
 		for _, d := range table.Duties {
 			if d.Holder != "" {
 				held++
-				most[d.Holder]++
+				heldBy[d.Holder]++
 			}
 		}
-		return held, most
+		return held, heldBy
 	}
-	ask := func(now time.Duration, h *Holder, q *Request) {
-		if q == nil {
+	send := func(now time.Duration, h *Holder, request *Request) {
+		if request == nil {
 			return
 		}
-		a := table.Apply(&q.Op)
-		if q.Op.Kind == Acquire {
-			if asks++; a.Refused != "" {
+		answer := table.Apply(&request.Op)
+		if request.Op.Kind == Acquire {
+			if requests++; answer.Refused != "" {
 				refused++
 			}
 		}
-		h.HandleAnswer(now, q.Number, a)
+		h.HandleAnswer(now, request.Number, answer)
 	}
 	run := func(from, until time.Duration) {
-		for now := from; now < until; now += beat {
-			for _, op := range watch.Expired(now, &table) {
+		for now := from; now < until; now += interval {
+			for _, op := range expiry.Expired(now, &table) {
 				table.Apply(&op)
 			}
-			for i, a := range all {
-				look := (now+time.Duration(i)*beat)%knows < beat
-				for k, h := range a.holders {
-					if look {
+			for i, agent := range all {
+				refresh := (now+time.Duration(i)*interval)%refreshInterval < interval
+				for k, h := range agent.holders {
+					if refresh {
 						d := table.Duties[names[k]]
-						a.free[k] = d == nil || d.Holder == "" && !d.Resting
+						agent.free[k] = d == nil || d.Holder == "" && !d.Resting
 					}
-					if _, _, held := h.Holds(now); held && i == 0 && h.looked > 0 {
-						ask(now, h, h.Release(now, "", nil)) // it takes and drops
+					if _, _, held := h.Holds(now); held && i == 0 && h.lastTick > 0 {
+						send(now, h, h.Release(now, "", nil)) // it takes and drops
 						continue
 					}
-					ask(now, h, h.Tick(now, a.free[k], AcquireDelay(names[k], a.name, a.weight, long)))
+					send(now, h, h.Tick(now, agent.free[k], AcquireDelay(names[k], agent.name, agent.weight, term)))
 				}
 			}
 		}
 	}
-	run(beat, 2*long)
-	held, _ := holds()
+	run(interval, 2*term)
+	held, _ := countHeld()
 	if held < duties*97/100 {
 		t.Errorf("%d of %d duties are held two terms after the start", held, duties)
 	}
 	if refused > 6*duties {
 		t.Errorf("%d questions in vain for %d duties as the fleet started", refused, duties)
 	}
-	all = append(all[:1], all[1+dead:]...)
-	was := refused
-	run(2*long, 5*long) // the time of the dead is over after one, and the patience of the last after another
-	held, most := holds()
+	all = append(all[:1], all[1+killed:]...)
+	refusedBefore := refused
+	run(2*term, 5*term) // the time of the dead is over after one, and the patience of the last after another
+	held, heldBy := countHeld()
 	if held < duties*97/100 {
 		t.Errorf("%d of %d duties are held three terms after ten agents have died", held, duties)
 	}
-	if refused-was > 6*duties {
-		t.Errorf("%d questions in vain after that", refused-was)
+	if refused-refusedBefore > 6*duties {
+		t.Errorf("%d questions in vain after that", refused-refusedBefore)
 	}
 	heavy := all[len(all)-1].name + "/1"
-	for name, n := range most {
+	for name, n := range heldBy {
 		if name == heavy && n < 2*duties/agents || name != heavy && n > 4*duties/agents {
 			t.Errorf("%s holds %d of %d duties", name, n, duties)
 		}
 	}
-	t.Logf("%d questions, %d in vain", asks, refused)
+	t.Logf("%d questions, %d in vain", requests, refused)
 }
--- a/internal/lease/orders_test.go
+++ b/internal/lease/orders_test.go
@@ -16,10 +16,10 @@
 	}
 	duty := func() Duty { return *table.Duties["x"] }
 	require.Equal(t, uint64(1), apply(Op{Kind: Acquire, Holder: "a/1"}).Epoch)
-	hand := Op{Kind: HandOver, Epoch: 1, To: "b", Why: "by hand"}
-	require.Empty(t, apply(hand).Refused)
+	handOver := Op{Kind: HandOver, Epoch: 1, To: "b", Why: "by hand"}
+	require.Empty(t, apply(handOver).Refused)
 	before := duty()
-	require.Empty(t, apply(hand).Refused)
+	require.Empty(t, apply(handOver).Refused)
 	require.Equal(t, before, duty(), "its time does not begin anew")
 	require.True(t, apply(Op{Kind: Renew, Holder: "a/1", Epoch: 1}).Release)
 	require.Empty(t, apply(Op{Kind: Release, Holder: "a/1", Epoch: 1}).Refused)
@@ -27,7 +27,7 @@
 	require.Equal(t, uint64(2), apply(Op{Kind: Acquire, Holder: "b/1"}).Epoch)
 
 	before = duty()
-	require.Empty(t, apply(hand).Refused, "it has come about")
+	require.Empty(t, apply(handOver).Refused, "it has come about")
 	require.NotEmpty(t, apply(Op{Kind: HandOver, Epoch: 1, To: "c"}).Refused)
 	require.Empty(t, apply(Op{Kind: Revoke, Epoch: 1, Why: "late"}).Refused, "nobody holds it under 1")
 	require.NotEmpty(t, apply(Op{Kind: Revoke, Epoch: 3, Why: "early"}).Refused)
