--- a/internal/duty/link.go
+++ b/internal/duty/link.go
@@ -12,32 +12,37 @@
 )
 
 const (
-	// Term is for how long an agent is granted a duty. A word is followed for as long after it was last renewed.
+	// LeaseTerm is the term of an agent's lease. A holder's message is followed for as long after
+	// its last renewal.
 	LeaseTerm = 3 * time.Second
-	// listen is how often the group is asked for words: a pacer takes a step in half a second.
+	// pollInterval is the interval between queries for messages. A step of a pacer takes 500 ms, so
+	// that each of its messages is seen.
 	pollInterval = LeaseTerm / 12
-	// askIn is how long a member has to answer before another is asked.
+	// requestTimeout is how long a member has to answer before another member is queried.
 	requestTimeout = LeaseTerm / 3
 )
 
-// Local is the agent on this side of a Link. It must not wait for anything.
+// Agent is the agent that a LeaseClient acts for. Its methods must not block.
 type Agent interface {
-	// Weight is how well this agent could do a duty; 0: it can't.
+	// Weight rates how well this agent could hold a duty; 0: it can't.
 	Weight(duty string) float64
-	// Say is what its holder has to say while it does it; nil: nothing.
+	// MessageToPublish returns the message that this agent publishes while it holds the duty; nil:
+	// none.
 	MessageToPublish(duty string) []byte
-	// Heard tells what the present holder says, and under which epoch, nil if there is nothing fresh, many times a second.
-	HandleMessage(duty string, epoch uint64, word []byte)
+	// HandleMessage receives the message of the current holder and its epoch, or nil if there is no
+	// valid message. It is called many times a second. At the holder itself the message is nil.
+	HandleMessage(duty string, epoch uint64, message []byte)
 }
 
-// Grantor is a manager of the group that grants duties.
+// Grantor is a member of the group that grants duties.
 type Grantor interface {
 	HolderMessages(ctx context.Context) (*HolderMessages, error)
 	Lease(ctx context.Context, op *lease.Op) (lease.Answer, error)
 }
 
-// Link is an agent's side of the duties of a group: it goes for those that are to be had, says what there is to say under them and
-// hears what others say. Nothing waits for it. Where the group is out of reach no word is fresh, and nothing is held.
+// LeaseClient acquires a group's duties for an agent, publishes the agent's messages for the duties
+// it holds, and passes it the messages of other holders. The agent never waits for it. While the
+// group is unreachable, leases and messages expire.
 type LeaseClient struct {
 	Name    string // of the agent, the same after a restart
 	Duties  []string
@@ -47,25 +52,25 @@
 
 	startedAt    time.Time
 	answers      chan func()
-	memberIndex  int // the member that is asked
+	memberIndex  int // index of the member that is queried
 	pollInFlight bool
-	lastAnswerAt time.Duration // when it last answered; 0: never
+	lastAnswerAt time.Duration // when a member last answered a poll; 0: never
 	duties       []*dutyState
 }
 
-// post is what is known of one duty.
+// dutyState is the client's state of one duty.
 type dutyState struct {
 	name        string
 	holder      lease.Holder
 	follower    lease.Follower
 	free        bool
-	reserved    bool   // it is handed to this agent
-	loggedEpoch uint64 // epoch, as it was logged
+	reserved    bool   // the duty is being handed over to this agent
+	loggedEpoch uint64 // epoch of the lease that was logged last; 0: not held
 }
 
 func (l *LeaseClient) now() time.Duration { return time.Since(l.startedAt) + 1 }
 
-// Run goes on until the context ends, and gives back then what is held.
+// Run runs until the context ends, and then releases the duties that are held.
 func (l *LeaseClient) Run(ctx context.Context) {
 	l.startedAt, l.answers, l.memberIndex = time.Now(), make(chan func(), 2*len(l.Duties)+2), rand.IntN(len(l.Members))
 	processName := fmt.Sprintf("%s/%x", l.Name, rand.Uint64())
@@ -97,7 +102,8 @@
 	}
 }
 
-// step goes on with one duty.
+// tickDuty logs a change of the lease, sends the next request and passes the current message to the
+// agent.
 func (l *LeaseClient) tickDuty(ctx context.Context, d *dutyState, requests *sync.WaitGroup) {
 	now := l.now()
 	epoch, _, holds := d.holder.Holds(now)
@@ -120,17 +126,18 @@
 		if weight > 0 && !d.reserved {
 			acquireDelay = lease.AcquireDelay(d.name, l.Name, weight, LeaseTerm)
 		}
-		// Who has heard nothing of late knows of nothing that is free.
+		// Without a recent answer the agent can't know which duties are free.
 		l.sendRequest(ctx, d, d.holder.Tick(now, d.free && weight > 0 && l.lastAnswerAt > 0 && now-l.lastAnswerAt < LeaseTerm, acquireDelay), requests)
 	}
 	message, messageEpoch := d.follower.Current(now)
 	if holds {
-		message, messageEpoch = nil, 0 // its own: it does as it says
+		message, messageEpoch = nil, 0 // the message is the agent's own
 	}
 	l.Agent.HandleMessage(d.name, messageEpoch, message)
 }
 
-// ask asks the group. A holder has one question out, and gives it up within a third of a term.
+// sendRequest sends a request to the group. A Holder has one request in flight and abandons it
+// after a third of a term.
 func (l *LeaseClient) sendRequest(ctx context.Context, d *dutyState, request *lease.Request, requests *sync.WaitGroup) {
 	if request == nil {
 		return
@@ -141,7 +148,7 @@
 		defer cancel()
 		answer, err := m.Lease(requestCtx, &request.Op)
 		handle := func() { d.holder.HandleAnswer(l.now(), request.Number, answer) }
-		if err != nil { // in time it is asked again
+		if err != nil { // the Holder retries after a timeout
 			handle = func() { l.skipMember(m) }
 		}
 		select {
@@ -151,7 +158,7 @@
 	})
 }
 
-// listen asks for words. One question is out at a time.
+// pollMessages queries a member for the holders' messages. One query is in flight at a time.
 func (l *LeaseClient) pollMessages(ctx context.Context, requests *sync.WaitGroup) {
 	if l.pollInFlight {
 		return
@@ -169,14 +176,16 @@
 	})
 }
 
-// passBy has another member be asked than one that did not answer. Danger: one that hears the others and is not heard by them tells
-// words as they should be, and what it is asked for is never agreed on.
+// skipMember makes the client query the next member after one that did not answer. Failed lease
+// requests count as well, because a member that receives from the others but can't send to them has
+// current messages while its proposals are never committed.
 func (l *LeaseClient) skipMember(m Grantor) {
 	if l.Members[l.memberIndex] == m {
 		l.memberIndex = (l.memberIndex + 1) % len(l.Members)
 	}
 }
 
+// handleMessages processes the result of a query for messages.
 func (l *LeaseClient) handleMessages(m Grantor, requestedAt time.Duration, messages *HolderMessages, err error) {
 	l.pollInFlight = false
 	if err != nil {
@@ -185,7 +194,7 @@
 	}
 	l.lastAnswerAt = l.now()
 	for _, d := range l.duties {
-		d.free, d.reserved = true, false // a duty that nobody has ever had
+		d.free, d.reserved = true, false // for a duty that was never granted
 		for i := range messages.Words {
 			if message := &messages.Words[i]; message.Duty == d.name {
 				d.reserved = message.To != "" && lease.MatchesHolder(message.To, d.holder.Name)
--- a/internal/duty/link_test.go
+++ b/internal/duty/link_test.go
@@ -12,7 +12,7 @@
 	"example.org/micaline/internal/lease"
 )
 
-// table is a group in this process.
+// fakeGroup is a Grantor with a lease table but no expiry of leases.
 type fakeGroup struct {
 	mu    sync.Mutex
 	lease lease.Table
@@ -34,11 +34,12 @@
 	return t.lease.Apply(op), nil
 }
 
+// unresponsiveMember is a member that returns messages but never answers lease requests.
 type unresponsiveMember struct{ *fakeGroup }
 
 func (unresponsiveMember) Lease(ctx context.Context, _ *lease.Op) (lease.Answer, error) {
 	<-ctx.Done()
-	return lease.Answer{}, errors.New("nobody agrees")
+	return lease.Answer{}, errors.New("not committed")
 }
 
 type fakeAgent struct {
@@ -53,10 +54,10 @@
 	return l.weight
 }
 func (l *fakeAgent) MessageToPublish(string) []byte { return []byte("on") }
-func (l *fakeAgent) HandleMessage(_ string, _ uint64, word []byte) {
+func (l *fakeAgent) HandleMessage(_ string, _ uint64, message []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lastMessage = string(word)
+	l.lastMessage = string(message)
 }
 
 func (l *fakeAgent) message() string {
@@ -65,8 +66,9 @@
 	return l.lastMessage
 }
 
-// Two agents of one group, of which all members but one are mute: one holds and says, the other follows; one that can't any more lets go,
-// and one that ends gives back.
+// Two agents use a group in which only one of three members answers lease requests. One agent holds
+// the duty and publishes a message, which the other follows. An agent whose weight drops to 0
+// releases the duty, and so does an agent that ends.
 func TestLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		group := &fakeGroup{}
@@ -85,19 +87,19 @@
 		time.Sleep(6 * LeaseTerm)
 		first := holder()
 		if first < 0 || agents[1-first].message() != "on" || agents[first].message() != "" {
-			t.Fatalf("agent %d holds, and they hear %q and %q", first, agents[0].message(), agents[1].message())
+			t.Fatalf("agent %d holds the duty, and they received %q and %q", first, agents[0].message(), agents[1].message())
 		}
 		agents[first].mu.Lock()
 		agents[first].weight = 0
 		agents[first].mu.Unlock()
 		time.Sleep(3 * LeaseTerm)
 		if holder() != 1-first {
-			t.Errorf("agent %d holds, and %d can't", holder(), first)
+			t.Errorf("agent %d holds the duty, and the weight of %d is 0", holder(), first)
 		}
 		cancel()
 		running.Wait()
 		if holder() != -1 {
-			t.Errorf("agent %d has ended, and holds", holder())
+			t.Errorf("agent %d has ended but holds the duty", holder())
 		}
 	})
 }
--- a/internal/group/apply.go
+++ b/internal/group/apply.go
@@ -12,7 +12,7 @@
 	"example.org/micaline/internal/journal"
 )
 
-// image is all that is agreed on.
+// snapshotData is the content of a snapshot: the whole replicated state.
 type snapshotData struct {
 	State state                        `json:"state"`
 	Data  map[string]map[string][]byte `json:"data"`
@@ -21,12 +21,12 @@
 func (c *Core) encodeSnapshot() []byte {
 	encoded, err := json.Marshal(snapshotData{c.state, c.data})
 	if err != nil {
-		panic(err) // of our own types, which hold nothing that JSON can't
+		panic(err) // can't happen: all types are encodable
 	}
 	return encoded
 }
 
-// apply carries out an entry that is agreed on.
+// apply applies a committed log entry.
 func (c *Core) apply(output *Output, e *raftpb.Entry) {
 	c.state.Applied = e.GetIndex()
 	switch e.GetType() {
@@ -34,7 +34,7 @@
 		var change raftpb.ConfChange
 		var m Member
 		if proto.Unmarshal(e.GetData(), &change) != nil || json.Unmarshal(change.GetContext(), &m) != nil {
-			break // of a build that this one does not know: the others have not agreed on it either
+			break // written by an unknown version: the other members do not apply it either
 		}
 		c.confState = c.raft.ApplyConfChange(&change)
 		if change.GetType() == raftpb.ConfChangeRemoveNode {
@@ -53,7 +53,7 @@
 	case raftpb.EntryNormal:
 		var cmd command
 		if len(e.GetData()) == 0 || json.Unmarshal(e.GetData(), &cmd) != nil {
-			break // a new lead's first
+			break // the empty entry that a new leader appends
 		}
 		result := Result{ID: cmd.ID}
 		switch {
@@ -73,7 +73,8 @@
 	}
 }
 
-// write carries out what a duty's holder writes.
+// applyWrite applies a write of the holder of a duty. It returns the reason if the write is
+// refused.
 func (c *Core) applyWrite(output *Output, write *writeCommand) string {
 	d, last := c.state.Leases.Duties[write.Duty], c.state.Wrote[write.Duty]
 	if last.Epoch != write.Epoch {
@@ -81,11 +82,11 @@
 	}
 	switch {
 	case d == nil || d.Epoch != write.Epoch || d.Holder == "":
-		return "another holds the duty, or nobody"
+		return "the duty is held under another epoch, or not at all"
 	case write.Seq == last.Seq:
-		return "" // it has been done
+		return "" // a duplicate: it was applied already
 	case write.Seq != last.Seq+1:
-		return fmt.Sprintf("write %d comes after %d", write.Seq, last.Seq)
+		return fmt.Sprintf("write %d does not follow write %d", write.Seq, last.Seq)
 	}
 	for _, r := range write.Records {
 		if !slices.Contains(c.buckets, r.Bucket) {
@@ -104,7 +105,7 @@
 	return ""
 }
 
-// restore takes a snapshot in the place of all that is known.
+// restoreSnapshot replaces the whole state and the log by a snapshot.
 func (c *Core) restoreSnapshot(output *Output, snapshot *raftpb.Snapshot) error {
 	var data snapshotData
 	if err := json.Unmarshal(snapshot.GetData(), &data); err != nil {
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// cut drops the beginning of a log that has become long.
+// compactLog drops the oldest entries of a log that has become long.
 func (c *Core) compactLog(output *Output) {
 	if c.state.Applied < c.firstIndex+compactionThreshold {
 		return
--- a/internal/group/core.go
+++ b/internal/group/core.go
@@ -1,16 +1,23 @@
-// Package group is a few processes that agree: each keeps the same records, in the same order, and who holds which duty
-// (package lease). What is agreed on is decided by go.etcd.io/raft; this package keeps its log among the records of a
-// journal, says what the log's entries mean, and who may be a member.
+// Package group implements a small group of processes that replicate the same records with Raft and
+// agree on which of them holds which duty (a lease, see package lease). go.etcd.io/raft decides what
+// is committed. This package stores the Raft log in buckets of the member's journal, defines and
+// applies the log entries, and decides who may be a member.
 //
-// A Core is one member without I/O, clock or goroutines: it is told of ticks, messages and proposals, and returns what is to be
-// written and then sent. A Node runs one.
+// A Core is one member without I/O, clock or goroutines: it is given ticks, messages and proposals,
+// and returns the records to write and the messages to send afterwards. A Node runs a Core.
 //
-// What is promised, and explored in explore_test.go:
-//   - Same: members that have applied as much have the same records, byte for byte.
-//   - Kept: what was told as done is in the records of every later lead, whichever members are killed, and however often.
-//   - Once: an order is carried out once, however often it was proposed.
-//   - Fenced: nothing is written under a duty by a holder before the present one, however late it comes.
-//   - Named: a member whose disk is empty or older than what it has said before takes no part, and says so by name.
+// A founder bootstraps the group. Other members join as learners and become voters once their log
+// has caught up. Each start of a member has a random number, which the other members remember, so
+// that a member that runs on a copy of an older disk is detected (see Boot).
+//
+// The package guarantees these properties, which explore_test.go checks:
+//   - Same: members that have applied the log up to the same entry have identical records.
+//   - Kept: a write that was acknowledged is in the records of every later leader, whichever
+//     members are killed, and however often.
+//   - Once: a command is applied once, however often it was proposed.
+//   - Fenced: after a new holder of a duty has written, no earlier holder's write is applied.
+//   - Named: a member whose disk is empty, or older than the state that it has sent to others, does
+//     not participate, and the reason is reported together with its name.
 package group
 
 import (
@@ -28,13 +35,13 @@
 	"example.org/micaline/internal/lease"
 )
 
-// The buckets that a member's journal has beside those that are agreed on.
+// The buckets of a member's journal besides the replicated ones.
 const (
-	logBucket   = "raft"  // entries by their index, and what raft has to remember
-	stateBucket = "group" // what the group agrees on about itself
+	logBucket   = "raft"  // log entries by index, and Raft's persistent state
+	stateBucket = "group" // the replicated state of the group itself
 )
 
-// Buckets are those.
+// Buckets are the buckets that a member's journal needs besides the replicated ones.
 var Buckets = []string{logBucket, stateBucket}
 
 const (
@@ -43,66 +50,69 @@
 
 	electionTicks       = 10
 	heartbeatTicks      = 2
-	maxMessageBytes     = 256 << 10 // bytes of entries
-	maxCommandBytes     = 1 << 20   // bytes of one
+	maxMessageBytes     = 256 << 10 // entries in one Raft message
+	maxCommandBytes     = 1 << 20   // one encoded command
 	maxInflightMessages = 64
-	maxUncommittedBytes = 4 << 20 // bytes that are not agreed on yet
-	// keepLog entries stay behind the one that was applied, for members that come a little late; more is cut by so many at once.
+	maxUncommittedBytes = 4 << 20 // proposed entries that are not committed yet
+	// keptLogEntries is the number of applied entries that a compaction keeps, so that members that
+	// lag slightly need no snapshot. The log is compacted when it exceeds compactionThreshold.
 	keptLogEntries      = 1024
 	compactionThreshold = 2 * keptLogEntries
-	// MostMembers is how many there may be.
+	// MaxMembers is the maximum number of members of a group.
 	MaxMembers = 7
 )
 
-// Member is one of a group.
+// Member is a member of a group.
 type Member struct {
 	Name  string `json:"name"`
-	ID    uint64 `json:"id"`    // of its disk: a new one under an old name is another member
-	Voter bool   `json:"voter"` // it has what the others have, and counts
+	ID    uint64 `json:"id"`    // identifies the disk: a new disk under the same name is another member
+	Voter bool   `json:"voter"` // false: a learner, which has not caught up yet
 }
 
-// self is what a member keeps of itself.
+// localRecord is what a member stores about itself. It is not replicated.
 type localRecord struct {
 	Name string `json:"name"`
 	ID   uint64 `json:"id"`
 	Boot
-	// Known are the latest starts of the others that this one has heard. They are kept: a copy of a disk must not be taken for the
-	// disk after all have stopped.
+	// Known holds the latest known start of each other member, by ID. It is stored so that a copy
+	// of a disk is still detected after all members have been stopped.
 	Known map[uint64]Boot `json:"known,omitempty"`
 }
 
-// state is what the group agrees on beside the records.
+// state is the replicated state besides the records.
 type state struct {
 	Members map[uint64]*Member `json:"members"`
-	Gone    []uint64           `json:"gone,omitempty"` // the latest that were removed
-	// Starts are the latest of the members that any of them has heard, and Old those of whom two have been heard of which neither
-	// can follow the other.
+	Gone    []uint64           `json:"gone,omitempty"` // IDs of the members that were removed last
+	// Starts holds the latest start of each member that any member has reported. Old holds the
+	// members of which two starts were reported that cannot follow one another.
 	Starts  map[uint64]*Boot     `json:"starts,omitempty"`
 	Old     map[uint64]bool      `json:"old,omitempty"`
 	Leases  lease.Table          `json:"leases"`
-	Wrote   map[string]lastWrite `json:"wrote"` // by duty
+	Wrote   map[string]lastWrite `json:"wrote"` // last write, by duty
 	Applied uint64               `json:"applied"`
-	Conf    []byte               `json:"conf"` // raft's members
+	Conf    []byte               `json:"conf"` // encoded raftpb.ConfState
 }
 
-// wrote is the last write under a duty.
+// lastWrite identifies the last write that was applied under a duty.
 type lastWrite struct {
 	Epoch uint64 `json:"epoch"`
 	Seq   uint64 `json:"seq"`
 }
 
-// mostGone bounds what is remembered of members that were removed.
+// maxRemovedIDs is the maximum length of state.Gone.
 const maxRemovedIDs = 64
 
-// command is what an entry of the log says.
+// command is the content of a log entry. Exactly one of Start, Lease and Write is set.
 type command struct {
-	ID    string        `json:"id,omitempty"` // of who waits for it
+	ID    string        `json:"id,omitempty"` // identifies the caller that waits for the result
 	Start *bootReport   `json:"start,omitempty"`
 	Lease *lease.Op     `json:"lease,omitempty"`
 	Write *writeCommand `json:"write,omitempty"`
 }
 
-// write are records under a duty. Seq counts the writes of an epoch: one that comes again, or out of turn, is none.
+// writeCommand writes records on behalf of the holder of a duty. Seq numbers the writes of an
+// epoch. A write with the number of the last one is a duplicate and is not applied again, and a
+// write that skips a number is refused.
 type writeCommand struct {
 	Duty    string           `json:"duty"`
 	Epoch   uint64           `json:"epoch"`
@@ -110,70 +120,74 @@
 	Records []journal.Record `json:"records"`
 }
 
-// Result is what became of a command.
+// Result is the result of a command.
 type Result struct {
 	ID      string
-	Refused string // why it is not done; "" if it is
+	Refused string // why the command was refused; empty if it was applied
 	Lease   lease.Answer
 }
 
-// The reasons for which a member takes no part.
+// Reasons why a member does not participate.
 var (
-	// ErrOld is a disk that lacks what the member has told others that it has.
-	ErrStaleDisk = errors.New("its disk is older than what it has told the others: remove it from the group, and add it with an empty one")
-	// ErrRemoved is a member that was removed.
+	// ErrStaleDisk means that the disk lacks state that the member has already sent to others.
+	ErrStaleDisk = errors.New("its disk is older than the state that it has sent to the others: remove it from the group, and add it with an empty disk")
+	// ErrRemoved means that the member was removed.
 	ErrRemoved = errors.New("it was removed from the group")
-	// errUnconfirmed is a member that was the only voter when its journal was written, until most of its peers have confirmed it.
-	errUnconfirmed = errors.New("its journal says that it alone votes, and most of its peers have not confirmed that yet")
-	// errUnknownGroup is a peer that is in a group of which this member's journal knows nothing.
-	errUnknownGroup = errors.New("it is in a group that this member's journal does not know of")
+	// errUnconfirmed means that the member is the only voter according to its journal, and that a
+	// majority of the deployment has not confirmed this start yet (see needsConfirmation).
+	errUnconfirmed = errors.New("it is the only voter according to its journal, and most of its peers have not confirmed that yet")
+	// errUnknownGroup means that a peer is in a group that is not in this member's journal.
+	errUnknownGroup = errors.New("it is in a group that is not in this member's journal")
 )
 
-// Work is what is to be done, in this order: Records written in one transaction, Messages sent, Done called.
+// Output is what the caller of a Core has to do next, in this order: write Records in one
+// transaction, send Messages, deliver Results, and call Advance.
 type Output struct {
 	Records  []journal.Record
 	Messages []*raftpb.Message
-	Results  []Result // of commands that are applied by then
+	Results  []Result // of commands that were applied and are waited for
 }
 
-// Core is one member. It is not safe for concurrent use.
+// Core is one member of a group. It is not safe for concurrent use.
 type Core struct {
 	self         localRecord
-	buckets      []string // that are agreed on
+	buckets      []string // replicated buckets
 	raft         *raft.RawNode
 	log          *raft.MemoryStorage
 	state        state
 	confState    *raftpb.ConfState
 	data         map[string]map[string][]byte
-	firstIndex   uint64 // index of the log's first entry
+	firstIndex   uint64 // index of the first log entry
 	awaitedIDs   map[string]bool
 	ready        *raft.Ready
-	inGroup      bool  // the group exists, as far as this member knows
-	failure      error // why it takes no part
+	inGroup      bool  // this member has bootstrapped or joined a group
+	failure      error // why the member has stopped participating
 	results      []Result
-	selfChanged  bool // self has changed
+	selfChanged  bool // self is to be written
 	ticks        int
 	leaseExpiry  lease.ExpiryTracker
-	dirtyDuties  map[string]bool // duties that are not in the records as they are
-	savedSteps   uint64          // of the history that is
-	peerCount    int             // how many others the deployment names
-	verifiedTerm uint64          // term whose leader's log and this one's have been found the same since the start
-	// confirmed are the peers that have taken this start for one that may follow those they know; nil if none need to.
+	dirtyDuties  map[string]bool // duties that have changed since they were written
+	savedSteps   uint64          // Table.Steps of the lease history that was written last
+	peerCount    int             // number of other processes in the deployment
+	verifiedTerm uint64          // term whose leader has matched its log with this one since the start
+	// confirmedBy holds the peers that have confirmed this start as a valid successor of the starts
+	// they know. It is nil if no confirmation is needed.
 	confirmedBy map[string]bool
 }
 
-// safely keeps what raft panics about, a journal that contradicts itself, from ending the process.
+// recoverPanic calls f and turns a panic into a failure of the member. The raft package panics if
+// the journal is inconsistent, and this must not end the process.
 func (c *Core) recoverPanic(f func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			c.failure = fmt.Errorf("its journal contradicts itself: %v", r)
+			c.failure = fmt.Errorf("its journal is inconsistent: %v", r)
 			err = c.failure
 		}
 	}()
 	return f()
 }
 
-// Tick takes in that a tick has passed.
+// Tick advances the member's logical clock. It has to be called once per tick interval.
 func (c *Core) Tick() {
 	if c.checkParticipates() == nil {
 		c.recoverPanic(func() error {
@@ -187,19 +201,19 @@
 	}
 }
 
-// Step takes a message in.
+// Step processes a message of another member.
 func (c *Core) Step(m *raftpb.Message) error {
 	if m.GetTo() != c.self.ID {
-		return fmt.Errorf("the message is for member %x, and this is %x", m.GetTo(), c.self.ID)
+		return fmt.Errorf("the message is for member %x, but this is member %x", m.GetTo(), c.self.ID)
 	}
 	if c.failure != nil {
 		return c.failure
 	}
 	if raft.IsLocalMsg(m.GetType()) {
-		return errors.New("such a message comes from nobody else")
+		return errors.New("this type of message is local to a member")
 	}
 	if !c.inGroup {
-		// Somebody has added it. What it is sent is the beginning of what it knows.
+		// A leader has added this member and sends it the group's state.
 		if m.GetType() != raftpb.MsgApp && m.GetType() != raftpb.MsgSnap && m.GetType() != raftpb.MsgHeartbeat {
 			return c.checkParticipates()
 		}
@@ -209,7 +223,9 @@
 		}
 	}
 	if lastIndex, _ := c.log.LastIndex(); m.GetType() == raftpb.MsgHeartbeat && m.GetCommit() > lastIndex && m.GetTerm() >= c.raft.BasicStatus().GetTerm() {
-		c.failure = fmt.Errorf("%w: entry %d was agreed on with it, and its log ends at %d", ErrStaleDisk, m.GetCommit(), lastIndex) // else raft ends the process for it; a lead of before may know of entries that were replaced
+		// Without this check raft panics. Earlier leaders are exempt: their commit index may refer
+		// to entries that were replaced.
+		c.failure = fmt.Errorf("%w: it has acknowledged entry %d, and its log ends at %d", ErrStaleDisk, m.GetCommit(), lastIndex)
 		return c.failure
 	}
 	err := c.recoverPanic(func() error { return c.raft.Step(c.limitCommit(m)) })
@@ -219,9 +235,11 @@
 	return err
 }
 
-// checked is a message of a leader without what this start has not found out to hold. Danger: a heartbeat says how much is
-// committed of what the leader takes this log to have in common with its own. A disk that was put back may have other entries
-// there, of an earlier leader, and would apply these. Only an append or a snapshot shows that both logs are the same.
+// limitCommit limits the commit index of a heartbeat until the leader's log has been matched with
+// this one since the start. The leader computes the commit index from the entries that it knows to
+// be in this log. If the disk was restored from a copy, the log may hold other entries there,
+// written by an earlier leader, and these would be applied. Only an append or a snapshot shows that
+// both logs match.
 func (c *Core) limitCommit(m *raftpb.Message) *raftpb.Message {
 	switch m.GetType() {
 	case raftpb.MsgApp:
@@ -239,7 +257,7 @@
 	return m
 }
 
-// Unreachable takes in that a message could not be sent.
+// ReportUnreachable reports that a message could not be sent.
 func (c *Core) ReportUnreachable(m *raftpb.Message) {
 	if c.checkParticipates() != nil {
 		return
@@ -250,14 +268,14 @@
 	}
 }
 
-// Sent takes in that a snapshot has arrived.
+// ReportSent reports that a message has arrived. Raft needs this for snapshots.
 func (c *Core) ReportSent(m *raftpb.Message) {
 	if m.GetType() == raftpb.MsgSnap && c.checkParticipates() == nil {
 		c.raft.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
 }
 
-// propose has a command agreed on, if all goes well. What became of it comes with a Work.
+// propose proposes a command. It may be lost. If it is committed, a later Output has its result.
 func (c *Core) propose(cmd *command) error {
 	if err := c.checkParticipates(); err != nil {
 		return err
@@ -267,7 +285,7 @@
 		return err
 	}
 	if len(encoded) > maxCommandBytes {
-		return fmt.Errorf("a command of %d bytes, and %d are allowed", len(encoded), maxCommandBytes)
+		return fmt.Errorf("a command of %d bytes, and at most %d are allowed", len(encoded), maxCommandBytes)
 	}
 	if cmd.ID != "" {
 		c.awaitedIDs[cmd.ID] = true
@@ -275,16 +293,17 @@
 	return c.recoverPanic(func() error { return c.raft.Propose(encoded) })
 }
 
-// forget ends the wait for a command.
+// forgetCommand discards the result of a command that nobody waits for any more.
 func (c *Core) forgetCommand(id string) { delete(c.awaitedIDs, id) }
 
-// Ready returns what is to be done, nil if there is nothing.
+// Ready returns what is to be done next, or nil if there is nothing.
 func (c *Core) Ready() (output *Output) {
 	c.recoverPanic(func() error {
 		output = c.nextOutput()
 		return nil
 	})
-	if c.failure != nil && !errors.Is(c.failure, ErrRemoved) { // which the others are told of
+	// The Output that applies the removal of this member is still processed.
+	if c.failure != nil && !errors.Is(c.failure, ErrRemoved) {
 		return nil
 	}
 	return output
@@ -319,7 +338,8 @@
 		output.Records = append(output.Records, protoRecord(logBucket, entryKey(e.GetIndex()), e))
 	}
 	if n := len(ready.Entries); n > 0 {
-		for i := ready.Entries[n-1].GetIndex() + 1; i <= lastIndex; i++ { // an earlier lead's, which nobody agreed on
+		// Uncommitted entries of an earlier leader, which are replaced.
+		for i := ready.Entries[n-1].GetIndex() + 1; i <= lastIndex; i++ {
 			output.Records = append(output.Records, journal.Record{Bucket: logBucket, Key: entryKey(i)})
 		}
 		if err := c.log.Append(ready.Entries); err != nil {
@@ -338,7 +358,7 @@
 	return output
 }
 
-// Done takes in that the last Work has been done.
+// Advance reports that the last Output has been processed.
 func (c *Core) Advance() {
 	if c.ready != nil {
 		c.recoverPanic(func() error {
@@ -349,7 +369,7 @@
 	}
 }
 
-// Read calls a function with each record of a bucket that is agreed on, in the order of their keys.
+// Read calls f with each record of a replicated bucket, in the order of the keys.
 func (c *Core) Read(bucket string, f func(key string, value []byte) error) error {
 	for _, key := range slices.Sorted(maps.Keys(c.data[bucket])) {
 		if err := f(key, slices.Clone(c.data[bucket][key])); err != nil {
@@ -359,7 +379,7 @@
 	return nil
 }
 
-// Lead returns who leads, 0 if that is not known.
+// LeaderID returns the ID of the leader, or 0 if it is unknown.
 func (c *Core) LeaderID() uint64 {
 	if c.checkParticipates() != nil {
 		return 0
@@ -367,7 +387,8 @@
 	return c.raft.BasicStatus().Lead
 }
 
-// Rules says that this member leads and has carried out all that was agreed on before.
+// IsCaughtUpLeader reports whether this member is the leader and has applied all entries that were
+// committed before its term.
 func (c *Core) IsCaughtUpLeader() bool {
 	if c.checkLeader() != nil {
 		return false
--- a/internal/group/core_test.go
+++ b/internal/group/core_test.go
@@ -8,7 +8,7 @@
 	"example.org/micaline/internal/journal"
 )
 
-// entries are empty ones of a term.
+// emptyEntries returns empty log entries of a term.
 func emptyEntries(term uint64, indexes ...uint64) (all []*raftpb.Entry) {
 	for _, index := range indexes {
 		all = append(all, &raftpb.Entry{Term: &term, Index: &index})
@@ -16,7 +16,7 @@
 	return all
 }
 
-// finish carries out what a member has to do.
+// drainOutput writes a member's outputs until there are none. Its messages are dropped.
 func drainOutput(t *testing.T, core *Core, disk *journal.Memory) {
 	t.Helper()
 	for output := core.Ready(); output != nil; output = core.Ready() {
@@ -30,8 +30,9 @@
 	}
 }
 
-// A disk that was put back holds entries of an earlier leader that were replaced. The present leader's heartbeat, which takes the
-// log for the one that it knew, has none of them applied; its append does, once it has replaced them.
+// A disk that was restored from a copy holds entries of an earlier leader that were replaced since.
+// The current leader's heartbeat commits by index and must not make the member apply them. Its
+// append replaces the entries, and then they are applied.
 func TestHeartbeatAppliesNothingThatWasNotCompared(t *testing.T) {
 	const thisID, leaderID, earlierTerm, currentTerm = 7, 8, 3, 5
 	disk := &journal.Memory{}
--- a/internal/group/explore_test.go
+++ b/internal/group/explore_test.go
@@ -21,37 +21,38 @@
 	"example.org/micaline/internal/mutation"
 )
 
-// simulation plays a group whose members are killed, cut off and given the wrong disks, in a time of its own.
+// simulation runs a group in simulated time, in which members are killed, partitioned and restarted
+// with old or empty disks.
 type simulation struct {
 	rng        *rand.Rand
-	now        int // ticks
+	now        int // in ticks
 	replicas   []*replica
 	deliveries []delivery
 	bug        string
 
 	snapshots    map[uint64][]byte // by applied index
-	acknowledged map[string]string // key: value of writes that were told as done
+	acknowledged map[string]string // values of acknowledged writes, by key
 	commands     int
-	epochs       map[uint64]uint64 // of the last write, by applied index
-	applied      map[string]bool   // by replica and order
+	epochs       map[uint64]uint64 // of the last applied write, by applied index
+	applied      map[string]bool   // by replica name and command ID
 	failures     []string
 }
 
-// replica is a member's place: its disk outlives its processes.
+// replica is a member whose disk outlives its processes. core is nil while no process runs.
 type replica struct {
 	name          string
 	disk          *journal.Memory
-	oldDisk       *journal.Memory // a copy of the disk of long ago
+	oldDisk       *journal.Memory // an earlier copy of the disk
 	core          *Core
-	downUntil     int // until then
+	downUntil     int // tick at which the process restarts
 	cutOffUntil   int
-	epoch         uint64 // that it holds the duty under
+	epoch         uint64 // of its lease; 0: it does not hold the duty
 	seq           uint64
 	pending       *command
-	diskReplaced  bool // its disk is not what it was
+	diskReplaced  bool // its disk was replaced by an old or an empty one
 	id            uint64
-	oldDiskBoots  []uint64 // starts of which the copy knows
-	comparedIndex uint64   // applied index that was last compared
+	oldDiskBoots  []uint64 // boot numbers that oldDisk contains
+	comparedIndex uint64   // applied index of the last comparison of snapshots
 }
 
 type delivery struct {
@@ -104,7 +105,7 @@
 	s.core, s.epoch, s.pending, s.id = core, 0, nil, core.self.ID
 }
 
-// confirm has the others say what they know of a member that its journal says votes alone.
+// confirm passes the responses of the reachable members to a member that needs confirmation.
 func (h *simulation) confirm(s *replica) {
 	for _, o := range h.replicas {
 		if o == s || o.core == nil || h.now < o.cutOffUntil || h.now < s.cutOffUntil {
@@ -128,13 +129,13 @@
 	return nil
 }
 
-// bearsLoss says whether a majority of the voters is left when one of them loses its disk.
+// canLoseDisk reports whether a majority of the voters remains if one of them loses its disk.
 func (h *simulation) canLoseDisk() bool {
 	leader := h.leader()
 	return leader != nil && len(h.replicas) > 3 && len(leader.core.confState.Voters) >= 3
 }
 
-// drain does what a member has to do; it may be killed before any part of it.
+// drain processes a member's outputs. The member may be killed before any part of that.
 func (h *simulation) drain(s *replica) {
 	for s.core != nil {
 		if h.bug == "what was written last is forgotten" {
@@ -145,7 +146,7 @@
 			return
 		}
 		if h.now < 600 && h.rng.IntN(2000) == 0 {
-			h.kill(s) // before it is written
+			h.kill(s) // before the output is written
 			return
 		}
 		if h.bug == "nothing is written before it is sent" && h.rng.IntN(4) == 0 {
@@ -156,15 +157,16 @@
 		}
 		s.disk.Write(output.Records)
 		for _, r := range output.Records {
-			if r.Key == "last" && !s.diskReplaced && !slices.ContainsFunc(output.Records, func(r journal.Record) bool { return r.Key == snapshotKey }) { // no snapshot
+			// Records of a snapshot may repeat earlier ones.
+			if r.Key == "last" && !s.diskReplaced && !slices.ContainsFunc(output.Records, func(r journal.Record) bool { return r.Key == snapshotKey }) {
 				if key := s.name + string(r.Value); h.applied[key] {
-					h.fail("Once", "%s carried %s out again", s.name, r.Value)
+					h.fail("Once", "%s applied %s again", s.name, r.Value)
 				}
 				h.applied[s.name+string(r.Value)] = true
 			}
 		}
 		if h.now < 600 && h.rng.IntN(2000) == 0 {
-			h.kill(s) // after it is written, before it is sent
+			h.kill(s) // after the output is written, before messages are sent
 			return
 		}
 		for _, m := range output.Messages {
@@ -234,11 +236,12 @@
 	}
 }
 
-// act has a member want something: the duty, or to write under it.
+// proposeSomething makes a member acquire the duty or write under it, or propose its pending
+// command again.
 func (h *simulation) proposeSomething(s *replica) {
 	if s.pending != nil {
 		if h.rng.IntN(30) == 0 {
-			s.core.propose(s.pending) // again: nobody knows what became of it
+			s.core.propose(s.pending) // its outcome is unknown
 		}
 		return
 	}
@@ -270,7 +273,7 @@
 		}
 		h.deliveries = slices.Delete(h.deliveries, i, i+1)
 		i--
-		senderRuns := d.from.core == d.core // whether it arrived
+		senderRuns := d.from.core == d.core // the sending process runs and learns whether the message arrived
 		if d.to.core == nil || h.now < d.to.cutOffUntil {
 			if senderRuns {
 				d.from.core.ReportUnreachable(d.message)
@@ -282,7 +285,7 @@
 		}
 		if err := d.to.core.CheckBoot(d.id, d.boot); err != nil {
 			if d.from.core == d.core && errors.Is(err, ErrStaleDisk) && h.bug != "an old disk is heard" {
-				d.from.core.failure = fmt.Errorf("%w: %s knows %+v, and hears %+v", ErrStaleDisk, d.to.name, d.to.core.self.Known[d.id], d.boot)
+				d.from.core.failure = fmt.Errorf("%w: %s knows %+v, and received %+v", ErrStaleDisk, d.to.name, d.to.core.self.Known[d.id], d.boot)
 			}
 			if h.bug != "an old disk is heard" {
 				continue
@@ -335,7 +338,7 @@
 		if s.oldDisk == nil && s.core != nil && s.core.inGroup {
 			s.oldDisk, s.oldDiskBoots = copyDisk(s.disk), append(slices.Clone(s.core.self.Past), s.core.self.Life)
 		}
-	case 4: // once, a disk of long ago comes back, or none
+	case 4: // once per run, a disk is replaced by an old or an empty one
 		if s.core != nil && s.core.inGroup && h.now > 200 && !slices.ContainsFunc(h.replicas, func(o *replica) bool { return o.diskReplaced }) && h.canLoseDisk() {
 			switch {
 			case h.rng.IntN(2) == 0:
@@ -350,7 +353,7 @@
 			s.diskReplaced = true
 			h.kill(s)
 			if h.rng.IntN(2) == 0 {
-				s.cutOffUntil = s.downUntil + h.rng.IntN(80) // nobody tells it at first
+				s.cutOffUntil = s.downUntil + h.rng.IntN(80) // at first no member can tell it that its disk is old
 			}
 		}
 	}
@@ -376,19 +379,19 @@
 	if leader == nil {
 		for _, s := range h.replicas {
 			if s.core != nil {
-				h.fail("Back", "%s does not lead: %v, members %v", s.name, s.core.checkParticipates(), s.core.confState)
+				h.fail("Back", "%s is not the leader: %v, members %v", s.name, s.core.checkParticipates(), s.core.confState)
 			}
 		}
-		return append(h.failures, "Back: nobody leads in the end")
+		return append(h.failures, "Back: there is no leader in the end")
 	}
 	for _, s := range h.replicas {
 		switch {
 		case s.diskReplaced:
 			if s.core != nil && s.core.checkParticipates() == nil {
-				h.fail("Named", "%s takes part with another disk: %+v, among %v", s.name, s.core.self, s.core.confState)
+				h.fail("Named", "%s participates with a replaced disk: %+v, members %v", s.name, s.core.self, s.core.confState)
 			}
 		case s.core == nil || s.core.state.Applied != leader.core.state.Applied:
-			h.fail("Back", "%s has not what the others have: %+v", s.name, s.core)
+			h.fail("Back", "%s has not caught up: %+v", s.name, s.core)
 			if s.core != nil {
 				h.fail("Back", "%s: %v", s.name, s.core.failure)
 			}
@@ -396,13 +399,13 @@
 	}
 	for key, value := range h.acknowledged {
 		if got := string(leader.core.data["data"][key]); got != value {
-			h.fail("Kept", "%s is %q, and was told as %q", key, got, value)
+			h.fail("Kept", "%s is %q, and %q was acknowledged", key, got, value)
 		}
 	}
 	newest := uint64(0)
 	for _, index := range slices.Sorted(maps.Keys(h.epochs)) {
 		if h.epochs[index] < newest {
-			h.fail("Fenced", "at %d epoch %d wrote after %d", index, h.epochs[index], newest)
+			h.fail("Fenced", "at index %d epoch %d wrote after epoch %d", index, h.epochs[index], newest)
 		}
 		newest = max(newest, h.epochs[index])
 	}
@@ -424,15 +427,15 @@
 			return
 		}
 	}
-	if uint64(written) < 10*seeds { // one play may have nobody who writes for long
-		t.Errorf("%d writes show nothing", written)
+	if uint64(written) < 10*seeds { // a single run may have few writes
+		t.Errorf("%d writes are too few for this test", written)
 	}
 }
 
-// Each planted bug is found by one of the properties that are named beforehand.
+// Each injected bug must break one of the properties listed with it.
 func TestPlanted(t *testing.T) {
 	if testing.Short() {
-		t.Skip("the race detector makes minutes of it, and nothing here runs at once")
+		t.Skip("takes minutes under the race detector and has no concurrency")
 	}
 	mutation.EachInTurn(t, map[string]string{
 		"nothing is written before it is sent":         "Start|Kept|Same",
--- a/internal/group/founding.go
+++ b/internal/group/founding.go
@@ -9,22 +9,22 @@
 	"example.org/micaline/internal/lease"
 )
 
-// Identity is who a process is.
+// Identity identifies a process to its peers.
 type Identity struct {
 	Name    string `json:"name"`
 	ID      uint64 `json:"id"`
-	Grouped bool   `json:"grouped"` // it is in a group already
+	Grouped bool   `json:"grouped"` // whether it is in a group
 }
 
-// Identity says who this is.
+// Identity returns this process's identity.
 func (n *Node) Identity(ctx context.Context) (*Identity, error) {
 	return runInLoop(ctx, n, func() (*Identity, error) {
 		return &Identity{n.core.self.Name, n.core.self.ID, n.core.inGroup}, nil
 	})
 }
 
-// rule does what a lead does: it says which times are over. Danger: one that has not yet carried out what was agreed on before it led
-// does not know them.
+// expireLeases proposes the expiry of leases if this member leads. A leader that has not applied
+// all earlier entries yet does not expire any: it does not know the leases of those entries.
 func (n *Node) expireLeases() {
 	if !n.core.IsCaughtUpLeader() {
 		n.core.leaseExpiry, n.wasLeader = lease.ExpiryTracker{}, false
@@ -35,12 +35,13 @@
 		n.opts.Log.Info("this member leads the group", "members", len(n.core.state.Members))
 	}
 	for _, op := range n.core.leaseExpiry.Expired(n.now(), &n.core.state.Leases) {
-		n.core.propose(&command{Lease: &op}) // else at another tick
+		n.core.propose(&command{Lease: &op}) // on failure it is proposed again at a later tick
 	}
 }
 
-// invite asks those of the file who are no members who they are, and has them added; one that is in no group yet and is to found one
-// asks all, and so does one that has to be confirmed.
+// contactPeers asks the configured peers for their identities. A leader asks those that it has no
+// contact with, and adds them to the group. A founder that is in no group yet, and a member that
+// needs confirmation, ask all peers.
 func (n *Node) contactPeers(ctx context.Context) {
 	now := n.now()
 	bootstrapping, unconfirmed := n.opts.Bootstrap && !n.core.inGroup && n.ungrouped != nil, n.core.needsConfirmation()
@@ -74,7 +75,7 @@
 				}
 				if !n.core.inGroup && identity.Grouped {
 					if n.ungrouped != nil && n.opts.Bootstrap {
-						n.opts.Log.Warn("there is a group already: this process founds none, and waits to be added", "member", name)
+						n.opts.Log.Warn("a group exists already: this process does not bootstrap one and waits to be added", "member", name)
 					}
 					n.ungrouped = nil
 				} else if !n.core.inGroup && n.ungrouped != nil {
@@ -86,7 +87,7 @@
 	}
 }
 
-// confirm takes in what a peer says to this member's start.
+// handleConfirmation processes a peer's response to this member's start.
 func (n *Node) handleConfirmation(name string, identity *Identity, objection error) {
 	switch {
 	case errors.Is(objection, ErrStaleDisk) && n.core.failure == nil:
@@ -98,8 +99,9 @@
 	}
 }
 
-// found begins a group. Danger: a founder that has lost its disk would begin another one beside that which it has founded, so
-// most of those of the file must have said that they are in none: any group has one of them.
+// bootstrap creates the group. A founder that has lost its disk would create a second group beside
+// its first one. So a majority of the deployment, this process included, must have reported that
+// they are in no group: one of them would be a member of any existing group.
 func (n *Node) bootstrap() {
 	if 2*(len(n.ungrouped)+1) <= len(n.opts.Peers)+1 {
 		return
@@ -109,12 +111,13 @@
 		err = n.opts.Store.Write(records)
 	}
 	if err != nil {
-		n.core.failure = fmt.Errorf("founding the group: %w", err)
+		n.core.failure = fmt.Errorf("bootstrapping the group: %w", err)
 		return
 	}
-	n.opts.Log.Info("a group is founded")
+	n.opts.Log.Info("group bootstrapped")
 }
 
+// addPeer proposes to add a peer to the group, or records why it can't be a member.
 func (n *Node) addPeer(name string, identity *Identity) {
 	var err error
 	m := n.core.memberByName(name)
@@ -135,15 +138,15 @@
 	n.rejectPeer(name, err)
 }
 
-// refuse notes why a peer can't be a member, and tells it once.
+// rejectPeer records why a peer can't be a member, and logs each new reason once.
 func (n *Node) rejectPeer(name string, reason error) {
 	if n.rejected[name] != reason.Error() {
 		n.rejected[name] = reason.Error()
-		n.opts.Log.Warn("not a member", "name", name, "reason", reason)
+		n.opts.Log.Warn("peer can't be a member", "name", name, "reason", reason)
 	}
 }
 
-// Remove has a member go for good. It waits until the group agrees.
+// Remove removes a member permanently, and waits until the removal is applied here.
 func (n *Node) Remove(ctx context.Context, name string) error {
 	if _, err := runInLoop(ctx, n, func() (struct{}, error) { return struct{}{}, n.core.Remove(name) }); err != nil {
 		return err
--- a/internal/group/hold.go
+++ b/internal/group/hold.go
@@ -12,7 +12,8 @@
 	"example.org/micaline/internal/lease"
 )
 
-// Scope is the time in which a duty is held. Its context ends with it.
+// Grant is one grant of a duty to this process. Its context ends when the duty must be given up. It
+// is also the journal.Store of the replicated buckets for as long as the duty is held.
 type Grant struct {
 	context.Context
 	Epoch uint64
@@ -23,17 +24,19 @@
 	node       *Node
 	duty       string
 	seq        uint64
-	pending    *writeCommand // that the group has not answered
+	pending    *writeCommand // the last write, while its result is unknown; nil: none
 }
 
-// May says whether the duty is still held at this moment. What is done after it carries the epoch all the same.
+// IsValid reports whether the duty is held at this moment. Actions that follow the check carry the
+// epoch all the same, because the lease may expire between both.
 func (s *Grant) IsValid() bool {
 	return s.Err() == nil && s.node.now() < time.Duration(s.validUntil.Load())
 }
 
-// Hold goes for a duty until the context ends. Each time that it is granted work is called, in whose time nobody else holds it;
-// it is to return soon after its context has ended, with what it leaves to the next holder. A planned end hands the duty on before
-// its time is over.
+// Hold tries to acquire a duty until the context ends. It calls work for each grant, during which
+// no other process holds the duty. When the grant's context ends, work has to return soon, with the
+// baton: data for the next holder. If the context of Hold ends, the duty is handed over to another
+// member instead of expiring.
 func (n *Node) Hold(ctx context.Context, duty string, term time.Duration, work func(*Grant) (baton []byte)) {
 	holder := &lease.Holder{Duty: duty, Name: fmt.Sprintf("%s/%x", n.opts.Name, rand.Uint64()), Term: term}
 	var grant *Grant
@@ -44,12 +47,12 @@
 			return
 		}
 		go func() {
-			// Not the context that ends: a duty is let go then.
+			// The request is sent even if ctx has ended, because the duty is released then.
 			requestCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), term)
 			defer cancel()
 			answer, err := n.Lease(requestCtx, request.Op)
 			if err != nil {
-				return // in time it is asked again
+				return // the Holder retries after a timeout
 			}
 			select {
 			case answers <- func() { holder.HandleAnswer(n.now(), request.Number, answer) }:
@@ -65,7 +68,7 @@
 		case handle := <-answers:
 			handle()
 		case <-ticker.C:
-		case <-n.done: // nothing can be renewed or handed on any more
+		case <-n.done: // the node has stopped: nothing can be renewed or released any more
 			if grant != nil {
 				grant.cancel()
 				<-finished
@@ -77,12 +80,14 @@
 			grant.cancel()
 			if _, _, holds := holder.Holds(n.now()); holds {
 				request := holder.Release(n.now(), n.successor(ctx, duty), baton)
-				if ctx.Err() != nil { // before the release, which goes to the next lead then: this process may be gone by its end
+				// Before the release, which the next leader then commits: this process may end
+				// before it is committed.
+				if ctx.Err() != nil {
 					n.enqueue(func() { n.core.TransferLeadership() })
 				}
 				releaseCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), term)
 				if _, err := n.Lease(releaseCtx, request.Op); err != nil && !errors.Is(err, errEnded) {
-					n.opts.Log.Warn("a duty was not handed on, and rests until its time is over", "duty", duty, "error", err)
+					n.opts.Log.Warn("a duty could not be released and is held until its lease expires", "duty", duty, "error", err)
 				}
 				cancel()
 			}
@@ -97,7 +102,7 @@
 		reservedForOther := state.To != "" && state.To != n.opts.Name
 		switch {
 		case grant != nil && (!holds || epoch != grant.Epoch || ending || reservedForOther || holder.ReleaseReason() != ""):
-			grant.cancel() // and the work's end comes
+			grant.cancel() // finished receives the baton once work has returned
 		case grant != nil:
 			grant.validUntil.Store(int64(until))
 			n.heldUntil.Store(duty, until)
@@ -120,21 +125,23 @@
 				return
 			}
 			if grant != nil && holds {
-				sendRequest(onlyRenewal(holder.Tick(now, false, 0))) // while its work ends
+				sendRequest(onlyRenewal(holder.Tick(now, false, 0))) // keeps the lease while work returns
 			}
 			continue
 		}
 		free := view.failure == nil && (!known || state.Holder == "" && !state.Resting && !reservedForOther)
 		acquireDelay := time.Duration(0)
-		if !view.isLeader && state.To == "" { // whoever leads the group is nearest to it, and goes first
+		// The leader commits renewals without an extra hop, so it gets the first chance.
+		if !view.isLeader && state.To == "" {
 			acquireDelay = term/2 + time.Duration(rand.Int64N(int64(term)))
 		}
 		sendRequest(holder.Tick(now, free, acquireDelay))
 	}
 }
 
-// successor is whom a duty goes to that is let go: whom operators named, or who leads the group, or
-// is to lead it once this member has ended.
+// successor returns the name of the member to which a released duty goes: the one that an operator
+// named, else the leader, or its likely successor if this member leads and is stopping. It is empty
+// if any member may acquire the duty.
 func (n *Node) successor(ctx context.Context, duty string) string {
 	view := n.view()
 	if to := view.duties[duty].To; to != "" {
@@ -144,7 +151,7 @@
 		return view.leader
 	}
 	if ctx.Err() == nil {
-		return "" // it goes on, and may have it again
+		return "" // this member continues to run and may acquire the duty again
 	}
 	timeoutCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
@@ -155,7 +162,7 @@
 	return to
 }
 
-// renewal is a question if it is one for more time.
+// onlyRenewal returns the request if it is a renewal, and nil otherwise.
 func onlyRenewal(request *lease.Request) *lease.Request {
 	if request != nil && request.Op.Kind != lease.Renew {
 		return nil
@@ -163,11 +170,12 @@
 	return request
 }
 
-// Write writes records that all members agree on, if the duty is still held. One that is not answered in time may yet be done: the
-// next write waits for that first, and what it is given again is not written twice.
+// Write replicates records if the duty is still held. A write that fails with a timeout may still
+// be applied later. The next call first waits for its result, and its records are expected to start
+// with those of the failed write, which are not written twice.
 func (s *Grant) Write(records []journal.Record) error {
 	if !s.IsValid() {
-		return errors.New("the duty is not held any more")
+		return errors.New("the duty is no longer held")
 	}
 	ctx, cancel := context.WithTimeout(s, writeTimeout)
 	defer cancel()
@@ -188,12 +196,12 @@
 		if result.Refused != "" {
 			return errors.New(result.Refused)
 		}
-		// Who could not write it comes again with it, and with what has been added.
+		// After a failure the caller passes the same records again, followed by those added since.
 		records = records[min(written, len(records)):]
 	}
 }
 
-// Read calls a function with each record of a bucket.
+// Read calls f with each record of a replicated bucket.
 func (s *Grant) Read(bucket string, f func(key string, value []byte) error) error {
 	type record struct {
 		key   string
--- a/internal/group/load.go
+++ b/internal/group/load.go
@@ -17,7 +17,7 @@
 	"example.org/micaline/internal/lease"
 )
 
-// store is raft's view of the log: its snapshots are made when they are needed.
+// raftStorage is the raft.Storage of a member. Snapshots are encoded only when raft requests one.
 type raftStorage struct {
 	*raft.MemoryStorage
 	core *Core
@@ -40,7 +40,8 @@
 	}, nil
 }
 
-// quiet is the logger of raft: what matters is in the status.
+// quietLogger discards raft's log output, because a member's status has the relevant parts, and
+// turns raft's fatal errors into panics.
 type quietLogger struct{}
 
 func (quietLogger) Debug(...any)                   {}
@@ -56,8 +57,10 @@
 func (quietLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
 func (quietLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
 
-// Load makes a member of what its journal holds. The buckets are those whose records are agreed on; peers is how many others the
-// deployment names; id is that of its disk, if that is empty, and life at random. What it returns must be written first.
+// Load creates a member from its journal. The buckets are the replicated ones, and peers is the
+// number of other processes in the deployment. id becomes the member's ID if the journal is empty,
+// and bootNumber is a random number for this start. The returned records must be written before the
+// Core is used.
 func Load(store journal.Store, name string, peers int, buckets []string, id, bootNumber uint64) (*Core, []journal.Record, error) {
 	core := &Core{
 		self: localRecord{Name: name, ID: id}, buckets: buckets, log: raft.NewMemoryStorage(), confState: &raftpb.ConfState{}, firstIndex: 1,
@@ -95,7 +98,7 @@
 		return nil, nil, err
 	}
 	if core.self.Name != name {
-		return nil, nil, fmt.Errorf("the journal is that of member %q, not of %q", core.self.Name, name)
+		return nil, nil, fmt.Errorf("the journal belongs to member %q, not to %q", core.self.Name, name)
 	}
 	duties := map[string]*lease.Duty{}
 	var history []lease.Change
@@ -125,7 +128,7 @@
 	if history != nil {
 		core.state.Leases.History = history
 	}
-	for name := range core.state.Leases.Duties { // of a journal that had them in one record
+	for name := range core.state.Leases.Duties { // earlier versions stored all duties in the state record
 		core.dirtyDuties[name] = duties[name] == nil
 	}
 	for _, bucket := range buckets {
@@ -151,7 +154,7 @@
 	core.self.Life = bootNumber
 	if snapshotMeta.GetIndex() > 0 {
 		core.firstIndex = snapshotMeta.GetIndex() + 1
-		core.log.ApplySnapshot(&raftpb.Snapshot{Metadata: &snapshotMeta}) // never older than an empty log
+		core.log.ApplySnapshot(&raftpb.Snapshot{Metadata: &snapshotMeta}) // can't fail: the log is empty
 	}
 	slices.SortFunc(entries, func(a, b *raftpb.Entry) int { return cmp.Compare(a.GetIndex(), b.GetIndex()) })
 	for i, e := range entries {
@@ -174,6 +177,7 @@
 	return core, []journal.Record{jsonRecord(logBucket, selfKey, core.self)}, nil
 }
 
+// startRaft starts raft from the loaded or bootstrapped state.
 func (c *Core) startRaft() error {
 	return c.recoverPanic(func() (err error) {
 		c.raft, err = raft.NewRawNode(&raft.Config{
@@ -185,7 +189,8 @@
 	})
 }
 
-// Grouped says whose journal it is, if it is that of a member of a group.
+// JournalOwner returns the member name that is stored in a journal, and whether the journal belongs
+// to a member of a group.
 func JournalOwner(store journal.Store) (name string, grouped bool, err error) {
 	if err := store.Read(stateBucket, func(string, []byte) error { grouped = true; return nil }); err != nil {
 		return "", false, err
@@ -207,7 +212,7 @@
 func jsonRecord(bucket, key string, v any) journal.Record {
 	encoded, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // of our own types
+		panic(err) // can't happen: all types are encodable
 	}
 	return journal.Record{Bucket: bucket, Key: key, Value: encoded}
 }
@@ -215,7 +220,7 @@
 func protoRecord(bucket, key string, m proto.Message) journal.Record {
 	encoded, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // of raft's own types
+		panic(err) // can't happen: raft's types are encodable
 	}
 	return journal.Record{Bucket: bucket, Key: key, Value: encoded}
 }
@@ -224,11 +229,12 @@
 	return entryPrefix + string(binary.BigEndian.AppendUint64(nil, index))
 }
 
-// stateRecords are what has changed of the state. Each duty has a record of its own: a renewal among thousands must not write them all.
+// stateRecords returns records for the changed parts of the state. Each duty has its own record, so
+// that a renewal of one among thousands does not write them all.
 func (c *Core) stateRecords() []journal.Record {
 	encoded, err := proto.Marshal(c.confState)
 	if err != nil {
-		panic(err) // of raft's own type
+		panic(err) // can't happen: raft's types are encodable
 	}
 	c.state.Conf = encoded
 	remainder := c.state
--- a/internal/group/membership.go
+++ b/internal/group/membership.go
@@ -13,7 +13,8 @@
 	"example.org/micaline/internal/journal"
 )
 
-// Found begins a group of this member alone, with the records that its journal has. It returns what is to be written.
+// Bootstrap creates a group with this member as the only one. The records in its journal become the
+// initial replicated records. It returns the records to write.
 func (c *Core) Bootstrap() ([]journal.Record, error) {
 	if c.inGroup {
 		return nil, errors.New("it is in a group already")
@@ -32,7 +33,7 @@
 	return append(c.stateRecords(), protoRecord(logBucket, snapshotKey, snapshotMeta), protoRecord(logBucket, hardStateKey, hardState)), nil
 }
 
-// member returns who has a name.
+// memberByName returns the member with a name, or nil.
 func (c *Core) memberByName(name string) *Member {
 	for _, m := range c.state.Members {
 		if m.Name == name {
@@ -42,7 +43,8 @@
 	return nil
 }
 
-// Add proposes a new member, which becomes a voter once it has what the others have. The lead decides.
+// Add proposes a new member, as a learner. PromoteLearners makes it a voter once its log has caught
+// up. It fails if this member is not the leader.
 func (c *Core) Add(name string, id uint64) error {
 	if err := c.checkLeader(); err != nil {
 		return err
@@ -54,14 +56,14 @@
 	}
 	switch {
 	case slices.Contains(c.state.Gone, id):
-		return fmt.Errorf("%s was removed, and comes back with an empty disk only", name)
+		return fmt.Errorf("%s was removed, and can join again only with an empty disk", name)
 	case len(c.state.Members) >= MaxMembers:
 		return fmt.Errorf("there are %d members already", len(c.state.Members))
 	}
 	return c.proposeConfChange(raftpb.ConfChangeAddLearnerNode, &Member{Name: name, ID: id})
 }
 
-// Remove proposes that a member goes for good.
+// Remove proposes to remove a member permanently. It fails if this member is not the leader.
 func (c *Core) Remove(name string) error {
 	if err := c.checkLeader(); err != nil {
 		return err
@@ -71,24 +73,26 @@
 	case m == nil:
 		return fmt.Errorf("%s is no member", name)
 	case len(c.confState.Voters) == 1 && m.Voter:
-		return fmt.Errorf("%s is the last that counts", name)
+		return fmt.Errorf("%s is the last voter", name)
 	}
 	return c.proposeConfChange(raftpb.ConfChangeRemoveNode, m)
 }
 
-// Promote proposes to count members that have what the others have.
+// PromoteLearners proposes to make voters of the learners whose logs have caught up.
 func (c *Core) PromoteLearners() {
 	if c.checkLeader() != nil {
 		return
 	}
 	c.raft.WithProgress(func(id uint64, _ raft.ProgressType, p tracker.Progress) {
 		if m := c.state.Members[id]; m != nil && !m.Voter && p.Match > 0 && p.Match+16 >= c.raft.BasicStatus().GetCommit() {
-			c.proposeConfChange(raftpb.ConfChangeAddNode, &Member{m.Name, m.ID, true}) // else at another tick
+			// On failure it is proposed again at a later tick.
+			c.proposeConfChange(raftpb.ConfChangeAddNode, &Member{m.Name, m.ID, true})
 		}
 	})
 }
 
-// heir is the member that is there and has the most; none if there is no such member, or this one does not lead.
+// transferTarget returns the active voter whose log is the most complete, or no member (ID 0) if
+// there is none or this member is not the leader.
 func (c *Core) transferTarget() (best Member) {
 	if c.checkLeader() != nil {
 		return best
@@ -102,7 +106,7 @@
 	return best
 }
 
-// Abdicate hands the lead to that member.
+// TransferLeadership transfers the leadership to the transfer target, if there is one.
 func (c *Core) TransferLeadership() {
 	if to := c.transferTarget(); to.ID != 0 {
 		c.recoverPanic(func() error {
@@ -112,6 +116,7 @@
 	}
 }
 
+// proposeConfChange proposes a change of the group's membership.
 func (c *Core) proposeConfChange(kind raftpb.ConfChangeType, m *Member) error {
 	encoded, err := json.Marshal(m)
 	if err != nil {
@@ -120,17 +125,18 @@
 	return c.raft.ProposeConfChange(&raftpb.ConfChange{Type: &kind, NodeId: &m.ID, Context: encoded})
 }
 
+// checkLeader returns an error if this member is not the leader.
 func (c *Core) checkLeader() error {
 	if err := c.checkParticipates(); err != nil {
 		return err
 	}
 	if c.raft.BasicStatus().RaftState != raft.StateLeader {
-		return errors.New("it does not lead")
+		return errors.New("it is not the leader")
 	}
 	return nil
 }
 
-// part says why the member takes no part, nil if it does.
+// checkParticipates returns the reason if the member does not participate in the group.
 func (c *Core) checkParticipates() error {
 	switch {
 	case c.failure != nil:
@@ -143,19 +149,21 @@
 	return nil
 }
 
-// onlyVoter says whether no other member's vote counts.
+// isOnlyVoter reports whether this member is the group's only voter.
 func (c *Core) isOnlyVoter() bool {
 	return len(c.confState.Voters) == 1 && c.confState.Voters[0] == c.self.ID
 }
 
-// unconfirmed says whether this member started from a journal by which it alone votes, and most of its peers have not confirmed
-// it since. Danger: the journal may be a copy of before others became voters. Whoever alone votes elects itself and agrees with
-// itself, so a member that goes on from such a copy while it is cut off would write beside the group that it has founded.
+// needsConfirmation reports whether this member is the only voter according to the journal it
+// started from, and not enough peers have confirmed this start yet. The journal may be a copy from
+// before other members became voters. An only voter elects itself and commits entries alone, so a
+// partitioned member that started from such a copy would write independently of its group.
 func (c *Core) needsConfirmation() bool { return c.confirmedBy != nil && c.isOnlyVoter() }
 
-// Confirm takes in that a peer has taken this member's start for one that may follow those it knows, and who the peer is. It fails
-// if that peer itself shows that this member's journal is not the latest. Most of the peers have to confirm, this member counted,
-// as for the founding of a group: any group of theirs has one of them.
+// Confirm records that a peer has accepted this member's start as a successor of the starts it
+// knows. It fails if the peer's own membership shows that this member's journal is out of date. As
+// for bootstrapping, a majority of the deployment, this member included, has to confirm: one of
+// them would be a member of any other group.
 func (c *Core) Confirm(name string, id uint64, grouped bool) error {
 	if !c.needsConfirmation() {
 		return nil
@@ -171,7 +179,8 @@
 	return nil
 }
 
-// reached says whether a lead hears of a member.
+// isActive reports whether this leader has recently heard from a member. It is true for the leader
+// itself.
 func (c *Core) isActive(id uint64) (active bool) {
 	c.raft.WithProgress(func(memberID uint64, _ raft.ProgressType, p tracker.Progress) {
 		active = active || memberID == id && (p.RecentActive || memberID == c.self.ID)
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -21,68 +21,71 @@
 )
 
 const (
-	// tick is how often time passes for raft: a lead that is silent for 1 to 2 s is replaced.
+	// tickInterval is the unit of raft's timeouts: a leader that is silent for 1 to 2 s is
+	// replaced.
 	tickInterval     = 100 * time.Millisecond
-	contactInterval  = time.Second // that those of the file who are no members are asked
+	contactInterval  = time.Second // between requests for the identities of peers
 	peerTimeout      = 2 * time.Second
-	outboxSize       = 256 // messages that wait for one member
-	maxBatchMessages = 64  // messages that are sent together
+	outboxSize       = 256 // messages queued for one peer
+	maxBatchMessages = 64  // messages in one Batch
 	proposalInterval = 500 * time.Millisecond
 	inputQueueSize   = 1024
-	// writeIn is how long a write waits until the group agrees.
+	// writeTimeout limits how long Grant.Write waits until a write is committed.
 	writeTimeout = 3 * time.Second
 )
 
-// Peer is another process that may be a member.
+// Peer is another process of the deployment, which may be a member.
 type Peer interface {
 	Deliver(ctx context.Context, b *Batch) error
 	Identity(ctx context.Context) (*Identity, error)
 }
 
-// Batch is what one member sends another.
+// Batch is a set of messages from one member to another.
 type Batch struct {
 	Name     string   `json:"name"`
 	From     uint64   `json:"from"`
 	Boot     Boot     `json:"boot"`
-	Messages [][]byte `json:"messages"` // raft's, in protobuf
+	Messages [][]byte `json:"messages"` // raftpb.Message, encoded as protobuf
 }
 
-// Options say what a node has to do with.
+// Options configure a Node.
 type Options struct {
 	Store     journal.Store
 	Name      string
-	Buckets   []string        // that are agreed on
-	Bootstrap bool            // begin a group of this node alone, once most of those of the file have said that they are in none
-	Peers     map[string]Peer // who else may be a member, by name
+	Buckets   []string        // the replicated buckets of Store
+	Bootstrap bool            // create the group, once a majority of the deployment has reported that it is in none
+	Peers     map[string]Peer // the other processes of the deployment, by name
 	Log       *slog.Logger
 }
 
-// Node is a member with its journal, its clock and its links. A journal of a process that was in no group is the beginning
-// of what the group knows, if that process founds it.
+// Node runs a Core with a journal, a clock and connections to the peers. The journal of a process
+// that was in no group becomes the group's initial state if that process bootstraps the group.
 type Node struct {
 	opts      Options
 	inputs    chan func()
 	done      chan struct{}
 	startedAt time.Time
 
-	// Of the loop.
-	core          *Core
-	outboxes      map[string]chan *raftpb.Message
-	senderNames   map[uint64]string // of those who have spoken: who has just been added knows no members yet, and must answer
+	// The fields of this block belong to the goroutine of Run.
+	core     *Core
+	outboxes map[string]chan *raftpb.Message
+	// senderNames are the names of the peers that have sent a batch, by ID. A member that was just
+	// added does not know the other members yet, and finds in it whom to respond to.
+	senderNames   map[uint64]string
 	waiters       map[string]chan Result
-	writeError    error             // why the journal can't be written
-	rejected      map[string]string // peers that can't be members, and why
+	writeError    error             // error of the last write to the journal; nil: it succeeded
+	rejected      map[string]string // reasons why peers can't be members, by name
 	contacting    map[string]bool
 	lastContactAt time.Duration
-	ungrouped     map[string]bool // peers that are in no group; nil once one is
+	ungrouped     map[string]bool // peers that are in no group; nil once a peer in a group is known
 	wasLeader     bool
 
-	mu        sync.Mutex // guards what others look at
+	mu        sync.Mutex // guards published
 	published groupView
-	heldUntil sync.Map // duty: until when it is held here, by this clock
+	heldUntil sync.Map // by duty: time.Duration on now's clock until which this process holds it
 }
 
-// view is what is known of the group between two steps.
+// groupView is a snapshot of the member's state that other goroutines may read.
 type groupView struct {
 	leader    string
 	isLeader  bool
@@ -93,10 +96,10 @@
 	history   []lease.Change
 	rejected  map[string]string
 	applied   uint64
-	changed   chan struct{} // closed when there is a new one
+	changed   chan struct{} // closed when a newer view is published
 }
 
-// NewNode returns a node that is not running yet.
+// NewNode loads a node from its journal. Run starts it.
 func NewNode(o Options) (*Node, error) {
 	var id [16]byte
 	rand.Read(id[:]) // never fails
@@ -116,10 +119,10 @@
 	return n, nil
 }
 
-// now is a monotonic clock.
+// now returns the time on a monotonic clock that starts with the node. It is never 0.
 func (n *Node) now() time.Duration { return time.Since(n.startedAt) + 1 }
 
-// Run takes part until the context ends.
+// Run participates in the group until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	defer close(n.done)
 	var senders sync.WaitGroup
@@ -131,18 +134,18 @@
 	defer senders.Wait()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	var output *Output // that could not be written yet
+	var output *Output // not written yet
 	for {
 		input := n.inputs
 		if output != nil {
-			input = nil // nothing is taken in that could not be answered for
+			input = nil // no inputs are processed while their effects can't be written
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case f := <-input:
 			f()
-			for more := true; more; { // what has come meanwhile shares the transaction
+			for more := true; more; { // all queued inputs share one transaction
 				select {
 				case f := <-input:
 					f()
@@ -180,14 +183,15 @@
 	}
 }
 
-// written writes what must be in the journal before anything is sent.
+// writeRecords writes the records that must be in the journal before messages are sent, and reports
+// whether that succeeded.
 func (n *Node) writeRecords(output *Output) bool {
 	var err error
 	if len(output.Records) > 0 {
 		err = n.opts.Store.Write(output.Records)
 	}
 	if err != nil && n.writeError == nil {
-		n.opts.Log.Error("the journal can't be written: this member says nothing until it can", "error", err)
+		n.opts.Log.Error("the journal can't be written: this member sends no messages until it can", "error", err)
 	} else if err == nil && n.writeError != nil {
 		n.opts.Log.Info("the journal can be written again")
 	}
@@ -195,7 +199,8 @@
 	return err == nil
 }
 
-// post hands messages to those who carry them. One for which there is no room is lost, as on any network.
+// queueMessages puts messages into the outboxes of their receivers. A message to a full outbox is
+// dropped, as a network may do.
 func (n *Node) queueMessages(messages []*raftpb.Message) {
 	for _, m := range messages {
 		name := n.senderNames[m.GetTo()]
@@ -213,7 +218,7 @@
 	}
 }
 
-// carry sends what is in a box.
+// sendMessages sends the messages of an outbox to its peer, in batches.
 func (n *Node) sendMessages(ctx context.Context, peer Peer, outbox chan *raftpb.Message) {
 	for {
 		var messages []*raftpb.Message
@@ -256,7 +261,7 @@
 	}
 }
 
-// happened hands something to the loop.
+// enqueue passes a function to the loop of Run. It returns false if the loop has ended.
 func (n *Node) enqueue(f func()) bool {
 	select {
 	case n.inputs <- f:
@@ -266,8 +271,8 @@
 	}
 }
 
-// within has the loop do something, and waits for what that returns. Who waits no longer gets nothing of it, though it may yet
-// be done.
+// runInLoop runs a function in the loop of Run and returns its result. If the context ends first,
+// the function may still run later.
 func runInLoop[T any](ctx context.Context, n *Node, f func() (T, error)) (v T, err error) {
 	type outcome struct {
 		v   T
@@ -294,12 +299,12 @@
 	}
 }
 
-var errEnded = errors.New("this member has ended")
+var errEnded = errors.New("this member has stopped")
 
-// Take takes in what another member sends.
+// Receive processes a batch of another member.
 func (n *Node) Receive(ctx context.Context, batch *Batch) error {
 	if len(batch.Messages) > maxBatchMessages {
-		return fmt.Errorf("%d messages, and %d are allowed", len(batch.Messages), maxBatchMessages)
+		return fmt.Errorf("%d messages, and at most %d are allowed", len(batch.Messages), maxBatchMessages)
 	}
 	var messages []*raftpb.Message
 	for _, encoded := range batch.Messages {
@@ -307,8 +312,8 @@
 		if err := proto.Unmarshal(encoded, m); err != nil {
 			return fmt.Errorf("a message that can't be read: %w", err)
 		}
-		if m.GetFrom() != batch.From && m.GetType() != raftpb.MsgProp { // which whoever led passes on
-			return errors.New("a message of somebody else")
+		if m.GetFrom() != batch.From && m.GetType() != raftpb.MsgProp { // followers forward proposals of others
+			return errors.New("a message is not from the sender of its batch")
 		}
 		messages = append(messages, m)
 	}
@@ -323,7 +328,9 @@
 		var stepErr error
 		for _, m := range messages {
 			if err := n.core.Step(m); err != nil {
-				stepErr = fmt.Errorf("not taken: %v", err) // danger: whose disk is old is this member's own matter, not who sends
+				// Without wrapping: an ErrStaleDisk here is about this member, and the sender must
+				// not take it for its own.
+				stepErr = fmt.Errorf("message not accepted: %v", err)
 			}
 		}
 		return struct{}{}, stepErr
@@ -331,7 +338,7 @@
 	return err
 }
 
-// await waits until what is seen of the group is as wanted.
+// await waits until the published view satisfies a condition.
 func (n *Node) await(ctx context.Context, condition func(v *groupView) bool) error {
 	for {
 		n.mu.Lock()
@@ -350,7 +357,7 @@
 	}
 }
 
-// do has a command agreed on and carried out, however often it takes to propose it.
+// execute proposes a command, repeatedly if necessary, until it is applied, and returns its result.
 func (n *Node) execute(ctx context.Context, cmd *command) (Result, error) {
 	var id [12]byte
 	rand.Read(id[:]) // never fails
@@ -359,13 +366,13 @@
 	defer func() {
 		select {
 		case n.inputs <- func() { n.forgetCommand(cmd.ID) }:
-		default: // danger: where the journal stands still nothing is taken in, and who asks must not wait for that
+		default: // while the journal can't be written no inputs are processed, and the caller must not block on that
 		}
 	}()
 	for {
 		_, proposeErr := runInLoop(ctx, n, func() (struct{}, error) {
 			if ctx.Err() != nil {
-				return struct{}{}, ctx.Err() // nobody waits any more
+				return struct{}{}, ctx.Err() // the caller has given up
 			}
 			n.waiters[cmd.ID] = result
 			return struct{}{}, n.core.propose(cmd)
@@ -375,16 +382,18 @@
 			return r, nil
 		case <-time.After(proposalInterval):
 		case <-ctx.Done():
-			return Result{}, fmt.Errorf("the group has not agreed: %w", errors.Join(ctx.Err(), proposeErr))
+			return Result{}, fmt.Errorf("the group has not committed the command: %w", errors.Join(ctx.Err(), proposeErr))
 		case <-n.done:
 			return Result{}, errEnded
 		}
 	}
 }
 
-// mostWaiters bounds those who wait: beyond, some are forgotten, and ask again.
+// maxWaiters limits the number of waiting callers. Beyond it some are dropped, and register again
+// with their next proposal.
 const maxWaiters = 4096
 
+// forgetCommand ends the wait for a command's result.
 func (n *Node) forgetCommand(id string) {
 	delete(n.waiters, id)
 	n.core.forgetCommand(id)
@@ -397,13 +406,13 @@
 	}
 }
 
-// Lease has an operation on the duties agreed on.
+// Lease executes an operation on the replicated lease table.
 func (n *Node) Lease(ctx context.Context, op lease.Op) (lease.Answer, error) {
 	r, err := n.execute(ctx, &command{Lease: &op})
 	return r.Lease, err
 }
 
-// look publishes what others may see.
+// publishView publishes the current state for other goroutines.
 func (n *Node) publishView() {
 	core := n.core
 	view := groupView{
--- a/internal/group/node_test.go
+++ b/internal/group/node_test.go
@@ -19,7 +19,7 @@
 	"example.org/micaline/internal/lease"
 )
 
-// ring is a group of nodes in this process, whose links can be cut.
+// testGroup is a group of nodes in this process, whose links can be cut.
 type testGroup struct {
 	t       testing.TB
 	nodes   []*Node
@@ -31,7 +31,7 @@
 	cutLinks map[[2]int]bool
 }
 
-// wire is a link from a node to another.
+// testLink is the Peer through which one node reaches another.
 type testLink struct {
 	group    *testGroup
 	from, to int
@@ -64,7 +64,7 @@
 	return n.Identity(ctx)
 }
 
-// newRing starts nodes with journals on disk.
+// newTestGroup starts nodes with journals on disk and waits until all are voters.
 func newTestGroup(t testing.TB, size int) *testGroup {
 	var disks []journal.Store
 	for i := range size {
@@ -137,8 +137,8 @@
 	<-g.stopped[i]
 }
 
-// A register that is written and read under a duty by whoever holds it, while members are cut off and started again, behaves
-// as one register (porcupine checks the history). What was not answered may or may not have happened.
+// The holder of a duty writes and reads a register while members are partitioned. The history must
+// be linearizable, which porcupine checks. An unanswered operation may or may not have happened.
 func TestLinearizable(t *testing.T) {
 	g := newTestGroup(t, 3)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -153,7 +153,7 @@
 	record := func(client int, in input, out string, call time.Duration, answered bool) {
 		returned := time.Since(start)
 		if !answered {
-			returned = time.Hour // it may yet happen
+			returned = time.Hour // it may still happen
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -166,7 +166,8 @@
 		clients.Go(func() {
 			n.Hold(ctx, "register", time.Second, func(s *Grant) []byte {
 				for k := 0; s.IsValid(); k++ {
-					// Each grant is a client of its own: what one has not been answered, no other waits for.
+					// Each operation counts as its own client, because a later one does not wait
+					// for an unanswered one.
 					mu.Lock()
 					grants++
 					client := grants
@@ -193,12 +194,12 @@
 	}
 	epochs := func() uint64 {
 		duties := g.nodes[0].Duties().Duties
-		if len(duties) == 0 { // nobody has held it yet
+		if len(duties) == 0 { // the duty was never granted
 			return 0
 		}
 		return duties[0].Epoch
 	}
-	// On a busy machine it takes longer until another holds.
+	// On a busy machine it takes longer until another member holds the duty.
 	for round := 0; round < 4 || round < 16 && epochs() < 3; round++ {
 		time.Sleep(2500 * time.Millisecond)
 		mu.Lock()
@@ -208,7 +209,8 @@
 		clear(g.cutLinks)
 		for j := range 3 {
 			if j != i {
-				g.cutLinks[[2]int{i, j}], g.cutLinks[[2]int{j, i}] = true, round%2 == 0 // both ways, or one
+				// Cut in both directions, or only from i to j.
+				g.cutLinks[[2]int{i, j}], g.cutLinks[[2]int{j, i}] = true, round%2 == 0
 			}
 		}
 		g.mu.Unlock()
@@ -229,14 +231,15 @@
 		},
 	}
 	if len(history) < 20 || epochs() < 3 {
-		t.Errorf("%d operations under %d epochs show nothing", len(history), epochs())
+		t.Errorf("%d operations under %d epochs are too few for this test", len(history), epochs())
 	}
 	if result := porcupine.CheckOperationsTimeout(model, history, 30*time.Second); result != porcupine.Ok {
 		t.Errorf("%v: %d operations under %d epochs", result, len(history), epochs())
 	}
 }
 
-// One process's journal is the beginning of a group, and what it had comes to members that join.
+// The journal of a single process becomes the initial state of the group that it bootstraps, and
+// members that join receive its records.
 func TestAloneGrowsIntoAGroup(t *testing.T) {
 	g := &testGroup{t: t, cutLinks: map[[2]int]bool{}, nodes: make([]*Node, 3), cancels: make([]context.CancelFunc, 3), stopped: make([]chan struct{}, 3)}
 	for range 3 {
@@ -261,8 +264,8 @@
 	}
 }
 
-// A founder that goes on from a copy of its disk of before others voted, and is cut off, leads nobody, not even itself; once it
-// is heard it says that its disk is old. With the disk that is its own it leads as soon as one of two others has confirmed it.
+// A founder restarts, partitioned, from a copy of its disk from before other members became voters.
+// It must not elect itself, and reports a stale disk once it reaches the others.
 func TestOnlyVoterIsConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		firstDisk := &journal.Memory{}
@@ -288,20 +291,20 @@
 		}
 		g.mu.Unlock()
 		g.start(0)
-		time.Sleep(10 * time.Second) // of the test's own clock: five elections' time
+		time.Sleep(10 * time.Second) // of simulated time: five election timeouts
 		if v := g.nodes[0].view(); !errors.Is(v.failure, errUnconfirmed) || v.isLeader || v.applied != 1 {
-			t.Errorf("cut off: %v, leads %v, applied %d", v.failure, v.isLeader, v.applied)
+			t.Errorf("partitioned: %v, leads %v, applied %d", v.failure, v.isLeader, v.applied)
 		}
 		g.mu.Lock()
 		clear(g.cutLinks)
 		g.mu.Unlock()
 		if err := g.nodes[0].await(ctx, func(v *groupView) bool { return errors.Is(v.failure, ErrStaleDisk) }); err != nil {
-			t.Errorf("heard: %v, and its disk is old", g.nodes[0].view().failure)
+			t.Errorf("after the partition: %v, want a stale disk", g.nodes[0].view().failure)
 		}
 	})
 }
 
-// sick is a disk that is slow, or full.
+// faultyDisk is a disk that can be made slow or full.
 type faultyDisk struct {
 	journal.Memory
 	mu         sync.Mutex
@@ -326,8 +329,8 @@
 	return s.Memory.Write(records)
 }
 
-// A member whose disk takes two seconds a write, or takes nothing, keeps the others from nothing for long, be it the lead or not; and has what
-// they have once its disk is well.
+// A member whose disk takes two seconds per write, or is full, must not delay renewals for long,
+// whether it is the leader or not. It catches up once its disk works again.
 func TestSickDisks(t *testing.T) {
 	for _, who := range []string{"the lead", "another"} {
 		for _, writeDelay := range []time.Duration{2 * time.Second, 0} {
@@ -359,7 +362,7 @@
 						request(lease.Op{Kind: lease.Renew})
 						time.Sleep(500 * time.Millisecond)
 					}
-					if longest > 8*time.Second { // the silence that ends a lead, twice, and two writes
+					if longest > 8*time.Second { // two election timeouts and two slow writes
 						t.Errorf("a renewal took %v", longest)
 					}
 					disks[faulty].set(0, false)
@@ -368,7 +371,7 @@
 					ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 					defer cancel()
 					if err := g.nodes[faulty].await(ctx, func(v *groupView) bool { return v.failure == nil && v.applied >= want }); err != nil {
-						t.Errorf("it has not what the others have: %v", err)
+						t.Errorf("the member has not caught up: %v", err)
 					}
 				})
 			})
@@ -376,7 +379,7 @@
 	}
 }
 
-// BenchmarkLease is a renewal agreed on by members with journals on disk, many at a time.
+// BenchmarkLease measures concurrent renewals by members with journals on disk.
 func BenchmarkLease(b *testing.B) {
 	for _, config := range []struct{ size, holders, concurrent int }{{1, 64, 64}, {3, 64, 64}, {3, 1000, 8}, {3, 1000, 64}, {3, 1000, 1000}, {5, 64, 64}} {
 		b.Run(fmt.Sprintf("members=%d/duties=%d/at-once=%d", config.size, config.holders, config.concurrent), func(b *testing.B) {
--- a/internal/group/serve.go
+++ b/internal/group/serve.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// mostDelivery is how many bytes a batch may have: a snapshot of the whole, as text in text.
+	// maxBatchBytes allows for a snapshot of the whole state, which is base64 within base64.
 	maxBatchBytes     = 64 << 20
 	maxSmallBodyBytes = 4096
-	maxLeaseBodyBytes = 128 << 10       // a baton, as text in text
-	operationTimeout  = 5 * time.Second // until an order is agreed on, or said not to be
+	maxLeaseBodyBytes = 128 << 10       // allows for a baton, encoded as base64 in JSON
+	operationTimeout  = 5 * time.Second // for an operation to be committed and applied
 )
 
-// Route is a part of a member's interface.
+// Route is the handler of an HTTP pattern and the role that a caller needs for it.
 type Route struct {
 	Handler http.HandlerFunc
 	Role    api.Role
 }
 
-// Routes are what a member answers to beside its manager's.
+// Routes returns the HTTP routes of a member, by pattern.
 func (n *Node) Routes() map[string]Route {
 	route := func(maxBytes int64, role api.Role, f func(r *http.Request) (any, error)) Route {
 		return Route{api.Handler(maxBytes, problemFor, f), role}
@@ -59,12 +59,12 @@
 			}
 			switch {
 			case op.Duty != r.PathValue("name") || !duty.IsShared(op.Duty):
-				return nil, &api.Problem{Status: 422, Title: "no duty of agents", Detail: fmt.Sprintf("%.100q", op.Duty), Field: "duty"}
+				return nil, &api.Problem{Status: 422, Title: "not a duty of agents", Detail: fmt.Sprintf("%.100q", op.Duty), Field: "duty"}
 			case op.Kind > lease.Release:
-				return nil, &api.Problem{Status: 422, Title: "not a holder's to ask", Detail: fmt.Sprintf("kind %d", op.Kind), Field: "kind"}
+				return nil, &api.Problem{Status: 422, Title: "not an operation of a holder", Detail: fmt.Sprintf("kind %d", op.Kind), Field: "kind"}
 			}
 			if err := op.Check(); err != nil {
-				return nil, &api.Problem{Status: 422, Title: "the lease can't be asked for", Detail: err.Error()}
+				return nil, &api.Problem{Status: 422, Title: "invalid lease request", Detail: err.Error()}
 			}
 			ctx, cancel := context.WithTimeout(r.Context(), operationTimeout)
 			defer cancel()
@@ -80,7 +80,7 @@
 				return nil, err
 			}
 			if !duty.IsShared(r.PathValue("name")) && !slices.ContainsFunc(n.view().members, func(m Member) bool { return m.Name == body.To }) {
-				return nil, &api.Problem{Status: 422, Title: "the duty can't be handed on", Detail: fmt.Sprintf("%.100q is no member", body.To), Field: "to"}
+				return nil, &api.Problem{Status: 422, Title: "the duty can't be handed over", Detail: fmt.Sprintf("%.100q is no member", body.To), Field: "to"}
 			}
 			return n.executeOrder(r, lease.Op{Kind: lease.HandOver, Duty: r.PathValue("name"), To: body.To})
 		}),
@@ -92,48 +92,51 @@
 				return nil, err
 			}
 			if body.Why == "" || len(body.Why) > 200 {
-				return nil, &api.Problem{Status: 422, Title: "the duty can't be revoked", Detail: fmt.Sprintf("it has %d bytes, and 1 to 200 are wanted", len(body.Why)), Field: "why"}
+				return nil, &api.Problem{Status: 422, Title: "the duty can't be revoked", Detail: fmt.Sprintf("it has %d bytes, and 1 to 200 are allowed", len(body.Why)), Field: "why"}
 			}
 			return n.executeOrder(r, lease.Op{Kind: lease.Revoke, Duty: r.PathValue("name"), Why: body.Why})
 		}),
 	}
 }
 
+// problemFor returns the HTTP error for an error of a route.
 func problemFor(err error) *api.Problem {
 	var p *api.Problem
 	switch {
 	case errors.As(err, &p):
 		return p
 	case errors.Is(err, ErrStaleDisk):
-		return &api.Problem{Status: http.StatusGone, Title: "this is not the disk of that member", Detail: err.Error()}
+		return &api.Problem{Status: http.StatusGone, Title: "the member's disk is not its latest one", Detail: err.Error()}
 	}
-	return &api.Problem{Status: 503, Title: "the member did not do it", Detail: err.Error()}
+	return &api.Problem{Status: 503, Title: "the member could not process the request", Detail: err.Error()}
 }
 
-// order has an operator's order agreed on. What becomes of one that is not answered in time is not known, and is said so.
+// executeOrder executes an operation that an operator ordered. If it times out its outcome is
+// unknown, and the error says so.
 func (n *Node) executeOrder(r *http.Request, op lease.Op) (any, error) {
 	ctx, cancel := context.WithTimeout(r.Context(), operationTimeout)
 	defer cancel()
 	answer, err := n.Lease(ctx, op)
 	switch {
 	case err != nil:
-		return nil, &api.Problem{Status: 503, Title: "it is not known whether the order was taken", Detail: err.Error()}
+		return nil, &api.Problem{Status: 503, Title: "it is not known whether the order was applied", Detail: err.Error()}
 	case answer.Refused != "":
 		return nil, n.orderProblem("name", errors.New(answer.Refused))
 	}
 	return n.Duties(), nil
 }
 
-// refusal says that an order can't be done, and who leads if another does.
+// orderProblem returns the HTTP error for a refused order. If another member leads, it names the
+// leader.
 func (n *Node) orderProblem(field string, err error) error {
-	p := &api.Problem{Status: 409, Title: "the order can't be taken", Detail: err.Error(), Field: field}
+	p := &api.Problem{Status: 409, Title: "the order is refused", Detail: err.Error(), Field: field}
 	if v := n.view(); !v.isLeader && v.leader != "" {
-		p.Status, p.Detail = http.StatusMisdirectedRequest, fmt.Sprintf("%v; %s leads", err, v.leader)
+		p.Status, p.Detail = http.StatusMisdirectedRequest, fmt.Sprintf("%v; %s is the leader", err, v.leader)
 	}
 	return p
 }
 
-// Group is what this member says of the group.
+// Group returns this member's view of the group.
 func (n *Node) Group() *duty.Group {
 	v := n.view()
 	g := &duty.Group{Name: n.opts.Name, Lead: v.leader, Applied: v.applied, Members: []duty.Member{}, Others: []duty.Other{}}
@@ -149,7 +152,7 @@
 	return g
 }
 
-// Duties are what this member knows of the duties.
+// Duties returns this member's view of the duties.
 func (n *Node) Duties() *duty.Duties {
 	v := n.view()
 	result := &duty.Duties{Duties: []duty.Duty{}, History: []lease.Change{}}
@@ -180,14 +183,15 @@
 	return result
 }
 
-// words are what the holders of agents' duties say. Danger: a member that hears no lead would tell old ones as if they were new.
+// holderMessages returns the messages that the holders of agents' duties publish. It fails without
+// a leader, because the member would otherwise present outdated messages as current ones.
 func (n *Node) holderMessages() (*duty.HolderMessages, error) {
 	v := n.view()
 	if v.failure != nil {
 		return nil, v.failure
 	}
 	if v.leader == "" {
-		return nil, errors.New("it hears nobody lead the group")
+		return nil, errors.New("it knows no leader of the group")
 	}
 	messages := &duty.HolderMessages{Words: []duty.HolderMessage{}}
 	for _, name := range slices.Sorted(maps.Keys(v.duties)) {
@@ -198,10 +202,10 @@
 	return messages, nil
 }
 
-// peer is another process over its interface.
+// httpPeer is a Peer that is called over HTTP.
 type httpPeer struct{ caller *api.Caller }
 
-// PeerAt returns the process that a caller calls.
+// NewPeer returns the Peer that a caller calls.
 func NewPeer(at *api.Caller) Peer { return httpPeer{at} }
 
 func (p httpPeer) Deliver(ctx context.Context, b *Batch) error {
--- a/internal/group/starts.go
+++ b/internal/group/starts.go
@@ -5,29 +5,33 @@
 	"slices"
 )
 
-// Boot is a start of a member: a number at random, and those of its starts before. Danger: a member that goes on from a copy of its
-// disk has said things that it does not know. Its later starts are not among those that the copy names, however often it is
-// started again.
+// Boot is one start of a member: a random number, and the numbers of its earlier starts. It detects
+// a member that runs on an older copy of its disk, and so has lost state that it has sent to
+// others. The copy lacks the starts that followed it, so no start from the copy names them, however
+// often the member is restarted.
 type Boot struct {
 	Life uint64   `json:"life"`
-	Past []uint64 `json:"past,omitempty"` // the latest last
+	Past []uint64 `json:"past,omitempty"` // earlier starts, the latest last
 }
 
-// after says whether a start may follow another: it is the same, or names it among those before.
+// canFollow reports whether a start is the other one or can be a later one, which names the other
+// among its earlier starts.
 func (b *Boot) canFollow(other *Boot) bool {
 	return other.Life == 0 || b.Life == other.Life || slices.Contains(b.Past, other.Life)
 }
 
-// mostPast starts are remembered: who was started more often since it was last heard is taken for a copy.
+// maxPastBoots limits Boot.Past. A member that was restarted more often than this since a peer last
+// received a message from it is taken for a copy.
 const maxPastBoots = 64
 
-// started is a start of a member that somebody has heard.
+// bootReport reports a member's start that another member has received.
 type bootReport struct {
 	Member uint64 `json:"member"`
 	Boot
 }
 
-// Meet takes in who speaks for a member. One whose disk is a copy is told so.
+// CheckBoot checks and records the start of the sender of a batch. It returns ErrStaleDisk if the
+// sender runs on an older copy of its disk.
 func (c *Core) CheckBoot(id uint64, boot Boot) error {
 	known := c.self.Known[id]
 	if c.state.Old[id] || !boot.canFollow(&known) {
@@ -47,17 +51,20 @@
 	return nil
 }
 
-// spread has the others know of the starts that this member has heard.
+// proposeBoots proposes the starts that this member has received but that are not in the replicated
+// state.
 func (c *Core) proposeBoots() {
-	for _, id := range slices.Sorted(maps.Keys(c.self.Known)) { // in one order, so that a run can be played again
+	// In a fixed order, so that simulations are reproducible.
+	for _, id := range slices.Sorted(maps.Keys(c.self.Known)) {
 		boot, known := c.self.Known[id], c.state.Starts[id]
 		if c.state.Members[id] != nil && !c.state.Old[id] && (known == nil || !known.canFollow(&boot)) {
-			c.propose(&command{Start: &bootReport{id, boot}}) // else at another tick
+			c.propose(&command{Start: &bootReport{id, boot}}) // on failure it is proposed again later
 		}
 	}
 }
 
-// heard takes in that somebody has heard of a start.
+// applyBoot applies a report of a member's start. If neither that start nor the known one can
+// follow the other, the member is marked as running on an old disk.
 func (c *Core) applyBoot(report *bootReport) {
 	known := c.state.Starts[report.Member]
 	switch {
--- a/internal/lease/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -11,26 +11,27 @@
 	"example.org/micaline/internal/mutation"
 )
 
-// world plays agents that want two duties, and a group with leads that come and go. Clocks drift, processes are stopped, crash
-// and are cut off; messages are late, doubled and lost. The table changes at one point in time, as a group that agrees has it.
+// simulation runs agents that want two duties, and a group whose leader changes. Clocks drift,
+// processes are suspended, crash and are partitioned, and messages are delayed, duplicated and
+// lost. There is a single table, because the members of a group have identical ones.
 type simulation struct {
 	rng             *rand.Rand
 	now             time.Duration
 	table           Table
 	watch           ExpiryTracker
-	leaderClockRate float64 // how fast its clock runs
+	leaderClockRate float64 // rate of the leader's clock
 	noLeaderUntil   time.Duration
 	processes       []*agentProcess
 	deliveries      []delivery
 	bug             string
 
 	lastEpoch    uint64
-	reservedFor  map[string]string // duty: to whom, since the last release
-	revoked      map[string]uint64 // duty: epoch
+	reservedFor  map[string]string // by duty: for whom it is reserved since the last release
+	revoked      map[string]uint64 // by duty: epoch that was revoked
 	batons       map[string]string
-	lostInRow    map[string]int // holders in a row
+	lostInRow    map[string]int // by duty: holders lost in a row
 	followerRNG  *rand.Rand
-	staleAnswers map[string]*Duty // of somebody who hears nothing new
+	staleAnswers map[string]*Duty // by duty: state at a member that no longer receives updates
 	olderAnswers map[string]*Duty
 	failures     []string
 }
@@ -42,8 +43,8 @@
 	clockOffset  time.Duration
 	holders      map[string]*Holder
 	followers    map[string]*Follower
-	newestEpoch  map[string]uint64 // epoch that was followed, over all of this life
-	stoppedUntil time.Duration     // until then
+	newestEpoch  map[string]uint64 // by duty: newest epoch followed since the process started
+	stoppedUntil time.Duration     // the process is suspended until then
 	cutOffUntil  time.Duration
 }
 
@@ -56,7 +57,7 @@
 	leaseTerm       = 300 * time.Millisecond
 	maxAcquireDelay = 20 * time.Millisecond
 	simulatedTime   = 16 * time.Second
-	faultsEnd       = 8 * time.Second // no faults from then on
+	faultsEnd       = 8 * time.Second // no faults are injected from then on
 )
 
 func (w *simulation) leaderNow(rate float64) time.Duration {
@@ -77,6 +78,7 @@
 	}
 }
 
+// startProcess starts a new process of an agent, with a new clock and without leases.
 func (w *simulation) startProcess(a *agentProcess) {
 	a.restarts++
 	a.clockOffset = time.Duration(w.rng.Int64N(int64(time.Hour)))
@@ -87,7 +89,7 @@
 	}
 }
 
-// apply is the table's, with what is planted.
+// apply applies an operation to the table, with the injected bug, and checks the result.
 func (w *simulation) apply(op Op) Answer {
 	d := w.table.Duties[op.Duty]
 	switch w.bug {
@@ -148,7 +150,7 @@
 		d.Word = before.Word
 	}
 	if d != nil && d.Word != nil && string(d.Word) != fmt.Sprint(d.Epoch) {
-		w.fail("Word", "%q is said under epoch %d", d.Word, d.Epoch)
+		w.fail("Word", "%q is published under epoch %d", d.Word, d.Epoch)
 	}
 	if op.Kind == Acquire && answer.Refused == "" {
 		if answer.Epoch <= w.lastEpoch {
@@ -156,7 +158,7 @@
 		}
 		w.lastEpoch = max(w.lastEpoch, answer.Epoch)
 		if to := w.reservedFor[op.Duty]; to != "" && to != op.Holder {
-			w.fail("Hand", "%s got what was handed to %s", op.Holder, to)
+			w.fail("Hand", "%s acquired a duty that was handed over to %s", op.Holder, to)
 		}
 		if baton := w.batons[op.Duty]; baton != string(answer.Baton) {
 			w.fail("Hand", "the baton is %q and was %q", answer.Baton, baton)
@@ -174,10 +176,10 @@
 	case op.Kind == Revoke:
 		w.revoked[op.Duty] = before.Epoch
 	case op.Kind == Renew && w.revoked[op.Duty] == op.Epoch:
-		w.fail("Revoked", "epoch %d of %s was revoked and renewed", op.Epoch, op.Duty)
+		w.fail("Revoked", "epoch %d of %s was renewed after it was revoked", op.Epoch, op.Duty)
 	case op.Kind == Expire && before.Holder != "" && !before.Revoked && before.Renewed < settledRenewals:
 		if w.lostInRow[op.Duty]++; w.lostInRow[op.Duty] >= maxLostHolders && !d.Resting {
-			w.fail("Rest", "%s goes on", op.Duty)
+			w.fail("Rest", "%s does not rest", op.Duty)
 		}
 	}
 	if answer.Refused == "" && (op.Kind == Release || d.Renewed >= settledRenewals || before.Resting) {
@@ -186,7 +188,7 @@
 	return answer
 }
 
-// late is how long a message takes: now and then far longer than usual.
+// randomDelay returns the delay of a message, which is sometimes far longer than usual.
 func (w *simulation) randomDelay() time.Duration {
 	delay := time.Duration(w.rng.Int64N(int64(30 * time.Millisecond)))
 	if w.now < faultsEnd && w.rng.IntN(8) == 0 {
@@ -195,7 +197,7 @@
 	return delay
 }
 
-// ask sends a question, which comes late, or twice, or never, as does its answer.
+// sendRequest sends a request that may be delayed, duplicated or lost, as may its answer.
 func (w *simulation) sendRequest(a *agentProcess, h *Holder, request *Request) {
 	if request == nil {
 		return
@@ -215,7 +217,7 @@
 			r := w.apply(request.Op)
 			for range 1 + w.rng.IntN(2) {
 				w.deliveries = append(w.deliveries, delivery{w.now + w.randomDelay(), func() {
-					if w.now < a.stoppedUntil { // it reads that when it goes on
+					if w.now < a.stoppedUntil { // a suspended process reads it when it resumes
 						w.deliveries = append(w.deliveries, delivery{a.stoppedUntil, func() { deliver(r) }})
 						return
 					}
@@ -291,7 +293,8 @@
 	for _, duty := range []string{"x", "y"} {
 		var holders []string
 		for _, a := range w.processes {
-			// One that is stopped does nothing now. What it does when it wakes carries an epoch that is refused.
+			// A suspended process does nothing now. Its actions after it resumes carry an epoch
+			// that is refused.
 			if _, _, holds := a.holders[duty].Holds(a.localNow(w.now)); holds && w.now >= a.stoppedUntil {
 				holders = append(holders, a.holders[duty].Name)
 			}
@@ -302,8 +305,8 @@
 	}
 }
 
-// follow has an agent hear what a duty's holder says and judges what it makes of it. In the end one agent asks somebody who is
-// behind for good.
+// checkFollower passes the holder's word to an agent's Follower and checks which word it follows.
+// After faultsEnd the first agent queries a member that no longer receives updates.
 func (w *simulation) checkFollower(a *agentProcess, duty string) {
 	follower, now := a.followers[duty], a.localNow(w.now)
 	if d := w.table.Duties[duty]; d != nil && w.followerRNG.IntN(4) == 0 && w.now >= a.cutOffUntil {
@@ -320,7 +323,7 @@
 		case "a word is as old as its answer":
 			follower.version = 0
 		}
-		if w.followerRNG.IntN(8) == 0 && w.olderAnswers[duty] != nil && w.now <= faultsEnd { // an answer of before
+		if w.followerRNG.IntN(8) == 0 && w.olderAnswers[duty] != nil && w.now <= faultsEnd { // a delayed older answer
 			follower.Update(now, w.olderAnswers[duty].Epoch, w.olderAnswers[duty].Version, w.olderAnswers[duty].Word)
 		}
 		follower.Update(now, answer.Epoch, answer.Version, answer.Word)
@@ -333,11 +336,11 @@
 		return
 	}
 	if epoch < a.newestEpoch[duty] {
-		w.fail("Word", "%s follows epoch %d of %s after %d", a.name, epoch, duty, a.newestEpoch[duty])
+		w.fail("Word", "%s follows epoch %d of %s after epoch %d", a.name, epoch, duty, a.newestEpoch[duty])
 	}
 	a.newestEpoch[duty] = epoch
 	if a == w.processes[0] && w.now > faultsEnd+5*leaseTerm {
-		w.fail("Word", "%s follows for ever what was said once", a.name)
+		w.fail("Word", "%s follows an outdated word indefinitely", a.name)
 	}
 }
 
@@ -354,7 +357,7 @@
 		a.stoppedUntil = w.now + duration
 	case 2:
 		a.cutOffUntil = w.now + duration
-	case 3: // another leads
+	case 3: // the leader changes
 		w.leaderClockRate, w.noLeaderUntil = w.randomClockRate(), w.now+duration/2
 		if w.bug != "a new lead goes on with the clock of the one before" {
 			w.watch = ExpiryTracker{}
@@ -387,7 +390,7 @@
 	checkedSteps := 0
 	for w.now < simulatedTime {
 		w.step()
-		if w.now < simulatedTime-2*time.Second { // after ten terms of rest and one each for those that are gone
+		if w.now < simulatedTime-2*time.Second { // leaves time for ten terms of rest and one term for each lost holder
 			continue
 		}
 		checkedSteps++
@@ -401,7 +404,7 @@
 	}
 	for _, duty := range []string{"x", "y"} {
 		if heldSteps[duty] < checkedSteps/3 {
-			w.fail("Back", "%s is held in %d of %d looks of the end: %+v", duty, heldSteps[duty], checkedSteps, *w.table.Duties[duty])
+			w.fail("Back", "%s is held in %d of the last %d steps: %+v", duty, heldSteps[duty], checkedSteps, *w.table.Duties[duty])
 		}
 	}
 	return w.failures
@@ -419,7 +422,7 @@
 	}
 }
 
-// Each planted bug is found by the property that is named beforehand.
+// Each injected bug must break the property listed with it.
 func TestPlanted(t *testing.T) {
 	mutation.Each(t, map[string]string{
 		"an older epoch is renewed":                           "One",
--- a/internal/lease/follower.go
+++ b/internal/lease/follower.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Follower is the side of a process that follows what a duty's holder says. It asks somebody who knows the table now and then,
-// who may be behind: what is older than what was heard before is not heard. A word is fresh for a Life from when it was first
-// asked for in its present version, as each renewal makes a new one: no clock is compared with another, and the word of a holder
-// that has stopped, or of a table that nobody renews, ends by itself.
+// Follower is the side of a process that follows the word (message) that a duty's holder publishes.
+// It regularly queries a member that has the table. The member may lag, so an answer older than an
+// earlier one is ignored. A word is valid for MaxAge after the query that first returned its
+// version, and each renewal makes a new version. So no clocks are compared, and the word of a
+// holder that has stopped, or of a table that is no longer updated, expires by itself.
 type Follower struct {
 	MaxAge time.Duration
 
@@ -14,7 +15,7 @@
 	requestedAt    time.Duration
 }
 
-// Heard takes in what was answered to a question that was asked at a time.
+// Update processes the answer to a query that was sent at the given time.
 func (f *Follower) Update(asked time.Duration, epoch, version uint64, word []byte) {
 	if epoch < f.epoch || epoch == f.epoch && version <= f.version {
 		return
@@ -22,7 +23,8 @@
 	f.epoch, f.version, f.word, f.requestedAt = epoch, version, word, asked
 }
 
-// Word is what is to be followed, and the epoch under which it was said; nil if there is nothing fresh.
+// Current returns the word to follow and the epoch under which it was published, or nil if none is
+// valid.
 func (f *Follower) Current(now time.Duration) (word []byte, epoch uint64) {
 	if f.word == nil || now-f.requestedAt >= f.MaxAge {
 		return nil, 0
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -7,40 +7,42 @@
 	"time"
 )
 
-// Holder is the side of a process that wants a duty. Its clock is monotonic, and may drift.
+// Holder is the side of a process that wants a duty. The times passed to it are those of a
+// monotonic clock, which may drift.
 type Holder struct {
 	Duty string
-	Name string // of this process, which no other has ever had
+	Name string // of this process, never used by another process
 	Term time.Duration
-	// NoRest says that the duty does not rest, however many of its holders are lost.
+	// NoRest keeps the duty from resting, however many of its holders are lost.
 	NoRest bool
 
 	epoch         uint64
-	validUntil    time.Duration // it may act before then
+	validUntil    time.Duration // the lease is valid before this time
 	baton         []byte
-	requestNumber uint64 // number of the last question
+	requestNumber uint64 // number of the latest request
 	requestedAt   time.Duration
-	inFlight      bool          // it has not been answered, nor given up
-	nextRequestAt time.Duration // when to ask again
+	inFlight      bool          // the latest request is neither answered nor abandoned
+	nextRequestAt time.Duration // earliest time of the next renewal or acquisition
 	lastTick      time.Duration
-	releaseReason string // why it should let go
-	word          []byte // to be said
-	publishedWord []byte // with the last renewal
+	releaseReason string // why the holder should release the duty
+	word          []byte // to publish
+	publishedWord []byte // sent with the latest renewal
 }
 
-// Ask is a question to the group, to be answered by Answered with its turn.
+// Request is a request to the group. Its answer goes to HandleAnswer with the same number.
 type Request struct {
 	Number uint64
 	Op     Op
 }
 
-// renewEvery and askAgain are parts of a term: two renewals may be lost before it is over.
+// A lease is renewed after term/renewalFraction, and an unanswered request is abandoned after
+// term/retryFraction. So two renewals may be lost before the lease expires.
 const (
 	renewalFraction = 3
 	retryFraction   = 3
 )
 
-// Holds says whether the duty is held, under which epoch, and until when.
+// Holds reports whether the duty is held, under which epoch, and until when.
 func (h *Holder) Holds(now time.Duration) (epoch uint64, until time.Duration, holds bool) {
 	if h.epoch == 0 || now >= h.validUntil {
 		return 0, 0, false
@@ -48,21 +50,22 @@
 	return h.epoch, h.validUntil, true
 }
 
-// Baton is what the holder before has left.
+// Baton returns the data that the previous holder left.
 func (h *Holder) Baton() []byte { return h.baton }
 
-// Step goes on, and returns what is to be asked. Free says that nobody seems to hold the duty: it is asked for then, after a
-// patience that is each process's own, so that not all ask at once.
+// Tick returns the next request to send, or nil. It has to be called regularly. If free is true,
+// the duty appears to have no holder and is acquired after acquireDelay. The delay should differ
+// between processes, so that they do not all send requests at once.
 func (h *Holder) Tick(now time.Duration, free bool, acquireDelay time.Duration) *Request {
 	if h.epoch != 0 && now >= h.validUntil {
 		h.loseLease(now)
 	}
 	if h.epoch != 0 && h.lastTick > 0 && now-h.lastTick > h.Term/renewalFraction {
-		h.releaseReason = "this process is late" // the next renewal may be too late
+		h.releaseReason = "this process is late" // the next renewal may come after the lease has expired
 	}
 	h.lastTick = now
 	if h.inFlight && now-h.requestedAt >= h.Term/retryFraction {
-		h.inFlight = false // what comes of it now is not heard any more
+		h.inFlight = false // a later answer is ignored
 	}
 	switch {
 	case h.inFlight:
@@ -78,19 +81,22 @@
 	return nil
 }
 
-// Say has those who follow this holder told something, with the next renewal, which is at once if it is news.
+// Publish sets the word for the followers of this holder. It is sent with the next renewal, which
+// is due at once if the word has changed.
 func (h *Holder) Publish(word []byte) { h.word = word }
 
-// Patience is how long a process leaves a free duty to others before it asks for it, less than a term. It is a rendezvous
-// (highest random weight, Thaler and Ravishankar 1998) that nobody has to preside over: each duty has an order of its own of the
-// processes, in which one of twice the weight is first twice as often, and whoever is first among those that live asks first. The
-// others see it held before their turn comes, so that a fleet that starts at once asks a few times and not once each.
+// AcquireDelay returns how long a process waits before it requests a free duty. It is less than a
+// term. It uses rendezvous hashing (highest random weight, Thaler and Ravishankar 1998), which
+// needs no coordinator: each duty has its own order of the processes, in which a process of twice
+// the weight is first twice as often, and the first running process requests the duty first. The
+// others see that it is held before their delays end, so a fleet that starts at once sends a few
+// requests instead of one per process.
 func AcquireDelay(duty, process string, weight float64, term time.Duration) time.Duration {
 	hash := fnv.New64a()
 	hash.Write([]byte(duty))
 	hash.Write([]byte{0})
 	hash.Write([]byte(process))
-	sum := hash.Sum64() // whose high bits alone differ too little between names that end alike
+	sum := hash.Sum64() // its high bits differ too little between names with the same ending
 	sum ^= sum >> 33
 	sum *= 0xff51afd7ed558ccd // MurmurHash3's finalizer
 	sum ^= sum >> 33
@@ -100,11 +106,13 @@
 	return time.Duration(float64(term) * (1 - math.Pow(uniform, 1/weight)))
 }
 
-// Wanted says why the holder should end what it does and let go; "" if it need not.
+// ReleaseReason returns why the holder should stop its work and release the duty, or "" if it need
+// not.
 func (h *Holder) ReleaseReason() string { return h.releaseReason }
 
-// LetGo gives the duty back, with a baton for the next holder, who is to be to if that is not empty. What is done under the
-// duty must have ended.
+// Release gives the duty up and returns the request to send, with a baton for the next holder. If
+// to is not empty, only that process or member may acquire the duty next. The work under the duty
+// must have ended.
 func (h *Holder) Release(now time.Duration, to string, baton []byte) *Request {
 	if h.epoch == 0 {
 		return nil
@@ -120,13 +128,15 @@
 	return &Request{h.requestNumber, op}
 }
 
-// drop ends the holding. Others go first for a term.
+// loseLease ends the lease on this side. This process does not try to acquire the duty for a term,
+// so that others come first.
 func (h *Holder) loseLease(now time.Duration) {
 	h.epoch, h.validUntil, h.inFlight, h.releaseReason, h.nextRequestAt, h.word, h.publishedWord = 0, 0, false, "", now+h.Term, nil, nil
 }
 
-// Answered takes in what a question has come to. Danger: the time counts from when it was asked, not from now, and an answer
-// to an earlier question says nothing of this one.
+// HandleAnswer processes the answer to a request. The term counts from when the request was sent,
+// not from when the answer arrived, because the group may have started to count at any time
+// between. Answers to earlier requests are ignored, because they say nothing about the current one.
 func (h *Holder) HandleAnswer(now time.Duration, number uint64, answer Answer) {
 	if !h.inFlight || number != h.requestNumber {
 		return
@@ -144,7 +154,7 @@
 	}
 	h.epoch, h.validUntil, h.nextRequestAt = answer.Epoch, h.requestedAt+h.Term, h.requestedAt+h.Term/renewalFraction
 	if answer.Release {
-		h.releaseReason = "the group wants it elsewhere"
+		h.releaseReason = "the group hands the duty over to another process"
 	}
 	if now >= h.validUntil {
 		h.loseLease(now)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,24 +1,31 @@
-// Package lease says who holds a duty that one process may hold at a time, and until when. It does no I/O, has no clock and
-// starts no goroutines. It has three parts:
+// Package lease decides which process holds a duty, which at most one process may hold at a time,
+// and until when. It does no I/O, has no clock and starts no goroutines. It has three parts:
 //
-//   - A Table is what a group agrees on: for each duty its holder and the epoch under which it holds. It changes by Ops that all
-//     members take in the same order, so that no clock has a part in it. That a time is over comes to it as an Op (End).
-//   - A Watch is the group's lead's clock of that table: it says which times are over. A new lead has a new one, and counts
-//     every time from when it began to lead.
-//   - A Holder is the side of a process that wants a duty: it asks, renews, and knows by its own clock until when it may act.
+//   - A Table is the replicated state of a group: for each duty the holder and the epoch (fencing
+//     token) of its lease. It changes only by Ops that all members apply in the same order, so no
+//     clock affects it. The expiry of a lease is an Op too (Expire).
+//   - An ExpiryTracker is the group leader's clock for that table and finds the leases that have
+//     expired. A new leader has a new one, which counts every lease from when it began to lead.
+//   - A Holder is the side of a process that wants a duty. It acquires and renews the lease, and
+//     knows by its own clock until when the lease is valid.
 //
-// Whoever acts under a duty carries its epoch, and whoever takes an effect refuses an epoch that is lower than one it has seen.
-// So a holder that is stopped in mid-write, for however long, does no harm when it wakes.
+// Every action under a duty carries its epoch, and a receiver refuses an epoch that is lower than
+// one it has seen. So a holder that is suspended in the middle of a write, for however long, does
+// no harm when it resumes.
 //
-// What is promised, and explored in explore_test.go. Clocks may run apart by Drift, each:
-//   - One: no two Holders hold a duty in one moment.
-//   - Order: each grant of any duty has a higher epoch than all before it.
-//   - Hand: a duty that is handed to somebody is granted to nobody else meanwhile, and its baton comes with it.
-//   - Revoked: what was revoked is renewed no more, and granted to nobody before its holder's time is over.
-//   - Back: once nothing fails any more, a duty that somebody wants is held.
-//   - Rest: a duty that has outlived mostLost holders in a row rests, and is granted again after that, unless it was asked for
-//     with NoRest.
-//   - Word: what a holder says is read under its own epoch only, and goes with it.
+// The package guarantees these properties, which explore_test.go checks. Each clock may drift by
+// MaxClockDrift:
+//   - One: no two Holders hold a duty at the same time.
+//   - Order: each grant of any duty has a higher epoch than all earlier grants.
+//   - Hand: a duty that is handed over to a process is not granted to others meanwhile, and its
+//     baton reaches the next holder.
+//   - Revoked: a revoked lease is not renewed, and its duty is not granted to others before the
+//     lease has expired.
+//   - Back: once there are no more faults, a duty that a process wants is held.
+//   - Rest: a duty that has lost maxLostHolders holders in a row rests (is not granted) and is
+//     granted again afterwards, unless it was acquired with NoRest.
+//   - Word: a word, the message that a holder publishes to followers, is read only under its own
+//     epoch and disappears with the holder.
 package lease
 
 import (
@@ -31,51 +38,54 @@
 )
 
 const (
-	// Drift is how far a clock may run from the true one, as a share: far above what crystals do and what a clock that is being
-	// set right is slewed by (500 in a million).
+	// MaxClockDrift is the maximum relative error of a clock's rate. It is far above that of quartz
+	// clocks and above the slew of a clock that is being adjusted (500 ppm).
 	MaxClockDrift = 0.01
-	// MostBaton is what a holder may leave to the next one, in bytes.
+	// MaxBatonBytes limits the data that a holder leaves to the next holder.
 	MaxBatonBytes = 64 << 10
-	// MostWord is what a holder may say to those who follow it, in bytes.
+	// MaxWordBytes limits the message that a holder publishes to its followers.
 	MaxWordBytes = 1 << 10
-	// MostDuties and mostHistory bound the table.
+	// MaxDuties and maxHistory limit the size of a Table.
 	MaxDuties  = 4096
 	maxHistory = 128
-	// mostLost holders in a row that were lost soon: the duty seems to be what loses them.
+	// maxLostHolders is the number of holders lost in a row after which a duty rests: its work is
+	// then likely to be what makes them fail.
 	maxLostHolders = 3
-	// settled renewals say that a holder was not lost by the duty.
+	// settledRenewals is the number of renewals after which the loss of a holder is not attributed
+	// to the duty.
 	settledRenewals = 20
-	// restTerms is for how many terms a duty rests then.
+	// restTerms is how long a duty rests, in lease terms.
 	restTerms = 10
-	// MinTerm and MaxTerm bound terms.
+	// MinTerm and MaxTerm limit the term (duration) of a lease.
 	MinTerm = 100 * time.Millisecond
 	MaxTerm = 10 * time.Minute
 )
 
-// Margin is how long the group waits before it grants anew what was granted for a term. A slow clock makes of a term
-// term/(1-Drift), of which a fast clock shows (1+Drift) times as much.
+// RegrantDelay returns how long the group waits after a renewal before it grants the duty again. By
+// a slow clock the holder's term lasts term/(1-MaxClockDrift), and a fast clock of the leader
+// measures (1+MaxClockDrift) times that.
 func RegrantDelay(term time.Duration) time.Duration {
 	return time.Duration(float64(term)*(1+MaxClockDrift)/(1-MaxClockDrift)) + 1
 }
 
-// Duty is what is known of one.
+// Duty is the state of a duty.
 type Duty struct {
-	Holder  string        `json:"holder,omitempty"` // a process, by a name that no other has ever had; "" for nobody
-	Epoch   uint64        `json:"epoch"`            // of the present or the last grant
+	Holder  string        `json:"holder,omitempty"` // process name, never used by another process; "": free
+	Epoch   uint64        `json:"epoch"`            // of the current or the latest grant
 	Term    time.Duration `json:"term"`
-	Version uint64        `json:"version"`           // grows with each change, so that the end of a time is of that time
-	Renewed uint64        `json:"renewed"`           // times since the grant
-	To      string        `json:"to,omitempty"`      // it is handed to; nobody else is granted it until that time is over
-	Baton   []byte        `json:"baton,omitempty"`   // of the holder before
-	Word    []byte        `json:"word,omitempty"`    // of this holder, to those who follow it
-	Revoked bool          `json:"revoked,omitempty"` // it is renewed no more
-	Lost    int           `json:"lost,omitempty"`    // holders in a row that were lost soon
-	Resting bool          `json:"resting,omitempty"`
-	NoRest  bool          `json:"no_rest,omitempty"` // it never rests
-	Why     string        `json:"why,omitempty"`     // it last moved
+	Version uint64        `json:"version"`           // grows with each change; Expire names it
+	Renewed uint64        `json:"renewed"`           // number of renewals since the grant
+	To      string        `json:"to,omitempty"`      // for a term only this process or member may acquire it
+	Baton   []byte        `json:"baton,omitempty"`   // data that the previous holder left
+	Word    []byte        `json:"word,omitempty"`    // message of the current holder to its followers
+	Revoked bool          `json:"revoked,omitempty"` // the lease is not renewed any more
+	Lost    int           `json:"lost,omitempty"`    // holders lost in a row, each before settledRenewals
+	Resting bool          `json:"resting,omitempty"` // not granted for restTerms
+	NoRest  bool          `json:"no_rest,omitempty"` // the duty never rests
+	Why     string        `json:"why,omitempty"`     // reason of the latest change
 }
 
-// Change is a step in the history of the duties.
+// Change is an entry of the history of the duties.
 type Change struct {
 	Number uint64 `json:"number"`
 	Duty   string `json:"duty"`
@@ -84,52 +94,52 @@
 	Why    string `json:"why"`
 }
 
-// Table is what a group agrees on.
+// Table is the replicated state of all duties.
 type Table struct {
-	Last    uint64           `json:"last"` // epoch granted
-	Steps   uint64           `json:"steps"`
+	Last    uint64           `json:"last"`  // latest epoch that was granted
+	Steps   uint64           `json:"steps"` // number of changes, including those dropped from History
 	Duties  map[string]*Duty `json:"duties"`
 	History []Change         `json:"history,omitempty"` // the newest last
 }
 
-// Kind says what an Op is.
+// Kind is the kind of an Op.
 type Kind uint8
 
-// The kinds.
+// The kinds of operations.
 const (
 	Acquire  Kind = iota + 1 // by Holder, for Term
-	Renew                    // by Holder under Epoch, who says Word
-	Release                  // by Holder under Epoch, with a Baton, to To or to anybody
-	Revoke                   // by an operator, who says Why
-	HandOver                 // by an operator: what is released next is for To
-	Expire                   // by the lead: the time of Version is over
+	Renew                    // by Holder under Epoch, with its current Word
+	Release                  // by Holder under Epoch, with a Baton; only To may acquire the duty next, if it is set
+	Revoke                   // by an operator, for the reason Why
+	HandOver                 // by an operator: the holder is asked to release the duty, and To acquires it
+	Expire                   // by the leader: what Version started (lease, rest or reservation) has timed out
 )
 
-// Op is a change that somebody asks for.
+// Op is an operation on a Table. Its Kind determines which fields are used.
 type Op struct {
 	Kind    Kind          `json:"kind"`
 	Duty    string        `json:"duty"`
 	Holder  string        `json:"holder,omitempty"`
-	Epoch   uint64        `json:"epoch,omitempty"` // of Revoke and Hand: the grant that is meant, 0 for any
+	Epoch   uint64        `json:"epoch,omitempty"` // Revoke and HandOver: the grant that is meant; 0: any
 	Term    time.Duration `json:"term,omitempty"`
 	To      string        `json:"to,omitempty"`
 	Baton   []byte        `json:"baton,omitempty"`
 	Word    []byte        `json:"word,omitempty"`
 	Version uint64        `json:"version,omitempty"`
 	Why     string        `json:"why,omitempty"`
-	NoRest  bool          `json:"no_rest,omitempty"` // of Acquire: the duty is not what loses its holders
+	NoRest  bool          `json:"no_rest,omitempty"` // Acquire: the duty must not rest, however many holders it loses
 }
 
-// Answer is what an Op has come to.
+// Answer is the result of an Op.
 type Answer struct {
-	Refused string `json:"refused,omitempty"` // why; "" if it is done
-	Holder  string `json:"holder,omitempty"`  // now
+	Refused string `json:"refused,omitempty"` // why the operation was refused; "": it was applied
+	Holder  string `json:"holder,omitempty"`  // after the operation
 	Epoch   uint64 `json:"epoch,omitempty"`
-	Baton   []byte `json:"baton,omitempty"`   // of Acquire
-	Release bool   `json:"release,omitempty"` // of Renew: it is wanted elsewhere, and to be released
+	Baton   []byte `json:"baton,omitempty"`   // Acquire: data that the previous holder left
+	Release bool   `json:"release,omitempty"` // Renew: the holder should release the duty, which is to be handed over
 }
 
-// Check says what is wrong with an operation, whatever the table is.
+// Check returns an error if an operation is invalid for any table.
 func (op *Op) Check() error {
 	switch {
 	case op.Kind < Acquire || op.Kind > Expire:
@@ -141,16 +151,18 @@
 	case op.Kind == Acquire && (op.Term < MinTerm || op.Term > MaxTerm):
 		return fmt.Errorf("term: %v is not between %v and %v", op.Term, MinTerm, MaxTerm)
 	case len(op.Baton) > MaxBatonBytes:
-		return fmt.Errorf("baton: it has %d bytes, and %d are allowed", len(op.Baton), MaxBatonBytes)
+		return fmt.Errorf("baton: it has %d bytes, and at most %d are allowed", len(op.Baton), MaxBatonBytes)
 	case len(op.Word) > MaxWordBytes:
-		return fmt.Errorf("word: it has %d bytes, and %d are allowed", len(op.Word), MaxWordBytes)
+		return fmt.Errorf("word: it has %d bytes, and at most %d are allowed", len(op.Word), MaxWordBytes)
 	case len(op.To) > 200 || len(op.Why) > 200:
 		return errors.New("to, why: at most 200 bytes")
 	}
 	return nil
 }
 
-// Apply takes an Op in. All members do so in the same order.
+// Apply applies an Op and returns its result. All members must apply the same Ops in the same
+// order. The texts of Duty.Why and Change.Why are part of the replicated state, so different
+// versions of the program must write the same texts.
 func (t *Table) Apply(op *Op) Answer {
 	if err := op.Check(); err != nil {
 		return Answer{Refused: err.Error()}
@@ -158,7 +170,7 @@
 	duty := t.Duties[op.Duty]
 	if duty == nil {
 		if op.Kind != Acquire {
-			return Answer{Refused: "nobody has ever had this duty"}
+			return Answer{Refused: "no process has acquired this duty yet"}
 		}
 		if len(t.Duties) >= MaxDuties {
 			return Answer{Refused: fmt.Sprintf("there are %d duties already", len(t.Duties))}
@@ -177,11 +189,11 @@
 	case Acquire:
 		switch {
 		case duty.Resting:
-			return refused("it rests: %d holders in a row were lost", maxLostHolders)
+			return refused("the duty is resting: %d holders in a row were lost", maxLostHolders)
 		case duty.Holder != "":
 			return refused("%s holds it", duty.Holder)
 		case duty.To != "" && !MatchesHolder(duty.To, op.Holder):
-			return refused("it is handed to %s", duty.To)
+			return refused("it is being handed over to %s", duty.To)
 		}
 		t.Last++
 		baton := duty.Baton
@@ -194,7 +206,7 @@
 		case !isHolder:
 			return refused("it is not held so")
 		case duty.Revoked:
-			return refused("it is revoked: %s", duty.Why)
+			return refused("the lease is revoked: %s", duty.Why)
 		}
 		duty.Version++
 		duty.Word = op.Word
@@ -217,30 +229,30 @@
 		case op.Epoch > duty.Epoch:
 			return refused("epoch %d has not been granted", op.Epoch)
 		case op.Epoch != 0 && (op.Epoch < duty.Epoch || duty.Holder == "" || duty.Revoked):
-			return Answer{Holder: duty.Holder, Epoch: duty.Epoch} // it has come about
+			return Answer{Holder: duty.Holder, Epoch: duty.Epoch} // it was done already
 		case duty.Holder == "":
 			return refused("nobody holds it")
 		}
-		duty.Revoked = true // danger: its holder may act until its time is over, and nobody else before
+		duty.Revoked = true // the holder may act until the lease expires, so the duty is not free before that
 		t.recordChange(op.Duty, duty, op.Why)
 	case HandOver:
 		if MatchesHolder(op.To, duty.Holder) {
 			if op.Epoch != 0 && op.Epoch < duty.Epoch {
-				return Answer{Holder: duty.Holder, Epoch: duty.Epoch} // it has come about
+				return Answer{Holder: duty.Holder, Epoch: duty.Epoch} // it was done already
 			}
 			return refused("%s holds it", duty.Holder)
 		}
 		if op.Epoch != 0 && op.Epoch != duty.Epoch {
-			return refused("epoch %d is not the last that was granted", op.Epoch)
+			return refused("epoch %d is not the latest grant", op.Epoch)
 		}
 		if op.Epoch != 0 && duty.To == op.To {
-			return Answer{Holder: duty.Holder, Epoch: duty.Epoch} // it is under way
+			return Answer{Holder: duty.Holder, Epoch: duty.Epoch} // it was ordered already
 		}
 		duty.To, duty.Resting = op.To, false
 		t.recordChange(op.Duty, duty, "to be handed to "+op.To)
 	case Expire:
 		if op.Version != duty.Version {
-			return refused("its time has begun anew")
+			return refused("the duty has changed since this timeout started")
 		}
 		switch {
 		case duty.Holder != "":
@@ -267,12 +279,13 @@
 	return Answer{Holder: duty.Holder, Epoch: duty.Epoch}
 }
 
-// Meant says whether a process is the one that a name names, or one of those of a member: a member's are called MEMBER/ONE.
+// MatchesHolder reports whether a name is that of the holder process or that of the member it
+// belongs to. The processes of a member are called MEMBER/PROCESS.
 func MatchesHolder(name, holder string) bool {
 	return holder == name || strings.HasPrefix(holder, name+"/")
 }
 
-// moved notes a change of a duty.
+// recordChange records a change of a duty and its reason.
 func (t *Table) recordChange(name string, d *Duty, why string) {
 	d.Version++
 	d.Why = why
@@ -283,7 +296,7 @@
 	}
 }
 
-// wait is how long what is of a duty's present version lasts; 0 for ever.
+// timeout returns how long the current state of a duty lasts unless it changes. 0 means no limit.
 func (d *Duty) timeout() time.Duration {
 	switch {
 	case d.Holder != "":
@@ -296,15 +309,19 @@
 	return 0
 }
 
-// Watch is a lead's clock of a table. Danger: what one lead has counted says nothing to the next.
+// ExpiryTracker measures for the leader how long each duty's version has been in the table. A new
+// leader must start with an empty one: times that another leader measured are not valid by its
+// clock.
 type ExpiryTracker struct{ seen map[string]versionSeen }
 
+// versionSeen is a duty's version and the time at which this tracker first saw it.
 type versionSeen struct {
 	version uint64
 	since   time.Duration
 }
 
-// Due returns what is over, to be proposed. It must see the table each time that it has changed.
+// Expired returns the Expire operations to propose. It has to be called after each change of the
+// table.
 func (w *ExpiryTracker) Expired(now time.Duration, t *Table) (expired []Op) {
 	if w.seen == nil {
 		w.seen = map[string]versionSeen{}
@@ -323,7 +340,8 @@
 	return expired
 }
 
-// Left is how much of a duty's time is left by this clock, as far as it has seen.
+// Remaining returns how long a duty's current state still lasts by this tracker's clock. 0 also
+// means no limit.
 func (w *ExpiryTracker) Remaining(now time.Duration, name string, d *Duty) time.Duration {
 	last, known := w.seen[name]
 	if !known || last.version != d.Version {
--- a/internal/lease/many_test.go
+++ b/internal/lease/many_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// A thousand duties, fifty agents that start in one second, ten of which die in another, and one that takes and drops what it gets.
-// All is held again soon after, nobody has far more than the others but one of four times the weight, and few ask for what they don't
-// get. Each agent knows the table as it was up to a quarter of a second ago.
+// Fifty agents start together and compete for a thousand duties. One of them releases each duty at
+// once, and ten are killed. Nearly all duties are held again soon, no agent holds far more than the
+// others except the one with four times their weight, and few requests are refused. Each agent's
+// view of the table is up to 250 ms old.
 func TestThousandDuties(t *testing.T) {
 	const agents, duties, killed = 50, 1000, 10
 	const term, interval, refreshInterval = 3 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond
@@ -69,7 +70,7 @@
 						agent.free[k] = d == nil || d.Holder == "" && !d.Resting
 					}
 					if _, _, held := h.Holds(now); held && i == 0 && h.lastTick > 0 {
-						send(now, h, h.Release(now, "", nil)) // it takes and drops
+						send(now, h, h.Release(now, "", nil)) // the first agent releases each duty at once
 						continue
 					}
 					send(now, h, h.Tick(now, agent.free[k], AcquireDelay(names[k], agent.name, agent.weight, term)))
@@ -83,17 +84,19 @@
 		t.Errorf("%d of %d duties are held two terms after the start", held, duties)
 	}
 	if refused > 6*duties {
-		t.Errorf("%d questions in vain for %d duties as the fleet started", refused, duties)
+		t.Errorf("%d refused requests for %d duties as the fleet started", refused, duties)
 	}
 	all = append(all[:1], all[1+killed:]...)
 	refusedBefore := refused
-	run(2*term, 5*term) // the time of the dead is over after one, and the patience of the last after another
+	// The leases of the killed agents expire after one term, and the last acquire delays end after
+	// another.
+	run(2*term, 5*term)
 	held, heldBy := countHeld()
 	if held < duties*97/100 {
-		t.Errorf("%d of %d duties are held three terms after ten agents have died", held, duties)
+		t.Errorf("%d of %d duties are held three terms after ten agents were killed", held, duties)
 	}
 	if refused-refusedBefore > 6*duties {
-		t.Errorf("%d questions in vain after that", refused-refusedBefore)
+		t.Errorf("%d refused requests after ten agents were killed", refused-refusedBefore)
 	}
 	heavy := all[len(all)-1].name + "/1"
 	for name, n := range heldBy {
@@ -101,5 +104,5 @@
 			t.Errorf("%s holds %d of %d duties", name, n, duties)
 		}
 	}
-	t.Logf("%d questions, %d in vain", requests, refused)
+	t.Logf("%d requests, %d refused", requests, refused)
 }
--- a/internal/lease/orders_test.go
+++ b/internal/lease/orders_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An operator's order about a grant comes twice, or after the duty has moved on: it moves the duty once.
+// An operator's order names a grant. If it arrives twice, or after the duty was granted again, it
+// must take effect only once.
 func TestOrdersNameTheirGrant(t *testing.T) {
 	var table Table
 	apply := func(op Op) Answer {
@@ -20,16 +21,16 @@
 	require.Empty(t, apply(handOver).Refused)
 	before := duty()
 	require.Empty(t, apply(handOver).Refused)
-	require.Equal(t, before, duty(), "its time does not begin anew")
+	require.Equal(t, before, duty(), "the lease is not extended")
 	require.True(t, apply(Op{Kind: Renew, Holder: "a/1", Epoch: 1}).Release)
 	require.Empty(t, apply(Op{Kind: Release, Holder: "a/1", Epoch: 1}).Refused)
 	require.NotEmpty(t, apply(Op{Kind: Acquire, Holder: "c/1"}).Refused)
 	require.Equal(t, uint64(2), apply(Op{Kind: Acquire, Holder: "b/1"}).Epoch)
 
 	before = duty()
-	require.Empty(t, apply(handOver).Refused, "it has come about")
+	require.Empty(t, apply(handOver).Refused, "the order was carried out already")
 	require.NotEmpty(t, apply(Op{Kind: HandOver, Epoch: 1, To: "c"}).Refused)
-	require.Empty(t, apply(Op{Kind: Revoke, Epoch: 1, Why: "late"}).Refused, "nobody holds it under 1")
+	require.Empty(t, apply(Op{Kind: Revoke, Epoch: 1, Why: "late"}).Refused, "epoch 1 has ended")
 	require.NotEmpty(t, apply(Op{Kind: Revoke, Epoch: 3, Why: "early"}).Refused)
 	require.Equal(t, before, duty())
 
@@ -38,6 +39,6 @@
 	before = duty()
 	require.True(t, before.Revoked)
 	require.Empty(t, apply(revoke).Refused)
-	require.Equal(t, before, duty(), "its time does not begin anew")
+	require.Equal(t, before, duty(), "the lease is not extended")
 	require.NotEmpty(t, apply(Op{Kind: Renew, Holder: "b/1", Epoch: 2}).Refused)
 }
