--- a/internal/duty/link_test.go
+++ b/internal/duty/link_test.go
@@ -48,22 +48,22 @@
 	lastMessage string
 }
 
-func (l *fakeAgent) Weight(string) float64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.weight
+func (a *fakeAgent) Weight(string) float64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.weight
 }
-func (l *fakeAgent) MessageToPublish(string) []byte { return []byte("on") }
-func (l *fakeAgent) HandleMessage(_ string, _ uint64, message []byte) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.lastMessage = string(message)
+func (a *fakeAgent) MessageToPublish(string) []byte { return []byte("on") }
+func (a *fakeAgent) HandleMessage(_ string, _ uint64, message []byte) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.lastMessage = string(message)
 }
 
-func (l *fakeAgent) message() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.lastMessage
+func (a *fakeAgent) message() string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.lastMessage
 }
 
 // Two agents use a group in which only one of three members answers lease requests. One agent holds
@@ -76,8 +76,8 @@
 		var running sync.WaitGroup
 		ctx, cancel := context.WithCancel(t.Context())
 		for i, agent := range agents {
-			link := &LeaseClient{Name: string(rune('a' + i)), Duties: []string{"pace:x"}, Members: []Grantor{unresponsiveMember{group}, unresponsiveMember{group}, group}, Agent: agent, Log: slog.New(slog.DiscardHandler)}
-			running.Go(func() { link.Run(ctx) })
+			client := &LeaseClient{Name: string(rune('a' + i)), Duties: []string{"pace:x"}, Members: []Grantor{unresponsiveMember{group}, unresponsiveMember{group}, group}, Agent: agent, Log: slog.New(slog.DiscardHandler)}
+			running.Go(func() { client.Run(ctx) })
 		}
 		holder := func() (index int) {
 			group.mu.Lock()
--- a/internal/group/core.go
+++ b/internal/group/core.go
@@ -338,7 +338,7 @@
 		output.Records = append(output.Records, protoRecord(logBucket, entryKey(e.GetIndex()), e))
 	}
 	if n := len(ready.Entries); n > 0 {
-		// Uncommitted entries of an earlier leader, which are replaced.
+		// Uncommitted entries of an earlier leader that follow the new ones are deleted.
 		for i := ready.Entries[n-1].GetIndex() + 1; i <= lastIndex; i++ {
 			output.Records = append(output.Records, journal.Record{Bucket: logBucket, Key: entryKey(i)})
 		}
--- a/internal/group/explore_test.go
+++ b/internal/group/explore_test.go
@@ -236,9 +236,9 @@
 	}
 }
 
-// proposeSomething makes a member acquire the duty or write under it, or propose its pending
+// proposeRandomCommand makes a member acquire the duty or write under it, or propose its pending
 // command again.
-func (h *simulation) proposeSomething(s *replica) {
+func (h *simulation) proposeRandomCommand(s *replica) {
 	if s.pending != nil {
 		if h.rng.IntN(30) == 0 {
 			s.core.propose(s.pending) // its outcome is unknown
@@ -305,7 +305,7 @@
 			h.confirm(s)
 		}
 		s.core.Tick()
-		h.proposeSomething(s)
+		h.proposeRandomCommand(s)
 		h.drain(s)
 		if s.core != nil && s.core.IsCaughtUpLeader() {
 			for _, op := range s.core.leaseExpiry.Expired(time.Duration(h.now)*tickInterval, &s.core.state.Leases) {
--- a/internal/group/hold.go
+++ b/internal/group/hold.go
@@ -29,8 +29,8 @@
 
 // IsValid reports whether the duty is held at this moment. Actions that follow the check carry the
 // epoch all the same, because the lease may expire between both.
-func (s *Grant) IsValid() bool {
-	return s.Err() == nil && s.node.now() < time.Duration(s.validUntil.Load())
+func (g *Grant) IsValid() bool {
+	return g.Err() == nil && g.node.now() < time.Duration(g.validUntil.Load())
 }
 
 // Hold tries to acquire a duty until the context ends. It calls work for each grant, during which
@@ -80,8 +80,8 @@
 			grant.cancel()
 			if _, _, holds := holder.Holds(n.now()); holds {
 				request := holder.Release(n.now(), n.successor(ctx, duty), baton)
-				// Before the release, which the next leader then commits: this process may end
-				// before it is committed.
+				// Leadership is transferred before the release, so that the next leader commits the
+				// release even if this process ends first.
 				if ctx.Err() != nil {
 					n.enqueue(func() { n.core.TransferLeadership() })
 				}
@@ -173,26 +173,26 @@
 // Write replicates records if the duty is still held. A write that fails with a timeout may still
 // be applied later. The next call first waits for its result, and its records are expected to start
 // with those of the failed write, which are not written twice.
-func (s *Grant) Write(records []journal.Record) error {
-	if !s.IsValid() {
+func (g *Grant) Write(records []journal.Record) error {
+	if !g.IsValid() {
 		return errors.New("the duty is no longer held")
 	}
-	ctx, cancel := context.WithTimeout(s, writeTimeout)
+	ctx, cancel := context.WithTimeout(g, writeTimeout)
 	defer cancel()
 	for {
-		if s.pending == nil {
+		if g.pending == nil {
 			if len(records) == 0 {
 				return nil
 			}
-			s.seq++
-			s.pending = &writeCommand{s.duty, s.Epoch, s.seq, records}
+			g.seq++
+			g.pending = &writeCommand{g.duty, g.Epoch, g.seq, records}
 		}
-		result, err := s.node.execute(ctx, &command{Write: s.pending})
+		result, err := g.node.execute(ctx, &command{Write: g.pending})
 		if err != nil {
 			return err
 		}
-		written := len(s.pending.Records)
-		s.pending = nil
+		written := len(g.pending.Records)
+		g.pending = nil
 		if result.Refused != "" {
 			return errors.New(result.Refused)
 		}
@@ -202,13 +202,13 @@
 }
 
 // Read calls f with each record of a replicated bucket.
-func (s *Grant) Read(bucket string, f func(key string, value []byte) error) error {
+func (g *Grant) Read(bucket string, f func(key string, value []byte) error) error {
 	type record struct {
 		key   string
 		value []byte
 	}
-	all, err := runInLoop(s, s.node, func() (all []record, err error) {
-		err = s.node.core.Read(bucket, func(key string, value []byte) error {
+	all, err := runInLoop(g, g.node, func() (all []record, err error) {
+		err = g.node.core.Read(bucket, func(key string, value []byte) error {
 			all = append(all, record{key, value})
 			return nil
 		})
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -26,9 +26,9 @@
 	tickInterval     = 100 * time.Millisecond
 	contactInterval  = time.Second // between requests for the identities of peers
 	peerTimeout      = 2 * time.Second
-	outboxSize       = 256 // messages queued for one peer
-	maxBatchMessages = 64  // messages in one Batch
-	proposalInterval = 500 * time.Millisecond
+	outboxSize       = 256                    // messages queued for one peer
+	maxBatchMessages = 64                     // messages in one Batch
+	proposalInterval = 500 * time.Millisecond // between proposals of a command without a result
 	inputQueueSize   = 1024
 	// writeTimeout limits how long Grant.Write waits until a write is committed.
 	writeTimeout = 3 * time.Second
@@ -69,8 +69,8 @@
 	// The fields of this block belong to the goroutine of Run.
 	core     *Core
 	outboxes map[string]chan *raftpb.Message
-	// senderNames are the names of the peers that have sent a batch, by ID. A member that was just
-	// added does not know the other members yet, and finds in it whom to respond to.
+	// senderNames holds the names of the peers that have sent a batch, by ID. A member that was
+	// just added needs it to respond, because it does not know the other members yet.
 	senderNames   map[uint64]string
 	waiters       map[string]chan Result
 	writeError    error             // error of the last write to the journal; nil: it succeeded
@@ -328,8 +328,8 @@
 		var stepErr error
 		for _, m := range messages {
 			if err := n.core.Step(m); err != nil {
-				// Without wrapping: an ErrStaleDisk here is about this member, and the sender must
-				// not take it for its own.
+				// The error is not wrapped: an ErrStaleDisk here is about this member's disk, and
+				// the sender would take it for its own.
 				stepErr = fmt.Errorf("message not accepted: %v", err)
 			}
 		}
--- a/internal/group/node_test.go
+++ b/internal/group/node_test.go
@@ -265,7 +265,8 @@
 }
 
 // A founder restarts, partitioned, from a copy of its disk from before other members became voters.
-// It must not elect itself, and reports a stale disk once it reaches the others.
+// It must not elect itself, and reports a stale disk once it reaches the others. With its own disk
+// it leads once one of the two others has confirmed its start.
 func TestOnlyVoterIsConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		firstDisk := &journal.Memory{}
--- a/internal/lease/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -18,7 +18,7 @@
 	rng             *rand.Rand
 	now             time.Duration
 	table           Table
-	watch           ExpiryTracker
+	leaseExpiry     ExpiryTracker
 	leaderClockRate float64 // rate of the leader's clock
 	noLeaderUntil   time.Duration
 	processes       []*agentProcess
@@ -29,10 +29,10 @@
 	reservedFor  map[string]string // by duty: for whom it is reserved since the last release
 	revoked      map[string]uint64 // by duty: epoch that was revoked
 	batons       map[string]string
-	lostInRow    map[string]int // by duty: holders lost in a row
-	followerRNG  *rand.Rand
+	lostInRow    map[string]int   // by duty: holders lost in a row
+	followerRNG  *rand.Rand       // separate, so that checks of Followers do not change the other random choices
 	staleAnswers map[string]*Duty // by duty: state at a member that no longer receives updates
-	olderAnswers map[string]*Duty
+	olderAnswers map[string]*Duty // by duty: an earlier answer, to be received again late
 	failures     []string
 }
 
@@ -257,7 +257,7 @@
 		if w.bug == "the lead's clock runs ahead of the margin" {
 			leaderTime += leaderTime / 5
 		}
-		for _, op := range w.watch.Expired(leaderTime, &w.table) {
+		for _, op := range w.leaseExpiry.Expired(leaderTime, &w.table) {
 			w.deliveries = append(w.deliveries, delivery{w.now + w.randomDelay(), func() { w.apply(op) }})
 		}
 	}
@@ -360,11 +360,11 @@
 	case 3: // the leader changes
 		w.leaderClockRate, w.noLeaderUntil = w.randomClockRate(), w.now+duration/2
 		if w.bug != "a new lead goes on with the clock of the one before" {
-			w.watch = ExpiryTracker{}
+			w.leaseExpiry = ExpiryTracker{}
 		} else {
-			for name, s := range w.watch.seen {
+			for name, s := range w.leaseExpiry.seen {
 				s.version, s.since = w.table.Duties[name].Version, s.since-leaseTerm
-				w.watch.seen[name] = s
+				w.leaseExpiry.seen[name] = s
 			}
 		}
 	case 4, 5:
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -322,15 +322,15 @@
 
 // Expired returns the Expire operations to propose. It has to be called after each change of the
 // table.
-func (w *ExpiryTracker) Expired(now time.Duration, t *Table) (expired []Op) {
-	if w.seen == nil {
-		w.seen = map[string]versionSeen{}
+func (e *ExpiryTracker) Expired(now time.Duration, t *Table) (expired []Op) {
+	if e.seen == nil {
+		e.seen = map[string]versionSeen{}
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.Duties)) {
 		d := t.Duties[name]
-		last, known := w.seen[name]
+		last, known := e.seen[name]
 		if !known || last.version != d.Version {
-			w.seen[name] = versionSeen{d.Version, now}
+			e.seen[name] = versionSeen{d.Version, now}
 			continue
 		}
 		if timeout := d.timeout(); timeout > 0 && now-last.since >= timeout {
@@ -342,8 +342,8 @@
 
 // Remaining returns how long a duty's current state still lasts by this tracker's clock. 0 also
 // means no limit.
-func (w *ExpiryTracker) Remaining(now time.Duration, name string, d *Duty) time.Duration {
-	last, known := w.seen[name]
+func (e *ExpiryTracker) Remaining(now time.Duration, name string, d *Duty) time.Duration {
+	last, known := e.seen[name]
 	if !known || last.version != d.Version {
 		return d.timeout()
 	}
--- a/internal/lease/many_test.go
+++ b/internal/lease/many_test.go
@@ -27,11 +27,11 @@
 	}
 	all := make([]*agent, agents)
 	for i := range all {
-		agent := &agent{name: fmt.Sprint("a", i), free: make([]bool, duties), weight: 1}
+		process := &agent{name: fmt.Sprint("a", i), free: make([]bool, duties), weight: 1}
 		for _, name := range names {
-			agent.holders = append(agent.holders, &Holder{Duty: name, Name: agent.name + "/1", Term: term})
+			process.holders = append(process.holders, &Holder{Duty: name, Name: process.name + "/1", Term: term})
 		}
-		all[i] = agent
+		all[i] = process
 	}
 	all[agents-1].weight = 4
 	requests, refused := 0, 0
@@ -62,18 +62,18 @@
 			for _, op := range expiry.Expired(now, &table) {
 				table.Apply(&op)
 			}
-			for i, agent := range all {
+			for i, process := range all {
 				refresh := (now+time.Duration(i)*interval)%refreshInterval < interval
-				for k, h := range agent.holders {
+				for k, h := range process.holders {
 					if refresh {
 						d := table.Duties[names[k]]
-						agent.free[k] = d == nil || d.Holder == "" && !d.Resting
+						process.free[k] = d == nil || d.Holder == "" && !d.Resting
 					}
 					if _, _, held := h.Holds(now); held && i == 0 && h.lastTick > 0 {
 						send(now, h, h.Release(now, "", nil)) // the first agent releases each duty at once
 						continue
 					}
-					send(now, h, h.Tick(now, agent.free[k], AcquireDelay(names[k], agent.name, agent.weight, term)))
+					send(now, h, h.Tick(now, process.free[k], AcquireDelay(names[k], process.name, process.weight, term)))
 				}
 			}
 		}
