--- a/internal/group/core.go
+++ b/internal/group/core.go
@@ -1,7 +1,8 @@
 // Package group implements a small group of processes that replicate the same records with Raft and
-// agree on which of them holds which duty (a lease, see package lease). go.etcd.io/raft decides what
-// is committed. This package stores the Raft log in buckets of the member's journal, defines and
-// applies the log entries, and decides who may be a member.
+// agree on which of them holds which duty. A duty is a task that at most one process may do at a
+// time, under a lease (see package lease). go.etcd.io/raft decides what is committed. This package
+// stores the Raft log in buckets of the member's journal, defines and applies the log entries, and
+// decides who may be a member.
 //
 // A Core is one member without I/O, clock or goroutines: it is given ticks, messages and proposals,
 // and returns the records to write and the messages to send afterwards. A Node runs a Core.
--- a/internal/group/node_test.go
+++ b/internal/group/node_test.go
@@ -160,22 +160,22 @@
 		history = append(history, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: int64(call), Return: int64(returned)})
 	}
 	var clients sync.WaitGroup
-	grants, holder := 0, 0
+	operations, holder := 0, 0
 	for i := range g.nodes {
 		n := g.nodes[i]
 		clients.Go(func() {
-			n.Hold(ctx, "register", time.Second, func(s *Grant) []byte {
-				for k := 0; s.IsValid(); k++ {
+			n.Hold(ctx, "register", time.Second, func(grant *Grant) []byte {
+				for k := 0; grant.IsValid(); k++ {
 					// Each operation counts as its own client, because a later one does not wait
 					// for an unanswered one.
 					mu.Lock()
-					grants++
-					client := grants
+					operations++
+					client := operations
 					holder = i
 					mu.Unlock()
 					if k%2 == 0 {
-						in, call := input{true, fmt.Sprintf("%d.%d", s.Epoch, k)}, time.Since(start)
-						err := s.Write([]journal.Record{{Bucket: "data", Key: "x", Value: []byte(in.value)}})
+						in, call := input{true, fmt.Sprintf("%d.%d", grant.Epoch, k)}, time.Since(start)
+						err := grant.Write([]journal.Record{{Bucket: "data", Key: "x", Value: []byte(in.value)}})
 						record(client, in, "", call, err == nil)
 						if err != nil {
 							return nil
@@ -183,7 +183,7 @@
 						continue
 					}
 					call, got := time.Since(start), ""
-					if err := s.Read("data", func(_ string, v []byte) error { got = string(v); return nil }); err == nil && s.IsValid() {
+					if err := grant.Read("data", func(_ string, v []byte) error { got = string(v); return nil }); err == nil && grant.IsValid() {
 						record(client, input{}, got, call, true)
 					}
 					time.Sleep(5 * time.Millisecond)
