--- a/internal/duty/link.go
+++ b/internal/duty/link.go
@@ -12,185 +12,194 @@
 )
 
 const (
-	// Term is for how long an agent is granted a duty. A word is followed for as long after it was last renewed.
-	Term = 3 * time.Second
-	// listen is how often the group is asked for words: a pacer takes a step in half a second.
-	listen = Term / 12
-	// askIn is how long a member has to answer before another is asked.
-	askIn = Term / 3
+	// LeaseTerm is the term of an agent's lease. A holder's message is followed for as long after
+	// its last renewal.
+	LeaseTerm = 3 * time.Second
+	// pollInterval is the interval between queries for messages. A step of a pacer takes 500 ms, so
+	// that each of its messages is seen.
+	pollInterval = LeaseTerm / 12
+	// requestTimeout is how long a member has to answer before another member is queried.
+	requestTimeout = LeaseTerm / 3
 )
 
-// Local is the agent on this side of a Link. It must not wait for anything.
-type Local interface {
-	// Weight is how well this agent could do a duty; 0: it can't.
+// Agent is the agent that a LeaseClient acts for. Its methods must not block.
+type Agent interface {
+	// Weight rates how well this agent could hold a duty; 0: it can't.
 	Weight(duty string) float64
-	// Say is what its holder has to say while it does it; nil: nothing.
-	Say(duty string) []byte
-	// Heard tells what the present holder says, and under which epoch, nil if there is nothing fresh, many times a second.
-	Heard(duty string, epoch uint64, word []byte)
+	// MessageToPublish returns the message that this agent publishes while it holds the duty; nil:
+	// none.
+	MessageToPublish(duty string) []byte
+	// HandleMessage receives the message of the current holder and its epoch, or nil if there is no
+	// valid message. It is called many times a second. At the holder itself the message is nil.
+	HandleMessage(duty string, epoch uint64, message []byte)
 }
 
-// Grantor is a manager of the group that grants duties.
+// Grantor is a member of the group that grants duties.
 type Grantor interface {
-	Words(ctx context.Context) (*Words, error)
+	HolderMessages(ctx context.Context) (*HolderMessages, error)
 	Lease(ctx context.Context, op *lease.Op) (lease.Answer, error)
 }
 
-// Link is an agent's side of the duties of a group: it goes for those that are to be had, says what there is to say under them and
-// hears what others say. Nothing waits for it. Where the group is out of reach no word is fresh, and nothing is held.
-type Link struct {
+// LeaseClient acquires a group's duties for an agent, publishes the agent's messages for the duties
+// it holds, and passes it the messages of other holders. The agent never waits for it. While the
+// group is unreachable, leases and messages expire.
+type LeaseClient struct {
 	Name    string // of the agent, the same after a restart
 	Duties  []string
 	Members []Grantor
-	Local   Local
+	Agent   Agent
 	Log     *slog.Logger
 
-	began   time.Time
-	answers chan func()
-	at      int // the member that is asked
-	asking  bool
-	heard   time.Duration // when it last answered; 0: never
-	posts   []*post
+	startedAt    time.Time
+	answers      chan func()
+	memberIndex  int // index of the member that is queried
+	pollInFlight bool
+	lastAnswerAt time.Duration // when a member last answered a poll; 0: never
+	duties       []*dutyState
 }
 
-// post is what is known of one duty.
-type post struct {
-	name   string
-	holder lease.Holder
-	follow lease.Follower
-	free   bool
-	meant  bool   // it is handed to this agent
-	held   uint64 // epoch, as it was logged
+// dutyState is the client's state of one duty.
+type dutyState struct {
+	name        string
+	holder      lease.Holder
+	follower    lease.Follower
+	free        bool
+	reserved    bool   // the duty is being handed over to this agent
+	loggedEpoch uint64 // epoch of the lease that was logged last; 0: not held
 }
 
-func (l *Link) now() time.Duration { return time.Since(l.began) + 1 }
+func (l *LeaseClient) now() time.Duration { return time.Since(l.startedAt) + 1 }
 
-// Run goes on until the context ends, and gives back then what is held.
-func (l *Link) Run(ctx context.Context) {
-	l.began, l.answers, l.at = time.Now(), make(chan func(), 2*len(l.Duties)+2), rand.IntN(len(l.Members))
-	life := fmt.Sprintf("%s/%x", l.Name, rand.Uint64())
+// Run runs until the context ends, and then releases the duties that are held.
+func (l *LeaseClient) Run(ctx context.Context) {
+	l.startedAt, l.answers, l.memberIndex = time.Now(), make(chan func(), 2*len(l.Duties)+2), rand.IntN(len(l.Members))
+	processName := fmt.Sprintf("%s/%x", l.Name, rand.Uint64())
 	for _, name := range l.Duties {
-		l.posts = append(l.posts, &post{
-			name: name, holder: lease.Holder{Duty: name, Name: life, Term: Term}, follow: lease.Follower{Life: Term}, free: true,
+		l.duties = append(l.duties, &dutyState{
+			name: name, holder: lease.Holder{Duty: name, Name: processName, Term: LeaseTerm}, follower: lease.Follower{MaxAge: LeaseTerm}, free: true,
 		})
 	}
-	var out sync.WaitGroup
-	defer out.Wait()
-	clock := time.NewTicker(listen)
-	defer clock.Stop()
+	var requests sync.WaitGroup
+	defer requests.Wait()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case f := <-l.answers:
-			f()
-		case <-clock.C:
-			l.listen(ctx, &out)
-			for _, p := range l.posts {
-				l.step(ctx, p, &out)
+		case handle := <-l.answers:
+			handle()
+		case <-ticker.C:
+			l.pollMessages(ctx, &requests)
+			for _, d := range l.duties {
+				l.tickDuty(ctx, d, &requests)
 			}
 		}
 	}
-	for _, p := range l.posts {
-		if _, _, holds := p.holder.Holds(l.now()); holds {
-			l.ask(context.WithoutCancel(ctx), p, p.holder.LetGo(l.now(), "", nil), &out)
+	for _, d := range l.duties {
+		if _, _, holds := d.holder.Holds(l.now()); holds {
+			l.sendRequest(context.WithoutCancel(ctx), d, d.holder.Release(l.now(), "", nil), &requests)
 		}
 	}
 }
 
-// step goes on with one duty.
-func (l *Link) step(ctx context.Context, p *post, out *sync.WaitGroup) {
-	t := l.now()
-	epoch, _, holds := p.holder.Holds(t)
+// tickDuty logs a change of the lease, sends the next request and passes the current message to the
+// agent.
+func (l *LeaseClient) tickDuty(ctx context.Context, d *dutyState, requests *sync.WaitGroup) {
+	now := l.now()
+	epoch, _, holds := d.holder.Holds(now)
 	if !holds {
 		epoch = 0
 	}
-	if epoch != p.held {
-		l.Log.Info("duty", "name", p.name, "holding", holds, "epoch", max(epoch, p.held))
-		p.held = epoch
+	if epoch != d.loggedEpoch {
+		l.Log.Info("duty", "name", d.name, "holding", holds, "epoch", max(epoch, d.loggedEpoch))
+		d.loggedEpoch = epoch
 	}
-	weight := l.Local.Weight(p.name)
+	weight := l.Agent.Weight(d.name)
 	switch {
-	case holds && (weight <= 0 || p.holder.Wanted() != ""):
-		l.ask(ctx, p, p.holder.LetGo(t, "", nil), out)
+	case holds && (weight <= 0 || d.holder.ReleaseReason() != ""):
+		l.sendRequest(ctx, d, d.holder.Release(now, "", nil), requests)
 	default:
 		if holds {
-			p.holder.Say(l.Local.Say(p.name))
+			d.holder.Publish(l.Agent.MessageToPublish(d.name))
 		}
-		patience := time.Duration(0)
-		if weight > 0 && !p.meant {
-			patience = lease.Patience(p.name, l.Name, weight, Term)
+		acquireDelay := time.Duration(0)
+		if weight > 0 && !d.reserved {
+			acquireDelay = lease.AcquireDelay(d.name, l.Name, weight, LeaseTerm)
 		}
-		// Who has heard nothing of late knows of nothing that is free.
-		l.ask(ctx, p, p.holder.Step(t, p.free && weight > 0 && l.heard > 0 && t-l.heard < Term, patience), out)
+		// Without a recent answer the agent can't know which duties are free.
+		l.sendRequest(ctx, d, d.holder.Tick(now, d.free && weight > 0 && l.lastAnswerAt > 0 && now-l.lastAnswerAt < LeaseTerm, acquireDelay), requests)
 	}
-	word, said := p.follow.Word(t)
+	message, messageEpoch := d.follower.Current(now)
 	if holds {
-		word, said = nil, 0 // its own: it does as it says
+		message, messageEpoch = nil, 0 // the message is the agent's own
 	}
-	l.Local.Heard(p.name, said, word)
+	l.Agent.HandleMessage(d.name, messageEpoch, message)
 }
 
-// ask asks the group. A holder has one question out, and gives it up within a third of a term.
-func (l *Link) ask(ctx context.Context, p *post, q *lease.Ask, out *sync.WaitGroup) {
-	if q == nil {
+// sendRequest sends a request to the group. A Holder has one request in flight and abandons it
+// after a third of a term.
+func (l *LeaseClient) sendRequest(ctx context.Context, d *dutyState, request *lease.Request, requests *sync.WaitGroup) {
+	if request == nil {
 		return
 	}
-	m := l.Members[l.at]
-	out.Go(func() {
-		within, cancel := context.WithTimeout(ctx, askIn)
+	m := l.Members[l.memberIndex]
+	requests.Go(func() {
+		requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
-		a, err := m.Lease(within, &q.Op)
-		done := func() { p.holder.Answered(l.now(), q.Turn, a) }
-		if err != nil { // in time it is asked again
-			done = func() { l.passBy(m) }
+		answer, err := m.Lease(requestCtx, &request.Op)
+		handle := func() { d.holder.HandleAnswer(l.now(), request.Number, answer) }
+		if err != nil { // the Holder retries after a timeout
+			handle = func() { l.skipMember(m) }
 		}
 		select {
-		case l.answers <- done:
+		case l.answers <- handle:
 		case <-ctx.Done():
 		}
 	})
 }
 
-// listen asks for words. One question is out at a time.
-func (l *Link) listen(ctx context.Context, out *sync.WaitGroup) {
-	if l.asking {
+// pollMessages queries a member for the holders' messages. One query is in flight at a time.
+func (l *LeaseClient) pollMessages(ctx context.Context, requests *sync.WaitGroup) {
+	if l.pollInFlight {
 		return
 	}
-	l.asking = true
-	m, asked := l.Members[l.at], l.now()
-	out.Go(func() {
-		within, cancel := context.WithTimeout(ctx, askIn)
+	l.pollInFlight = true
+	m, requestedAt := l.Members[l.memberIndex], l.now()
+	requests.Go(func() {
+		requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
-		all, err := m.Words(within)
+		messages, err := m.HolderMessages(requestCtx)
 		select {
-		case l.answers <- func() { l.take(m, asked, all, err) }:
+		case l.answers <- func() { l.handleMessages(m, requestedAt, messages, err) }:
 		case <-ctx.Done():
 		}
 	})
 }
 
-// passBy has another member be asked than one that did not answer. Danger: one that hears the others and is not heard by them tells
-// words as they should be, and what it is asked for is never agreed on.
-func (l *Link) passBy(m Grantor) {
-	if l.Members[l.at] == m {
-		l.at = (l.at + 1) % len(l.Members)
+// skipMember makes the client query the next member after one that did not answer. Failed lease
+// requests count as well, because a member that receives from the others but can't send to them has
+// current messages while its proposals are never committed.
+func (l *LeaseClient) skipMember(m Grantor) {
+	if l.Members[l.memberIndex] == m {
+		l.memberIndex = (l.memberIndex + 1) % len(l.Members)
 	}
 }
 
-func (l *Link) take(m Grantor, asked time.Duration, all *Words, err error) {
-	l.asking = false
+// handleMessages processes the result of a query for messages.
+func (l *LeaseClient) handleMessages(m Grantor, requestedAt time.Duration, messages *HolderMessages, err error) {
+	l.pollInFlight = false
 	if err != nil {
-		l.passBy(m)
+		l.skipMember(m)
 		return
 	}
-	l.heard = l.now()
-	for _, p := range l.posts {
-		p.free, p.meant = true, false // a duty that nobody has ever had
-		for i := range all.Words {
-			if w := &all.Words[i]; w.Duty == p.name {
-				p.meant = w.To != "" && lease.Meant(w.To, p.holder.Name)
-				p.free = w.Free && (w.To == "" || p.meant)
-				p.follow.Heard(asked, w.Epoch, w.Version, w.Word)
+	l.lastAnswerAt = l.now()
+	for _, d := range l.duties {
+		d.free, d.reserved = true, false // for a duty that was never granted
+		for i := range messages.Words {
+			if message := &messages.Words[i]; message.Duty == d.name {
+				d.reserved = message.To != "" && lease.MatchesHolder(message.To, d.holder.Name)
+				d.free = message.Free && (message.To == "" || d.reserved)
+				d.follower.Update(requestedAt, message.Epoch, message.Version, message.Word)
 			}
 		}
 	}
--- a/internal/duty/link_test.go
+++ b/internal/duty/link_test.go
@@ -12,92 +12,94 @@
 	"example.org/micaline/internal/lease"
 )
 
-// table is a group in this process.
-type table struct {
+// fakeGroup is a Grantor with a lease table but no expiry of leases.
+type fakeGroup struct {
 	mu    sync.Mutex
 	lease lease.Table
 }
 
-func (t *table) Words(context.Context) (*Words, error) {
+func (t *fakeGroup) HolderMessages(context.Context) (*HolderMessages, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := &Words{}
+	messages := &HolderMessages{}
 	for name, d := range t.lease.Duties {
-		w.Words = append(w.Words, Word{Duty: name, Free: d.Holder == "", Epoch: d.Epoch, Version: d.Version, Word: d.Word, To: d.To})
+		messages.Words = append(messages.Words, HolderMessage{Duty: name, Free: d.Holder == "", Epoch: d.Epoch, Version: d.Version, Word: d.Word, To: d.To})
 	}
-	return w, nil
+	return messages, nil
 }
 
-func (t *table) Lease(_ context.Context, op *lease.Op) (lease.Answer, error) {
+func (t *fakeGroup) Lease(_ context.Context, op *lease.Op) (lease.Answer, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lease.Apply(op), nil
 }
 
-type mute struct{ *table }
+// unresponsiveMember is a member that returns messages but never answers lease requests.
+type unresponsiveMember struct{ *fakeGroup }
 
-func (mute) Lease(ctx context.Context, _ *lease.Op) (lease.Answer, error) {
+func (unresponsiveMember) Lease(ctx context.Context, _ *lease.Op) (lease.Answer, error) {
 	<-ctx.Done()
-	return lease.Answer{}, errors.New("nobody agrees")
+	return lease.Answer{}, errors.New("not committed")
 }
 
-type local struct {
-	mu     sync.Mutex
-	weight float64
-	heard  string
+type fakeAgent struct {
+	mu          sync.Mutex
+	weight      float64
+	lastMessage string
 }
 
-func (l *local) Weight(string) float64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.weight
+func (a *fakeAgent) Weight(string) float64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.weight
 }
-func (l *local) Say(string) []byte { return []byte("on") }
-func (l *local) Heard(_ string, _ uint64, word []byte) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.heard = string(word)
+func (a *fakeAgent) MessageToPublish(string) []byte { return []byte("on") }
+func (a *fakeAgent) HandleMessage(_ string, _ uint64, message []byte) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.lastMessage = string(message)
 }
 
-func (l *local) hears() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.heard
+func (a *fakeAgent) message() string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.lastMessage
 }
 
-// Two agents of one group, of which all members but one are mute: one holds and says, the other follows; one that can't any more lets go,
-// and one that ends gives back.
+// Two agents use a group in which only one of three members answers lease requests. One agent holds
+// the duty and publishes a message, which the other follows. An agent whose weight drops to 0
+// releases the duty, and so does an agent that ends.
 func TestLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		group := &table{}
-		locals := []*local{{weight: 1}, {weight: 1}}
+		group := &fakeGroup{}
+		agents := []*fakeAgent{{weight: 1}, {weight: 1}}
 		var running sync.WaitGroup
-		ctx, end := context.WithCancel(t.Context())
-		for i, at := range locals {
-			link := &Link{Name: string(rune('a' + i)), Duties: []string{"pace:x"}, Members: []Grantor{mute{group}, mute{group}, group}, Local: at, Log: slog.New(slog.DiscardHandler)}
-			running.Go(func() { link.Run(ctx) })
+		ctx, cancel := context.WithCancel(t.Context())
+		for i, agent := range agents {
+			client := &LeaseClient{Name: string(rune('a' + i)), Duties: []string{"pace:x"}, Members: []Grantor{unresponsiveMember{group}, unresponsiveMember{group}, group}, Agent: agent, Log: slog.New(slog.DiscardHandler)}
+			running.Go(func() { client.Run(ctx) })
 		}
-		holder := func() (at int) {
+		holder := func() (index int) {
 			group.mu.Lock()
 			defer group.mu.Unlock()
 			return map[byte]int{'a': 1, 'b': 2}[(group.lease.Duties["pace:x"].Holder + "-")[0]] - 1
 		}
-		time.Sleep(6 * Term)
+		time.Sleep(6 * LeaseTerm)
 		first := holder()
-		if first < 0 || locals[1-first].hears() != "on" || locals[first].hears() != "" {
-			t.Fatalf("agent %d holds, and they hear %q and %q", first, locals[0].hears(), locals[1].hears())
+		if first < 0 || agents[1-first].message() != "on" || agents[first].message() != "" {
+			t.Fatalf("agent %d holds the duty, and they received %q and %q", first, agents[0].message(), agents[1].message())
 		}
-		locals[first].mu.Lock()
-		locals[first].weight = 0
-		locals[first].mu.Unlock()
-		time.Sleep(3 * Term)
+		agents[first].mu.Lock()
+		agents[first].weight = 0
+		agents[first].mu.Unlock()
+		time.Sleep(3 * LeaseTerm)
 		if holder() != 1-first {
-			t.Errorf("agent %d holds, and %d can't", holder(), first)
+			t.Errorf("agent %d holds the duty, and the weight of %d is 0", holder(), first)
 		}
-		end()
+		cancel()
 		running.Wait()
 		if holder() != -1 {
-			t.Errorf("agent %d has ended, and holds", holder())
+			t.Errorf("agent %d has ended but holds the duty", holder())
 		}
 	})
 }
--- a/internal/group/hold.go
+++ b/internal/group/hold.go
@@ -12,193 +12,203 @@
 	"example.org/micaline/internal/lease"
 )
 
-// Scope is the time in which a duty is held. Its context ends with it.
-type Scope struct {
+// Grant is one grant of a duty to this process. Its context ends when the duty must be given up. It
+// is also the journal.Store of the replicated buckets for as long as the duty is held.
+type Grant struct {
 	context.Context
 	Epoch uint64
 	Baton []byte
 
-	stop  context.CancelFunc
-	until atomic.Int64
-	node  *Node
-	duty  string
-	seq   uint64
-	open  *write // that the group has not answered
+	cancel     context.CancelFunc
+	validUntil atomic.Int64
+	node       *Node
+	duty       string
+	seq        uint64
+	pending    *writeCommand // the last write, while its result is unknown; nil: none
 }
 
-// May says whether the duty is still held at this moment. What is done after it carries the epoch all the same.
-func (s *Scope) May() bool { return s.Err() == nil && s.node.now() < time.Duration(s.until.Load()) }
+// IsValid reports whether the duty is held at this moment. Actions that follow the check carry the
+// epoch all the same, because the lease may expire between both.
+func (g *Grant) IsValid() bool {
+	return g.Err() == nil && g.node.now() < time.Duration(g.validUntil.Load())
+}
 
-// Hold goes for a duty until the context ends. Each time that it is granted work is called, in whose time nobody else holds it;
-// it is to return soon after its context has ended, with what it leaves to the next holder. A planned end hands the duty on before
-// its time is over.
-func (n *Node) Hold(ctx context.Context, duty string, term time.Duration, work func(*Scope) (baton []byte)) {
-	h := &lease.Holder{Duty: duty, Name: fmt.Sprintf("%s/%x", n.opts.Name, rand.Uint64()), Term: term}
-	var scope *Scope
-	var ended chan []byte
+// Hold tries to acquire a duty until the context ends. It calls work for each grant, during which
+// no other process holds the duty. When the grant's context ends, work has to return soon, with the
+// baton: data for the next holder. If the context of Hold ends, the duty is handed over to another
+// member instead of expiring.
+func (n *Node) Hold(ctx context.Context, duty string, term time.Duration, work func(*Grant) (baton []byte)) {
+	holder := &lease.Holder{Duty: duty, Name: fmt.Sprintf("%s/%x", n.opts.Name, rand.Uint64()), Term: term}
+	var grant *Grant
+	var finished chan []byte
 	answers := make(chan func(), 4)
-	ask := func(q *lease.Ask) {
-		if q == nil {
+	sendRequest := func(request *lease.Request) {
+		if request == nil {
 			return
 		}
 		go func() {
-			// Not the context that ends: a duty is let go then.
-			within, cancel := context.WithTimeout(context.WithoutCancel(ctx), term)
+			// The request is sent even if ctx has ended, because the duty is released then.
+			requestCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), term)
 			defer cancel()
-			a, err := n.Lease(within, q.Op)
+			answer, err := n.Lease(requestCtx, request.Op)
 			if err != nil {
-				return // in time it is asked again
+				return // the Holder retries after a timeout
 			}
 			select {
-			case answers <- func() { h.Answered(n.now(), q.Turn, a) }:
+			case answers <- func() { holder.HandleAnswer(n.now(), request.Number, answer) }:
 			case <-n.done:
 			}
 		}()
 	}
-	clock := time.NewTicker(term / 20)
-	defer clock.Stop()
-	leaving := ctx.Done()
+	ticker := time.NewTicker(term / 20)
+	defer ticker.Stop()
+	shutdown := ctx.Done()
 	for {
 		select {
-		case f := <-answers:
-			f()
-		case <-clock.C:
-		case <-n.done: // nothing can be renewed or handed on any more
-			if scope != nil {
-				scope.stop()
-				<-ended
+		case handle := <-answers:
+			handle()
+		case <-ticker.C:
+		case <-n.done: // the node has stopped: nothing can be renewed or released any more
+			if grant != nil {
+				grant.cancel()
+				<-finished
 			}
 			return
-		case <-leaving:
-			leaving = nil
-		case baton := <-ended:
-			scope.stop()
-			if _, _, holds := h.Holds(n.now()); holds {
-				q := h.LetGo(n.now(), n.successor(ctx, duty), baton)
-				if ctx.Err() != nil { // before the release, which goes to the next lead then: this process may be gone by its end
-					n.happened(func() { n.core.Abdicate() })
+		case <-shutdown:
+			shutdown = nil
+		case baton := <-finished:
+			grant.cancel()
+			if _, _, holds := holder.Holds(n.now()); holds {
+				request := holder.Release(n.now(), n.successor(ctx, duty), baton)
+				// Leadership is transferred before the release, so that the next leader commits the
+				// release even if this process ends first.
+				if ctx.Err() != nil {
+					n.enqueue(func() { n.core.TransferLeadership() })
 				}
-				within, cancel := context.WithTimeout(context.WithoutCancel(ctx), term)
-				if _, err := n.Lease(within, q.Op); err != nil && !errors.Is(err, errEnded) {
-					n.opts.Log.Warn("a duty was not handed on, and rests until its time is over", "duty", duty, "error", err)
+				releaseCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), term)
+				if _, err := n.Lease(releaseCtx, request.Op); err != nil && !errors.Is(err, errEnded) {
+					n.opts.Log.Warn("a duty could not be released and is held until its lease expires", "duty", duty, "error", err)
 				}
 				cancel()
 			}
-			scope, ended = nil, nil
-			n.own.Delete(duty)
+			grant, finished = nil, nil
+			n.heldUntil.Delete(duty)
 		}
-		t := n.now()
-		epoch, until, holds := h.Holds(t)
-		over := ctx.Err() != nil
-		v := n.view()
-		d, known := v.duties[duty]
-		elsewhere := d.To != "" && d.To != n.opts.Name
+		now := n.now()
+		epoch, until, holds := holder.Holds(now)
+		ending := ctx.Err() != nil
+		view := n.view()
+		state, known := view.duties[duty]
+		reservedForOther := state.To != "" && state.To != n.opts.Name
 		switch {
-		case scope != nil && (!holds || epoch != scope.Epoch || over || elsewhere || h.Wanted() != ""):
-			scope.stop() // and the work's end comes
-		case scope != nil:
-			scope.until.Store(int64(until))
-			n.own.Store(duty, until)
-		case holds && !over:
-			scope = &Scope{Epoch: epoch, Baton: h.Baton(), node: n, duty: duty}
-			scope.until.Store(int64(until))
-			scope.Context, scope.stop = context.WithCancel(context.WithoutCancel(ctx))
-			ended = make(chan []byte, 1)
+		case grant != nil && (!holds || epoch != grant.Epoch || ending || reservedForOther || holder.ReleaseReason() != ""):
+			grant.cancel() // finished receives the baton once work has returned
+		case grant != nil:
+			grant.validUntil.Store(int64(until))
+			n.heldUntil.Store(duty, until)
+		case holds && !ending:
+			grant = &Grant{Epoch: epoch, Baton: holder.Baton(), node: n, duty: duty}
+			grant.validUntil.Store(int64(until))
+			grant.Context, grant.cancel = context.WithCancel(context.WithoutCancel(ctx))
+			finished = make(chan []byte, 1)
 			n.opts.Log.Info("holding", "duty", duty, "epoch", epoch)
-			go func(s *Scope, ended chan<- []byte) {
-				baton := work(s)
-				n.opts.Log.Info("no longer holding", "duty", duty, "epoch", s.Epoch)
-				ended <- baton
-			}(scope, ended)
-		case over:
+			go func(g *Grant, finished chan<- []byte) {
+				baton := work(g)
+				n.opts.Log.Info("no longer holding", "duty", duty, "epoch", g.Epoch)
+				finished <- baton
+			}(grant, finished)
+		case ending:
 			return
 		}
-		if over {
-			if _, _, holds := h.Holds(n.now()); !holds && scope == nil {
+		if ending {
+			if _, _, holds := holder.Holds(n.now()); !holds && grant == nil {
 				return
 			}
-			if scope != nil && holds {
-				ask(renewal(h.Step(t, false, 0))) // while its work ends
+			if grant != nil && holds {
+				sendRequest(onlyRenewal(holder.Tick(now, false, 0))) // keeps the lease while work returns
 			}
 			continue
 		}
-		free := v.wrong == nil && (!known || d.Holder == "" && !d.Resting && !elsewhere)
-		patience := time.Duration(0)
-		if !v.leads && d.To == "" { // whoever leads the group is nearest to it, and goes first
-			patience = term/2 + time.Duration(rand.Int64N(int64(term)))
+		free := view.failure == nil && (!known || state.Holder == "" && !state.Resting && !reservedForOther)
+		acquireDelay := time.Duration(0)
+		// The leader commits renewals without an extra hop, so it gets the first chance.
+		if !view.isLeader && state.To == "" {
+			acquireDelay = term/2 + time.Duration(rand.Int64N(int64(term)))
 		}
-		ask(h.Step(t, free, patience))
+		sendRequest(holder.Tick(now, free, acquireDelay))
 	}
 }
 
-// successor is whom a duty goes to that is let go: whom operators named, or who leads the group, or
-// is to lead it once this member has ended.
+// successor returns the name of the member to which a released duty goes: the one that an operator
+// named, else the leader, or its likely successor if this member leads and is stopping. It is empty
+// if any member may acquire the duty.
 func (n *Node) successor(ctx context.Context, duty string) string {
-	v := n.view()
-	if to := v.duties[duty].To; to != "" {
+	view := n.view()
+	if to := view.duties[duty].To; to != "" {
 		return to
 	}
-	if !v.leads {
-		return v.lead
+	if !view.isLeader {
+		return view.leader
 	}
 	if ctx.Err() == nil {
-		return "" // it goes on, and may have it again
+		return "" // this member continues to run and may acquire the duty again
 	}
-	soon, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
+	timeoutCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
-	to, err := within(soon, n, func() (string, error) { return n.core.heir().Name, nil })
+	to, err := runInLoop(timeoutCtx, n, func() (string, error) { return n.core.transferTarget().Name, nil })
 	if err != nil {
 		return ""
 	}
 	return to
 }
 
-// renewal is a question if it is one for more time.
-func renewal(q *lease.Ask) *lease.Ask {
-	if q != nil && q.Op.Kind != lease.Renew {
+// onlyRenewal returns the request if it is a renewal, and nil otherwise.
+func onlyRenewal(request *lease.Request) *lease.Request {
+	if request != nil && request.Op.Kind != lease.Renew {
 		return nil
 	}
-	return q
+	return request
 }
 
-// Write writes records that all members agree on, if the duty is still held. One that is not answered in time may yet be done: the
-// next write waits for that first, and what it is given again is not written twice.
-func (s *Scope) Write(records []journal.Record) error {
-	if !s.May() {
-		return errors.New("the duty is not held any more")
+// Write replicates records if the duty is still held. A write that fails with a timeout may still
+// be applied later. The next call first waits for its result, and its records are expected to start
+// with those of the failed write, which are not written twice.
+func (g *Grant) Write(records []journal.Record) error {
+	if !g.IsValid() {
+		return errors.New("the duty is no longer held")
 	}
-	ctx, cancel := context.WithTimeout(s, writeIn)
+	ctx, cancel := context.WithTimeout(g, writeTimeout)
 	defer cancel()
 	for {
-		if s.open == nil {
+		if g.pending == nil {
 			if len(records) == 0 {
 				return nil
 			}
-			s.seq++
-			s.open = &write{s.duty, s.Epoch, s.seq, records}
+			g.seq++
+			g.pending = &writeCommand{g.duty, g.Epoch, g.seq, records}
 		}
-		r, err := s.node.do(ctx, &command{Write: s.open})
+		result, err := g.node.execute(ctx, &command{Write: g.pending})
 		if err != nil {
 			return err
 		}
-		done := len(s.open.Records)
-		s.open = nil
-		if r.Refused != "" {
-			return errors.New(r.Refused)
+		written := len(g.pending.Records)
+		g.pending = nil
+		if result.Refused != "" {
+			return errors.New(result.Refused)
 		}
-		// Who could not write it comes again with it, and with what has been added.
-		records = records[min(done, len(records)):]
+		// After a failure the caller passes the same records again, followed by those added since.
+		records = records[min(written, len(records)):]
 	}
 }
 
-// Read calls a function with each record of a bucket.
-func (s *Scope) Read(bucket string, f func(key string, value []byte) error) error {
+// Read calls f with each record of a replicated bucket.
+func (g *Grant) Read(bucket string, f func(key string, value []byte) error) error {
 	type record struct {
 		key   string
 		value []byte
 	}
-	all, err := within(s, s.node, func() (all []record, err error) {
-		err = s.node.core.Read(bucket, func(key string, value []byte) error {
+	all, err := runInLoop(g, g.node, func() (all []record, err error) {
+		err = g.node.core.Read(bucket, func(key string, value []byte) error {
 			all = append(all, record{key, value})
 			return nil
 		})
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -21,82 +21,85 @@
 )
 
 const (
-	// tick is how often time passes for raft: a lead that is silent for 1 to 2 s is replaced.
-	tick      = 100 * time.Millisecond
-	inviteIn  = time.Second // that those of the file who are no members are asked
-	sendIn    = 2 * time.Second
-	mailbox   = 256 // messages that wait for one member
-	mostBatch = 64  // messages that are sent together
-	again     = 500 * time.Millisecond
-	inputs    = 1024
-	// writeIn is how long a write waits until the group agrees.
-	writeIn = 3 * time.Second
+	// tickInterval is the unit of raft's timeouts: a leader that is silent for 1 to 2 s is
+	// replaced.
+	tickInterval     = 100 * time.Millisecond
+	contactInterval  = time.Second // between requests for the identities of peers
+	peerTimeout      = 2 * time.Second
+	outboxSize       = 256                    // messages queued for one peer
+	maxBatchMessages = 64                     // messages in one Batch
+	proposalInterval = 500 * time.Millisecond // between proposals of a command without a result
+	inputQueueSize   = 1024
+	// writeTimeout limits how long Grant.Write waits until a write is committed.
+	writeTimeout = 3 * time.Second
 )
 
-// Peer is another process that may be a member.
+// Peer is another process of the deployment, which may be a member.
 type Peer interface {
 	Deliver(ctx context.Context, b *Batch) error
 	Identity(ctx context.Context) (*Identity, error)
 }
 
-// Batch is what one member sends another.
+// Batch is a set of messages from one member to another.
 type Batch struct {
 	Name     string   `json:"name"`
 	From     uint64   `json:"from"`
 	Boot     Boot     `json:"boot"`
-	Messages [][]byte `json:"messages"` // raft's, in protobuf
+	Messages [][]byte `json:"messages"` // raftpb.Message, encoded as protobuf
 }
 
-// Options say what a node has to do with.
+// Options configure a Node.
 type Options struct {
-	Store   journal.Store
-	Name    string
-	Buckets []string        // that are agreed on
-	Found   bool            // begin a group of this node alone, once most of those of the file have said that they are in none
-	Peers   map[string]Peer // who else may be a member, by name
-	Log     *slog.Logger
+	Store     journal.Store
+	Name      string
+	Buckets   []string        // the replicated buckets of Store
+	Bootstrap bool            // create the group, once a majority of the deployment has reported that it is in none
+	Peers     map[string]Peer // the other processes of the deployment, by name
+	Log       *slog.Logger
 }
 
-// Node is a member with its journal, its clock and its links. A journal of a process that was in no group is the beginning
-// of what the group knows, if that process founds it.
+// Node runs a Core with a journal, a clock and connections to the peers. The journal of a process
+// that was in no group becomes the group's initial state if that process bootstraps the group.
 type Node struct {
-	opts   Options
-	inputs chan func()
-	done   chan struct{}
-	began  time.Time
+	opts      Options
+	inputs    chan func()
+	done      chan struct{}
+	startedAt time.Time
 
-	// Of the loop.
-	core    *Core
-	boxes   map[string]chan *raftpb.Message
-	names   map[uint64]string // of those who have spoken: who has just been added knows no members yet, and must answer
-	waiters map[string]chan Result
-	broken  error             // why the journal can't be written
-	refused map[string]string // peers that can't be members, and why
-	asking  map[string]bool
-	invited time.Duration
-	single  map[string]bool // peers that are in no group; nil once one is
-	ruled   bool
+	// The fields of this block belong to the goroutine of Run.
+	core     *Core
+	outboxes map[string]chan *raftpb.Message
+	// senderNames holds the names of the peers that have sent a batch, by ID. A member that was
+	// just added needs it to respond, because it does not know the other members yet.
+	senderNames   map[uint64]string
+	waiters       map[string]chan Result
+	writeError    error             // error of the last write to the journal; nil: it succeeded
+	rejected      map[string]string // reasons why peers can't be members, by name
+	contacting    map[string]bool
+	lastContactAt time.Duration
+	ungrouped     map[string]bool // peers that are in no group; nil once a peer in a group is known
+	wasLeader     bool
 
-	mu   sync.Mutex // guards what others look at
-	seen view
-	own  sync.Map // duty: until when it is held here, by this clock
+	mu        sync.Mutex // guards published
+	published groupView
+	heldUntil sync.Map // by duty: time.Duration on now's clock until which this process holds it
 }
 
-// view is what is known of the group between two steps.
-type view struct {
-	lead    string
-	leads   bool
-	duties  map[string]lease.Duty
-	members []Member
-	wrong   error
-	left    map[string]time.Duration
-	history []lease.Change
-	refused map[string]string
-	applied uint64
-	changed chan struct{} // closed when there is a new one
+// groupView is a snapshot of the member's state that other goroutines may read.
+type groupView struct {
+	leader    string
+	isLeader  bool
+	duties    map[string]lease.Duty
+	members   []Member
+	failure   error
+	remaining map[string]time.Duration
+	history   []lease.Change
+	rejected  map[string]string
+	applied   uint64
+	changed   chan struct{} // closed when a newer view is published
 }
 
-// NewNode returns a node that is not running yet.
+// NewNode loads a node from its journal. Run starts it.
 func NewNode(o Options) (*Node, error) {
 	var id [16]byte
 	rand.Read(id[:]) // never fails
@@ -108,156 +111,158 @@
 		return nil, err
 	}
 	n := &Node{
-		opts: o, inputs: make(chan func(), inputs), done: make(chan struct{}), core: core, boxes: map[string]chan *raftpb.Message{}, names: map[uint64]string{},
-		waiters: map[string]chan Result{}, refused: map[string]string{}, asking: map[string]bool{}, single: map[string]bool{}, began: time.Now(),
+		opts: o, inputs: make(chan func(), inputQueueSize), done: make(chan struct{}), core: core, outboxes: map[string]chan *raftpb.Message{}, senderNames: map[uint64]string{},
+		waiters: map[string]chan Result{}, rejected: map[string]string{}, contacting: map[string]bool{}, ungrouped: map[string]bool{}, startedAt: time.Now(),
 	}
-	n.seen.changed = make(chan struct{})
-	n.look()
+	n.published.changed = make(chan struct{})
+	n.publishView()
 	return n, nil
 }
 
-// now is a monotonic clock.
-func (n *Node) now() time.Duration { return time.Since(n.began) + 1 }
+// now returns the time on a monotonic clock that starts with the node. It is never 0.
+func (n *Node) now() time.Duration { return time.Since(n.startedAt) + 1 }
 
-// Run takes part until the context ends.
+// Run participates in the group until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	defer close(n.done)
-	var mail sync.WaitGroup
+	var senders sync.WaitGroup
 	for name, p := range n.opts.Peers {
-		box := make(chan *raftpb.Message, mailbox)
-		n.boxes[name] = box
-		mail.Go(func() { n.carry(ctx, p, box) })
+		outbox := make(chan *raftpb.Message, outboxSize)
+		n.outboxes[name] = outbox
+		senders.Go(func() { n.sendMessages(ctx, p, outbox) })
 	}
-	defer mail.Wait()
-	clock := time.NewTicker(tick)
-	defer clock.Stop()
-	var work *Work // that could not be written yet
+	defer senders.Wait()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	var output *Output // not written yet
 	for {
-		in := n.inputs
-		if work != nil {
-			in = nil // nothing is taken in that could not be answered for
+		input := n.inputs
+		if output != nil {
+			input = nil // no inputs are processed while their effects can't be written
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-in:
+		case f := <-input:
 			f()
-			for more := true; more; { // what has come meanwhile shares the transaction
+			for more := true; more; { // all queued inputs share one transaction
 				select {
-				case f := <-in:
+				case f := <-input:
 					f()
 				default:
 					more = false
 				}
 			}
-		case <-clock.C:
-			if work == nil {
+		case <-ticker.C:
+			if output == nil {
 				n.core.Tick()
-				n.rule()
-				n.invite(ctx)
+				n.expireLeases()
+				n.contactPeers(ctx)
 			}
 		}
 		for {
-			if work == nil {
-				if work = n.core.Ready(); work == nil {
+			if output == nil {
+				if output = n.core.Ready(); output == nil {
 					break
 				}
 			}
-			if !n.written(work) {
+			if !n.writeRecords(output) {
 				break
 			}
-			n.post(work.Messages)
-			for _, r := range work.Results {
-				if w := n.waiters[r.ID]; w != nil {
+			n.queueMessages(output.Messages)
+			for _, r := range output.Results {
+				if waiter := n.waiters[r.ID]; waiter != nil {
 					delete(n.waiters, r.ID)
-					w <- r
+					waiter <- r
 				}
 			}
-			n.core.Done()
-			work = nil
+			n.core.Advance()
+			output = nil
 		}
-		n.look()
+		n.publishView()
 	}
 }
 
-// written writes what must be in the journal before anything is sent.
-func (n *Node) written(w *Work) bool {
+// writeRecords writes the records that must be in the journal before messages are sent, and reports
+// whether that succeeded.
+func (n *Node) writeRecords(output *Output) bool {
 	var err error
-	if len(w.Records) > 0 {
-		err = n.opts.Store.Write(w.Records)
+	if len(output.Records) > 0 {
+		err = n.opts.Store.Write(output.Records)
 	}
-	if err != nil && n.broken == nil {
-		n.opts.Log.Error("the journal can't be written: this member says nothing until it can", "error", err)
-	} else if err == nil && n.broken != nil {
+	if err != nil && n.writeError == nil {
+		n.opts.Log.Error("the journal can't be written: this member sends no messages until it can", "error", err)
+	} else if err == nil && n.writeError != nil {
 		n.opts.Log.Info("the journal can be written again")
 	}
-	n.broken = err
+	n.writeError = err
 	return err == nil
 }
 
-// post hands messages to those who carry them. One for which there is no room is lost, as on any network.
-func (n *Node) post(messages []*raftpb.Message) {
+// queueMessages puts messages into the outboxes of their receivers. A message to a full outbox is
+// dropped, as a network may do.
+func (n *Node) queueMessages(messages []*raftpb.Message) {
 	for _, m := range messages {
-		name := n.names[m.GetTo()]
+		name := n.senderNames[m.GetTo()]
 		if to := n.core.state.Members[m.GetTo()]; to != nil {
 			name = to.Name
 		}
-		if n.boxes[name] == nil {
+		if n.outboxes[name] == nil {
 			continue
 		}
 		select {
-		case n.boxes[name] <- m:
+		case n.outboxes[name] <- m:
 		default:
-			n.core.Unreachable(m)
+			n.core.ReportUnreachable(m)
 		}
 	}
 }
 
-// carry sends what is in a box.
-func (n *Node) carry(ctx context.Context, p Peer, box chan *raftpb.Message) {
+// sendMessages sends the messages of an outbox to its peer, in batches.
+func (n *Node) sendMessages(ctx context.Context, peer Peer, outbox chan *raftpb.Message) {
 	for {
-		var all []*raftpb.Message
+		var messages []*raftpb.Message
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-box:
-			all = append(all, m)
+		case m := <-outbox:
+			messages = append(messages, m)
 		}
-		for more := true; more && len(all) < mostBatch; {
+		for more := true; more && len(messages) < maxBatchMessages; {
 			select {
-			case m := <-box:
-				all = append(all, m)
+			case m := <-outbox:
+				messages = append(messages, m)
 			default:
 				more = false
 			}
 		}
-		b := &Batch{Name: n.opts.Name, From: n.core.self.ID, Boot: n.core.self.Boot}
-		for _, m := range all {
-			text, err := proto.Marshal(m)
+		batch := &Batch{Name: n.opts.Name, From: n.core.self.ID, Boot: n.core.self.Boot}
+		for _, m := range messages {
+			encoded, err := proto.Marshal(m)
 			if err == nil {
-				b.Messages = append(b.Messages, text)
+				batch.Messages = append(batch.Messages, encoded)
 			}
 		}
-		within, cancel := context.WithTimeout(ctx, sendIn)
-		err := p.Deliver(within, b)
+		sendCtx, cancel := context.WithTimeout(ctx, peerTimeout)
+		err := peer.Deliver(sendCtx, batch)
 		cancel()
-		n.happened(func() {
-			if errors.Is(err, ErrOld) && n.core.wrong == nil {
-				n.core.wrong = ErrOld
+		n.enqueue(func() {
+			if errors.Is(err, ErrStaleDisk) && n.core.failure == nil {
+				n.core.failure = ErrStaleDisk
 			}
-			for _, m := range all {
+			for _, m := range messages {
 				if err != nil {
-					n.core.Unreachable(m)
+					n.core.ReportUnreachable(m)
 				} else {
-					n.core.Sent(m)
+					n.core.ReportSent(m)
 				}
 			}
 		})
 	}
 }
 
-// happened hands something to the loop.
-func (n *Node) happened(f func()) bool {
+// enqueue passes a function to the loop of Run. It returns false if the loop has ended.
+func (n *Node) enqueue(f func()) bool {
 	select {
 	case n.inputs <- f:
 		return true
@@ -266,18 +271,18 @@
 	}
 }
 
-// within has the loop do something, and waits for what that returns. Who waits no longer gets nothing of it, though it may yet
-// be done.
-func within[T any](ctx context.Context, n *Node, f func() (T, error)) (v T, err error) {
+// runInLoop runs a function in the loop of Run and returns its result. If the context ends first,
+// the function may still run later.
+func runInLoop[T any](ctx context.Context, n *Node, f func() (T, error)) (v T, err error) {
 	type outcome struct {
 		v   T
 		err error
 	}
-	did := make(chan outcome, 1)
+	done := make(chan outcome, 1)
 	select {
 	case n.inputs <- func() {
 		v, err := f()
-		did <- outcome{v, err}
+		done <- outcome{v, err}
 	}:
 	case <-n.done:
 		return v, errEnded
@@ -285,7 +290,7 @@
 		return v, ctx.Err()
 	}
 	select {
-	case o := <-did:
+	case o := <-done:
 		return o.v, o.err
 	case <-n.done:
 		return v, errEnded
@@ -294,48 +299,50 @@
 	}
 }
 
-var errEnded = errors.New("this member has ended")
+var errEnded = errors.New("this member has stopped")
 
-// Take takes in what another member sends.
-func (n *Node) Take(ctx context.Context, b *Batch) error {
-	if len(b.Messages) > mostBatch {
-		return fmt.Errorf("%d messages, and %d are allowed", len(b.Messages), mostBatch)
+// Receive processes a batch of another member.
+func (n *Node) Receive(ctx context.Context, batch *Batch) error {
+	if len(batch.Messages) > maxBatchMessages {
+		return fmt.Errorf("%d messages, and at most %d are allowed", len(batch.Messages), maxBatchMessages)
 	}
-	var all []*raftpb.Message
-	for _, text := range b.Messages {
+	var messages []*raftpb.Message
+	for _, encoded := range batch.Messages {
 		m := &raftpb.Message{}
-		if err := proto.Unmarshal(text, m); err != nil {
+		if err := proto.Unmarshal(encoded, m); err != nil {
 			return fmt.Errorf("a message that can't be read: %w", err)
 		}
-		if m.GetFrom() != b.From && m.GetType() != raftpb.MsgProp { // which whoever led passes on
-			return errors.New("a message of somebody else")
+		if m.GetFrom() != batch.From && m.GetType() != raftpb.MsgProp { // followers forward proposals of others
+			return errors.New("a message is not from the sender of its batch")
 		}
-		all = append(all, m)
+		messages = append(messages, m)
 	}
-	_, err := within(ctx, n, func() (struct{}, error) {
-		if err := n.core.Meet(b.From, b.Boot); err != nil {
+	_, err := runInLoop(ctx, n, func() (struct{}, error) {
+		if err := n.core.CheckBoot(batch.From, batch.Boot); err != nil {
 			return struct{}{}, err
 		}
-		if n.boxes[b.Name] != nil {
-			maps.DeleteFunc(n.names, func(_ uint64, name string) bool { return name == b.Name })
-			n.names[b.From] = b.Name
+		if n.outboxes[batch.Name] != nil {
+			maps.DeleteFunc(n.senderNames, func(_ uint64, name string) bool { return name == batch.Name })
+			n.senderNames[batch.From] = batch.Name
 		}
-		var wrong error
-		for _, m := range all {
+		var stepErr error
+		for _, m := range messages {
 			if err := n.core.Step(m); err != nil {
-				wrong = fmt.Errorf("not taken: %v", err) // danger: whose disk is old is this member's own matter, not who sends
+				// The error is not wrapped: an ErrStaleDisk here is about this member's disk, and
+				// the sender would take it for its own.
+				stepErr = fmt.Errorf("message not accepted: %v", err)
 			}
 		}
-		return struct{}{}, wrong
+		return struct{}{}, stepErr
 	})
 	return err
 }
 
-// await waits until what is seen of the group is as wanted.
-func (n *Node) await(ctx context.Context, as func(v *view) bool) error {
+// await waits until the published view satisfies a condition.
+func (n *Node) await(ctx context.Context, condition func(v *groupView) bool) error {
 	for {
 		n.mu.Lock()
-		ok, changed := as(&n.seen), n.seen.changed
+		ok, changed := condition(&n.published), n.published.changed
 		n.mu.Unlock()
 		if ok {
 			return nil
@@ -350,89 +357,91 @@
 	}
 }
 
-// do has a command agreed on and carried out, however often it takes to propose it.
-func (n *Node) do(ctx context.Context, cmd *command) (Result, error) {
+// execute proposes a command, repeatedly if necessary, until it is applied, and returns its result.
+func (n *Node) execute(ctx context.Context, cmd *command) (Result, error) {
 	var id [12]byte
 	rand.Read(id[:]) // never fails
 	cmd.ID = hex.EncodeToString(id[:])
-	got := make(chan Result, 1)
+	result := make(chan Result, 1)
 	defer func() {
 		select {
-		case n.inputs <- func() { n.forget(cmd.ID) }:
-		default: // danger: where the journal stands still nothing is taken in, and who asks must not wait for that
+		case n.inputs <- func() { n.forgetCommand(cmd.ID) }:
+		default: // while the journal can't be written no inputs are processed, and the caller must not block on that
 		}
 	}()
 	for {
-		_, why := within(ctx, n, func() (struct{}, error) {
+		_, proposeErr := runInLoop(ctx, n, func() (struct{}, error) {
 			if ctx.Err() != nil {
-				return struct{}{}, ctx.Err() // nobody waits any more
+				return struct{}{}, ctx.Err() // the caller has given up
 			}
-			n.waiters[cmd.ID] = got
+			n.waiters[cmd.ID] = result
 			return struct{}{}, n.core.propose(cmd)
 		})
 		select {
-		case r := <-got:
+		case r := <-result:
 			return r, nil
-		case <-time.After(again):
+		case <-time.After(proposalInterval):
 		case <-ctx.Done():
-			return Result{}, fmt.Errorf("the group has not agreed: %w", errors.Join(ctx.Err(), why))
+			return Result{}, fmt.Errorf("the group has not committed the command: %w", errors.Join(ctx.Err(), proposeErr))
 		case <-n.done:
 			return Result{}, errEnded
 		}
 	}
 }
 
-// mostWaiters bounds those who wait: beyond, some are forgotten, and ask again.
-const mostWaiters = 4096
+// maxWaiters limits the number of waiting callers. Beyond it some are dropped, and register again
+// with their next proposal.
+const maxWaiters = 4096
 
-func (n *Node) forget(id string) {
+// forgetCommand ends the wait for a command's result.
+func (n *Node) forgetCommand(id string) {
 	delete(n.waiters, id)
-	n.core.forget(id)
+	n.core.forgetCommand(id)
 	for id := range n.waiters {
-		if len(n.waiters) <= mostWaiters {
+		if len(n.waiters) <= maxWaiters {
 			break
 		}
 		delete(n.waiters, id)
-		n.core.forget(id)
+		n.core.forgetCommand(id)
 	}
 }
 
-// Lease has an operation on the duties agreed on.
+// Lease executes an operation on the replicated lease table.
 func (n *Node) Lease(ctx context.Context, op lease.Op) (lease.Answer, error) {
-	r, err := n.do(ctx, &command{Lease: &op})
+	r, err := n.execute(ctx, &command{Lease: &op})
 	return r.Lease, err
 }
 
-// look publishes what others may see.
-func (n *Node) look() {
-	c := n.core
-	v := view{
-		wrong: c.part(), duties: map[string]lease.Duty{}, left: map[string]time.Duration{}, history: slices.Clone(c.state.Leases.History),
-		refused: maps.Clone(n.refused), applied: c.state.Applied, changed: make(chan struct{}),
+// publishView publishes the current state for other goroutines.
+func (n *Node) publishView() {
+	core := n.core
+	view := groupView{
+		failure: core.checkParticipates(), duties: map[string]lease.Duty{}, remaining: map[string]time.Duration{}, history: slices.Clone(core.state.Leases.History),
+		rejected: maps.Clone(n.rejected), applied: core.state.Applied, changed: make(chan struct{}),
 	}
-	if n.broken != nil {
-		v.wrong = fmt.Errorf("its journal can't be written: %w", n.broken)
+	if n.writeError != nil {
+		view.failure = fmt.Errorf("its journal can't be written: %w", n.writeError)
 	}
-	if m := c.state.Members[c.Lead()]; m != nil {
-		v.lead, v.leads = m.Name, m.ID == c.self.ID
+	if m := core.state.Members[core.LeaderID()]; m != nil {
+		view.leader, view.isLeader = m.Name, m.ID == core.self.ID
 	}
-	for _, m := range c.state.Members {
-		v.members = append(v.members, *m)
+	for _, m := range core.state.Members {
+		view.members = append(view.members, *m)
 	}
-	slices.SortFunc(v.members, func(a, b Member) int { return int(int64(a.ID) - int64(b.ID)) })
-	for name, d := range c.state.Leases.Duties {
-		v.duties[name] = *d
-		v.left[name] = c.clock.Left(n.now(), name, d)
+	slices.SortFunc(view.members, func(a, b Member) int { return int(int64(a.ID) - int64(b.ID)) })
+	for name, d := range core.state.Leases.Duties {
+		view.duties[name] = *d
+		view.remaining[name] = core.leaseExpiry.Remaining(n.now(), name, d)
 	}
 	n.mu.Lock()
-	old := n.seen.changed
-	n.seen = v
+	changed := n.published.changed
+	n.published = view
 	n.mu.Unlock()
-	close(old)
+	close(changed)
 }
 
-func (n *Node) view() view {
+func (n *Node) view() groupView {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.seen
+	return n.published
 }
--- a/internal/group/starts.go
+++ b/internal/group/starts.go
@@ -5,39 +5,43 @@
 	"slices"
 )
 
-// Boot is a start of a member: a number at random, and those of its starts before. Danger: a member that goes on from a copy of its
-// disk has said things that it does not know. Its later starts are not among those that the copy names, however often it is
-// started again.
+// Boot is one start of a member: a random number, and the numbers of its earlier starts. It detects
+// a member that runs on an older copy of its disk, and so has lost state that it has sent to
+// others. The copy lacks the starts that followed it, so no start from the copy names them, however
+// often the member is restarted.
 type Boot struct {
 	Life uint64   `json:"life"`
-	Past []uint64 `json:"past,omitempty"` // the latest last
+	Past []uint64 `json:"past,omitempty"` // earlier starts, the latest last
 }
 
-// after says whether a start may follow another: it is the same, or names it among those before.
-func (b *Boot) after(o *Boot) bool {
-	return o.Life == 0 || b.Life == o.Life || slices.Contains(b.Past, o.Life)
+// canFollow reports whether a start is the other one or can be a later one, which names the other
+// among its earlier starts.
+func (b *Boot) canFollow(other *Boot) bool {
+	return other.Life == 0 || b.Life == other.Life || slices.Contains(b.Past, other.Life)
 }
 
-// mostPast starts are remembered: who was started more often since it was last heard is taken for a copy.
-const mostPast = 64
+// maxPastBoots limits Boot.Past. A member that was restarted more often than this since a peer last
+// received a message from it is taken for a copy.
+const maxPastBoots = 64
 
-// started is a start of a member that somebody has heard.
-type started struct {
+// bootReport reports a member's start that another member has received.
+type bootReport struct {
 	Member uint64 `json:"member"`
 	Boot
 }
 
-// Meet takes in who speaks for a member. One whose disk is a copy is told so.
-func (c *Core) Meet(id uint64, boot Boot) error {
+// CheckBoot checks and records the start of the sender of a batch. It returns ErrStaleDisk if the
+// sender runs on an older copy of its disk.
+func (c *Core) CheckBoot(id uint64, boot Boot) error {
 	known := c.self.Known[id]
-	if c.state.Old[id] || !boot.after(&known) {
-		return ErrOld
+	if c.state.Old[id] || !boot.canFollow(&known) {
+		return ErrStaleDisk
 	}
 	if known.Life != boot.Life && c.state.Members[id] != nil {
 		if c.self.Known == nil {
 			c.self.Known = map[uint64]Boot{}
 		}
-		c.self.Known[id], c.met = boot, true
+		c.self.Known[id], c.selfChanged = boot, true
 		for id := range c.self.Known {
 			if c.state.Members[id] == nil {
 				delete(c.self.Known, id)
@@ -47,32 +51,35 @@
 	return nil
 }
 
-// spread has the others know of the starts that this member has heard.
-func (c *Core) spread() {
-	for _, id := range slices.Sorted(maps.Keys(c.self.Known)) { // in one order, so that a run can be played again
+// proposeBoots proposes the starts that this member has received but that are not in the replicated
+// state.
+func (c *Core) proposeBoots() {
+	// In a fixed order, so that simulations are reproducible.
+	for _, id := range slices.Sorted(maps.Keys(c.self.Known)) {
 		boot, known := c.self.Known[id], c.state.Starts[id]
-		if c.state.Members[id] != nil && !c.state.Old[id] && (known == nil || !known.after(&boot)) {
-			c.propose(&command{Start: &started{id, boot}}) // else at another tick
+		if c.state.Members[id] != nil && !c.state.Old[id] && (known == nil || !known.canFollow(&boot)) {
+			c.propose(&command{Start: &bootReport{id, boot}}) // on failure it is proposed again later
 		}
 	}
 }
 
-// heard takes in that somebody has heard of a start.
-func (c *Core) heard(s *started) {
-	known := c.state.Starts[s.Member]
+// applyBoot applies a report of a member's start. If neither that start nor the known one can
+// follow the other, the member is marked as running on an old disk.
+func (c *Core) applyBoot(report *bootReport) {
+	known := c.state.Starts[report.Member]
 	switch {
-	case c.state.Members[s.Member] == nil || known != nil && known.after(&s.Boot):
-	case known == nil || s.Boot.after(known):
+	case c.state.Members[report.Member] == nil || known != nil && known.canFollow(&report.Boot):
+	case known == nil || report.Boot.canFollow(known):
 		if c.state.Starts == nil {
 			c.state.Starts = map[uint64]*Boot{}
 		}
-		c.state.Starts[s.Member] = &s.Boot
+		c.state.Starts[report.Member] = &report.Boot
 	default:
 		if c.state.Old == nil {
 			c.state.Old = map[uint64]bool{}
 		}
-		if c.state.Old[s.Member] = true; s.Member == c.self.ID {
-			c.wrong = ErrOld
+		if c.state.Old[report.Member] = true; report.Member == c.self.ID {
+			c.failure = ErrStaleDisk
 		}
 	}
 }
--- a/internal/lease/many_test.go
+++ b/internal/lease/many_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// A thousand duties, fifty agents that start in one second, ten of which die in another, and one that takes and drops what it gets.
-// All is held again soon after, nobody has far more than the others but one of four times the weight, and few ask for what they don't
-// get. Each agent knows the table as it was up to a quarter of a second ago.
+// Fifty agents start together and compete for a thousand duties. One of them releases each duty at
+// once, and ten are killed. Nearly all duties are held again soon, no agent holds far more than the
+// others except the one with four times their weight, and few requests are refused. Each agent's
+// view of the table is up to 250 ms old.
 func TestThousandDuties(t *testing.T) {
-	const agents, duties, dead = 50, 1000, 10
-	const long, beat, knows = 3 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond
+	const agents, duties, killed = 50, 1000, 10
+	const term, interval, refreshInterval = 3 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond
 	var table Table
-	var watch Watch
+	var expiry ExpiryTracker
 	type agent struct {
 		name    string
 		holders []*Holder
@@ -26,80 +27,82 @@
 	}
 	all := make([]*agent, agents)
 	for i := range all {
-		a := &agent{name: fmt.Sprint("a", i), free: make([]bool, duties), weight: 1}
+		process := &agent{name: fmt.Sprint("a", i), free: make([]bool, duties), weight: 1}
 		for _, name := range names {
-			a.holders = append(a.holders, &Holder{Duty: name, Name: a.name + "/1", Term: long})
+			process.holders = append(process.holders, &Holder{Duty: name, Name: process.name + "/1", Term: term})
 		}
-		all[i] = a
+		all[i] = process
 	}
 	all[agents-1].weight = 4
-	asks, refused := 0, 0
-	holds := func() (held int, most map[string]int) {
-		most = map[string]int{}
+	requests, refused := 0, 0
+	countHeld := func() (held int, heldBy map[string]int) {
+		heldBy = map[string]int{}
 		for _, d := range table.Duties {
 			if d.Holder != "" {
 				held++
-				most[d.Holder]++
+				heldBy[d.Holder]++
 			}
 		}
-		return held, most
+		return held, heldBy
 	}
-	ask := func(now time.Duration, h *Holder, q *Ask) {
-		if q == nil {
+	send := func(now time.Duration, h *Holder, request *Request) {
+		if request == nil {
 			return
 		}
-		a := table.Apply(&q.Op)
-		if q.Op.Kind == Acquire {
-			if asks++; a.Refused != "" {
+		answer := table.Apply(&request.Op)
+		if request.Op.Kind == Acquire {
+			if requests++; answer.Refused != "" {
 				refused++
 			}
 		}
-		h.Answered(now, q.Turn, a)
+		h.HandleAnswer(now, request.Number, answer)
 	}
 	run := func(from, until time.Duration) {
-		for now := from; now < until; now += beat {
-			for _, op := range watch.Due(now, &table) {
+		for now := from; now < until; now += interval {
+			for _, op := range expiry.Expired(now, &table) {
 				table.Apply(&op)
 			}
-			for i, a := range all {
-				look := (now+time.Duration(i)*beat)%knows < beat
-				for k, h := range a.holders {
-					if look {
+			for i, process := range all {
+				refresh := (now+time.Duration(i)*interval)%refreshInterval < interval
+				for k, h := range process.holders {
+					if refresh {
 						d := table.Duties[names[k]]
-						a.free[k] = d == nil || d.Holder == "" && !d.Resting
+						process.free[k] = d == nil || d.Holder == "" && !d.Resting
 					}
-					if _, _, held := h.Holds(now); held && i == 0 && h.looked > 0 {
-						ask(now, h, h.LetGo(now, "", nil)) // it takes and drops
+					if _, _, held := h.Holds(now); held && i == 0 && h.lastTick > 0 {
+						send(now, h, h.Release(now, "", nil)) // the first agent releases each duty at once
 						continue
 					}
-					ask(now, h, h.Step(now, a.free[k], Patience(names[k], a.name, a.weight, long)))
+					send(now, h, h.Tick(now, process.free[k], AcquireDelay(names[k], process.name, process.weight, term)))
 				}
 			}
 		}
 	}
-	run(beat, 2*long)
-	held, _ := holds()
+	run(interval, 2*term)
+	held, _ := countHeld()
 	if held < duties*97/100 {
 		t.Errorf("%d of %d duties are held two terms after the start", held, duties)
 	}
 	if refused > 6*duties {
-		t.Errorf("%d questions in vain for %d duties as the fleet started", refused, duties)
+		t.Errorf("%d refused requests for %d duties as the fleet started", refused, duties)
 	}
-	all = append(all[:1], all[1+dead:]...)
-	was := refused
-	run(2*long, 5*long) // the time of the dead is over after one, and the patience of the last after another
-	held, most := holds()
+	all = append(all[:1], all[1+killed:]...)
+	refusedBefore := refused
+	// The leases of the killed agents expire after one term, and the last acquire delays end after
+	// another.
+	run(2*term, 5*term)
+	held, heldBy := countHeld()
 	if held < duties*97/100 {
-		t.Errorf("%d of %d duties are held three terms after ten agents have died", held, duties)
+		t.Errorf("%d of %d duties are held three terms after ten agents were killed", held, duties)
 	}
-	if refused-was > 6*duties {
-		t.Errorf("%d questions in vain after that", refused-was)
+	if refused-refusedBefore > 6*duties {
+		t.Errorf("%d refused requests after ten agents were killed", refused-refusedBefore)
 	}
 	heavy := all[len(all)-1].name + "/1"
-	for name, n := range most {
+	for name, n := range heldBy {
 		if name == heavy && n < 2*duties/agents || name != heavy && n > 4*duties/agents {
 			t.Errorf("%s holds %d of %d duties", name, n, duties)
 		}
 	}
-	t.Logf("%d questions, %d in vain", asks, refused)
+	t.Logf("%d requests, %d refused", requests, refused)
 }
