--- a/cmd/micaline-manage/crew.go
+++ b/cmd/micaline-manage/crew.go
@@ -17,16 +17,15 @@
 	"example.org/micaline/internal/operators"
 )
 
-// managing is the duty of managing the fleet, and term for how long it is granted.
 const (
-	managing = "manage"
-	term     = 3 * time.Second
+	manageDuty    = "manage" // name of the group's lease for managing the fleet
+	leaseDuration = 3 * time.Second
 
-	answerWithin = time.Second // what is in hand when the process ends
+	shutdownTimeout = time.Second // for requests in progress when the process ends
 )
 
-// crew is this process, which manages alone or as one of a group.
-type crew struct {
+// managerProcess is this process, which manages the fleet alone or as a member of a group.
+type managerProcess struct {
 	log      *slog.Logger
 	path     string
 	settings *operators.Manager
@@ -34,9 +33,9 @@
 	options  manage.Options
 }
 
-// alone manages until the context ends.
-func (c *crew) alone(ctx context.Context) error {
-	// Danger: what it has may be older than what the others have agreed on since.
+// runStandalone runs a manager without a group until the context ends.
+func (c *managerProcess) runStandalone(ctx context.Context) error {
+	// The journal of a group member may be older than the state that the group has agreed on since.
 	if name, grouped, err := group.Grouped(c.store); err != nil {
 		return err
 	} else if grouped {
@@ -46,42 +45,42 @@
 	if err != nil {
 		return err
 	}
-	desk := manage.NewActiveManager(nil)
-	desk.Set(m)
-	return c.serve(ctx, desk, nil, m.Run)
+	active := manage.NewActiveManager(nil)
+	active.Set(m)
+	return c.serve(ctx, active, nil, m.Run)
 }
 
-// together takes part in a group, and manages whenever it grants that.
-func (c *crew) together(ctx context.Context) error {
-	g := &c.settings.Group
-	d, err := api.NewDialer(g.Access)
+// runInGroup runs a group member, and a manager while this member holds the lease for it.
+func (c *managerProcess) runInGroup(ctx context.Context) error {
+	groupSettings := &c.settings.Group
+	dialer, err := api.NewDialer(groupSettings.Access)
 	if err != nil {
 		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: group.access.%w", c.path, err)}
 	}
-	defer d.Close()
+	defer dialer.Close()
 	peers := map[string]group.Peer{}
-	for i := range g.Member {
-		peers[g.Member[i].Name] = group.PeerAt(d.At(g.Member[i].Address()))
+	for i := range groupSettings.Member {
+		peers[groupSettings.Member[i].Name] = group.PeerAt(dialer.At(groupSettings.Member[i].Address()))
 	}
-	node, err := group.NewNode(group.Options{Store: c.store, Name: g.Name, Buckets: manage.Buckets, Found: g.Found, Peers: peers, Log: c.log})
+	node, err := group.NewNode(group.Options{Store: c.store, Name: groupSettings.Name, Buckets: manage.Buckets, Found: groupSettings.Found, Peers: peers, Log: c.log})
 	if err != nil {
 		return err
 	}
-	desk := manage.NewActiveManager(func() string {
-		for _, d := range node.Duties().Duties {
-			if d.Name == managing {
-				who, _, _ := strings.Cut(d.Holder, "/")
-				return who
+	active := manage.NewActiveManager(func() string {
+		for _, duty := range node.Duties().Duties {
+			if duty.Name == manageDuty {
+				holder, _, _ := strings.Cut(duty.Holder, "/")
+				return holder
 			}
 		}
 		return ""
 	})
-	return c.serve(ctx, desk, node.Routes(), func(ctx context.Context) {
-		// The duty is handed on before the node ends.
-		part, end := context.WithCancel(context.WithoutCancel(ctx))
+	return c.serve(ctx, active, node.Routes(), func(ctx context.Context) {
+		// The lease is released before the node stops.
+		nodeCtx, stopNode := context.WithCancel(context.WithoutCancel(ctx))
 		var running sync.WaitGroup
-		running.Go(func() { node.Run(part) })
-		node.Hold(ctx, managing, term, func(s *group.Scope) []byte {
+		running.Go(func() { node.Run(nodeCtx) })
+		node.Hold(ctx, manageDuty, leaseDuration, func(s *group.Scope) []byte {
 			o := c.options
 			o.Store, o.MayAct = s, s.May
 			m, err := manage.New(o)
@@ -89,27 +88,27 @@
 				c.log.Error("can't manage", "error", err)
 				return nil
 			}
-			desk.Set(m)
+			active.Set(m)
 			m.Run(s)
-			desk.Set(nil)
+			active.Set(nil)
 			return nil
 		})
-		end()
+		stopNode()
 		running.Wait()
 	})
 }
 
-// serve serves the interface while the work goes on, until the context ends.
-func (c *crew) serve(ctx context.Context, desk *manage.ActiveManager, routes map[string]group.Route, work func(context.Context)) error {
+// serve serves the HTTP API while run is running, until the context ends.
+func (c *managerProcess) serve(ctx context.Context, active *manage.ActiveManager, routes map[string]group.Route, run func(context.Context)) error {
 	listeners, err := c.settings.Interface.Open()
 	if err != nil {
 		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: interface.%w", c.path, err)}
 	}
-	more, roles := map[string]http.HandlerFunc{}, map[string]api.Role{}
+	handlers, roles := map[string]http.HandlerFunc{}, map[string]api.Role{}
 	for pattern, r := range routes {
-		more[pattern], roles[pattern] = r.Handler, r.Role
+		handlers[pattern], roles[pattern] = r.Handler, r.Role
 	}
-	server := manage.NewServer(desk, &c.settings.Interface, more, roles)
+	server := manage.NewServer(active, &c.settings.Interface, handlers, roles)
 	failed := make(chan error, len(listeners))
 	for _, l := range listeners {
 		go func() { failed <- server.Serve(l) }()
@@ -119,7 +118,7 @@
 	defer stop()
 	ended := make(chan struct{})
 	go func() {
-		work(ctx)
+		run(ctx)
 		close(ended)
 	}()
 	select {
@@ -128,6 +127,6 @@
 	case <-ctx.Done():
 	}
 	<-ended
-	server.Shutdown(answerWithin) // an order that has been taken is answered so
+	server.Shutdown(shutdownTimeout) // so that requests in progress are answered
 	return err
 }
--- a/cmd/micaline-manage/main.go
+++ b/cmd/micaline-manage/main.go
@@ -1,4 +1,4 @@
-// Command micaline-manage is the manager of many instances. `micaline manage` runs it.
+// Command micaline-manage runs the manager of a fleet of instances. `micaline manage` starts it.
 package main
 
 import (
@@ -42,44 +42,44 @@
 	if err := root.ExecuteContext(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, "micaline-manage:", err)
 		code := 1
-		var ended *exit.Error
-		if errors.As(err, &ended) {
-			code = ended.Code
+		var exitErr *exit.Error
+		if errors.As(err, &exitErr) {
+			code = exitErr.Code
 		}
 		os.Exit(code)
 	}
 }
 
 func run(ctx context.Context, path string, log *slog.Logger) error {
-	s, err := operators.LoadManager(path)
+	settings, err := operators.LoadManager(path)
 	if err != nil {
 		return &exit.Error{Code: 2, Err: err}
 	}
-	f := &inventory.File{}
-	if s.Fleet != "" {
-		if f, err = inventory.Load(s.Fleet); err != nil {
+	fleet := &inventory.File{}
+	if settings.Fleet != "" {
+		if fleet, err = inventory.Load(settings.Fleet); err != nil {
 			return &exit.Error{Code: 2, Err: err}
 		}
 	}
-	d, err := api.NewDialer(f.Access)
+	dialer, err := api.NewDialer(fleet.Access)
 	if err != nil {
-		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: access.%w", s.Fleet, err)}
+		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: access.%w", settings.Fleet, err)}
 	}
-	j, err := disk.Open(s.Journal, slices.Concat(manage.Buckets, group.Buckets)...)
+	store, err := disk.Open(settings.Journal, slices.Concat(manage.Buckets, group.Buckets)...)
 	if err != nil {
 		return err
 	}
-	defer j.Close()
-	c := &crew{
-		log: log, path: path, settings: s, store: j,
+	defer store.Close()
+	process := &managerProcess{
+		log: log, path: path, settings: settings, store: store,
 		options: manage.Options{
-			Store: j, Instances: f.Instance, Log: log,
-			Client:    func(a api.Address) manage.InstanceClient { return control.NewClient(d.At(a)) },
-			FreshClient: func(a api.Address) manage.InstanceClient { return control.NewClient(d.Fresh(a)) },
+			Store: store, Instances: fleet.Instance, Log: log,
+			Client:      func(a api.Address) manage.InstanceClient { return control.NewClient(dialer.At(a)) },
+			FreshClient: func(a api.Address) manage.InstanceClient { return control.NewClient(dialer.Fresh(a)) },
 		},
 	}
-	if s.Group.Name == "" {
-		return c.alone(ctx)
+	if settings.Group.Name == "" {
+		return process.runStandalone(ctx)
 	}
-	return c.together(ctx)
+	return process.runInGroup(ctx)
 }
--- a/cmd/micaline-manage/size_bench_test.go
+++ b/cmd/micaline-manage/size_bench_test.go
@@ -21,29 +21,29 @@
 	"example.org/micaline/internal/standin/authority"
 )
 
-// manyInstances starts a fleet and writes its file.
-func manyInstances(b *testing.B, n int) (*site, string) {
+// startInstances starts n instances and writes a fleet file for them.
+func startInstances(b *testing.B, n int) (*testEnvironment, string) {
 	b.Helper()
 	dir, err := os.MkdirTemp("", "m")
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { os.RemoveAll(dir) })
-	s := &site{t: b, dir: dir, sock: filepath.Join(dir, "m.sock")}
+	s := &testEnvironment{t: b, dir: dir, managerSocket: filepath.Join(dir, "m.sock")}
 	if s.ca, err = authority.New(dir); err != nil {
 		b.Fatal(err)
 	}
 	var fleet strings.Builder
-	fmt.Fprintf(&fleet, "[access]\nca = %q\ntoken_file = %q\n", s.ca.CA, s.write("token", "secret\n"))
+	fmt.Fprintf(&fleet, "[access]\nca = %q\ntoken_file = %q\n", s.ca.CA, s.writeFile("token", "secret\n"))
 	for i := range n {
 		name := fmt.Sprintf("i%04d", i)
-		fmt.Fprintf(&fleet, "[[instance]]\nname = %q\naddr = %q\n", name, s.serve(name))
+		fmt.Fprintf(&fleet, "[[instance]]\nname = %q\naddr = %q\n", name, s.startInstance(name))
 	}
-	return s, s.write("fleet.toml", "%s", fleet.String())
+	return s, s.writeFile("fleet.toml", "%s", fleet.String())
 }
 
-// memory is what a process holds, in MB, and the CPU that it has used.
-func memory(b *testing.B, pid int) (mb float64, cpu time.Duration) {
+// processUsage returns the resident memory of a process in MB and the CPU time that it has used.
+func processUsage(b *testing.B, pid int) (mb float64, cpu time.Duration) {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -66,29 +66,30 @@
 	return mb, time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// BenchmarkRollout brings a document to fleets of several sizes over TLS, without time to watch: by a manager in waves; by
-// the same calls to all at once, as `ctl set --fleet` makes them; and one after the other, as a loop in a shell would.
+// BenchmarkRollout measures how long it takes to apply a document to fleets of several sizes over TLS, without bake
+// time. It compares a manager's rollout in waves with direct calls that run concurrently, as `ctl set --fleet` makes
+// them, and with direct calls one after the other, as a shell loop makes them.
 func BenchmarkRollout(b *testing.B) {
 	for _, n := range []int{50, 500, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s, fleetFile := manyInstances(b, n)
-			manager := s.start(s.write("manage.toml", "journal = %q\nfleet = %q\n[interface]\nunix = %q\n", filepath.Join(s.dir, "journal"), fleetFile, s.sock))
-			d, err := api.NewDialer(api.Credentials{})
+			s, fleetFile := startInstances(b, n)
+			manager := s.startManager(s.writeFile("manage.toml", "journal = %q\nfleet = %q\n[interface]\nunix = %q\n", filepath.Join(s.dir, "journal"), fleetFile, s.managerSocket))
+			dialer, err := api.NewDialer(api.Credentials{})
 			if err != nil {
 				b.Fatal(err)
 			}
-			m := manage.NewClient(d.At(api.Address{Name: "manager", Unix: s.sock}))
+			client := manage.NewClient(dialer.At(api.Address{Name: "manager", Unix: s.managerSocket}))
 			began := time.Now()
 			for {
-				if st, err := m.Status(b.Context()); err == nil && st.Reachable == n && st.Fence != 0 {
+				if st, err := client.Status(b.Context()); err == nil && st.Reachable == n && st.Fence != 0 {
 					break
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			seen := time.Since(began)
-			_, cpu := memory(b, manager.Process.Pid)
+			allReachable := time.Since(began)
+			_, cpuBefore := processUsage(b, manager.Process.Pid)
 			time.Sleep(10 * time.Second)
-			idle, later := memory(b, manager.Process.Pid)
+			idleMemory, cpuAfter := processUsage(b, manager.Process.Pid)
 			round := 0
 			for b.Loop() {
 				round++
@@ -98,11 +99,11 @@
 					b.Fatal(err)
 				}
 				id := fmt.Sprintf("r%d", round)
-				if _, err := m.StartRollout(b.Context(), id, &manage.Order{Document: doc, Limits: &manage.Limits{Canaries: 1, Growth: 3}}); err != nil {
+				if _, err := client.StartRollout(b.Context(), id, &manage.Order{Document: doc, Limits: &manage.Limits{Canaries: 1, Growth: 3}}); err != nil {
 					b.Fatal(err)
 				}
 				for {
-					r, err := m.Report(b.Context(), id)
+					r, err := client.Report(b.Context(), id)
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -115,46 +116,47 @@
 					time.Sleep(50 * time.Millisecond)
 				}
 				b.ReportMetric(time.Since(began).Seconds(), "s-manager")
-				after, _ := memory(b, manager.Process.Pid)
+				after, _ := processUsage(b, manager.Process.Pid)
 				b.ReportMetric(after, "MB-after")
 			}
-			b.ReportMetric(seen.Seconds(), "s-to-see-all")
-			b.ReportMetric(idle, "MB-idle")
-			b.ReportMetric((later-cpu).Seconds()/10, "cores-idle")
+			b.ReportMetric(allReachable.Seconds(), "s-to-see-all")
+			b.ReportMetric(idleMemory, "MB-idle")
+			b.ReportMetric((cpuAfter-cpuBefore).Seconds()/10, "cores-idle")
 			manager.Process.Signal(syscall.SIGTERM)
 			manager.Wait()
-			for what, atOnce := range map[string]int{"s-at-once": 64, "s-one-by-one": 1} {
-				b.ReportMetric(setAll(b, fleetFile, atOnce).Seconds(), what)
+			for metric, concurrency := range map[string]int{"s-at-once": 64, "s-one-by-one": 1} {
+				b.ReportMetric(applyToAll(b, fleetFile, concurrency).Seconds(), metric)
 			}
 		})
 	}
 }
 
-// setAll puts a document in force on all instances of a fleet, so many at once.
-func setAll(b *testing.B, fleetFile string, atOnce int) time.Duration {
+// applyToAll applies a document to all instances of a fleet, with a limit on concurrent calls, and returns the time
+// that it took.
+func applyToAll(b *testing.B, fleetFile string, concurrency int) time.Duration {
 	b.Helper()
-	f, err := inventory.Load(fleetFile)
+	fleet, err := inventory.Load(fleetFile)
 	if err != nil {
 		b.Fatal(err)
 	}
-	d, err := api.NewDialer(f.Access)
+	dialer, err := api.NewDialer(fleet.Access)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer d.Close()
+	defer dialer.Close()
 	began := time.Now()
-	room := make(chan struct{}, atOnce)
-	var asking sync.WaitGroup
+	slots := make(chan struct{}, concurrency)
+	var applying sync.WaitGroup
 	var failed atomic.Int64
-	for _, in := range f.Instance {
-		room <- struct{}{}
-		asking.Go(func() {
-			defer func() { <-room }()
-			c := control.NewClient(d.At(in.Address()))
+	for _, in := range fleet.Instance {
+		slots <- struct{}{}
+		applying.Go(func() {
+			defer func() { <-slots }()
+			c := control.NewClient(dialer.At(in.Address()))
 			id, err := c.Identity(b.Context())
 			if err == nil {
 				p := &control.Proposal{Base: id.Revision, Fence: id.Fence, Document: &document.Document{}}
-				change := fmt.Sprint("set", atOnce)
+				change := fmt.Sprint("set", concurrency)
 				if _, err = c.Prepare(b.Context(), change, p); err == nil {
 					_, err = c.Commit(b.Context(), change, p.Fence)
 				}
@@ -164,23 +166,23 @@
 			}
 		})
 	}
-	asking.Wait()
+	applying.Wait()
 	if n := failed.Load(); n > 0 {
 		b.Fatalf("%d failed", n)
 	}
 	return time.Since(began)
 }
 
-// BenchmarkWatch watches 500 instances over TLS: the time until all have shown themselves, and until a change on each was
-// seen; then what an idle watch costs, watchers and watched together.
+// BenchmarkWatch watches 500 instances over TLS. It measures the time until each has sent its first event, the time
+// until a change on each is reported, and the CPU use of idle watches on both sides together.
 func BenchmarkWatch(b *testing.B) {
 	const n = 500
-	_, fleetFile := manyInstances(b, n)
-	f, err := inventory.Load(fleetFile)
+	_, fleetFile := startInstances(b, n)
+	fleet, err := inventory.Load(fleetFile)
 	if err != nil {
 		b.Fatal(err)
 	}
-	d, err := api.NewDialer(f.Access)
+	dialer, err := api.NewDialer(fleet.Access)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -189,9 +191,9 @@
 		var watching sync.WaitGroup
 		events := make(chan struct{}, 10*n)
 		began := time.Now()
-		for _, in := range f.Instance {
+		for _, in := range fleet.Instance {
 			watching.Go(func() {
-				control.NewClient(d.At(in.Address())).Watch(ctx, func(*control.Event) error { events <- struct{}{}; return nil })
+				control.NewClient(dialer.At(in.Address())).Watch(ctx, func(*control.Event) error { events <- struct{}{}; return nil })
 			})
 		}
 		wait := func() time.Duration {
@@ -202,16 +204,16 @@
 		}
 		b.ReportMetric(wait().Seconds(), "s-first")
 		began = time.Now()
-		for _, in := range f.Instance {
-			c := control.NewClient(d.At(in.Address()))
+		for _, in := range fleet.Instance {
+			c := control.NewClient(dialer.At(in.Address()))
 			if _, err := c.Prepare(ctx, "x", &control.Proposal{Document: &document.Document{}}); err != nil {
 				b.Fatal(err)
 			}
 		}
 		b.ReportMetric(wait().Seconds(), "s-change")
-		_, before := memory(b, os.Getpid())
+		_, before := processUsage(b, os.Getpid())
 		time.Sleep(8 * time.Second)
-		_, after := memory(b, os.Getpid())
+		_, after := processUsage(b, os.Getpid())
 		b.ReportMetric((after-before).Seconds()/8, "cores-idle")
 		stop()
 		watching.Wait()
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory says which instances there are, where, and with which labels, and chooses among them. It reads the
-// operators' fleet file, and is without I/O but for that.
+// Package inventory describes the instances of a fleet by name, address and labels. It loads the operators'
+// fleet file, and selects instances by name and label. Reading that file is its only I/O.
 package inventory
 
 import (
@@ -13,23 +13,24 @@
 	"example.org/micaline/internal/tomlfile"
 )
 
-// MaxInstances is how many instances one manager or command has to do with at most.
+// MaxInstances is the maximum number of instances of one manager or command.
 const MaxInstances = 10_000
 
-// Instance is one instance: a place with a name, whatever process is there.
+// Instance is a named instance. It keeps its name when its process is replaced. Exactly one of Unix and
+// Addr is set.
 type Instance struct {
 	Name   string
-	Unix   string // path of its socket; or
+	Unix   string // path of its socket
 	Addr   string // host and port
 	Labels map[string]string
 }
 
-// Address is where its interface is.
+// Address returns the address of the instance's control interface.
 func (i *Instance) Address() api.Address {
 	return api.Address{Name: i.Name, Unix: i.Unix, Addr: i.Addr}
 }
 
-// Check says what is wrong with an instance. Its error is an *api.FieldError.
+// Check validates the instance. Its error is an *api.FieldError.
 func (i *Instance) Check() error {
 	a := i.Address()
 	if err := a.Check(); err != nil {
@@ -38,7 +39,7 @@
 	return operators.CheckLabels("labels", i.Labels)
 }
 
-// File is a fleet file: how one comes in at the instances, and those that are known beforehand.
+// File is the content of a fleet file: the credentials for the instances, and the instances.
 type File struct {
 	Access   api.Credentials
 	Instance []Instance
@@ -57,7 +58,7 @@
 	return f, nil
 }
 
-// Parse reads the text of a fleet file. Its errors tell line and field.
+// Parse parses the text of a fleet file. Its errors name the line and field.
 func Parse(text []byte) (*File, error) {
 	var f File
 	if err := tomlfile.Decode(text, &f); err != nil {
@@ -83,17 +84,18 @@
 	return &f, nil
 }
 
-// Selector chooses instances by name and label. The zero value chooses all.
+// Selector selects instances by name and label. The zero value selects all.
 type Selector struct{ terms []term }
 
 type term struct {
 	label   string // "" for the name
-	pattern string // as path.Match has it
-	not     bool
+	pattern string // in the syntax of path.Match
+	negated bool
 }
 
-// ParseSelector reads a selector: terms with commas between them, all of which must hold. A term is a label and what its
-// value must be (zone=a) or must not (zone!=a), or a name; both may have wildcards (agent-*).
+// ParseSelector parses a selector: terms separated by commas, all of which must match. A term is a name, or a
+// label whose value must equal (zone=a) or not equal (zone!=a) a value. Names and values may contain
+// wildcards (agent-*).
 func ParseSelector(text string) (Selector, error) {
 	var s Selector
 	if strings.TrimSpace(text) == "" {
@@ -104,7 +106,7 @@
 		t := term{pattern: part}
 		if label, value, ok := strings.Cut(part, "="); ok {
 			t.label, t.pattern = strings.TrimSpace(label), strings.TrimSpace(value)
-			t.label, t.not = strings.CutSuffix(t.label, "!")
+			t.label, t.negated = strings.CutSuffix(t.label, "!")
 			if t.label == "" {
 				return s, fmt.Errorf("selector %q: %q has no label", text, part)
 			}
@@ -117,15 +119,15 @@
 	return s, nil
 }
 
-// Match says whether an instance is chosen.
+// Match reports whether the selector matches an instance.
 func (s Selector) Match(name string, labels map[string]string) bool {
 	for _, t := range s.terms {
 		value, has := name, true
 		if t.label != "" && t.label != "name" {
 			value, has = labels[t.label]
 		}
-		ok, _ := path.Match(t.pattern, value) // which ParseSelector has tried
-		if (ok && has) == t.not {
+		ok, _ := path.Match(t.pattern, value) // ParseSelector has checked the pattern
+		if (ok && has) == t.negated {
 			return false
 		}
 	}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal says what a manager's journal is: records that are written in transactions before anything that hangs
-// on them is sent.
+// Package journal defines the journal of a manager. It holds records that are written in transactions, before the
+// manager sends any request that depends on them.
 package journal
 
 import (
@@ -8,28 +8,28 @@
 	"sync"
 )
 
-// Record is one thing to be written. A nil value is taken out.
+// Record is a value to write under a key of a bucket. A nil value deletes the key.
 type Record struct {
 	Bucket, Key string
 	Value       []byte
 }
 
-// Store keeps records.
+// Store stores records in buckets.
 type Store interface {
-	// Write writes records in one transaction: all of them or none. What it returns as written stays.
+	// Write writes records in one transaction: all of them or none. If it returns nil, the records are durable.
 	Write(records []Record) error
-	// Read calls a function with each record of a bucket, in the order of their keys; with a nil value for one that is
-	// damaged. Values are the function's to keep.
+	// Read calls f for each record of a bucket, in the order of their keys. The value of a damaged record is nil.
+	// f may keep the values. Read stops at the first error of f and returns it.
 	Read(bucket string, f func(key string, value []byte) error) error
 }
 
-// Memory is a store that lasts as long as its process.
+// Memory is a store in memory, without durability. The zero value is an empty store.
 type Memory struct {
 	mu      sync.Mutex
 	buckets map[string]map[string][]byte
 }
 
-// Write writes records.
+// Write implements Store.
 func (m *Memory) Write(records []Record) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Read calls a function with each record of a bucket.
+// Read implements Store.
 func (m *Memory) Read(bucket string, f func(key string, value []byte) error) error {
 	m.mu.Lock()
 	b := maps.Clone(m.buckets[bucket])
--- a/internal/manage/client.go
+++ b/internal/manage/client.go
@@ -10,42 +10,42 @@
 	"example.org/micaline/internal/api"
 )
 
-// Client talks to a manager.
-type Client struct{ at *api.Caller }
+// Client sends requests to a manager.
+type Client struct{ caller *api.Caller }
 
-// NewClient returns a client of the manager that a caller calls.
-func NewClient(at *api.Caller) *Client { return &Client{at} }
+// NewClient returns a client that sends its requests through caller.
+func NewClient(caller *api.Caller) *Client { return &Client{caller} }
 
-// Status asks the manager for what it says of itself.
+// Status returns the status of the manager.
 func (c *Client) Status(ctx context.Context) (*Status, error) {
 	var v Status
-	return &v, c.at.Call(ctx, http.MethodGet, "manager", nil, nil, &v)
+	return &v, c.caller.Call(ctx, http.MethodGet, "manager", nil, nil, &v)
 }
 
-// TakeOver gives the manager a number above all that were heard.
+// TakeOver makes the manager choose a fence higher than all known ones, so that it replaces other managers.
 func (c *Client) TakeOver(ctx context.Context) (*Status, error) {
 	var v Status
-	return &v, c.at.Call(ctx, http.MethodPost, "takeover", nil, nil, &v)
+	return &v, c.caller.Call(ctx, http.MethodPost, "takeover", nil, nil, &v)
 }
 
-// Instances asks for the instances that a selector chooses.
+// Instances returns the instances that match a selector.
 func (c *Client) Instances(ctx context.Context, selector string) (v []InstanceReport, err error) {
-	return v, c.at.Call(ctx, http.MethodGet, "instances?select="+url.QueryEscape(selector), nil, nil, &v)
+	return v, c.caller.Call(ctx, http.MethodGet, "instances?select="+url.QueryEscape(selector), nil, nil, &v)
 }
 
-// Announce says where an instance is.
+// Announce sends the address and labels of an instance to the manager.
 func (c *Client) Announce(ctx context.Context, name string, a *Announcement) error {
 	var v Announcement
-	return c.at.Call(ctx, http.MethodPut, "announcements/"+url.PathEscape(name), nil, a, &v)
+	return c.caller.Call(ctx, http.MethodPut, "announcements/"+url.PathEscape(name), nil, a, &v)
 }
 
-// announceEvery is how often an instance says where it is.
-const announceEvery = 5 * time.Second
+// announceInterval is the time between two announcements of an instance.
+const announceInterval = 5 * time.Second
 
-// KeepAnnouncing says where an instance is, again and again until the context ends. What keeps it from that is logged
-// when it changes.
+// KeepAnnouncing announces an instance periodically until the context ends. It logs the outcome when it
+// differs from the previous one.
 func (c *Client) KeepAnnouncing(ctx context.Context, name string, a *Announcement, log *slog.Logger) {
-	tick := time.NewTicker(announceEvery)
+	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
 	last := "not yet"
 	for {
@@ -68,31 +68,32 @@
 	}
 }
 
-// Plan asks what an order would do.
+// Plan returns the effect that an order would have.
 func (c *Client) Plan(ctx context.Context, o *Order) (*Plan, error) {
 	var v Plan
-	return &v, c.at.Call(ctx, http.MethodPost, "plans", nil, o, &v)
+	return &v, c.caller.Call(ctx, http.MethodPost, "plans", nil, o, &v)
 }
 
-// Begin begins a rollout, once under its id.
+// StartRollout starts a rollout. The ID makes it idempotent.
 func (c *Client) StartRollout(ctx context.Context, id string, o *Order) (*Report, error) {
 	var v Report
-	return &v, c.at.Call(ctx, http.MethodPut, "rollouts/"+url.PathEscape(id), nil, o, &v)
+	return &v, c.caller.Call(ctx, http.MethodPut, "rollouts/"+url.PathEscape(id), nil, o, &v)
 }
 
-// Report asks what became of a rollout.
+// Report returns the report of a rollout.
 func (c *Client) Report(ctx context.Context, id string) (*Report, error) {
 	var v Report
-	return &v, c.at.Call(ctx, http.MethodGet, "rollouts/"+url.PathEscape(id), nil, nil, &v)
+	return &v, c.caller.Call(ctx, http.MethodGet, "rollouts/"+url.PathEscape(id), nil, nil, &v)
 }
 
-// Reports asks for all rollouts, the newest first, without their instances.
+// Reports returns the reports of all rollouts, newest first, without their instances.
 func (c *Client) Reports(ctx context.Context) (v []*Report, err error) {
-	return v, c.at.Call(ctx, http.MethodGet, "rollouts", nil, nil, &v)
+	return v, c.caller.Call(ctx, http.MethodGet, "rollouts", nil, nil, &v)
 }
 
-// Tell gives an order to a rollout.
-func (c *Client) ControlRollout(ctx context.Context, id, order string, leave bool) (*Report, error) {
+// ControlRollout applies AbortAction, ResumeAction or RollbackAction to a rollout. If leave is true, a resumed
+// rollout leaves out the instances that did not apply the change.
+func (c *Client) ControlRollout(ctx context.Context, id, action string, leave bool) (*Report, error) {
 	var v Report
-	return &v, c.at.Call(ctx, http.MethodPost, "rollouts/"+url.PathEscape(id)+"/"+order, nil, map[string]bool{"leave": leave}, &v)
+	return &v, c.caller.Call(ctx, http.MethodPost, "rollouts/"+url.PathEscape(id)+"/"+action, nil, map[string]bool{"leave": leave}, &v)
 }
--- a/internal/manage/kill_test.go
+++ b/internal/manage/kill_test.go
@@ -23,93 +23,93 @@
 	"example.org/micaline/internal/standin/network"
 )
 
-// town is a fleet in memory, in a time of its own: real control interfaces before instances that only note what is
-// applied, and a manager over a network that can be cut.
-type town struct {
+// testFleet is a fleet in memory with simulated time. Its instances have real control servers and only record the
+// applied documents. The manager reaches them over a simulated network that can be partitioned.
+type testFleet struct {
 	t     *testing.T
 	net   *network.Network
-	store *store
+	store *failingStore
 	base  *settings.Settings
 
-	mu      sync.Mutex
-	houses  map[string]*house
-	manager *Manager
-	stop    context.CancelFunc
-	dialer  *network.Dialer
-	ended   chan struct{}
-
-	// Points are what can be survived: each is a moment of the change at which somebody may be killed.
-	points []string
-	kill   int // the one at which it happens, from 0; -1 for never
-	strike func(at string, instance string)
-	refuse map[string]bool          // instances that can't apply
-	stuck  map[string]bool          // instances that can't apply the second part, nor go back in the first
-	slow   map[string]time.Duration // that apply takes
+	mu          sync.Mutex
+	instances   map[string]*testInstance
+	manager     *Manager
+	stopManager context.CancelFunc
+	dialer      *network.Dialer
+	managerDone chan struct{}
+
+	// killPoints records the points of a change at which the manager or an instance can be killed.
+	killPoints  []string
+	killIndex   int // index of the kill point at which onKillPoint is called; -1 for none
+	onKillPoint func(at string, instance string)
+	refusing    map[string]bool          // instances that can't apply a document
+	stuck       map[string]bool          // instances that can neither apply the second part nor revert the first
+	applyDelay  map[string]time.Duration // duration of each apply, by instance
 }
 
-// house is an instance's place, with its present process.
-type house struct {
-	town   *town
-	name   string
-	addr   string
-	epochs int
-	server *control.Server
-	proc   *process
-	truth  map[string]map[string]string // document by part that is applied, by epoch
-	served func(time.Duration) control.Service
+// testInstance is an instance with its current process.
+type testInstance struct {
+	fleet         *testFleet
+	name          string
+	addr          string
+	processCount  int
+	server        *control.Server
+	process       *process
+	applied       map[string]map[string]string // hash of the applied document, by epoch and part
+	serviceCounts func(time.Duration) control.Service
 }
 
 // process is one process of an instance.
 type process struct {
-	control.Instance // of which the manager calls no more than what follows
+	control.Instance // the manager calls only the methods below
 
-	house *house
-	epoch string
-	born  time.Time
+	instance  *testInstance
+	epoch     string
+	startedAt time.Time
 
 	mu   sync.Mutex
 	dead bool
 }
 
-func (p *process) Name() string             { return p.house.name }
-func (p *process) Base() *settings.Settings { return p.house.town.base }
+func (p *process) Name() string             { return p.instance.name }
+func (p *process) Base() *settings.Settings { return p.instance.fleet.base }
 
 func (p *process) Look(context.Context) (*control.State, error) {
 	s := &control.State{Taking: true, Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}, Classes: []control.Class{}, Accounts: []control.Account{}}
-	p.house.town.mu.Lock()
-	f := p.house.served
-	p.house.town.mu.Unlock()
+	p.instance.fleet.mu.Lock()
+	f := p.instance.serviceCounts
+	p.instance.fleet.mu.Unlock()
 	if f != nil {
-		s.Service = f(time.Since(p.born))
+		s.Service = f(time.Since(p.startedAt))
 	}
 	return s, nil
 }
 
 func (p *process) Apply(ctx context.Context, part string, d *document.Document) error {
-	w := p.house.town
-	w.point("before "+part+" is applied", p.house.name)
-	w.mu.Lock()
-	slow, refuse, stuck := w.slow[p.house.name], w.refuse[p.house.name], w.stuck[p.house.name]
-	w.mu.Unlock()
+	fleet := p.instance.fleet
+	fleet.reachKillPoint("before "+part+" is applied", p.instance.name)
+	fleet.mu.Lock()
+	slow, refuse, stuck := fleet.applyDelay[p.instance.name], fleet.refusing[p.instance.name], fleet.stuck[p.instance.name]
+	fleet.mu.Unlock()
 	time.Sleep(slow)
 	p.mu.Lock()
 	if p.dead {
 		p.mu.Unlock()
 		return errors.New("dead")
 	}
-	if stuck && (part == document.Decisions || d.Hash() == empty) {
+	if stuck && (part == document.Decisions || d.Hash() == emptyHash) {
 		p.mu.Unlock()
 		return errors.New("stuck")
 	}
-	if refuse && d.Hash() != empty {
+	if refuse && d.Hash() != emptyHash {
 		p.mu.Unlock()
 		return errors.New("can't")
 	}
-	w.mu.Lock()
-	p.house.truth[p.epoch][part] = d.Hash()
-	w.mu.Unlock()
+	fleet.mu.Lock()
+	p.instance.applied[p.epoch][part] = d.Hash()
+	fleet.mu.Unlock()
 	p.mu.Unlock()
-	w.point("after "+part+" is applied", p.house.name)
+	fleet.reachKillPoint("after "+part+" is applied", p.instance.name)
 	return nil
 }
 
@@ -117,163 +117,165 @@
 func (p *process) SetTaking(bool)                                            {}
 func (p *process) Reload(context.Context) error                              { return nil }
 
-var empty = (&document.Document{}).Hash()
+var emptyHash = (&document.Document{}).Hash()
 
-// start starts a process at the place.
-func (h *house) start() {
-	w := h.town
-	l, err := w.net.ListenAt(h.addr)
+// start starts a new process of the instance at its address.
+func (h *testInstance) start() {
+	fleet := h.fleet
+	l, err := fleet.net.ListenAt(h.addr)
 	if err != nil {
-		w.t.Error(err)
+		fleet.t.Error(err)
 		return
 	}
-	w.mu.Lock()
-	h.epochs++
-	h.proc = &process{house: h, epoch: fmt.Sprintf("%s-e%d", h.name, h.epochs), born: time.Now()}
-	h.truth[h.proc.epoch] = map[string]string{}
-	h.server = control.NewServer(h.proc, control.Options{Epoch: h.proc.epoch, Labels: map[string]string{"zone": "a"}})
+	fleet.mu.Lock()
+	h.processCount++
+	h.process = &process{instance: h, epoch: fmt.Sprintf("%s-e%d", h.name, h.processCount), startedAt: time.Now()}
+	h.applied[h.process.epoch] = map[string]string{}
+	h.server = control.NewServer(h.process, control.Options{Epoch: h.process.epoch, Labels: map[string]string{"zone": "a"}})
 	server := h.server
-	w.mu.Unlock()
+	fleet.mu.Unlock()
 	go server.Serve(l)
 }
 
-// die ends the process at once. What it was at is not done.
-func (h *house) die() {
-	h.town.mu.Lock()
-	p, s := h.proc, h.server
-	h.town.mu.Unlock()
+// crash ends the process at once. Changes in progress are not applied.
+func (h *testInstance) crash() {
+	h.fleet.mu.Lock()
+	p, s := h.process, h.server
+	h.fleet.mu.Unlock()
 	p.mu.Lock()
 	p.dead = true
 	p.mu.Unlock()
 	s.Close()
 }
 
-// store is a journal that can fail.
-type store struct {
+// failingStore is a journal in memory whose writes can be made to fail.
+type failingStore struct {
 	journal.Memory
-	town *town
+	fleet *testFleet
 
 	mu     sync.Mutex
-	fails  error
-	frozen bool // its manager is dead
+	err    error
+	frozen bool // the manager's process is killed
 }
 
-func (s *store) set(fails error, frozen bool) {
+func (s *failingStore) setFailure(err error, frozen bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fails, s.frozen = fails, frozen
+	s.err, s.frozen = err, frozen
 }
 
-func (s *store) failing() error {
+func (s *failingStore) failure() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.frozen {
 		return errors.New("dead")
 	}
-	return s.fails
+	return s.err
 }
 
-func (s *store) Write(records []journal.Record) error {
-	s.town.point("before the journal is written", "")
-	if err := s.failing(); err != nil {
+func (s *failingStore) Write(records []journal.Record) error {
+	s.fleet.reachKillPoint("before the journal is written", "")
+	if err := s.failure(); err != nil {
 		return err
 	}
 	if err := s.Memory.Write(records); err != nil {
 		return err
 	}
-	s.town.point("after the journal is written", "")
-	return s.failing()
+	s.fleet.reachKillPoint("after the journal is written", "")
+	return s.failure()
 }
 
-// point is a moment at which somebody may be killed.
-func (w *town) point(what, instance string) {
-	w.mu.Lock()
-	n := len(w.points)
-	w.points = append(w.points, strings.TrimSpace(what+" "+instance))
-	strike := w.strike
-	w.mu.Unlock()
-	if n == w.kill && strike != nil {
-		strike(what, instance)
+// reachKillPoint records a kill point, and calls onKillPoint if it is the selected one.
+func (fleet *testFleet) reachKillPoint(event, instance string) {
+	fleet.mu.Lock()
+	n := len(fleet.killPoints)
+	fleet.killPoints = append(fleet.killPoints, strings.TrimSpace(event+" "+instance))
+	strike := fleet.onKillPoint
+	fleet.mu.Unlock()
+	if n == fleet.killIndex && strike != nil {
+		strike(event, instance)
 	}
 }
 
-// probe is a client whose calls are points.
-type probe struct {
+// recordingClient is a client that records a kill point before and after each call.
+type recordingClient struct {
 	InstanceClient
-	town *town
-	name string
+	fleet *testFleet
+	name  string
 }
 
-func (p probe) around(what string, f func() (*control.Change, error)) (*control.Change, error) {
-	p.town.point("before "+what, p.name)
+func (p recordingClient) recordCall(request string, f func() (*control.Change, error)) (*control.Change, error) {
+	p.fleet.reachKillPoint("before "+request, p.name)
 	c, err := f()
-	p.town.point("after "+what, p.name)
+	p.fleet.reachKillPoint("after "+request, p.name)
 	return c, err
 }
 
-func (p probe) Prepare(ctx context.Context, id string, x *control.Proposal) (*control.Change, error) {
-	return p.around("prepare", func() (*control.Change, error) { return p.InstanceClient.Prepare(ctx, id, x) })
+func (p recordingClient) Prepare(ctx context.Context, id string, x *control.Proposal) (*control.Change, error) {
+	return p.recordCall("prepare", func() (*control.Change, error) { return p.InstanceClient.Prepare(ctx, id, x) })
 }
 
-func (p probe) Commit(ctx context.Context, id string, fence uint64) (*control.Change, error) {
-	return p.around("commit", func() (*control.Change, error) { return p.InstanceClient.Commit(ctx, id, fence) })
+func (p recordingClient) Commit(ctx context.Context, id string, fence uint64) (*control.Change, error) {
+	return p.recordCall("commit", func() (*control.Change, error) { return p.InstanceClient.Commit(ctx, id, fence) })
 }
 
-func (p probe) Abort(ctx context.Context, id string, fence uint64) (*control.Change, error) {
-	return p.around("abort", func() (*control.Change, error) { return p.InstanceClient.Abort(ctx, id, fence) })
+func (p recordingClient) Abort(ctx context.Context, id string, fence uint64) (*control.Change, error) {
+	return p.recordCall("abort", func() (*control.Change, error) { return p.InstanceClient.Abort(ctx, id, fence) })
 }
 
-func (p probe) Confirm(ctx context.Context, id string, fence uint64) (*control.Change, error) {
-	return p.around("confirm", func() (*control.Change, error) { return p.InstanceClient.Confirm(ctx, id, fence) })
+func (p recordingClient) Confirm(ctx context.Context, id string, fence uint64) (*control.Change, error) {
+	return p.recordCall("confirm", func() (*control.Change, error) { return p.InstanceClient.Confirm(ctx, id, fence) })
 }
 
-// newTown starts so many instances, and a manager of them.
-func newTown(t *testing.T, n int, seed uint64) *town {
+// newTestFleet starts n instances and a manager for them.
+func newTestFleet(t *testing.T, n int, seed uint64) *testFleet {
 	t.Helper()
 	base, err := settings.Parse([]byte(`{"categories":[{"name":"close","aim":600,"deadline":2500,"credit":2,"effect":"side_effect"}],
 		"replicasOfMe":1,"limits":{"maxAttempts":3,"connectTimeout":100},"rules":{"coldFrom":0.5,"overloadFactor":2}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &town{t: t, net: network.NewMemory(seed), base: &base, houses: map[string]*house{}, kill: -1, refuse: map[string]bool{}, stuck: map[string]bool{}, slow: map[string]time.Duration{}}
-	w.store = &store{town: w}
-	w.net.Apply(network.Rule{
+	fleet := &testFleet{t: t, net: network.NewMemory(seed), base: &base, instances: map[string]*testInstance{}, killIndex: -1, refusing: map[string]bool{}, stuck: map[string]bool{}, applyDelay: map[string]time.Duration{}}
+	fleet.store = &failingStore{fleet: fleet}
+	fleet.net.Apply(network.Rule{
 		Match:  func(string, string) bool { return true },
 		Change: func(c *network.Conditions) { c.Delay += time.Millisecond },
 	})
 	for i := range n {
-		addr, err := w.net.FreeAddr()
+		addr, err := fleet.net.FreeAddr()
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := &house{town: w, name: fmt.Sprintf("i%02d", i), addr: addr, truth: map[string]map[string]string{}}
-		w.houses[h.name] = h
+		h := &testInstance{fleet: fleet, name: fmt.Sprintf("i%02d", i), addr: addr, applied: map[string]map[string]string{}}
+		fleet.instances[h.name] = h
 		h.start()
 	}
-	w.startManager()
-	return w
+	fleet.startManager()
+	return fleet
 }
 
-// startManager starts a process of the manager on the journal that there is.
-func (w *town) startManager() {
-	w.store.set(nil, false)
-	m, stop, dialer, ended := w.newManager(w.store, "manager")
-	w.mu.Lock()
-	w.manager, w.stop, w.dialer, w.ended = m, stop, dialer, ended
-	w.mu.Unlock()
+// startManager starts a new manager process with the existing journal.
+func (fleet *testFleet) startManager() {
+	fleet.store.setFailure(nil, false)
+	m, stop, dialer, ended := fleet.newManager(fleet.store, "manager")
+	fleet.mu.Lock()
+	fleet.manager, fleet.stopManager, fleet.dialer, fleet.managerDone = m, stop, dialer, ended
+	fleet.mu.Unlock()
 }
 
-func (w *town) newManager(s journal.Store, from string) (*Manager, context.CancelFunc, *network.Dialer, chan struct{}) {
-	dialer := w.net.From(from)
+func (fleet *testFleet) newManager(s journal.Store, from string) (*Manager, context.CancelFunc, *network.Dialer, chan struct{}) {
+	dialer := fleet.net.From(from)
 	callers := api.NewDialerOver(nil, "", func(ctx context.Context, _, addr string) (net.Conn, error) { return dialer.Dial(ctx, addr[1:]) })
-	at := func(a api.Address) InstanceClient { return probe{control.NewClient(callers.At(a)), w, a.Name} }
+	at := func(a api.Address) InstanceClient {
+		return recordingClient{control.NewClient(callers.At(a)), fleet, a.Name}
+	}
 	o := Options{Store: s, Client: at, FreshClient: at, Log: slog.New(slog.DiscardHandler)}
-	for _, name := range slices.Sorted(maps.Keys(w.houses)) {
-		o.Instances = append(o.Instances, inventory.Instance{Name: name, Unix: "/" + w.houses[name].addr})
+	for _, name := range slices.Sorted(maps.Keys(fleet.instances)) {
+		o.Instances = append(o.Instances, inventory.Instance{Name: name, Unix: "/" + fleet.instances[name].addr})
 	}
 	m, err := New(o)
 	if err != nil {
-		w.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -285,34 +287,34 @@
 	return m, stop, dialer, ended
 }
 
-// set changes how instances behave.
-func (w *town) set(f func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	f()
+// update calls a function that changes the behaviour of instances, with the lock held.
+func (fleet *testFleet) update(change func()) {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	change()
 }
 
-// killManager ends the manager's process at once: it writes and sends nothing more.
-func (w *town) killManager() {
-	w.mu.Lock()
-	stop, dialer := w.stop, w.dialer
-	w.mu.Unlock()
-	w.store.set(nil, true)
+// killManager kills the manager's process. It writes and sends nothing after that.
+func (fleet *testFleet) killManager() {
+	fleet.mu.Lock()
+	stop, dialer := fleet.stopManager, fleet.dialer
+	fleet.mu.Unlock()
+	fleet.store.setFailure(nil, true)
 	stop()
 	dialer.Kill()
 }
 
-func (w *town) close() {
-	w.mu.Lock()
-	stop, ended, dialer := w.stop, w.ended, w.dialer
-	w.mu.Unlock()
+func (fleet *testFleet) close() {
+	fleet.mu.Lock()
+	stop, ended, dialer := fleet.stopManager, fleet.managerDone, fleet.dialer
+	fleet.mu.Unlock()
 	stop()
 	<-ended
 	dialer.Kill()
-	for _, h := range w.houses {
-		h.die()
+	for _, h := range fleet.instances {
+		h.crash()
 	}
-	time.Sleep(time.Minute) // for connections that are still being made
+	time.Sleep(time.Minute) // for connections that are still being opened
 	synctest.Wait()
 }
 
@@ -325,157 +327,157 @@
 	return d
 }
 
-const someWorth = `{"decisions":{"classes":{"close":{"worth":9}}}}`
+const worthDocument = `{"decisions":{"classes":{"close":{"worth":9}}}}`
 
-var quick = &Limits{Canaries: 1, Growth: 3, Bake: 1, MayFail: 0.3}
+var quickLimits = &Limits{Canaries: 1, Growth: 3, Bake: 1, MayFail: 0.3}
 
-// begin has a rollout begin, as soon as there is a manager that takes it.
-func (w *town) begin(id string, o *Order) {
-	w.t.Helper()
+// startRollout starts a rollout, and retries until a manager accepts it.
+func (fleet *testFleet) startRollout(id string, o *Order) {
+	fleet.t.Helper()
 	for range 100 {
-		if _, err := w.now().StartRollout(context.Background(), id, o); err == nil {
+		if _, err := fleet.currentManager().StartRollout(context.Background(), id, o); err == nil {
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	_, err := w.now().StartRollout(context.Background(), id, o)
-	w.t.Fatalf("%s does not begin: %v", id, err)
+	_, err := fleet.currentManager().StartRollout(context.Background(), id, o)
+	fleet.t.Fatalf("%s does not start: %v", id, err)
 }
 
-func (w *town) now() *Manager {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.manager
+func (fleet *testFleet) currentManager() *Manager {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	return fleet.manager
 }
 
-// settle waits until a rollout is over and nothing about it is unknown. Whatever the report says of an instance is
-// held against the truth all the time; a halted rollout is resumed.
-func (w *town) settle(id string, resume bool) *Report {
-	w.t.Helper()
-	quiet := 0
+// waitSettled waits until a rollout has stopped and no instance's outcome is unknown. It checks each report against
+// the documents that are applied. If resume is true, it resumes a halted rollout.
+func (fleet *testFleet) waitSettled(id string, resume bool) *Report {
+	fleet.t.Helper()
+	settledPolls := 0
 	for range 600 {
 		time.Sleep(500 * time.Millisecond)
-		r, err := w.now().Report(context.Background(), id)
+		r, err := fleet.currentManager().Report(context.Background(), id)
 		if err != nil {
 			continue // the manager is being replaced
 		}
-		w.hold(r)
+		fleet.checkReport(r)
 		if r.Status == "halted" && resume {
-			w.now().ControlRollout(context.Background(), id, ResumeAction, false)
+			fleet.currentManager().ControlRollout(context.Background(), id, ResumeAction, false)
 			continue
 		}
 		if r.Stopped() && r.Summary.Unknown == 0 {
-			if quiet++; quiet > 20 {
+			if settledPolls++; settledPolls > 20 {
 				return r
 			}
 		} else {
-			quiet = 0
+			settledPolls = 0
 		}
 	}
-	r, err := w.now().Report(context.Background(), id)
-	w.t.Fatalf("%s does not end: %+v, error %v", id, r, err)
+	r, err := fleet.currentManager().Report(context.Background(), id)
+	fleet.t.Fatalf("%s does not end: %+v, error %v", id, r, err)
 	return nil
 }
 
-// hold holds a report against what the processes have really applied.
-func (w *town) hold(r *Report) {
-	w.t.Helper()
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// checkReport compares a report with the documents that the processes have applied.
+func (fleet *testFleet) checkReport(r *Report) {
+	fleet.t.Helper()
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
 	for _, g := range r.Instances {
-		has := w.houses[g.Name].truth[g.Epoch]
+		applied := fleet.instances[g.Name].applied[g.Epoch]
 		var parts []string
 		for _, part := range document.Parts {
-			if has[part] == r.Document {
+			if applied[part] == r.Document {
 				parts = append(parts, part)
 			}
 		}
-		whole := len(parts) == len(document.Parts)
+		complete := len(parts) == len(document.Parts)
 		switch {
 		case g.Back == "applied" && len(parts) > 0:
-			w.t.Errorf("%s: %s is told as taken back, and has %v", r.ID, g.Name, parts)
-		case g.State == "applied" && g.Back == "" && !whole:
-			w.t.Errorf("%s: %s is told as applied in %s, and has %v", r.ID, g.Name, g.Epoch, has)
-		case g.State == "unchanged" && g.Epoch != "" && whole && r.Status != "completed": // when it is, keepers may bring it there
-			w.t.Errorf("%s: %s is told as unchanged in %s, and has %v", r.ID, g.Name, g.Epoch, has)
+			fleet.t.Errorf("%s: %s is reported as rolled back, but has %v", r.ID, g.Name, parts)
+		case g.State == "applied" && g.Back == "" && !complete:
+			fleet.t.Errorf("%s: %s is reported as applied in %s, but has %v", r.ID, g.Name, g.Epoch, applied)
+		case g.State == "unchanged" && g.Epoch != "" && complete && r.Status != "completed": // a keeper may apply the document after the rollout is completed
+			fleet.t.Errorf("%s: %s is reported as unchanged in %s, but has %v", r.ID, g.Name, g.Epoch, applied)
 		case g.State == "partly changed" && g.Back == "" && !slices.Equal(g.Parts, parts):
-			w.t.Errorf("%s: %s is told as having %v in %s, and has %v", r.ID, g.Name, g.Parts, g.Epoch, parts)
+			fleet.t.Errorf("%s: %s is reported to have %v in %s, but has %v", r.ID, g.Name, g.Parts, g.Epoch, parts)
 		}
 	}
 }
 
-// all says whether the present processes have a document, whole.
-func (w *town) all(hash string) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, h := range w.houses {
+// checkApplied returns an error if a current process does not have all parts of a document.
+func (fleet *testFleet) checkApplied(hash string) error {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	for _, h := range fleet.instances {
 		for _, part := range document.Parts {
-			if has := h.truth[h.proc.epoch][part]; has != hash && (has != "" || hash != empty) {
-				return fmt.Errorf("%s has %q of %s in %s", h.name, has, part, h.proc.epoch)
+			if has := h.applied[h.process.epoch][part]; has != hash && (has != "" || hash != emptyHash) {
+				return fmt.Errorf("%s has %q of %s in %s", h.name, has, part, h.process.epoch)
 			}
 		}
 	}
 	return nil
 }
 
-// Whoever is killed at whichever point of a change, the manager or the instance that it is about: the report says of each
-// instance what is so, under the epoch that said so, the rollout ends, and all instances have the document in the end. The points are
-// counted as the change runs, so that none is left out.
+// TestKilledAtEachPoint kills the manager, or the instance that is being changed, at each point of a change. The report
+// must be true for each instance and its epoch, the rollout must end, and all instances must have the same document
+// in the end. The points are counted during the change, so that none is left out.
 func TestKilledAtEachPoint(t *testing.T) {
 	for _, victim := range []string{"manager", "instance"} {
 		t.Run(victim, func(t *testing.T) {
 			t.Parallel()
-			rolled := 0
-			for kill := 0; ; kill++ {
+			rolledBack := 0
+			for killIndex := 0; ; killIndex++ {
 				done := false
-				var at string
+				var lastPoint string
 				synctest.Test(t, func(t *testing.T) {
-					w := newTown(t, 4, uint64(kill))
-					defer w.close()
-					w.kill = kill
-					w.strike = func(what, instance string) {
-						at = what + " " + instance
+					fleet := newTestFleet(t, 4, uint64(killIndex))
+					defer fleet.close()
+					fleet.killIndex = killIndex
+					fleet.onKillPoint = func(event, instance string) {
+						lastPoint = event + " " + instance
 						switch {
 						case victim == "manager":
-							w.killManager()
+							fleet.killManager()
 							go func() {
 								time.Sleep(time.Second)
-								w.startManager()
+								fleet.startManager()
 							}()
 						case instance != "":
-							h := w.houses[instance]
-							h.die()
+							h := fleet.instances[instance]
+							h.crash()
 							go func() {
 								time.Sleep(time.Second)
 								h.start()
 							}()
 						}
 					}
-					d := doc(t, someWorth)
-					w.begin("r", &Order{Document: d, Limits: quick})
-					r := w.settle("r", true)
+					d := doc(t, worthDocument)
+					fleet.startRollout("r", &Order{Document: d, Limits: quickLimits})
+					r := fleet.waitSettled("r", true)
 					want := d.Hash()
 					switch {
 					case r.Status == "completed":
 					case victim == "instance" && r.Status == "rolled back" && strings.Contains(r.Reason, "refuse"):
-						want = empty // it has died while the change was watched, of which it may have been the cause
-						rolled++
+						want = emptyHash // the instance died during the bake time, so the change may have caused it
+						rolledBack++
 					default:
 						t.Errorf("%s, %s", r.Status, r.Reason)
 					}
-					time.Sleep(30 * time.Second) // for keepers
-					if err := w.all(want); err != nil {
+					time.Sleep(30 * time.Second) // for the keepers to restore the wanted document
+					if err := fleet.checkApplied(want); err != nil {
 						t.Error(err)
 					}
-					done = len(w.points) <= kill
+					done = len(fleet.killPoints) <= killIndex
 				})
 				if t.Failed() {
-					t.Fatalf("killed at point %d, %s", kill, at)
+					t.Fatalf("killed at point %d, %s", killIndex, lastPoint)
 				}
 				if done {
-					t.Logf("%d points, rolled back after %d", kill, rolled)
-					if kill < 40 || rolled > kill/2 {
-						t.Errorf("%d points, rolled back after %d", kill, rolled)
+					t.Logf("%d points, rolled back after %d", killIndex, rolledBack)
+					if killIndex < 40 || rolledBack > killIndex/2 {
+						t.Errorf("%d points, rolled back after %d", killIndex, rolledBack)
 					}
 					return
 				}
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -1,8 +1,10 @@
-// Package manage is the managing agent: it knows the instances of a fleet, brings documents to them in waves, keeps them at
-// what is wanted, and says who got what. What it decides, package rollout decides; this package asks the instances, keeps
-// the journal, and serves operators.
+// Package manage implements the manager of a fleet. It polls the instances, rolls settings documents
+// out to them in waves, restores the wanted document on instances that differ from it, and reports the
+// outcome for each instance. Package rollout makes the rollout decisions. This package sends the
+// requests, writes the journal and serves operators.
 //
-// All state belongs to one goroutine. Nothing is sent before what it hangs on is in the journal.
+// All state belongs to the event loop in Manager.Run. A request is sent only after the state that it
+// depends on has been written to the journal.
 package manage
 
 import (
@@ -23,36 +25,36 @@
 )
 
 const (
-	stepEvery    = 100 * time.Millisecond
-	pollEvery    = 2 * time.Second // each instance is asked so often what it shows
-	pollTimeout  = 2 * time.Second
-	sendTimeout  = 5 * time.Second
-	againEvery   = time.Second // that a journal which can't be written is tried again
-	firstHearing = 3 * time.Second
-	forgetAfter  = 10 * time.Minute // an instance that had announced itself, and is silent
-	confirmIn    = 20 * time.Second // an instance takes a change back that isn't confirmed over a new connection
-	mostRollouts = 64               // that are remembered
-	queue        = 1024             // of what has happened
-	// Requests that are out at once: to instances that answer, and to those that have fallen silent, which must not hold
-	// the others up.
-	lanes     = 128
-	slowLanes = 32
+	tickInterval          = 100 * time.Millisecond
+	pollInterval          = 2 * time.Second // between two polls of one instance
+	pollTimeout           = 2 * time.Second
+	sendTimeout           = 5 * time.Second
+	journalRetryInterval  = time.Second // after a failed write
+	fenceDiscoveryTimeout = 3 * time.Second
+	announcementExpiry    = 10 * time.Minute // after which an announced instance that no longer announces itself or answers is removed
+	confirmTimeout        = 20 * time.Second // an instance reverts a change that is not confirmed over a new connection
+	maxRollouts           = 64               // kept in memory and in the journal
+	eventQueueSize        = 1024             // results of polls and requests
+	// Concurrent requests to instances that answer, and to those whose last poll failed. The limits are
+	// separate so that unreachable instances do not delay requests to the others.
+	maxRequests     = 128
+	maxSlowRequests = 32
 )
 
-// The buckets of the journal.
+// Buckets of the journal.
 const (
 	metaBucket      = "meta"
-	documentBucket  = "documents" // by hash
+	documentBucket  = "documents" // by document hash
 	rolloutBucket   = "rollouts"
-	memberBucket    = "members" // by rollout and name
-	wantedBucket    = "wanted"  // hash, by name
+	memberBucket    = "members" // by rollout ID and instance name
+	wantedBucket    = "wanted"  // document hash by instance name
 	announcedBucket = "announced"
 )
 
-// Buckets are those that a journal must have.
+// Buckets lists the buckets that a journal must provide.
 var Buckets = []string{metaBucket, documentBucket, rolloutBucket, memberBucket, wantedBucket, announcedBucket}
 
-// Instance is how the manager talks to an instance: a control.Client.
+// InstanceClient sends requests to one instance. control.Client implements it.
 type InstanceClient interface {
 	Summary(ctx context.Context, fence uint64) (*control.Summary, error)
 	Document(ctx context.Context) (*control.Versioned, error)
@@ -62,117 +64,118 @@
 	Confirm(ctx context.Context, id string, fence uint64) (*control.Change, error)
 }
 
-// Options say what a manager has to do with.
+// Options configure a manager.
 type Options struct {
-	Store     journal.Store
-	Instances []inventory.Instance         // known beforehand
-	Client        func(a api.Address) InstanceClient // a client of the instance there
-	FreshClient     func(a api.Address) InstanceClient // the same, over a new connection each time
-	Log       *slog.Logger
-	// May says whether the manager may still act, where another could have taken its place. nil: always.
+	Store       journal.Store
+	Instances   []inventory.Instance               // of the fleet file
+	Client      func(a api.Address) InstanceClient // returns a client for the instance at an address
+	FreshClient func(a api.Address) InstanceClient // as Client, with a new connection for each request
+	Log         *slog.Logger
+	// MayAct reports whether the manager still holds its lease and may send requests. Nil means always.
 	MayAct func() bool
 }
 
-// Manager is the managing agent.
+// Manager manages a fleet of instances. Create it with New and start it with Run.
 type Manager struct {
-	opts   Options
-	asks   chan func() // are answered whatever else is wrong
-	inputs chan func() // wait while the journal can't be written
-	done   chan struct{}
-	fast   chan struct{}
-	slow   chan struct{}
+	opts             Options
+	calls            chan func() // calls of operators, which are served even while the journal can't be written
+	events           chan func() // results of requests, which wait while the journal can't be written
+	done             chan struct{}
+	requestSlots     chan struct{}
+	slowRequestSlots chan struct{}
 
-	// Of the loop.
-	began      time.Duration
-	fence      uint64 // 0 until the instances have been heard
-	stored     uint64 // the last one of this journal
-	written    uint64 // the one that is in it
-	highest    uint64 // that was heard
-	superseded bool
-	places     map[string]*place
-	rollouts   map[string]*rollout.Rollout
-	order      []string // of rollouts, the oldest first
-	documents  map[string]*document.Document
-	wanted     map[string]string
+	// The fields below belong to the event loop.
+	started        time.Duration
+	fence          uint64 // fencing token of this manager; 0 until the instances have been asked for theirs
+	storedFence    uint64 // the last fence loaded or chosen
+	committedFence uint64 // the fence that has been written to the journal
+	highestFence   uint64 // the highest fence that an instance has reported
+	superseded     bool
+	instances      map[string]*managedInstance
+	rollouts       map[string]*rollout.Rollout
+	rolloutOrder   []string // rollout IDs, oldest first
+	documents      map[string]*document.Document
+	wanted         map[string]string
 
-	records []journal.Record // to be written
-	sends   []rollout.Send   // and then sent
-	failure error            // why the journal can't be written
-	retry   time.Duration
-	acks    []func(error) // to those who have given orders, once the records are written
-	damaged []string      // what of the journal could not be read
+	pendingRecords []journal.Record // to be written to the journal
+	pendingSends   []rollout.Send   // requests to send once pendingRecords are written
+	journalErr     error            // error of the last journal write; nil if it succeeded
+	journalRetryAt time.Duration
+	pendingAcks    []func(error) // callers of update that wait for pendingRecords to be written
+	damagedRecords []string      // errors of damaged records that were skipped on loading
 }
 
-// place is an instance as the manager knows it.
-type place struct {
+// managedInstance is the manager's state for one instance.
+type managedInstance struct {
 	inventory.Instance
-	labels    map[string]string // with those that it has itself
-	heard     uint64            // fence of this manager that it has heard
-	announced time.Duration     // last; 0 if it is of the file
-	look      *control.Summary  // the last
-	looked    time.Duration
-	err       error // of the last poll
-	polling   bool
-	due       time.Duration
-	window    rollout.Window
-	seen      rollout.Look
-	keeper    rollout.Keeper
+	labels            map[string]string // labels of the fleet file or announcement, with those that the instance reports
+	acknowledgedFence uint64            // the fence that was sent with the last successful poll
+	announcedAt       time.Duration     // time of the last announcement; 0 for an instance of the fleet file
+	summary           *control.Summary  // of the last successful poll
+	summaryAt         time.Duration
+	pollErr           error // error of the last poll
+	polling           bool
+	nextPoll          time.Duration
+	serviceWindow     rollout.Window
+	observation       rollout.Look
+	keeper            rollout.Keeper
 }
 
-// reachable says whether the last poll was answered.
-func (p *place) reachable() bool { return p.look != nil && p.err == nil }
+// reachable reports whether the last poll succeeded.
+func (p *managedInstance) reachable() bool { return p.summary != nil && p.pollErr == nil }
 
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// New returns a manager that goes on from its journal.
+// New returns a manager with the state of its journal. A damaged journal is an error, unless the manager
+// can recover the damaged records.
 func New(o Options) (*Manager, error) {
 	m := &Manager{
-		opts: o, asks: make(chan func()), inputs: make(chan func(), queue), done: make(chan struct{}),
-		fast: make(chan struct{}, lanes), slow: make(chan struct{}, slowLanes),
-		places: map[string]*place{}, rollouts: map[string]*rollout.Rollout{}, documents: map[string]*document.Document{},
+		opts: o, calls: make(chan func()), events: make(chan func(), eventQueueSize), done: make(chan struct{}),
+		requestSlots: make(chan struct{}, maxRequests), slowRequestSlots: make(chan struct{}, maxSlowRequests),
+		instances: map[string]*managedInstance{}, rollouts: map[string]*rollout.Rollout{}, documents: map[string]*document.Document{},
 		wanted: map[string]string{},
 	}
 	if err := m.load(); err != nil {
 		return nil, err
 	}
 	for _, in := range o.Instances {
-		m.place(in)
+		m.registerInstance(in)
 	}
 	return m, nil
 }
 
-// place makes an instance known, at a place that may be new.
-func (m *Manager) place(in inventory.Instance) *place {
-	p := m.places[in.Name]
+// registerInstance adds an instance, or updates the address and labels of a known one.
+func (m *Manager) registerInstance(in inventory.Instance) *managedInstance {
+	p := m.instances[in.Name]
 	if p == nil {
-		p = &place{keeper: rollout.Keeper{Name: in.Name, Wanted: m.wanted[in.Name]}}
-		m.places[in.Name] = p
+		p = &managedInstance{keeper: rollout.Keeper{Name: in.Name, Wanted: m.wanted[in.Name]}}
+		m.instances[in.Name] = p
 	}
 	p.Instance, p.labels = in, in.Labels
 	return p
 }
 
-// Run manages until the context ends.
+// Run runs the event loop until the context ends.
 func (m *Manager) Run(ctx context.Context) {
-	m.began = now()
+	m.started = now()
 	defer close(m.done)
-	tick := time.NewTicker(stepEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
-		in := m.inputs
-		if m.failure != nil {
-			in = nil
+		events := m.events
+		if m.journalErr != nil {
+			events = nil
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-m.asks:
+		case f := <-m.calls:
 			f()
-		case f := <-in:
+		case f := <-events:
 			f()
-			for more := true; more; { // those that have come meanwhile share the transaction
+			for more := true; more; { // queued events share one journal transaction
 				select {
-				case f := <-in:
+				case f := <-events:
 					f()
 				default:
 					more = false
@@ -180,160 +183,164 @@
 			}
 		case <-tick.C:
 		}
-		m.step(ctx)
+		m.advance(ctx)
 	}
 }
 
-// step goes on with all that can go on.
-func (m *Manager) step(ctx context.Context) {
+// advance polls instances, advances the rollouts, writes the journal and then starts requests.
+func (m *Manager) advance(ctx context.Context) {
 	t := now()
 	m.poll(ctx, t)
-	if m.failure != nil && t < m.retry {
+	if m.journalErr != nil && t < m.journalRetryAt {
 		return
 	}
-	if m.failure == nil {
-		m.hear(t)
-		m.proceed(t)
+	if m.journalErr == nil {
+		m.discoverFence(t)
+		m.advanceRollouts(t)
 	}
-	if len(m.records) > 0 {
-		if err := m.opts.Store.Write(m.records); err != nil {
-			if m.failure == nil {
-				m.opts.Log.Error("the journal can't be written: nothing is sent until it can", "error", err)
+	if len(m.pendingRecords) > 0 {
+		if err := m.opts.Store.Write(m.pendingRecords); err != nil {
+			if m.journalErr == nil {
+				m.opts.Log.Error("writing the journal failed; no requests are sent until it succeeds", "error", err)
 			}
-			m.failure, m.retry = err, t+againEvery
+			m.journalErr, m.journalRetryAt = err, t+journalRetryInterval
 			m.acknowledge(&api.Problem{Status: 503, Title: "the manager can't write its journal", Detail: err.Error() + "; the order waits until it can"})
 			return
 		}
-		m.records = nil
+		m.pendingRecords = nil
 	}
-	m.written = m.fence
-	if m.failure != nil {
-		m.opts.Log.Info("the journal can be written again")
-		m.failure = nil
+	m.committedFence = m.fence
+	if m.journalErr != nil {
+		m.opts.Log.Info("the journal is writable again")
+		m.journalErr = nil
 	}
 	m.acknowledge(nil)
-	for _, s := range m.sends {
-		m.send(ctx, s)
+	for _, s := range m.pendingSends {
+		m.startRequest(ctx, s)
 	}
-	m.sends = nil
+	m.pendingSends = nil
 }
 
 func (m *Manager) acknowledge(err error) {
-	for _, ack := range m.acks {
+	for _, ack := range m.pendingAcks {
 		ack(err)
 	}
-	m.acks = nil
+	m.pendingAcks = nil
 }
 
-// hear takes a number, once the instances that are known were asked for those of other managers.
-func (m *Manager) hear(t time.Duration) {
+// discoverFence chooses a fence once all known instances have been polled for the fences of other managers,
+// or after fenceDiscoveryTimeout.
+func (m *Manager) discoverFence(t time.Duration) {
 	if m.fence != 0 {
 		return
 	}
-	if t-m.began < firstHearing {
-		for _, p := range m.places {
-			if p.look == nil && p.err == nil {
+	if t-m.started < fenceDiscoveryTimeout {
+		for _, p := range m.instances {
+			if p.summary == nil && p.pollErr == nil {
 				return
 			}
 		}
 	}
-	m.take()
+	m.chooseFence()
 }
 
-// take takes a number that is higher than all that were heard.
-func (m *Manager) take() {
-	m.fence = change.NextFence(max(m.highest, m.stored), rand.Uint32())
-	m.stored, m.superseded = m.fence, false
-	for _, p := range m.places {
-		p.due = 0 // to be told
+// chooseFence chooses a fence higher than all known ones.
+func (m *Manager) chooseFence() {
+	m.fence = change.NextFence(max(m.highestFence, m.storedFence), rand.Uint32())
+	m.storedFence, m.superseded = m.fence, false
+	for _, p := range m.instances {
+		p.nextPoll = 0 // so that it learns the new fence
 	}
-	m.write(metaBucket, "fence", m.fence)
-	m.opts.Log.Info("managing", "fence", m.fence, "instances", len(m.places), "rollouts", len(m.rollouts))
+	m.appendRecord(metaBucket, "fence", m.fence)
+	m.opts.Log.Info("managing", "fence", m.fence, "instances", len(m.instances), "rollouts", len(m.rollouts))
 }
 
-// stated is the fence that instances are to hear of: one that is in the journal, and of a manager that may act.
-func (m *Manager) stated() uint64 {
-	if m.superseded || m.written != m.fence || !m.may() {
+// fenceToSend returns the fence to send with polls. It is 0 if the fence is not in the journal yet, or if the
+// manager is superseded or may not act.
+func (m *Manager) fenceToSend() uint64 {
+	if m.superseded || m.committedFence != m.fence || !m.mayAct() {
 		return 0
 	}
 	return m.fence
 }
 
-func (m *Manager) may() bool { return m.opts.MayAct == nil || m.opts.MayAct() }
+func (m *Manager) mayAct() bool { return m.opts.MayAct == nil || m.opts.MayAct() }
 
-// introduced says whether all instances that answer have heard of this manager. Nothing is sent before: what a manager before
-// this one sends late would still be taken where this one has not spoken.
-func (m *Manager) introduced() bool {
-	for _, p := range m.places {
-		if p.heard != m.fence && p.err == nil {
+// fenceAcknowledged reports whether all instances that answer polls have received this manager's fence. No
+// change is sent before that, because an instance without the new fence would still accept a late request
+// of an earlier manager.
+func (m *Manager) fenceAcknowledged() bool {
+	for _, p := range m.instances {
+		if p.acknowledgedFence != m.fence && p.pollErr == nil {
 			return false
 		}
 	}
 	return true
 }
 
-// proceed has the rollouts go on, and notes what has changed of them.
-func (m *Manager) proceed(t time.Duration) {
-	introduced := m.introduced()
-	for _, id := range m.order {
+// advanceRollouts advances the rollouts, collects their requests and adds their changed state to
+// pendingRecords.
+func (m *Manager) advanceRollouts(t time.Duration) {
+	acknowledged := m.fenceAcknowledged()
+	for _, id := range m.rolloutOrder {
 		r := m.rollouts[id]
 		if m.superseded {
-			r.Supersede(t, fmt.Sprintf("a newer manager has spoken, with number %d", m.highest))
-		} else if m.fence != 0 && introduced {
+			r.Supersede(t, fmt.Sprintf("a newer manager has spoken, with number %d", m.highestFence))
+		} else if m.fence != 0 && acknowledged {
 			status, baking := r.Status, r.Baking
 			sends := r.Next(t)
 			if r.Status != status {
-				m.ended(r)
+				m.updateWanted(r)
 			}
-			if r.Baking > baking { // the wave is to be looked at, and need not wait for its instances' turns
+			if r.Baking > baking { // poll the wave's instances at once, to get a baseline for the bake time
 				for _, x := range r.Members() {
-					if p := m.places[x.Name]; p != nil && x.Wave == r.Wave {
-						p.due = t
+					if p := m.instances[x.Name]; p != nil && x.Wave == r.Wave {
+						p.nextPoll = t
 					}
 				}
 			}
-			m.sends = append(m.sends, sends...)
+			m.pendingSends = append(m.pendingSends, sends...)
 		}
-		h, members := r.Changed()
-		if h != nil {
-			m.write(rolloutBucket, id, h)
+		header, members := r.Changed()
+		if header != nil {
+			m.appendRecord(rolloutBucket, id, header)
 			m.opts.Log.Info("rollout", "id", id, "status", r.Status.String(), "wave", r.Wave+1, "of", r.Waves, "reason", r.Reason)
 		}
 		for _, x := range members {
-			m.write(memberBucket, id+"\x00"+x.Name, x)
+			m.appendRecord(memberBucket, id+"\x00"+x.Name, x)
 		}
-		r.Written() // it is on its way, and nothing is sent before
+		r.Written() // the records are queued, and requests are sent only after they are written
 	}
 }
 
-// ended notes what is wanted of the instances once a rollout is over.
-func (m *Manager) ended(r *rollout.Rollout) {
+// updateWanted sets the wanted documents of the instances when a rollout is completed or rolled back.
+func (m *Manager) updateWanted(r *rollout.Rollout) {
 	switch r.Status {
 	case rollout.Completed:
 		for _, x := range r.Members() {
-			m.want(x.Name, r.Document)
+			m.setWanted(x.Name, r.Document)
 		}
 	case rollout.RolledBack:
 		for _, x := range r.Members() {
 			if x.Target.Sent || x.Target.State == change.Done {
-				m.want(x.Name, x.Was)
+				m.setWanted(x.Name, x.Was)
 			}
 		}
 	}
 }
 
-// want notes which document an instance is to have.
-func (m *Manager) want(name, hash string) {
+// setWanted sets the hash of the document that an instance should have.
+func (m *Manager) setWanted(name, hash string) {
 	m.wanted[name] = hash
-	m.write(wantedBucket, name, hash)
-	if p := m.places[name]; p != nil {
+	m.appendRecord(wantedBucket, name, hash)
+	if p := m.instances[name]; p != nil {
 		p.keeper.Wanted = hash
 	}
 }
 
-// busy says whether a rollout has an instance in hand, and which.
-func (m *Manager) busy(name string) (by string, busy bool) {
-	for _, id := range m.order {
+// activeRollout returns the ID of the rollout that is changing an instance, if there is one.
+func (m *Manager) activeRollout(name string) (id string, active bool) {
+	for _, id := range m.rolloutOrder {
 		if m.rollouts[id].Busy(name) {
 			return id, true
 		}
@@ -341,37 +348,39 @@
 	return "", false
 }
 
-// change has the loop call a function that changes something, and waits until that is written down.
-func (m *Manager) change(ctx context.Context, f func() error) error {
-	return m.do(ctx, func(done func(error)) {
-		if m.failure != nil {
-			done(&api.Problem{Status: 503, Title: "the manager can't write its journal", Detail: m.failure.Error()})
+// update runs a function that changes state in the event loop, and waits until the change is in the journal.
+func (m *Manager) update(ctx context.Context, f func() error) error {
+	return m.call(ctx, func(done func(error)) {
+		if m.journalErr != nil {
+			done(&api.Problem{Status: 503, Title: "the manager can't write its journal", Detail: m.journalErr.Error()})
 			return
 		}
 		if err := f(); err != nil {
 			done(err)
 			return
 		}
-		m.acks = append(m.acks, done)
+		m.pendingAcks = append(m.pendingAcks, done)
 	})
 }
 
-var errEnded = errors.New("the manager has ended")
+var errStopped = errors.New("the manager has ended")
 
-// do has the loop call a function, and waits until that says that it is done.
-func (m *Manager) do(ctx context.Context, f func(done func(error))) error {
-	called := make(chan error, 1)
+// call runs a function in the event loop, and waits until the function calls done. Its error is the one passed
+// to done, errStopped if the manager stops first, or the context's error if the loop does not start the
+// function in time.
+func (m *Manager) call(ctx context.Context, f func(done func(error))) error {
+	result := make(chan error, 1)
 	select {
-	case m.asks <- func() { f(func(err error) { called <- err }) }:
+	case m.calls <- func() { f(func(err error) { result <- err }) }:
 	case <-m.done:
-		return errEnded
+		return errStopped
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	select {
-	case err := <-called:
+	case err := <-result:
 		return err
 	case <-m.done:
-		return errEnded
+		return errStopped
 	}
 }
--- a/internal/manage/orders.go
+++ b/internal/manage/orders.go
@@ -17,14 +17,15 @@
 	"example.org/micaline/internal/rollout"
 )
 
-// Order is what an operator wants of a fleet.
+// Order is an operator's request for a rollout.
 type Order struct {
 	Document *document.Document `json:"document"`
-	Select   string             `json:"select,omitempty"` // of which instances, as inventory.ParseSelector has it
-	Limits   *Limits            `json:"limits,omitempty"` // nil for DefaultLimits
+	Select   string             `json:"select,omitempty"` // selects the instances, in the syntax of inventory.ParseSelector
+	Limits   *Limits            `json:"limits,omitempty"` // nil means DefaultLimits
 }
 
-// Limits are a rollout's waves and stop conditions (change.Limits), in seconds and shares.
+// Limits set the sizes of a rollout's waves and its stop conditions (see change.Limits). Times are in seconds,
+// and rates are fractions of 1.
 type Limits struct {
 	Canaries    int     `json:"canaries"`
 	Growth      float64 `json:"growth"`
@@ -37,35 +38,35 @@
 	MayFail     float64 `json:"may_fail"`
 }
 
-// DefaultLimits are those of an order without any.
+// DefaultLimits returns the limits of an order that sets none.
 func DefaultLimits() *Limits {
 	return &Limits{Canaries: 1, Growth: 3, Bake: 30, MoreRefused: 0.02, MoreFailed: 0.01, LessInAim: 0.05, Least: 200, Patience: 120, MayFail: 0.1}
 }
 
-// check says what is wrong with limits.
-func (l *Limits) check() *api.Problem {
-	bad := func(field string, v any, what string) *api.Problem {
-		return &api.Problem{Status: 422, Title: "the limits can't be used", Detail: fmt.Sprintf("%v is not %s", v, what), Field: "limits." + field}
+// validate returns a problem that names the first invalid limit, or nil.
+func (l *Limits) validate() *api.Problem {
+	invalid := func(field string, v any, want string) *api.Problem {
+		return &api.Problem{Status: 422, Title: "the limits can't be used", Detail: fmt.Sprintf("%v is not %s", v, want), Field: "limits." + field}
 	}
 	if l.Canaries < 1 || l.Canaries > inventory.MaxInstances {
-		return bad("canaries", l.Canaries, fmt.Sprintf("between 1 and %d", inventory.MaxInstances))
+		return invalid("canaries", l.Canaries, fmt.Sprintf("between 1 and %d", inventory.MaxInstances))
 	}
-	for _, f := range []struct {
-		name       string
-		v          float64
-		least, max float64
+	for _, limit := range []struct {
+		name            string
+		value           float64
+		lowest, highest float64
 	}{
 		{"growth", l.Growth, 1, 1000}, {"bake_s", l.Bake, 0, 86400}, {"patience_s", l.Patience, 0, 86400}, {"least", l.Least, 0, 1e9},
 		{"more_refused", l.MoreRefused, 0, 1}, {"more_failed", l.MoreFailed, 0, 1}, {"less_in_aim", l.LessInAim, 0, 1}, {"may_fail", l.MayFail, 0, 1},
 	} {
-		if !(f.v >= f.least && f.v <= f.max) {
-			return bad(f.name, f.v, fmt.Sprintf("between %v and %v", f.least, f.max))
+		if !(limit.value >= limit.lowest && limit.value <= limit.highest) {
+			return invalid(limit.name, limit.value, fmt.Sprintf("between %v and %v", limit.lowest, limit.highest))
 		}
 	}
 	return nil
 }
 
-func (l *Limits) limits() change.Limits {
+func (l *Limits) changeLimits() change.Limits {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	return change.Limits{
 		Canaries: l.Canaries, Growth: l.Growth, Bake: seconds(l.Bake), MoreRefused: l.MoreRefused, MoreFailed: l.MoreFailed,
@@ -73,70 +74,71 @@
 	}
 }
 
-// The states of an instance.
+// States of an instance.
 const (
-	StateAsWanted = "as wanted"
-	StateUnmanaged     = "nothing wanted"
-	StateDiffers  = "differs" // and is being brought to what is wanted
-	StateRefused  = "refuses"
-	StateUnreachable   = "silent"
-	StateNotSeen  = "not seen"
+	StateAsWanted    = "as wanted"
+	StateUnmanaged   = "nothing wanted"
+	StateDiffers     = "differs" // the manager is restoring the wanted document
+	StateRefused     = "refuses"
+	StateUnreachable = "silent"
+	StateNotSeen     = "not seen"
 )
 
-// Planned is what an order would do to an instance.
+// PlannedInstance is the effect that an order would have on one instance.
 type PlannedInstance struct {
 	Name     string                `json:"name"`
-	Wave     int                   `json:"wave"` // from 1; 0 for left out
+	Wave     int                   `json:"wave"` // from 1; 0 if the instance is left out
 	Revision uint64                `json:"revision"`
 	Hash     string                `json:"hash"`
 	Changes  []document.Difference `json:"changes"`
-	Reason   string                `json:"reason,omitempty"` // it is left out for
+	Reason   string                `json:"reason,omitempty"` // why the instance is left out, or which rollout is changing it
 }
 
-// Plan is what an order would do.
+// Plan is the effect that an order would have.
 type Plan struct {
-	Hash      string    `json:"hash"` // of its document
-	Waves     []int     `json:"waves"`
+	Hash      string            `json:"hash"` // of the order's document
+	Waves     []int             `json:"waves"`
 	Instances []PlannedInstance `json:"instances"`
 }
 
-// survey is what a plan is made of.
-type survey struct {
-	limits *Limits
-	hash   string
-	in     []rollout.Planned
-	out    map[string]string // why others are left out
+// orderTargets holds the validated limits of an order and the instances that it selects.
+type orderTargets struct {
+	limits   *Limits
+	hash     string
+	included []rollout.Planned
+	excluded map[string]string // reasons for leaving out the other instances, by name
 }
 
-// survey looks whom an order is for, and asks for the documents that they have and the manager has not.
-func (m *Manager) survey(ctx context.Context, o *Order) (*survey, error) {
-	s, err := parseSelector(o.Select)
+// resolveTargets validates an order and finds the instances that it selects. It fetches the documents of these
+// instances that the manager does not have.
+func (m *Manager) resolveTargets(ctx context.Context, o *Order) (*orderTargets, error) {
+	selector, err := parseSelector(o.Select)
 	if err != nil {
 		return nil, err
 	}
-	v := &survey{limits: o.Limits, out: map[string]string{}}
+	targets := &orderTargets{limits: o.Limits, excluded: map[string]string{}}
 	if o.Document == nil {
 		return nil, &api.Problem{Status: 422, Title: "the order can't be used", Detail: "missing", Field: "document"}
 	}
-	if v.limits == nil {
-		v.limits = DefaultLimits()
+	if targets.limits == nil {
+		targets.limits = DefaultLimits()
 	}
-	if p := v.limits.check(); p != nil {
+	if p := targets.limits.validate(); p != nil {
 		return nil, p
 	}
-	v.hash = o.Document.Hash()
-	ask := map[string][]api.Address{} // by hash: whoever has a document can tell it
-	err = m.look(ctx, func() {
-		for _, p := range m.chosen(s) {
+	targets.hash = o.Document.Hash()
+	sources := map[string][]api.Address{} // by document hash: instances that have the document
+	err = m.read(ctx, func() {
+		for _, p := range m.selectInstances(selector) {
 			switch {
-			case p.err != nil:
-				v.out[p.Name] = "silent: " + p.err.Error()
-			case p.look == nil:
-				v.out[p.Name] = "not seen yet"
+			case p.pollErr != nil:
+				targets.excluded[p.Name] = "silent: " + p.pollErr.Error()
+			case p.summary == nil:
+				targets.excluded[p.Name] = "not seen yet"
 			default:
-				v.in = append(v.in, rollout.Planned{Name: p.Name, Look: p.seen})
-				if hash := p.seen.Hash; m.documents[hash] == nil && len(ask[hash]) < askedFor {
-					ask[hash] = append(ask[hash], p.Address())
+				targets.included = append(targets.included, rollout.Planned{Name: p.Name, Look: p.observation})
+				if hash := p.observation.Hash; m.documents[hash] == nil && len(sources[hash]) < maxDocumentSources {
+					sources[hash] = append(sources[hash], p.Address())
 				}
 			}
 		}
@@ -144,98 +146,99 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(v.in)+len(v.out) == 0 {
+	if len(targets.included)+len(targets.excluded) == 0 {
 		return nil, &api.Problem{Status: 422, Title: "the order can't be used", Detail: "it is for no instance that is known", Field: "select"}
 	}
-	got, failed := map[string]*document.Document{}, map[string]error{}
+	fetched, failed := map[string]*document.Document{}, map[string]error{}
 	var mu sync.Mutex
-	var asking sync.WaitGroup
-	room := make(chan struct{}, lanes)
-	for hash, all := range ask {
-		for _, at := range all {
-			asking.Go(func() {
-				room <- struct{}{}
-				defer func() { <-room }()
+	var fetching sync.WaitGroup
+	slots := make(chan struct{}, maxRequests)
+	for hash, addresses := range sources {
+		for _, address := range addresses {
+			fetching.Go(func() {
+				slots <- struct{}{}
+				defer func() { <-slots }()
 				ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 				defer cancel()
-				d, err := m.opts.Client(at).Document(ctx)
+				d, err := m.opts.Client(address).Document(ctx)
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
 					failed[hash] = err
 				} else {
-					got[d.Document.Hash()] = d.Document
+					fetched[d.Document.Hash()] = d.Document
 				}
 			})
 		}
 	}
-	asking.Wait()
-	err = m.look(ctx, func() {
-		for hash, d := range got {
-			m.remember(hash, d)
+	fetching.Wait()
+	err = m.read(ctx, func() {
+		for hash, d := range fetched {
+			m.storeDocument(hash, d)
 		}
-		v.in = slices.DeleteFunc(v.in, func(p rollout.Planned) bool {
+		targets.included = slices.DeleteFunc(targets.included, func(p rollout.Planned) bool {
 			if m.documents[p.Look.Hash] != nil {
 				return false
 			}
-			v.out[p.Name] = "its document has just changed"
+			targets.excluded[p.Name] = "its document has just changed"
 			if err := failed[p.Look.Hash]; err != nil {
-				v.out[p.Name] = "its document can't be had: " + err.Error()
+				targets.excluded[p.Name] = "its document can't be had: " + err.Error()
 			}
 			return true
 		})
 	})
-	return v, err
+	return targets, err
 }
 
-// askedFor is how many instances are asked for a document that several have.
-const askedFor = 3
+// maxDocumentSources is the maximum number of instances that are asked for the same document.
+const maxDocumentSources = 3
 
-// remember keeps a document.
-func (m *Manager) remember(hash string, d *document.Document) {
+// storeDocument adds a document to memory and to pendingRecords, unless it is known.
+func (m *Manager) storeDocument(hash string, d *document.Document) {
 	if m.documents[hash] == nil {
 		m.documents[hash] = d
-		m.write(documentBucket, hash, d)
+		m.appendRecord(documentBucket, hash, d)
 	}
 }
 
-// Plan says what an order would do.
+// Plan returns the effect that an order would have. It changes nothing on the instances.
 func (m *Manager) Plan(ctx context.Context, o *Order) (*Plan, error) {
-	v, err := m.survey(ctx, o)
+	targets, err := m.resolveTargets(ctx, o)
 	if err != nil {
 		return nil, err
 	}
-	limits := v.limits.limits()
-	p := &Plan{Hash: v.hash, Waves: limits.Waves(len(v.in)), Instances: []PlannedInstance{}}
-	err = m.look(ctx, func() {
-		r := rollout.New(now(), "", v.hash, limits, v.in)
+	limits := targets.limits.changeLimits()
+	plan := &Plan{Hash: targets.hash, Waves: limits.Waves(len(targets.included)), Instances: []PlannedInstance{}}
+	err = m.read(ctx, func() {
+		r := rollout.New(now(), "", targets.hash, limits, targets.included)
 		for _, x := range r.Members() {
-			is := PlannedInstance{Name: x.Name, Wave: x.Wave + 1, Revision: x.Base, Hash: x.Was, Changes: []document.Difference{}}
+			planned := PlannedInstance{Name: x.Name, Wave: x.Wave + 1, Revision: x.Base, Hash: x.Was, Changes: []document.Difference{}}
 			if d := m.documents[x.Was]; d != nil {
-				is.Changes = append(is.Changes, d.Diff(o.Document)...)
+				planned.Changes = append(planned.Changes, d.Diff(o.Document)...)
 			}
-			if by, busy := m.busy(x.Name); busy {
-				is.Reason = "rollout " + by + " has it in hand"
+			if rolloutID, active := m.activeRollout(x.Name); active {
+				planned.Reason = "rollout " + rolloutID + " has it in hand"
 			}
-			p.Instances = append(p.Instances, is)
+			plan.Instances = append(plan.Instances, planned)
 		}
 	})
-	for _, name := range slices.Sorted(maps.Keys(v.out)) {
-		p.Instances = append(p.Instances, PlannedInstance{Name: name, Reason: v.out[name], Changes: []document.Difference{}})
+	for _, name := range slices.Sorted(maps.Keys(targets.excluded)) {
+		plan.Instances = append(plan.Instances, PlannedInstance{Name: name, Reason: targets.excluded[name], Changes: []document.Difference{}})
 	}
-	return p, err
+	return plan, err
 }
 
 var rolloutID = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,100}$`)
 
-// Begin begins a rollout. The same order again under its id begins nothing and is told as it is; another is refused.
+// StartRollout starts a rollout. If a rollout with this ID and the same document exists, it returns that rollout's
+// report and starts nothing. An ID that is used for another document is refused.
 func (m *Manager) StartRollout(ctx context.Context, id string, o *Order) (*Report, error) {
 	if !rolloutID.MatchString(id) || id == "keep" {
 		return nil, &api.Problem{Status: 422, Title: "the order can't be used", Detail: fmt.Sprintf("%.80q is not 1 to 100 letters, digits, dots, hyphens and underscores", id), Field: "id"}
 	}
 	if o.Document != nil {
 		var report *Report
-		if err := m.look(ctx, func() {
+		if err := m.read(ctx, func() {
 			if r := m.rollouts[id]; r != nil && r.Document == o.Document.Hash() {
 				report = m.report(r)
 			}
@@ -243,69 +246,71 @@
 			return report, err
 		}
 	}
-	v, err := m.survey(ctx, o)
+	targets, err := m.resolveTargets(ctx, o)
 	if err != nil {
 		return nil, err
 	}
-	if len(v.in) == 0 {
-		// Danger: it would be completed at once, and brought to all together when they are back.
-		return nil, &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("none of the %d instances that it is for answers", len(v.out))}
+	if len(targets.included) == 0 {
+		// Without instances the rollout would complete at once, and all instances would get the document at the
+		// same time, without a canary, when they are back.
+		return nil, &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("none of the %d instances that it is for answers", len(targets.excluded))}
 	}
 	var report *Report
-	err = m.change(ctx, func() error {
+	err = m.update(ctx, func() error {
 		if r := m.rollouts[id]; r != nil {
-			if r.Document == v.hash {
+			if r.Document == targets.hash {
 				report = m.report(r)
 				return nil
 			}
 			return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: "its id stands for another", Field: "id"}
 		}
 		if m.superseded || m.fence == 0 {
-			return m.notManaging()
+			return m.inactiveProblem()
 		}
-		for _, p := range v.in {
-			if by, busy := m.busy(p.Name); busy {
-				return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("rollout %s has %s in hand", by, p.Name)}
+		for _, p := range targets.included {
+			if rolloutID, active := m.activeRollout(p.Name); active {
+				return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("rollout %s has %s in hand", rolloutID, p.Name)}
 			}
 		}
-		if err := m.makeRoom(); err != nil {
+		if err := m.evictOldestRollout(); err != nil {
 			return err
 		}
-		m.remember(v.hash, o.Document)
-		r := rollout.New(now(), id, v.hash, v.limits.limits(), v.in)
-		for _, name := range slices.Sorted(maps.Keys(v.out)) {
-			r.LeaveOut(name, v.out[name])
+		m.storeDocument(targets.hash, o.Document)
+		r := rollout.New(now(), id, targets.hash, targets.limits.changeLimits(), targets.included)
+		for _, name := range slices.Sorted(maps.Keys(targets.excluded)) {
+			r.LeaveOut(name, targets.excluded[name])
 		}
 		m.rollouts[id] = r
-		m.order = append(m.order, id)
+		m.rolloutOrder = append(m.rolloutOrder, id)
 		report = m.report(r)
 		return nil
 	})
 	return report, err
 }
 
-func (m *Manager) notManaging() *api.Problem {
+func (m *Manager) inactiveProblem() *api.Problem {
 	if m.superseded {
-		return &api.Problem{Status: 412, Title: "this manager has been replaced", Detail: fmt.Sprintf("its number is %d, and %d has been heard; takeover gives it a higher one", m.fence, m.highest)}
+		return &api.Problem{Status: 412, Title: "this manager has been replaced", Detail: fmt.Sprintf("its number is %d, and %d has been heard; takeover gives it a higher one", m.fence, m.highestFence)}
 	}
 	return &api.Problem{Status: 503, Title: "this manager has just begun", Detail: "it is asking the instances for the numbers of other managers"}
 }
 
-// makeRoom forgets the oldest rollout that is over, if there are too many, and the documents that nobody needs.
-func (m *Manager) makeRoom() error {
-	if len(m.order) < mostRollouts {
+// evictOldestRollout deletes the oldest finished rollout if there are maxRollouts, and the documents that are no
+// longer used. It fails if no rollout can be deleted.
+func (m *Manager) evictOldestRollout() error {
+	if len(m.rolloutOrder) < maxRollouts {
 		return nil
 	}
-	i := slices.IndexFunc(m.order, func(id string) bool { r := m.rollouts[id]; return r.Status.Over() && !r.Waiting() })
+	i := slices.IndexFunc(m.rolloutOrder, func(id string) bool { r := m.rollouts[id]; return r.Status.Over() && !r.Waiting() })
 	if i < 0 {
-		return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("%d rollouts are not over", len(m.order))}
+		return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("%d rollouts are not over", len(m.rolloutOrder))}
 	}
-	id := m.order[i]
-	m.records = append(m.records, journal.Record{Bucket: rolloutBucket, Key: id})
+	id := m.rolloutOrder[i]
+	m.pendingRecords = append(m.pendingRecords, journal.Record{Bucket: rolloutBucket, Key: id})
 	for _, x := range m.rollouts[id].Members() {
-		m.records = append(m.records, journal.Record{Bucket: memberBucket, Key: id + "\x00" + x.Name})
+		m.pendingRecords = append(m.pendingRecords, journal.Record{Bucket: memberBucket, Key: id + "\x00" + x.Name})
 	}
-	m.order = slices.Delete(m.order, i, i+1)
+	m.rolloutOrder = slices.Delete(m.rolloutOrder, i, i+1)
 	delete(m.rollouts, id)
 	needed := map[string]bool{}
 	for _, hash := range m.wanted {
@@ -320,40 +325,41 @@
 	for hash := range m.documents {
 		if !needed[hash] {
 			delete(m.documents, hash)
-			m.records = append(m.records, journal.Record{Bucket: documentBucket, Key: hash})
+			m.pendingRecords = append(m.pendingRecords, journal.Record{Bucket: documentBucket, Key: hash})
 		}
 	}
 	return nil
 }
 
-// The orders to a rollout that has begun.
+// Actions on a rollout that has started.
 const (
 	AbortAction    = "abort"
 	ResumeAction   = "resume"
 	RollbackAction = "rollback"
 )
 
-// Tell gives an order to a rollout. Leave has a rollout resumed without those that did not apply the change.
-func (m *Manager) ControlRollout(ctx context.Context, id, order string, leave bool) (*Report, error) {
+// ControlRollout applies AbortAction, ResumeAction or RollbackAction to a rollout. If leave is true, a resumed
+// rollout leaves out the instances that did not apply the change.
+func (m *Manager) ControlRollout(ctx context.Context, id, action string, leave bool) (*Report, error) {
 	var report *Report
-	err := m.change(ctx, func() error {
+	err := m.update(ctx, func() error {
 		r := m.rollouts[id]
 		if r == nil {
 			return &api.Problem{Status: 404, Title: "there is no such rollout", Detail: id, Field: "id"}
 		}
-		if order != AbortAction && (m.superseded || m.fence == 0) {
-			return m.notManaging()
+		if action != AbortAction && (m.superseded || m.fence == 0) {
+			return m.inactiveProblem()
 		}
 		var err error
-		switch order {
+		switch action {
 		case AbortAction:
 			err = r.Abort(now())
 		case ResumeAction:
 			err = r.Resume(now(), leave)
 		case RollbackAction:
 			for _, x := range r.Members() {
-				if by, busy := m.busy(x.Name); busy && by != id {
-					return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("rollout %s has %s in hand", by, x.Name)}
+				if rolloutID, active := m.activeRollout(x.Name); active && rolloutID != id {
+					return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("rollout %s has %s in hand", rolloutID, x.Name)}
 				}
 			}
 			err = r.Rollback(now())
@@ -367,10 +373,10 @@
 	return report, err
 }
 
-// TakeOver gives the manager a number above all that were heard.
+// TakeOver makes the manager choose a fence higher than all known ones, so that it replaces other managers.
 func (m *Manager) TakeOver(ctx context.Context) (*Status, error) {
-	err := m.change(ctx, func() error {
-		m.take()
+	err := m.update(ctx, func() error {
+		m.chooseFence()
 		return nil
 	})
 	if err != nil {
--- a/internal/manage/poll.go
+++ b/internal/manage/poll.go
@@ -16,192 +16,194 @@
 	"example.org/micaline/internal/rollout"
 )
 
-// poll asks those what they show whose turn it is.
+// poll starts polls of the instances that are due, and removes announced instances that have expired.
 func (m *Manager) poll(ctx context.Context, t time.Duration) {
-	for name, p := range m.places {
-		if p.announced != 0 && t-p.announced > forgetAfter && t-p.looked > forgetAfter {
-			if _, busy := m.busy(name); !busy {
-				delete(m.places, name)
-				m.records = append(m.records, journal.Record{Bucket: announcedBucket, Key: name})
+	for name, p := range m.instances {
+		if p.announcedAt != 0 && t-p.announcedAt > announcementExpiry && t-p.summaryAt > announcementExpiry {
+			if _, active := m.activeRollout(name); !active {
+				delete(m.instances, name)
+				m.pendingRecords = append(m.pendingRecords, journal.Record{Bucket: announcedBucket, Key: name})
 				continue
 			}
 		}
-		if p.polling || t < p.due {
+		if p.polling || t < p.nextPoll {
 			continue
 		}
-		lane := m.fast
-		if p.err != nil {
-			lane = m.slow
+		slots := m.requestSlots
+		if p.pollErr != nil {
+			slots = m.slowRequestSlots
 		}
 		select {
-		case lane <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			continue // at another step
+			continue // no free slot: try again at the next tick
 		}
-		p.polling, p.due = true, t+pollEvery
-		at, fence := p.Address(), m.stated()
-		client := m.opts.Client(at)
+		p.polling, p.nextPoll = true, t+pollInterval
+		address, fence := p.Address(), m.fenceToSend()
+		client := m.opts.Client(address)
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 			s, err := client.Summary(ctx, fence)
 			cancel()
-			<-lane
-			m.happened(func() { m.looked(name, at, fence, s, err) })
+			<-slots
+			m.enqueue(func() { m.handleSummary(name, address, fence, s, err) })
 		}()
 	}
 }
 
-// happened hands something to the loop.
-func (m *Manager) happened(f func()) {
+// enqueue queues a function for the event loop.
+func (m *Manager) enqueue(f func()) {
 	select {
-	case m.inputs <- f:
+	case m.events <- f:
 	case <-m.done:
 	}
 }
 
-// looked takes in what an instance shows.
-func (m *Manager) looked(name string, at api.Address, fence uint64, s *control.Summary, err error) {
-	p := m.places[name]
+// handleSummary processes the result of a poll.
+func (m *Manager) handleSummary(name string, address api.Address, fence uint64, s *control.Summary, err error) {
+	p := m.instances[name]
 	if p == nil {
 		return
 	}
 	p.polling = false
-	if p.Address() != at {
-		p.due = 0 // it has moved meanwhile
+	if p.Address() != address {
+		p.nextPoll = 0 // the instance's address has changed during the poll
 		return
 	}
 	if err == nil && s.Name != name {
 		err = fmt.Errorf("%q answers there", s.Name)
 	}
-	if p.err = err; err != nil {
+	if p.pollErr = err; err != nil {
 		return
 	}
 	t := now()
-	p.look, p.looked, p.heard = s, t, fence
+	p.summary, p.summaryAt, p.acknowledgedFence = s, t, fence
 	if len(s.Labels) > 0 {
 		p.labels = maps.Clone(s.Labels)
-		maps.Copy(p.labels, p.Labels) // the file goes before
+		maps.Copy(p.labels, p.Labels) // labels of the fleet file or announcement take precedence
 	}
-	m.highest = max(m.highest, s.Fence)
+	m.highestFence = max(m.highestFence, s.Fence)
 	if m.fence != 0 && s.Fence > m.fence && !m.superseded {
 		m.superseded = true
-		m.opts.Log.Error("a newer manager has spoken: this one sends nothing more", "fence", m.fence, "newer", s.Fence)
+		m.opts.Log.Error("a newer manager has spoken; this manager sends no more changes", "fence", m.fence, "newer", s.Fence)
 	}
 	served := change.Service{Requests: float64(s.Service.Requests), InAim: float64(s.Service.InAim), Refused: float64(s.Service.Refused), Failed: float64(s.Service.Failed)}
-	p.seen = rollout.Look{Epoch: s.Epoch, Revision: s.Revision, Hash: s.Hash, Mixed: len(s.Mixed) > 0, Served: served, Before: p.window.Add(t, s.Epoch, served)}
+	p.observation = rollout.Look{Epoch: s.Epoch, Revision: s.Revision, Hash: s.Hash, Mixed: len(s.Mixed) > 0, Served: served, Before: p.serviceWindow.Add(t, s.Epoch, served)}
 	if m.superseded || m.fence == 0 || fence != m.fence {
 		return
 	}
-	for _, id := range m.order {
-		m.sends = append(m.sends, m.rollouts[id].Looked(t, name, p.seen)...)
+	for _, id := range m.rolloutOrder {
+		m.pendingSends = append(m.pendingSends, m.rollouts[id].Looked(t, name, p.observation)...)
 	}
-	_, busy := m.busy(name)
-	if next, ok := p.keeper.Look(t, p.seen, busy); ok {
-		m.sends = append(m.sends, next)
+	_, active := m.activeRollout(name)
+	if next, ok := p.keeper.Look(t, p.observation, active); ok {
+		m.pendingSends = append(m.pendingSends, next)
 	}
 }
 
-// send asks an instance, and takes in what comes of it.
-func (m *Manager) send(ctx context.Context, s rollout.Send) {
-	p := m.places[s.Instance]
-	if p == nil || p.err != nil && s.Request == change.AskPrepare || !m.may() {
-		// Nothing is sent, which is as good as silence, and holds nobody up.
-		why := "the instance is not known any more"
-		if !m.may() {
-			why = "this manager may not act any more"
+// startRequest starts a rollout's request to an instance. Its outcome is queued for handleAnswer.
+func (m *Manager) startRequest(ctx context.Context, s rollout.Send) {
+	p := m.instances[s.Instance]
+	if p == nil || p.pollErr != nil && s.Request == change.AskPrepare || !m.mayAct() {
+		// Nothing is sent. The rollout handles this like an unanswered request, without a delay.
+		reason := "the instance is no longer known"
+		if !m.mayAct() {
+			reason = "this manager may no longer act"
 		} else if p != nil {
-			why = p.err.Error()
+			reason = p.pollErr.Error()
 		}
-		go m.happened(func() { m.answered(s, change.Answer{}, errors.New(why)) })
+		go m.enqueue(func() { m.handleAnswer(s, change.Answer{}, errors.New(reason)) })
 		return
 	}
-	lane := m.fast
-	if p.err != nil {
-		lane = m.slow
+	slots := m.requestSlots
+	if p.pollErr != nil {
+		slots = m.slowRequestSlots
 	}
-	at, fence, doc := p.Address(), m.fence, m.documents[s.Document]
+	address, fence, doc := p.Address(), m.fence, m.documents[s.Document]
 	go func() {
 		select {
-		case lane <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-m.done:
 			return
 		}
 		ctx, cancel := context.WithTimeout(ctx, sendTimeout)
-		a, err := m.ask(ctx, at, s, fence, doc)
+		a, err := m.request(ctx, address, s, fence, doc)
 		cancel()
-		<-lane
-		m.happened(func() { m.answered(s, a, err) })
+		<-slots
+		m.enqueue(func() { m.handleAnswer(s, a, err) })
 	}()
 }
 
-// errGoesOn is a commit that an instance is still at.
-var errGoesOn = errors.New("it is still being applied")
+// errStillApplying reports that an instance has not finished a commit.
+var errStillApplying = errors.New("it is still being applied")
 
-// ask makes the request. An error is silence.
-func (m *Manager) ask(ctx context.Context, at api.Address, s rollout.Send, fence uint64, doc *document.Document) (change.Answer, error) {
-	client := m.opts.Client(at)
-	var c *control.Change
+// request sends a request to an instance. An error means that its outcome is unknown.
+func (m *Manager) request(ctx context.Context, address api.Address, s rollout.Send, fence uint64, doc *document.Document) (change.Answer, error) {
+	client := m.opts.Client(address)
+	var changed *control.Change
 	var err error
 	switch s.Request {
 	case change.AskPrepare:
 		if doc == nil {
 			return change.Answer{}, errors.New("the manager has lost the document")
 		}
-		c, err = client.Prepare(ctx, s.ID, &control.Proposal{Base: s.Base, Fence: fence, Confirm: confirmIn.Seconds(), Document: doc})
+		changed, err = client.Prepare(ctx, s.ID, &control.Proposal{Base: s.Base, Fence: fence, Confirm: confirmTimeout.Seconds(), Document: doc})
 	case change.AskCommit:
-		c, err = client.Commit(ctx, s.ID, fence)
-		if err == nil && c.Outcome == change.None.String() && c.Pending == s.ID {
-			// In force. Whether the instance can still be reached, only a new connection shows.
-			c, err = m.opts.FreshClient(at).Confirm(ctx, s.ID, fence)
+		changed, err = client.Commit(ctx, s.ID, fence)
+		if err == nil && changed.Outcome == change.None.String() && changed.Pending == s.ID {
+			// The change is applied. Confirming over a new connection shows that the instance is still reachable.
+			changed, err = m.opts.FreshClient(address).Confirm(ctx, s.ID, fence)
 		}
 	case change.AskAbort:
-		c, err = client.Abort(ctx, s.ID, fence)
-		var p *api.Problem
-		if errors.As(err, &p) && p.Status == 409 {
-			// Too late: it is being applied, or waits for the confirmation that got lost with the commit's answer.
-			if late, lateErr := m.opts.FreshClient(at).Confirm(ctx, s.ID, fence); lateErr == nil {
-				c, err = late, nil
+		changed, err = client.Abort(ctx, s.ID, fence)
+		var problem *api.Problem
+		if errors.As(err, &problem) && problem.Status == 409 {
+			// It is too late to abort: the change is being applied, or it waits for a confirmation because the
+			// answer to the commit was lost.
+			if late, lateErr := m.opts.FreshClient(address).Confirm(ctx, s.ID, fence); lateErr == nil {
+				changed, err = late, nil
 			}
 		}
 	}
-	a, err := answer(c, err)
+	a, err := parseAnswer(changed, err)
 	if err == nil && s.Request == change.AskCommit && a.Err == nil && a.Result.Outcome == change.None {
-		err = errGoesOn
+		err = errStillApplying
 	}
 	return a, err
 }
 
-// answer is what an instance has said. Only what a process has said of itself counts: all else is silence.
-func answer(c *control.Change, err error) (change.Answer, error) {
-	var p *api.Problem
+// parseAnswer converts the response of an instance. Only a refusal that carries the epoch of the instance's process
+// counts as an answer. Other errors are returned, and the outcome stays unknown.
+func parseAnswer(c *control.Change, err error) (change.Answer, error) {
+	var problem *api.Problem
 	switch {
-	case errors.As(err, &p) && p.Status < 500 && p.Epoch != "":
-		return change.Answer{Epoch: p.Epoch, Err: p, Fenced: p.Status == 412}, nil
+	case errors.As(err, &problem) && problem.Status < 500 && problem.Epoch != "":
+		return change.Answer{Epoch: problem.Epoch, Err: problem, Fenced: problem.Status == 412}, nil
 	case err != nil:
 		return change.Answer{}, err
 	}
-	o, err := change.ParseOutcome(c.Outcome)
+	outcome, err := change.ParseOutcome(c.Outcome)
 	if err != nil {
 		return change.Answer{}, err
 	}
-	return change.Answer{Epoch: c.Epoch, Result: change.Result{ID: c.ID, Outcome: o, Parts: c.Parts, Revision: c.Revision, Reason: c.Reason}}, nil
+	return change.Answer{Epoch: c.Epoch, Result: change.Result{ID: c.ID, Outcome: outcome, Parts: c.Parts, Revision: c.Revision, Reason: c.Reason}}, nil
 }
 
-// answered takes in what came of a request.
-func (m *Manager) answered(s rollout.Send, a change.Answer, err error) {
+// handleAnswer passes the outcome of a request to the rollout or keeper that sent it.
+func (m *Manager) handleAnswer(s rollout.Send, a change.Answer, err error) {
 	t := now()
 	if a.Fenced {
 		m.superseded = true
 	}
 	if s.Keeps {
-		if p := m.places[s.Instance]; p != nil {
+		if p := m.instances[s.Instance]; p != nil {
 			if err != nil {
 				p.keeper.Silent(t)
 				return
 			}
-			_, busy := m.busy(s.Instance)
-			if next, ok := p.keeper.Answered(t, busy || m.superseded, a); ok {
-				m.sends = append(m.sends, next)
+			_, active := m.activeRollout(s.Instance)
+			if next, ok := p.keeper.Answered(t, active || m.superseded, a); ok {
+				m.pendingSends = append(m.pendingSends, next)
 			}
 		}
 		return
@@ -218,7 +220,7 @@
 	}
 }
 
-// look has the loop call a function that changes nothing, and waits for it.
-func (m *Manager) look(ctx context.Context, f func()) error {
-	return m.do(ctx, func(done func(error)) { f(); done(nil) })
+// read runs a function in the event loop and waits for it, but not for the journal.
+func (m *Manager) read(ctx context.Context, f func()) error {
+	return m.call(ctx, func(done func(error)) { f(); done(nil) })
 }
--- a/internal/manage/report.go
+++ b/internal/manage/report.go
@@ -10,30 +10,30 @@
 	"example.org/micaline/internal/rollout"
 )
 
-// Status is what a manager says of itself.
+// Status describes the state of a manager.
 type Status struct {
-	Fence      uint64   `json:"fence"` // 0: it is asking for others' numbers
+	Fence      uint64   `json:"fence"` // 0 while the manager is polling the instances for other managers' fences
 	Superseded bool     `json:"superseded"`
-	Journal    string   `json:"journal,omitempty"` // why it can't be written
-	Damaged    []string `json:"damaged,omitempty"` // what of it could not be read
+	Journal    string   `json:"journal,omitempty"` // error of the last write; empty if it succeeded
+	Damaged    []string `json:"damaged,omitempty"` // errors of journal records that could not be read
 	Instances  int      `json:"instances"`
 	Reachable  int      `json:"reachable"`
 	AsWanted   int      `json:"as_wanted"`
 	Rollouts   int      `json:"rollouts"`
 }
 
-// Status returns what the manager says of itself.
+// Status returns the state of the manager.
 func (m *Manager) Status(ctx context.Context) (*Status, error) {
 	var s *Status
-	err := m.look(ctx, func() {
-		s = &Status{Fence: m.fence, Superseded: m.superseded, Damaged: m.damaged, Instances: len(m.places), Rollouts: len(m.rollouts)}
-		if m.failure != nil {
-			s.Journal = m.failure.Error()
+	err := m.read(ctx, func() {
+		s = &Status{Fence: m.fence, Superseded: m.superseded, Damaged: m.damagedRecords, Instances: len(m.instances), Rollouts: len(m.rollouts)}
+		if m.journalErr != nil {
+			s.Journal = m.journalErr.Error()
 		}
-		for name, p := range m.places {
+		for name, p := range m.instances {
 			if p.reachable() {
 				s.Reachable++
-				if w := m.wanted[name]; w != "" && w == p.look.Hash && len(p.look.Mixed) == 0 {
+				if w := m.wanted[name]; w != "" && w == p.summary.Hash && len(p.summary.Mixed) == 0 {
 					s.AsWanted++
 				}
 			}
@@ -42,102 +42,104 @@
 	return s, err
 }
 
-// Report is what a manager says of a rollout.
+// Report describes the state of a rollout.
 type Report struct {
-	ID        string          `json:"id"`
-	Status    string          `json:"status"`
-	Reason    string          `json:"reason,omitempty"`
-	Document  string          `json:"document"`
-	Wave      int             `json:"wave"` // from 1
-	Waves     int             `json:"waves"`
-	Baking    bool            `json:"baking"` // the wave has ended and is watched
-	Took      float64         `json:"took_s"`
-	Summary   rollout.Summary `json:"summary"`
-	Instances []InstanceOutcome           `json:"instances,omitempty"`
+	ID        string            `json:"id"`
+	Status    string            `json:"status"`
+	Reason    string            `json:"reason,omitempty"`
+	Document  string            `json:"document"`
+	Wave      int               `json:"wave"` // from 1
+	Waves     int               `json:"waves"`
+	Baking    bool              `json:"baking"` // the wave is applied and is being watched
+	Took      float64           `json:"took_s"`
+	Summary   rollout.Summary   `json:"summary"`
+	Instances []InstanceOutcome `json:"instances,omitempty"`
 }
 
-// Got is what an instance got.
+// InstanceOutcome is the outcome of a rollout on one instance.
 type InstanceOutcome struct {
 	Name     string   `json:"name"`
 	Wave     int      `json:"wave"` // from 1
 	State    string   `json:"state"`
-	Epoch    string   `json:"epoch,omitempty"` // of the process that has said so
+	Epoch    string   `json:"epoch,omitempty"` // of the process that reported the state
 	Parts    []string `json:"parts,omitempty"`
 	Revision uint64   `json:"revision"`
-	Left     bool     `json:"left,omitempty"` // the rollout goes on without it
+	Left     bool     `json:"left,omitempty"` // the rollout continues without this instance
 	Reason   string   `json:"reason,omitempty"`
-	Back     string   `json:"back,omitempty"` // state of what takes it back, or NotNeeded
+	Back     string   `json:"back,omitempty"` // state of the rollback on this instance, or RollbackNotNeeded
 	BackWhy  string   `json:"back_reason,omitempty"`
 
-	// As it is now, which may be another process.
+	// From the last successful poll, which another process may have answered.
 	Now       string `json:"now_epoch,omitempty"`
 	Has       string `json:"now_hash,omitempty"`
 	Reachable bool   `json:"reachable"`
 }
 
-// NotNeeded is said of an instance of which nothing has to be taken back.
+// RollbackNotNeeded is the rollback state of an instance that has nothing to roll back.
 const RollbackNotNeeded = "not needed"
 
-// Over says that nothing more happens to the rollout by itself.
+// Stopped reports whether the rollout makes no further progress without an operator.
 func (r *Report) Stopped() bool {
 	return r.Status == rollout.Completed.String() || r.Status == rollout.RolledBack.String() || r.Halted()
 }
 
-// Halted says that the rollout waits for an operator.
+// Halted reports whether the rollout waits for an operator.
 func (r *Report) Halted() bool {
 	return r.Status == rollout.Halted.String() || r.Status == rollout.Superseded.String()
 }
 
 func (m *Manager) report(r *rollout.Rollout) *Report {
-	end := r.Ended
-	if end == 0 {
-		end = now()
+	ended := r.Ended
+	if ended == 0 {
+		ended = now()
 	}
-	p := &Report{
+	report := &Report{
 		ID: r.ID, Status: r.Status.String(), Reason: r.Reason, Document: r.Document, Wave: r.Wave + 1, Waves: r.Waves,
-		Baking: r.Baking > 0 && r.Status == rollout.Running, Took: (end - r.Begun).Seconds(), Summary: r.Summary(),
+		Baking: r.Baking > 0 && r.Status == rollout.Running, Took: (ended - r.Begun).Seconds(), Summary: r.Summary(),
 	}
 	for _, x := range r.Members() {
-		g := InstanceOutcome{Name: x.Name, Wave: x.Wave + 1, State: x.Target.State.String(), Epoch: x.Target.Epoch, Parts: x.Target.Parts, Revision: x.Target.Revision, Left: x.Left, Reason: x.Target.Reason}
+		outcome := InstanceOutcome{Name: x.Name, Wave: x.Wave + 1, State: x.Target.State.String(), Epoch: x.Target.Epoch, Parts: x.Target.Parts, Revision: x.Target.Revision, Left: x.Left, Reason: x.Target.Reason}
 		if x.Backing {
-			g.Back, g.BackWhy = x.Back.State.String(), x.Back.Reason
+			outcome.Back, outcome.BackWhy = x.Back.State.String(), x.Back.Reason
 		}
 		if x.Ended {
-			g.Back, g.BackWhy = RollbackNotNeeded, "the process that had it has ended"
+			outcome.Back, outcome.BackWhy = RollbackNotNeeded, "the process that had it has ended"
 		}
-		if at := m.places[x.Name]; at != nil && at.look != nil {
-			g.Now, g.Has, g.Reachable = at.look.Epoch, at.look.Hash, at.err == nil
+		if instance := m.instances[x.Name]; instance != nil && instance.summary != nil {
+			outcome.Now, outcome.Has, outcome.Reachable = instance.summary.Epoch, instance.summary.Hash, instance.pollErr == nil
 		}
-		p.Instances = append(p.Instances, g)
+		report.Instances = append(report.Instances, outcome)
 	}
-	slices.SortFunc(p.Instances, func(a, b InstanceOutcome) int { return cmp.Or(cmp.Compare(a.Wave, b.Wave), strings.Compare(a.Name, b.Name)) })
-	return p
+	slices.SortFunc(report.Instances, func(a, b InstanceOutcome) int {
+		return cmp.Or(cmp.Compare(a.Wave, b.Wave), strings.Compare(a.Name, b.Name))
+	})
+	return report
 }
 
-// Report returns what became of a rollout.
+// Report returns the state of a rollout. An unknown ID gives a 404 problem.
 func (m *Manager) Report(ctx context.Context, id string) (*Report, error) {
-	var p *Report
-	if err := m.look(ctx, func() {
+	var report *Report
+	if err := m.read(ctx, func() {
 		if r := m.rollouts[id]; r != nil {
-			p = m.report(r)
+			report = m.report(r)
 		}
 	}); err != nil {
 		return nil, err
 	}
-	if p == nil {
+	if report == nil {
 		return nil, &api.Problem{Status: 404, Title: "there is no such rollout", Detail: id, Field: "id"}
 	}
-	return p, nil
+	return report, nil
 }
 
-// Reports returns all rollouts, the newest first, without their instances.
+// Reports returns the states of all rollouts, newest first, without their instances.
 func (m *Manager) Reports(ctx context.Context) ([]*Report, error) {
 	all := []*Report{}
-	err := m.look(ctx, func() {
-		for _, id := range slices.Backward(m.order) {
-			p := m.report(m.rollouts[id])
-			p.Instances = nil
-			all = append(all, p)
+	err := m.read(ctx, func() {
+		for _, id := range slices.Backward(m.rolloutOrder) {
+			report := m.report(m.rollouts[id])
+			report.Instances = nil
+			all = append(all, report)
 		}
 	})
 	return all, err
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -14,62 +14,67 @@
 	"example.org/micaline/internal/inventory"
 )
 
-// Server is the manager's interface for operators and for instances that announce themselves.
+// Server serves the manager's HTTP API to operators and to instances that announce themselves.
 type Server struct {
-	desk *ActiveManager
-	http *api.Server
+	active *ActiveManager
+	http   *api.Server
 }
 
-// Desk is where the manager sits, if there is one: of several processes, one manages at a time.
+// ActiveManager holds the manager of this process, or none while another process of the group manages the
+// fleet. It is safe for concurrent use.
 type ActiveManager struct {
-	mu        sync.Mutex
-	manager   *Manager
-	elsewhere func() string
+	mu           sync.Mutex
+	manager      *Manager
+	remoteHolder func() string
 }
 
-// NewDesk returns a desk without a manager. Elsewhere says who has one, "" if nobody is known.
-func NewActiveManager(elsewhere func() string) *ActiveManager { return &ActiveManager{elsewhere: elsewhere} }
+// NewActiveManager returns an ActiveManager without a manager. remoteHolder returns the name of the group member
+// that manages the fleet, or "" if it is unknown.
+func NewActiveManager(remoteHolder func() string) *ActiveManager {
+	return &ActiveManager{remoteHolder: remoteHolder}
+}
 
-// Sit puts a manager at the desk, or none.
+// Set sets the manager of this process; nil means none.
 func (d *ActiveManager) Set(m *Manager) {
 	d.mu.Lock()
 	d.manager = m
 	d.mu.Unlock()
 }
 
-// get returns the manager.
-func (d *ActiveManager) get() (*Manager, error) {
+// current returns the manager, or a problem that names the process that has it.
+func (d *ActiveManager) current() (*Manager, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.manager != nil {
 		return d.manager, nil
 	}
-	if who := d.elsewhere(); who != "" {
-		return nil, &api.Problem{Status: http.StatusMisdirectedRequest, Title: "another process manages", Detail: who + " does", Field: ""}
+	if holder := d.remoteHolder(); holder != "" {
+		return nil, &api.Problem{Status: http.StatusMisdirectedRequest, Title: "another process manages", Detail: holder + " does", Field: ""}
 	}
 	return nil, &api.Problem{Status: http.StatusServiceUnavailable, Title: "nobody manages at the moment", Detail: "the group has granted it to nobody, or does not agree"}
 }
 
-// mostBody is how many bytes a body may have.
-const mostBody = document.MaxSize + 8192
+// maxBodySize is the maximum size of a request body in bytes.
+const maxBodySize = document.MaxSize + 8192
 
-// NewServer returns a server that is not serving yet. More are further routes, by their patterns, and the roles that they take.
-func NewServer(d *ActiveManager, door *api.Door, more map[string]http.HandlerFunc, roles map[string]api.Role) *Server {
-	s := &Server{desk: d}
+// NewServer returns a server; call Serve to start it. extraRoutes holds further handlers and extraRoles the roles
+// that they require, both by pattern.
+func NewServer(active *ActiveManager, door *api.Door, extraRoutes map[string]http.HandlerFunc, extraRoles map[string]api.Role) *Server {
+	s := &Server{active: active}
 	mux := http.NewServeMux()
 	for pattern, handler := range s.routes() {
 		mux.HandleFunc(pattern, handler)
 	}
-	for pattern, handler := range more {
+	for pattern, handler := range extraRoutes {
 		mux.HandleFunc(pattern, handler)
 	}
 	s.http = api.NewServer(door, mux, func(r *http.Request) api.Role {
 		_, pattern := mux.Handler(r)
-		if role, ok := roles[pattern]; ok {
-			return role
+		if extraRole, ok := extraRoles[pattern]; ok {
+			return extraRole
 		}
 		switch {
-		case pattern == announcements:
+		case pattern == announcementRoute:
 			return api.Announce
 		case r.Method == http.MethodGet || r.Method == http.MethodHead || pattern == "POST /v1/plans":
 			return api.Read
@@ -79,13 +84,13 @@
 	return s
 }
 
-const announcements = "PUT /v1/announcements/{name}"
+const announcementRoute = "PUT /v1/announcements/{name}"
 
-// routes are all that the interface answers to. openapi.yaml describes them, and a test holds the two together.
+// routes returns the handlers of the API by pattern. openapi.yaml describes them, and TestOpenAPI compares both.
 func (s *Server) routes() map[string]http.HandlerFunc {
-	of := func(f func(m *Manager, r *http.Request) (any, error)) http.HandlerFunc {
-		return api.Handler(mostBody, problem, func(r *http.Request) (any, error) {
-			m, err := s.desk.get()
+	handle := func(f func(m *Manager, r *http.Request) (any, error)) http.HandlerFunc {
+		return api.Handler(maxBodySize, toProblem, func(r *http.Request) (any, error) {
+			m, err := s.active.current()
 			if err != nil {
 				return nil, err
 			}
@@ -93,57 +98,57 @@
 		})
 	}
 	return map[string]http.HandlerFunc{
-		"GET /v1/manager":   of(func(m *Manager, r *http.Request) (any, error) { return m.Status(r.Context()) }),
-		"POST /v1/takeover": of(func(m *Manager, r *http.Request) (any, error) { return m.TakeOver(r.Context()) }),
-		"GET /v1/instances": of(func(m *Manager, r *http.Request) (any, error) {
+		"GET /v1/manager":   handle(func(m *Manager, r *http.Request) (any, error) { return m.Status(r.Context()) }),
+		"POST /v1/takeover": handle(func(m *Manager, r *http.Request) (any, error) { return m.TakeOver(r.Context()) }),
+		"GET /v1/instances": handle(func(m *Manager, r *http.Request) (any, error) {
 			return m.Instances(r.Context(), r.URL.Query().Get("select"))
 		}),
-		announcements: of(s.announce),
-		"POST /v1/plans": of(func(m *Manager, r *http.Request) (any, error) {
-			o, err := order(r)
+		announcementRoute: handle(s.recordAnnouncement),
+		"POST /v1/plans": handle(func(m *Manager, r *http.Request) (any, error) {
+			o, err := parseOrder(r)
 			if err != nil {
 				return nil, err
 			}
 			return m.Plan(r.Context(), o)
 		}),
-		"GET /v1/rollouts":      of(func(m *Manager, r *http.Request) (any, error) { return m.Reports(r.Context()) }),
-		"GET /v1/rollouts/{id}": of(func(m *Manager, r *http.Request) (any, error) { return m.Report(r.Context(), r.PathValue("id")) }),
-		"PUT /v1/rollouts/{id}": of(func(m *Manager, r *http.Request) (any, error) {
-			o, err := order(r)
+		"GET /v1/rollouts":      handle(func(m *Manager, r *http.Request) (any, error) { return m.Reports(r.Context()) }),
+		"GET /v1/rollouts/{id}": handle(func(m *Manager, r *http.Request) (any, error) { return m.Report(r.Context(), r.PathValue("id")) }),
+		"PUT /v1/rollouts/{id}": handle(func(m *Manager, r *http.Request) (any, error) {
+			o, err := parseOrder(r)
 			if err != nil {
 				return nil, err
 			}
 			return m.StartRollout(r.Context(), r.PathValue("id"), o)
 		}),
-		"POST /v1/rollouts/{id}/abort":    of(s.tell(AbortAction)),
-		"POST /v1/rollouts/{id}/resume":   of(s.tell(ResumeAction)),
-		"POST /v1/rollouts/{id}/rollback": of(s.tell(RollbackAction)),
-		"GET /v1/openapi.yaml":            description,
+		"POST /v1/rollouts/{id}/abort":    handle(s.controlRollout(AbortAction)),
+		"POST /v1/rollouts/{id}/resume":   handle(s.controlRollout(ResumeAction)),
+		"POST /v1/rollouts/{id}/rollback": handle(s.controlRollout(RollbackAction)),
+		"GET /v1/openapi.yaml":            serveOpenAPI,
 	}
 }
 
 //go:embed openapi.yaml
 var openapi []byte
 
-func description(w http.ResponseWriter, _ *http.Request) {
+func serveOpenAPI(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/yaml")
-	w.Write(openapi) // a client that does not take it is gone
+	w.Write(openapi) // a write error means that the client has gone
 }
 
-func problem(err error) *api.Problem {
-	var p *api.Problem
-	var f *document.FieldError
+func toProblem(err error) *api.Problem {
+	var problem *api.Problem
+	var fieldErr *document.FieldError
 	switch {
-	case errors.As(err, &p):
-		return p
-	case errors.As(err, &f):
-		return &api.Problem{Status: 422, Title: "the document can't be used", Detail: f.What, Field: f.Field}
+	case errors.As(err, &problem):
+		return problem
+	case errors.As(err, &fieldErr):
+		return &api.Problem{Status: 422, Title: "the document can't be used", Detail: fieldErr.What, Field: fieldErr.Field}
 	}
 	return &api.Problem{Status: 503, Title: "the manager did not answer", Detail: err.Error()}
 }
 
-// order reads an order, whose document names its own mistakes.
-func order(r *http.Request) (*Order, error) {
+// parseOrder reads an order from a request body. Errors in its document name the field.
+func parseOrder(r *http.Request) (*Order, error) {
 	var raw struct {
 		Document json.RawMessage `json:"document"`
 		Select   string          `json:"select"`
@@ -163,7 +168,7 @@
 	return o, nil
 }
 
-func (s *Server) tell(what string) func(m *Manager, r *http.Request) (any, error) {
+func (s *Server) controlRollout(action string) func(m *Manager, r *http.Request) (any, error) {
 	return func(m *Manager, r *http.Request) (any, error) {
 		var b struct {
 			Leave bool `json:"leave"`
@@ -171,17 +176,17 @@
 		if err := api.Body(r, &b); err != nil {
 			return nil, err
 		}
-		return m.ControlRollout(r.Context(), r.PathValue("id"), what, b.Leave)
+		return m.ControlRollout(r.Context(), r.PathValue("id"), action, b.Leave)
 	}
 }
 
-// Announcement is what an instance says of itself.
+// Announcement is the address and labels that an instance announces.
 type Announcement struct {
 	Addr   string            `json:"addr"`
 	Labels map[string]string `json:"labels,omitempty"`
 }
 
-func (s *Server) announce(m *Manager, r *http.Request) (any, error) {
+func (s *Server) recordAnnouncement(m *Manager, r *http.Request) (any, error) {
 	var a Announcement
 	if err := api.Body(r, &a); err != nil {
 		return nil, err
@@ -189,11 +194,11 @@
 	return &a, m.RecordAnnouncement(r.Context(), inventory.Instance{Name: r.PathValue("name"), Addr: a.Addr, Labels: a.Labels})
 }
 
-// Serve serves at a listener until Close. It closes the listener.
+// Serve serves on a listener until Close or Shutdown. It closes the listener.
 func (s *Server) Serve(l net.Listener) error { return s.http.Serve(l) }
 
-// Close ends all service.
+// Close closes the server and its connections at once.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Shutdown ends all service once what is in hand has been answered, within a time.
+// Shutdown closes the server once requests in progress have been answered, or after a timeout.
 func (s *Server) Shutdown(within time.Duration) error { return s.http.Shutdown(within) }
--- a/internal/manage/server_test.go
+++ b/internal/manage/server_test.go
@@ -22,21 +22,21 @@
 	"example.org/micaline/internal/journal"
 )
 
-// paper is an instance that applies whatever it is told. The manager asks how it stands while a change is under way, so it has a
-// lock where a real one has an owner.
-type paper struct {
+// fakeInstance is an instance in memory that applies all changes. It has a lock because the manager polls it while
+// a change is in progress. A real instance uses an owner goroutine instead.
+type fakeInstance struct {
 	mu       sync.Mutex
 	change   *change.Instance
 	document *document.Document
-	known    map[string]*document.Document
+	proposed map[string]*document.Document
 }
 
-func newPaper(epoch string) *paper {
+func newFakeInstance(epoch string) *fakeInstance {
 	d := &document.Document{}
-	return &paper{change: change.NewInstance(epoch, 0, change.Document{Hash: d.Hash(), Parts: document.Parts}), document: d, known: map[string]*document.Document{}}
+	return &fakeInstance{change: change.NewInstance(epoch, 0, change.Document{Hash: d.Hash(), Parts: document.Parts}), document: d, proposed: map[string]*document.Document{}}
 }
 
-func (p *paper) Summary(context.Context, uint64) (*control.Summary, error) {
+func (p *fakeInstance) Summary(context.Context, uint64) (*control.Summary, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return &control.Summary{Identity: control.Identity{
@@ -44,13 +44,13 @@
 	}}, nil
 }
 
-func (p *paper) Document(context.Context) (*control.Versioned, error) {
+func (p *fakeInstance) Document(context.Context) (*control.Versioned, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return &control.Versioned{Revision: p.change.Revision(), Hash: p.document.Hash(), Document: p.document}, nil
 }
 
-func (p *paper) say(id string, err error) (*control.Change, error) {
+func (p *fakeInstance) toChange(id string, err error) (*control.Change, error) {
 	if err != nil {
 		return nil, &api.Problem{Status: 409, Title: "no", Detail: err.Error(), Epoch: p.change.Epoch()}
 	}
@@ -58,42 +58,42 @@
 	return &control.Change{ID: id, Epoch: p.change.Epoch(), Outcome: r.Outcome.String(), Parts: r.Parts, Revision: r.Revision, Reason: r.Reason}, nil
 }
 
-func (p *paper) Prepare(_ context.Context, id string, x *control.Proposal) (*control.Change, error) {
+func (p *fakeInstance) Prepare(_ context.Context, id string, x *control.Proposal) (*control.Change, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.known[id] = x.Document
-	return p.say(id, p.change.Prepare(0, x.Fence, id, x.Base, change.Document{Hash: x.Document.Hash(), Parts: document.Parts}, 0))
+	p.proposed[id] = x.Document
+	return p.toChange(id, p.change.Prepare(0, x.Fence, id, x.Base, change.Document{Hash: x.Document.Hash(), Parts: document.Parts}, 0))
 }
 
-func (p *paper) Commit(_ context.Context, id string, fence uint64) (*control.Change, error) {
+func (p *fakeInstance) Commit(_ context.Context, id string, fence uint64) (*control.Change, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	todo, err := p.change.Commit(0, fence, id)
-	for len(todo) > 0 {
-		p.document = p.known[id]
-		todo = p.change.Done(0, todo[0], nil)
+	parts, err := p.change.Commit(0, fence, id)
+	for len(parts) > 0 {
+		p.document = p.proposed[id]
+		parts = p.change.Done(0, parts[0], nil)
 	}
-	return p.say(id, err)
+	return p.toChange(id, err)
 }
 
-func (p *paper) Abort(_ context.Context, id string, fence uint64) (*control.Change, error) {
+func (p *fakeInstance) Abort(_ context.Context, id string, fence uint64) (*control.Change, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, err := p.change.Abort(0, fence, id)
-	return p.say(id, err)
+	return p.toChange(id, err)
 }
 
-func (p *paper) Confirm(_ context.Context, id string, fence uint64) (*control.Change, error) {
+func (p *fakeInstance) Confirm(_ context.Context, id string, fence uint64) (*control.Change, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.say(id, p.change.Confirm(0, fence, id))
+	return p.toChange(id, p.change.Confirm(0, fence, id))
 }
 
-// The description names what is served and nothing else, and what is answered is as it says.
+// TestOpenAPI checks that openapi.yaml describes exactly the routes that are served, and that responses match it.
 func TestOpenAPI(t *testing.T) {
-	instances := map[string]*paper{"i1": newPaper("i1-e1"), "i2": newPaper("i2-e1"), "i3": newPaper("i3-e1")}
+	instances := map[string]*fakeInstance{"i1": newFakeInstance("i1-e1"), "i2": newFakeInstance("i2-e1"), "i3": newFakeInstance("i3-e1")}
 	at := func(a api.Address) InstanceClient { return instances[a.Name] }
-	m, err := New(Options{
+	manager, err := New(Options{
 		Store: &journal.Memory{}, Client: at, FreshClient: at, Log: slog.New(slog.DiscardHandler),
 		Instances: []inventory.Instance{{Name: "i1", Addr: "127.0.0.1:1", Labels: map[string]string{"zone": "a"}}, {Name: "i2", Addr: "127.0.0.1:2"}},
 	})
@@ -102,25 +102,25 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { m.Run(ctx); close(ended) }()
-	s := NewServer(sat(m), &api.Door{}, nil, nil)
+	go func() { manager.Run(ctx); close(ended) }()
+	server := NewServer(activeManager(manager), &api.Door{}, nil, nil)
 	path := filepath.Join(t.TempDir(), "m")
 	l, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go s.Serve(l)
-	t.Cleanup(func() { s.Close(); stop(); <-ended })
+	go server.Serve(l)
+	t.Cleanup(func() { server.Close(); stop(); <-ended })
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
-		if st, err := m.Status(ctx); err == nil && st.Fence != 0 && st.Reachable == 2 {
+		if st, err := manager.Status(ctx); err == nil && st.Fence != 0 && st.Reachable == 2 {
 			break
 		}
 		if time.Since(begun) > 20*time.Second {
-			t.Fatal("the manager takes no number")
+			t.Fatal("the manager does not choose a fence")
 		}
 	}
 	const order = `{"document":{"decisions":{"max_attempts":2}},"select":"zone=a","limits":{"canaries":1,"growth":1,"bake_s":0,"may_fail":0}}`
-	apitest.Check(t, openapi, slices.Collect(maps.Keys(s.routes())), path, []apitest.Call{
+	apitest.Check(t, openapi, slices.Collect(maps.Keys(server.routes())), path, []apitest.Call{
 		apitest.On("GET", "manager", "", 200), apitest.On("GET", "instances?select=zone%3Da", "", 200), apitest.On("GET", "instances?select=%5B", "", 422),
 		apitest.On("PUT", "announcements/i3", `{"addr":"127.0.0.1:3","labels":{"zone":"b"}}`, 200),
 		apitest.On("POST", "plans", order, 200), apitest.On("POST", "plans", `{"document":{"decisions":{"max_attempts":2}},"select":"zone=z"}`, 422),
@@ -128,7 +128,7 @@
 		apitest.On("POST", "rollouts/none/resume", `{"leave":true}`, 404), apitest.On("POST", "rollouts/none/abort", `{}`, 404), apitest.On("POST", "rollouts/none/rollback", `{}`, 404),
 		apitest.On("POST", "takeover", "", 200),
 	})
-	// Mistakes in bodies are told with their field.
+	// Errors in request bodies name the field.
 	for body, field := range map[string]string{
 		`{"document":{"servce":{}}}`: "servce", `{"documnt":{}}`: "documnt", `{"limits":{"canaries":"x"}}`: "limits.canaries", `{}`: "document",
 	} {
@@ -148,8 +148,8 @@
 
 func (r rawJSON) MarshalJSON() ([]byte, error) { return []byte(r), nil }
 
-// sat is a desk with a manager.
-func sat(m *Manager) *ActiveManager {
+// activeManager returns an ActiveManager that holds m.
+func activeManager(m *Manager) *ActiveManager {
 	d := NewActiveManager(func() string { return "" })
 	d.Set(m)
 	return d
