--- a/cmd/micaline-manage/crew.go
+++ b/cmd/micaline-manage/crew.go
@@ -85,7 +85,7 @@
 			o.Store, o.MayAct = s, s.May
 			m, err := manage.New(o)
 			if err != nil {
-				c.log.Error("can't manage", "error", err)
+				c.log.Error("the manager can't start", "error", err)
 				return nil
 			}
 			active.Set(m)
@@ -98,7 +98,8 @@
 	})
 }
 
-// serve serves the HTTP API while run is running, until the context ends.
+// serve serves the HTTP API and calls run, until the context ends or a listener fails. It then
+// waits for run to return.
 func (c *managerProcess) serve(ctx context.Context, active *manage.ActiveManager, routes map[string]group.Route, run func(context.Context)) error {
 	listeners, err := c.settings.Interface.Open()
 	if err != nil {
--- a/cmd/micaline-manage/main.go
+++ b/cmd/micaline-manage/main.go
@@ -29,9 +29,9 @@
 	var path string
 	root := &cobra.Command{
 		Use:   "micaline-manage",
-		Short: "Manage many instances: bring documents to them in waves, and keep them as wanted",
-		Long: "Reads its file, asks the instances that it names and those that announce themselves what they show, and carries out the\n" +
-			"orders that `micaline ctl` gives. What it knows is in its journal: it may be killed at any time, and goes on.",
+		Short: "Manage many instances: roll documents out to them in waves, and keep them as wanted",
+		Long: "Reads its file, polls the instances that it names and those that announce themselves, and carries out the\n" +
+			"orders that `micaline ctl` gives. Its state is in its journal: it may be killed at any time, and continues after a restart.",
 		Args: cobra.NoArgs, SilenceUsage: true, SilenceErrors: true,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return run(c.Context(), path, slog.New(slog.NewTextHandler(os.Stderr, nil)))
--- a/cmd/micaline-manage/main_test.go
+++ b/cmd/micaline-manage/main_test.go
@@ -27,7 +27,8 @@
 	"example.org/micaline/internal/standin/authority"
 )
 
-// runAsProgram is the environment variable that makes the test binary run the program instead of the tests.
+// runAsProgram is the environment variable that makes the test binary run the program instead of
+// the tests.
 const runAsProgram = "MICALINE_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -146,8 +147,8 @@
 	return out.String()
 }
 
-// TestFleet rolls a first document out to a fleet by the command line and over TLS. The manager is killed during the
-// rollout and continues it after its restart.
+// TestFleet rolls a first document out to a fleet by the command line and over TLS. The manager is
+// killed during the rollout and continues it after its restart.
 func TestFleet(t *testing.T) {
 	dir, err := os.MkdirTemp("", "m") // paths of sockets are short
 	if err != nil {
@@ -227,15 +228,15 @@
 	if out := ctlManager(0, "apply", doc, "--dry-run", "--select", "zone=c"); strings.Count(out, "decisions.max_attempts") != 1 {
 		t.Errorf("dry run:\n%s", out)
 	}
-	quick := []string{"--bake", "200ms", "--least", "0"}
-	ctlManager(0, append([]string{"apply", doc, "--id", "first", "--no-wait"}, quick...)...)
+	rolloutFlags := []string{"--bake", "200ms", "--least", "0"}
+	ctlManager(0, append([]string{"apply", doc, "--id", "first", "--no-wait"}, rolloutFlags...)...)
 	waitFor("the first wave is applied", func() bool { return strings.Contains(ctlManager(0, "report", "first"), "applied") })
 	manager.Process.Signal(syscall.SIGKILL)
 	manager.Wait()
 	os.Remove(s.managerSocket) // startManager waits for the new socket
 	s.startManager(file)
 	waitFor("the restarted manager accepts orders", func() bool { return status().Fence != 0 })
-	out := ctlManager(0, append([]string{"apply", doc, "--id", "first"}, quick...)...) // the same order again: waits until the rollout ends
+	out := ctlManager(0, append([]string{"apply", doc, "--id", "first"}, rolloutFlags...)...) // the same order again: waits until the rollout ends
 	if !strings.Contains(out, "completed") || strings.Count(out, "applied") < 7 {
 		t.Errorf("first:\n%s", out)
 	}
@@ -243,7 +244,7 @@
 		t.Errorf("report:\n%s", out)
 	}
 	bad := s.writeFile("bad.json", `{"decisions":{"classes":{"other":{"worth":1}}}}`)
-	if out := ctlManager(ctl.Refused, append([]string{"apply", bad, "--id", "bad"}, quick...)...); !strings.Contains(out, "decisions.classes.other") || !strings.Contains(out, "rolled back") {
+	if out := ctlManager(ctl.Refused, append([]string{"apply", bad, "--id", "bad"}, rolloutFlags...)...); !strings.Contains(out, "decisions.classes.other") || !strings.Contains(out, "rolled back") {
 		t.Errorf("bad:\n%s", out)
 	}
 	if out := ctlManager(0, "rollback", "first"); !strings.Contains(out, "7 taken back") {
@@ -304,8 +305,8 @@
 	s.runCtl(ctl.Usage, "plan", doc)
 }
 
-// TestBadFiles checks that the manager exits with an error that names the line and field of an invalid file, or says
-// that the journal is damaged.
+// TestBadFiles checks that the manager exits with an error that names the line and field of an
+// invalid file, or says that the journal is damaged.
 func TestBadFiles(t *testing.T) {
 	s := &testEnvironment{t: t, dir: t.TempDir()}
 	run := func(file string) (string, int) {
--- a/cmd/micaline-manage/size_bench_test.go
+++ b/cmd/micaline-manage/size_bench_test.go
@@ -66,9 +66,10 @@
 	return mb, time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// BenchmarkRollout measures how long it takes to apply a document to fleets of several sizes over TLS, without bake
-// time. It compares a manager's rollout in waves with direct calls that run concurrently, as `ctl set --fleet` makes
-// them, and with direct calls one after the other, as a shell loop makes them.
+// BenchmarkRollout measures how long it takes to apply a document to fleets of several sizes over
+// TLS, without bake time. It compares a manager's rollout in waves with direct calls that run
+// concurrently, as `ctl set --fleet` makes them, and with direct calls one after the other, as a
+// shell loop makes them.
 func BenchmarkRollout(b *testing.B) {
 	for _, n := range []int{50, 500, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -131,8 +132,8 @@
 	}
 }
 
-// applyToAll applies a document to all instances of a fleet, with a limit on concurrent calls, and returns the time
-// that it took.
+// applyToAll applies a document to all instances of a fleet, with a limit on concurrent calls, and
+// returns the time that it took.
 func applyToAll(b *testing.B, fleetFile string, concurrency int) time.Duration {
 	b.Helper()
 	fleet, err := inventory.Load(fleetFile)
@@ -173,8 +174,9 @@
 	return time.Since(began)
 }
 
-// BenchmarkWatch watches 500 instances over TLS. It measures the time until each has sent its first event, the time
-// until a change on each is reported, and the CPU use of idle watches on both sides together.
+// BenchmarkWatch watches 500 instances over TLS. It measures the time until each has sent its first
+// event, the time until a change on each is reported, and the CPU use of idle watches on both sides
+// together.
 func BenchmarkWatch(b *testing.B) {
 	const n = 500
 	_, fleetFile := startInstances(b, n)
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,5 +1,6 @@
-// Package inventory describes the instances of a fleet by name, address and labels. It loads the operators'
-// fleet file, and selects instances by name and label. Reading that file is its only I/O.
+// Package inventory describes the instances of a fleet by name, address and labels. It loads the
+// operators' fleet file, and selects instances by name and label. Reading that file is its only
+// I/O.
 package inventory
 
 import (
@@ -16,8 +17,8 @@
 // MaxInstances is the maximum number of instances of one manager or command.
 const MaxInstances = 10_000
 
-// Instance is a named instance. It keeps its name when its process is replaced. Exactly one of Unix and
-// Addr is set.
+// Instance is a named instance. It keeps its name when its process is replaced. Exactly one of Unix
+// and Addr is set.
 type Instance struct {
 	Name   string
 	Unix   string // path of its socket
@@ -93,9 +94,9 @@
 	negated bool
 }
 
-// ParseSelector parses a selector: terms separated by commas, all of which must match. A term is a name, or a
-// label whose value must equal (zone=a) or not equal (zone!=a) a value. Names and values may contain
-// wildcards (agent-*).
+// ParseSelector parses a selector: terms separated by commas, all of which must match. A term is a
+// name, or a label whose value must equal (zone=a) or not equal (zone!=a) a value. Names and values
+// may contain wildcards (agent-*).
 func ParseSelector(text string) (Selector, error) {
 	var s Selector
 	if strings.TrimSpace(text) == "" {
@@ -112,7 +113,7 @@
 			}
 		}
 		if _, err := path.Match(t.pattern, ""); err != nil || t.pattern == "" {
-			return s, fmt.Errorf("selector %q: %q can't be matched", text, part)
+			return s, fmt.Errorf("selector %q: %q is not a valid pattern", text, part)
 		}
 		s.terms = append(s.terms, t)
 	}
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -67,7 +67,7 @@
 	}
 	for _, text := range []string{"=a", "[", "zone=[", ",", "zone="} {
 		if _, err := ParseSelector(text); err == nil {
-			t.Errorf("%q is read", text)
+			t.Errorf("%q is accepted", text)
 		}
 	}
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal defines the journal of a manager. It holds records that are written in transactions, before the
-// manager sends any request that depends on them.
+// Package journal defines the journal of a manager. It holds records that are written in
+// transactions, before the manager sends any request that depends on them.
 package journal
 
 import (
@@ -16,10 +16,11 @@
 
 // Store stores records in buckets.
 type Store interface {
-	// Write writes records in one transaction: all of them or none. If it returns nil, the records are durable.
+	// Write writes records in one transaction: all of them or none. If it returns nil, the records
+	// are durable.
 	Write(records []Record) error
-	// Read calls f for each record of a bucket, in the order of their keys. The value of a damaged record is nil.
-	// f may keep the values. Read stops at the first error of f and returns it.
+	// Read calls f for each record of a bucket, in the order of their keys. The value of a damaged
+	// record is nil. f may keep the values. Read stops at the first error of f and returns it.
 	Read(bucket string, f func(key string, value []byte) error) error
 }
 
--- a/internal/manage/client.go
+++ b/internal/manage/client.go
@@ -22,7 +22,8 @@
 	return &v, c.caller.Call(ctx, http.MethodGet, "manager", nil, nil, &v)
 }
 
-// TakeOver makes the manager choose a fence higher than all known ones, so that it replaces other managers.
+// TakeOver makes the manager choose a fence higher than all known ones, so that it replaces other
+// managers.
 func (c *Client) TakeOver(ctx context.Context) (*Status, error) {
 	var v Status
 	return &v, c.caller.Call(ctx, http.MethodPost, "takeover", nil, nil, &v)
@@ -42,8 +43,8 @@
 // announceInterval is the time between two announcements of an instance.
 const announceInterval = 5 * time.Second
 
-// KeepAnnouncing announces an instance periodically until the context ends. It logs the outcome when it
-// differs from the previous one.
+// KeepAnnouncing announces an instance periodically until the context ends. It logs the outcome
+// when it differs from the previous one.
 func (c *Client) KeepAnnouncing(ctx context.Context, name string, a *Announcement, log *slog.Logger) {
 	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
@@ -91,8 +92,8 @@
 	return v, c.caller.Call(ctx, http.MethodGet, "rollouts", nil, nil, &v)
 }
 
-// ControlRollout applies AbortAction, ResumeAction or RollbackAction to a rollout. If leave is true, a resumed
-// rollout leaves out the instances that did not apply the change.
+// ControlRollout applies AbortAction, ResumeAction or RollbackAction to a rollout. If leave is
+// true, a resumed rollout leaves out the instances that did not apply the change.
 func (c *Client) ControlRollout(ctx context.Context, id, action string, leave bool) (*Report, error) {
 	var v Report
 	return &v, c.caller.Call(ctx, http.MethodPost, "rollouts/"+url.PathEscape(id)+"/"+action, nil, map[string]bool{"leave": leave}, &v)
--- a/internal/manage/hard_test.go
+++ b/internal/manage/hard_test.go
@@ -26,7 +26,8 @@
 	})
 }
 
-// partition makes the network drop all traffic to and from the matching instances, without closing connections.
+// partition makes the network drop all traffic to and from the matching instances, without closing
+// connections.
 func (fleet *testFleet) partition(match func(name string) bool) (undo func()) {
 	addrs := map[string]bool{}
 	for name, h := range fleet.instances {
@@ -48,8 +49,8 @@
 	return r
 }
 
-// TestBadDocumentStopsAtTheCanary checks that a rollout stops at the canary, with nothing applied, if the document is
-// refused or can't be applied.
+// TestBadDocumentStopsAtTheCanary checks that a rollout stops at the canary, with nothing applied,
+// if the document is refused or can't be applied.
 func TestBadDocumentStopsAtTheCanary(t *testing.T) {
 	withFleet(t, 9, func(t *testing.T, fleet *testFleet) {
 		fleet.startRollout("unknown", &Order{Document: doc(t, `{"decisions":{"classes":{"other":{"worth":9}}}}`), Limits: quickLimits})
@@ -72,8 +73,8 @@
 	})
 }
 
-// TestPartly checks the report of an instance that has applied one part of a document and can neither apply the
-// other part nor revert the first.
+// TestPartly checks the report of an instance that has applied one part of a document and can
+// neither apply the other part nor revert the first.
 func TestPartly(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, fleet *testFleet) {
 		fleet.update(func() { fleet.stuck["i00"] = true })
@@ -91,7 +92,8 @@
 	})
 }
 
-// TestWorseServiceIsTakenBack checks that a document that makes more requests fail is rolled back on the canaries.
+// TestWorseServiceIsTakenBack checks that a document that makes more requests fail is rolled back
+// on the canaries.
 func TestWorseServiceIsTakenBack(t *testing.T) {
 	withFleet(t, 9, func(t *testing.T, fleet *testFleet) {
 		for _, h := range fleet.instances {
@@ -119,9 +121,9 @@
 	})
 }
 
-// TestQuarterCutOff partitions a quarter of the fleet during a rollout. The reports must stay true, the rollout must
-// halt within a minute and complete without these instances when it is resumed, and unknown outcomes must be
-// resolved when the partition ends.
+// TestQuarterCutOff partitions a quarter of the fleet during a rollout. The reports must stay true,
+// the rollout must halt within a minute and complete without these instances when it is resumed,
+// and unknown outcomes must be resolved when the partition ends.
 func TestQuarterCutOff(t *testing.T) {
 	withFleet(t, 32, func(t *testing.T, fleet *testFleet) {
 		limits := &Limits{Canaries: 1, Growth: 4, Bake: 1, MayFail: 0.1}
@@ -163,8 +165,8 @@
 	})
 }
 
-// TestSlowInstance checks that a slow instance delays its wave by no more than a request's timeout, and that its
-// outcome is known in the end.
+// TestSlowInstance checks that a slow instance delays its wave by no more than a request's timeout,
+// and that its outcome is known in the end.
 func TestSlowInstance(t *testing.T) {
 	withFleet(t, 8, func(t *testing.T, fleet *testFleet) {
 		fleet.update(func() { fleet.applyDelay["i02"] = 9 * time.Second })
@@ -183,8 +185,8 @@
 	})
 }
 
-// TestTwoManagers checks that the manager that starts later supersedes the older one. The older one reports this, and
-// sends no changes until an operator makes it take over.
+// TestTwoManagers checks that the manager that starts later supersedes the older one. The older one
+// reports this, and sends no changes until an operator makes it take over.
 func TestTwoManagers(t *testing.T) {
 	withFleet(t, 4, func(t *testing.T, fleet *testFleet) {
 		d := doc(t, worthDocument)
@@ -232,8 +234,8 @@
 	})
 }
 
-// TestTwoOperators checks that the same order from two operators is one rollout, and that another order for the same
-// instances or with an ID in use is refused.
+// TestTwoOperators checks that the same order from two operators is one rollout, and that another
+// order for the same instances or with an ID in use is refused.
 func TestTwoOperators(t *testing.T) {
 	withFleet(t, 4, func(t *testing.T, fleet *testFleet) {
 		o := &Order{Document: doc(t, worthDocument), Limits: quickLimits}
@@ -255,8 +257,8 @@
 	})
 }
 
-// TestChangedByHand changes an instance by hand after the rollout has started and before its wave. The rollout must not
-// overwrite that change. The keeper applies the document after the rollout.
+// TestChangedByHand changes an instance by hand after the rollout has started and before its wave.
+// The rollout must not overwrite that change. The keeper applies the document after the rollout.
 func TestChangedByHand(t *testing.T) {
 	withFleet(t, 4, func(t *testing.T, fleet *testFleet) {
 		d := doc(t, worthDocument)
@@ -295,8 +297,8 @@
 	return s.Fence
 }
 
-// TestFullDisk checks that the manager sends no changes while the disk is full, refuses orders with the reason and still
-// answers queries, and that it continues when the disk has space again.
+// TestFullDisk checks that the manager sends no changes while the disk is full, refuses orders with
+// the reason and still answers queries, and that it continues when the disk has space again.
 func TestFullDisk(t *testing.T) {
 	withFleet(t, 4, func(t *testing.T, fleet *testFleet) {
 		d := doc(t, worthDocument)
@@ -347,8 +349,9 @@
 	})
 }
 
-// TestDamagedRecords checks that the manager reports an instance with a damaged record as unknown and then asks the
-// instance, and that it does not start, and names the bucket, if a record that can't be recovered is damaged.
+// TestDamagedRecords checks that the manager reports an instance with a damaged record as unknown
+// and then asks the instance, and that it does not start, and names the bucket, if a record that
+// can't be recovered is damaged.
 func TestDamagedRecords(t *testing.T) {
 	withFleet(t, 4, func(t *testing.T, fleet *testFleet) {
 		d := doc(t, worthDocument)
@@ -383,8 +386,9 @@
 	})
 }
 
-// TestAnnounced checks that announced instances are managed like others, also after a restart of the manager, and that
-// they are removed after announcementExpiry without an announcement or answer.
+// TestAnnounced checks that announced instances are managed like others, also after a restart of
+// the manager, and that they are removed after announcementExpiry without an announcement or
+// answer.
 func TestAnnounced(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, fleet *testFleet) {
 		fleet.killManager()
@@ -431,7 +435,8 @@
 	})
 }
 
-// TestBadOrders checks that an invalid order is refused with the name of its field, and starts no rollout.
+// TestBadOrders checks that an invalid order is refused with the name of its field, and starts no
+// rollout.
 func TestBadOrders(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, fleet *testFleet) {
 		fleet.waitForFence()
@@ -461,9 +466,9 @@
 			t.Errorf("rollouts started: %+v, error %v", all, err)
 		}
 		var p *api.Problem
-		for _, order := range []string{AbortAction, ResumeAction, RollbackAction} {
-			if _, err := fleet.currentManager().ControlRollout(context.Background(), "nothing", order, false); !errors.As(err, &p) || p.Status != 404 {
-				t.Errorf("%s of an unknown rollout: %v", order, err)
+		for _, action := range []string{AbortAction, ResumeAction, RollbackAction} {
+			if _, err := fleet.currentManager().ControlRollout(context.Background(), "nothing", action, false); !errors.As(err, &p) || p.Status != 404 {
+				t.Errorf("%s of an unknown rollout: %v", action, err)
 			}
 		}
 	})
@@ -480,8 +485,9 @@
 	fleet.t.Fatal("the manager does not choose a fence")
 }
 
-// TestNobodyAnswers checks that an order is refused if none of its instances answers. Otherwise the rollout would
-// complete without a canary, and all instances would get the document at once when they are back.
+// TestNobodyAnswers checks that an order is refused if none of its instances answers. Otherwise the
+// rollout would complete without a canary, and all instances would get the document at once when
+// they are back.
 func TestNobodyAnswers(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, fleet *testFleet) {
 		fleet.waitForFence()
@@ -499,7 +505,8 @@
 	})
 }
 
-// TestRolloutsAreBounded checks that no more than maxRollouts rollouts are kept, and only the documents in use.
+// TestRolloutsAreBounded checks that no more than maxRollouts rollouts are kept, and only the
+// documents in use.
 func TestRolloutsAreBounded(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, fleet *testFleet) {
 		for i := range maxRollouts + 10 {
--- a/internal/manage/instances.go
+++ b/internal/manage/instances.go
@@ -91,11 +91,11 @@
 	return all
 }
 
-// RecordAnnouncement records the announced address and labels of an instance. An instance of the fleet file keeps
-// the address and labels of the file.
+// RecordAnnouncement records the announced address and labels of an instance. An instance of the
+// fleet file keeps the address and labels of the file.
 func (m *Manager) RecordAnnouncement(ctx context.Context, in inventory.Instance) error {
 	if in.Unix != "" {
-		return &api.Problem{Status: 422, Title: "the announcement can't be used", Detail: "a socket is on its own machine only", Field: "unix"}
+		return &api.Problem{Status: 422, Title: "the announcement can't be used", Detail: "a Unix socket can be reached on its own machine only", Field: "unix"}
 	}
 	if err := in.Check(); err != nil {
 		var fieldErr *api.FieldError
--- a/internal/manage/kill_test.go
+++ b/internal/manage/kill_test.go
@@ -23,8 +23,9 @@
 	"example.org/micaline/internal/standin/network"
 )
 
-// testFleet is a fleet in memory with simulated time. Its instances have real control servers and only record the
-// applied documents. The manager reaches them over a simulated network that can be partitioned.
+// testFleet is a fleet in memory with simulated time. Its instances have real control servers and
+// only record the applied documents. The manager reaches them over a simulated network that can be
+// partitioned.
 type testFleet struct {
 	t     *testing.T
 	net   *network.Network
@@ -211,8 +212,8 @@
 	return c, err
 }
 
-func (p recordingClient) Prepare(ctx context.Context, id string, x *control.Proposal) (*control.Change, error) {
-	return p.recordCall("prepare", func() (*control.Change, error) { return p.InstanceClient.Prepare(ctx, id, x) })
+func (p recordingClient) Prepare(ctx context.Context, id string, proposal *control.Proposal) (*control.Change, error) {
+	return p.recordCall("prepare", func() (*control.Change, error) { return p.InstanceClient.Prepare(ctx, id, proposal) })
 }
 
 func (p recordingClient) Commit(ctx context.Context, id string, fence uint64) (*control.Change, error) {
@@ -266,10 +267,10 @@
 func (fleet *testFleet) newManager(s journal.Store, from string) (*Manager, context.CancelFunc, *network.Dialer, chan struct{}) {
 	dialer := fleet.net.From(from)
 	callers := api.NewDialerOver(nil, "", func(ctx context.Context, _, addr string) (net.Conn, error) { return dialer.Dial(ctx, addr[1:]) })
-	at := func(a api.Address) InstanceClient {
+	newClient := func(a api.Address) InstanceClient {
 		return recordingClient{control.NewClient(callers.At(a)), fleet, a.Name}
 	}
-	o := Options{Store: s, Client: at, FreshClient: at, Log: slog.New(slog.DiscardHandler)}
+	o := Options{Store: s, Client: newClient, FreshClient: newClient, Log: slog.New(slog.DiscardHandler)}
 	for _, name := range slices.Sorted(maps.Keys(fleet.instances)) {
 		o.Instances = append(o.Instances, inventory.Instance{Name: name, Unix: "/" + fleet.instances[name].addr})
 	}
@@ -350,8 +351,9 @@
 	return fleet.manager
 }
 
-// waitSettled waits until a rollout has stopped and no instance's outcome is unknown. It checks each report against
-// the documents that are applied. If resume is true, it resumes a halted rollout.
+// waitSettled waits until a rollout has stopped and no instance's outcome is unknown. It checks
+// each report against the documents that are applied. If resume is true, it resumes a halted
+// rollout.
 func (fleet *testFleet) waitSettled(id string, resume bool) *Report {
 	fleet.t.Helper()
 	settledPolls := 0
@@ -398,7 +400,7 @@
 			fleet.t.Errorf("%s: %s is reported as rolled back, but has %v", r.ID, g.Name, parts)
 		case g.State == "applied" && g.Back == "" && !complete:
 			fleet.t.Errorf("%s: %s is reported as applied in %s, but has %v", r.ID, g.Name, g.Epoch, applied)
-		case g.State == "unchanged" && g.Epoch != "" && complete && r.Status != "completed": // a keeper may apply the document after the rollout is completed
+		case g.State == "unchanged" && g.Epoch != "" && complete && r.Status != "completed": // keepers apply it after completion
 			fleet.t.Errorf("%s: %s is reported as unchanged in %s, but has %v", r.ID, g.Name, g.Epoch, applied)
 		case g.State == "partly changed" && g.Back == "" && !slices.Equal(g.Parts, parts):
 			fleet.t.Errorf("%s: %s is reported to have %v in %s, but has %v", r.ID, g.Name, g.Parts, g.Epoch, parts)
@@ -420,9 +422,10 @@
 	return nil
 }
 
-// TestKilledAtEachPoint kills the manager, or the instance that is being changed, at each point of a change. The report
-// must be true for each instance and its epoch, the rollout must end, and all instances must have the same document
-// in the end. The points are counted during the change, so that none is left out.
+// TestKilledAtEachPoint kills the manager, or the instance that is being changed, at each point of
+// a change. The report must be true for each instance and its epoch, the rollout must end, and all
+// instances must have the same document in the end. The points are counted during the change, so
+// that none is left out.
 func TestKilledAtEachPoint(t *testing.T) {
 	for _, victim := range []string{"manager", "instance"} {
 		t.Run(victim, func(t *testing.T) {
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -1,10 +1,10 @@
-// Package manage implements the manager of a fleet. It polls the instances, rolls settings documents
-// out to them in waves, restores the wanted document on instances that differ from it, and reports the
-// outcome for each instance. Package rollout makes the rollout decisions. This package sends the
-// requests, writes the journal and serves operators.
+// Package manage implements the manager of a fleet. It polls the instances, rolls settings
+// documents out to them in waves, restores the wanted document on instances that differ from it,
+// and reports the outcome for each instance. Package rollout makes the rollout decisions. This
+// package sends the requests, writes the journal and serves operators.
 //
-// All state belongs to the event loop in Manager.Run. A request is sent only after the state that it
-// depends on has been written to the journal.
+// All state belongs to the event loop in Manager.Run. A request is sent only after the state that
+// it depends on has been written to the journal.
 package manage
 
 import (
@@ -26,17 +26,17 @@
 
 const (
 	tickInterval          = 100 * time.Millisecond
-	pollInterval          = 2 * time.Second // between two polls of one instance
+	pollInterval          = 2 * time.Second // time between two polls of one instance
 	pollTimeout           = 2 * time.Second
 	sendTimeout           = 5 * time.Second
-	journalRetryInterval  = time.Second // after a failed write
+	journalRetryInterval  = time.Second // wait after a failed write
 	fenceDiscoveryTimeout = 3 * time.Second
-	announcementExpiry    = 10 * time.Minute // after which an announced instance that no longer announces itself or answers is removed
+	announcementExpiry    = 10 * time.Minute // removes an announced instance after this time without announcement or answer
 	confirmTimeout        = 20 * time.Second // an instance reverts a change that is not confirmed over a new connection
 	maxRollouts           = 64               // kept in memory and in the journal
-	eventQueueSize        = 1024             // results of polls and requests
-	// Concurrent requests to instances that answer, and to those whose last poll failed. The limits are
-	// separate so that unreachable instances do not delay requests to the others.
+	eventQueueSize        = 1024             // capacity for results of polls and requests
+	// Concurrent requests to instances that answer, and to those whose last poll failed. The limits
+	// are separate so that unreachable instances do not delay requests to the others.
 	maxRequests     = 128
 	maxSlowRequests = 32
 )
@@ -67,18 +67,19 @@
 // Options configure a manager.
 type Options struct {
 	Store       journal.Store
-	Instances   []inventory.Instance               // of the fleet file
+	Instances   []inventory.Instance               // instances of the fleet file
 	Client      func(a api.Address) InstanceClient // returns a client for the instance at an address
 	FreshClient func(a api.Address) InstanceClient // as Client, with a new connection for each request
 	Log         *slog.Logger
-	// MayAct reports whether the manager still holds its lease and may send requests. Nil means always.
+	// MayAct reports whether the manager still holds its lease and may send requests. Nil means
+	// always.
 	MayAct func() bool
 }
 
 // Manager manages a fleet of instances. Create it with New and start it with Run.
 type Manager struct {
 	opts             Options
-	calls            chan func() // calls of operators, which are served even while the journal can't be written
+	calls            chan func() // API calls, which are served even while the journal can't be written
 	events           chan func() // results of requests, which wait while the journal can't be written
 	done             chan struct{}
 	requestSlots     chan struct{}
@@ -111,7 +112,7 @@
 	labels            map[string]string // labels of the fleet file or announcement, with those that the instance reports
 	acknowledgedFence uint64            // the fence that was sent with the last successful poll
 	announcedAt       time.Duration     // time of the last announcement; 0 for an instance of the fleet file
-	summary           *control.Summary  // of the last successful poll
+	summary           *control.Summary  // answer to the last successful poll
 	summaryAt         time.Duration
 	pollErr           error // error of the last poll
 	polling           bool
@@ -126,8 +127,8 @@
 
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// New returns a manager with the state of its journal. A damaged journal is an error, unless the manager
-// can recover the damaged records.
+// New returns a manager with the state of its journal. A damaged journal is an error, unless the
+// manager can recover the damaged records.
 func New(o Options) (*Manager, error) {
 	m := &Manager{
 		opts: o, calls: make(chan func()), events: make(chan func(), eventQueueSize), done: make(chan struct{}),
@@ -228,8 +229,8 @@
 	m.pendingAcks = nil
 }
 
-// discoverFence chooses a fence once all known instances have been polled for the fences of other managers,
-// or after fenceDiscoveryTimeout.
+// discoverFence chooses a fence once all known instances have been polled for the fences of other
+// managers, or after fenceDiscoveryTimeout.
 func (m *Manager) discoverFence(t time.Duration) {
 	if m.fence != 0 {
 		return
@@ -255,8 +256,8 @@
 	m.opts.Log.Info("managing", "fence", m.fence, "instances", len(m.instances), "rollouts", len(m.rollouts))
 }
 
-// fenceToSend returns the fence to send with polls. It is 0 if the fence is not in the journal yet, or if the
-// manager is superseded or may not act.
+// fenceToSend returns the fence to send with polls. It is 0 if the fence is not in the journal yet,
+// or if the manager is superseded or may not act.
 func (m *Manager) fenceToSend() uint64 {
 	if m.superseded || m.committedFence != m.fence || !m.mayAct() {
 		return 0
@@ -266,9 +267,9 @@
 
 func (m *Manager) mayAct() bool { return m.opts.MayAct == nil || m.opts.MayAct() }
 
-// fenceAcknowledged reports whether all instances that answer polls have received this manager's fence. No
-// change is sent before that, because an instance without the new fence would still accept a late request
-// of an earlier manager.
+// fenceAcknowledged reports whether all instances that answer polls have received this manager's
+// fence. No change is sent before that, because an instance without the new fence would still
+// accept a late request of an earlier manager.
 func (m *Manager) fenceAcknowledged() bool {
 	for _, p := range m.instances {
 		if p.acknowledgedFence != m.fence && p.pollErr == nil {
@@ -292,7 +293,7 @@
 			if r.Status != status {
 				m.updateWanted(r)
 			}
-			if r.Baking > baking { // poll the wave's instances at once, to get a baseline for the bake time
+			if r.Baking > baking { // poll the wave's instances now instead of at their next interval
 				for _, x := range r.Members() {
 					if p := m.instances[x.Name]; p != nil && x.Wave == r.Wave {
 						p.nextPoll = t
@@ -313,7 +314,8 @@
 	}
 }
 
-// updateWanted sets the wanted documents of the instances when a rollout is completed or rolled back.
+// updateWanted sets the wanted documents of the instances when a rollout is completed or rolled
+// back.
 func (m *Manager) updateWanted(r *rollout.Rollout) {
 	switch r.Status {
 	case rollout.Completed:
@@ -348,7 +350,8 @@
 	return "", false
 }
 
-// update runs a function that changes state in the event loop, and waits until the change is in the journal.
+// update runs a function that changes state in the event loop, and waits until the change is in the
+// journal.
 func (m *Manager) update(ctx context.Context, f func() error) error {
 	return m.call(ctx, func(done func(error)) {
 		if m.journalErr != nil {
@@ -363,11 +366,11 @@
 	})
 }
 
-var errStopped = errors.New("the manager has ended")
+var errStopped = errors.New("the manager has stopped")
 
-// call runs a function in the event loop, and waits until the function calls done. Its error is the one passed
-// to done, errStopped if the manager stops first, or the context's error if the loop does not start the
-// function in time.
+// call runs a function in the event loop, and waits until the function calls done. Its error is the
+// one passed to done, errStopped if the manager stops first, or the context's error if the loop
+// does not start the function in time.
 func (m *Manager) call(ctx context.Context, f func(done func(error))) error {
 	result := make(chan error, 1)
 	select {
--- a/internal/manage/orders.go
+++ b/internal/manage/orders.go
@@ -24,8 +24,8 @@
 	Limits   *Limits            `json:"limits,omitempty"` // nil means DefaultLimits
 }
 
-// Limits set the sizes of a rollout's waves and its stop conditions (see change.Limits). Times are in seconds,
-// and rates are fractions of 1.
+// Limits set the sizes of a rollout's waves and its stop conditions (see change.Limits). Times are
+// in seconds, and rates are fractions of 1.
 type Limits struct {
 	Canaries    int     `json:"canaries"`
 	Growth      float64 `json:"growth"`
@@ -109,8 +109,8 @@
 	excluded map[string]string // reasons for leaving out the other instances, by name
 }
 
-// resolveTargets validates an order and finds the instances that it selects. It fetches the documents of these
-// instances that the manager does not have.
+// resolveTargets validates an order and finds the instances that it selects. It fetches the
+// documents of these instances that the manager does not have.
 func (m *Manager) resolveTargets(ctx context.Context, o *Order) (*orderTargets, error) {
 	selector, err := parseSelector(o.Select)
 	if err != nil {
@@ -147,7 +147,7 @@
 		return nil, err
 	}
 	if len(targets.included)+len(targets.excluded) == 0 {
-		return nil, &api.Problem{Status: 422, Title: "the order can't be used", Detail: "it is for no instance that is known", Field: "select"}
+		return nil, &api.Problem{Status: 422, Title: "the order can't be used", Detail: "no known instance matches the selector", Field: "select"}
 	}
 	fetched, failed := map[string]*document.Document{}, map[string]error{}
 	var mu sync.Mutex
@@ -182,7 +182,7 @@
 			}
 			targets.excluded[p.Name] = "its document has just changed"
 			if err := failed[p.Look.Hash]; err != nil {
-				targets.excluded[p.Name] = "its document can't be had: " + err.Error()
+				targets.excluded[p.Name] = "fetching its document failed: " + err.Error()
 			}
 			return true
 		})
@@ -230,8 +230,8 @@
 
 var rolloutID = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,100}$`)
 
-// StartRollout starts a rollout. If a rollout with this ID and the same document exists, it returns that rollout's
-// report and starts nothing. An ID that is used for another document is refused.
+// StartRollout starts a rollout. If a rollout with this ID and the same document exists, it returns
+// that rollout's report and starts nothing. An ID that is used for another document is refused.
 func (m *Manager) StartRollout(ctx context.Context, id string, o *Order) (*Report, error) {
 	if !rolloutID.MatchString(id) || id == "keep" {
 		return nil, &api.Problem{Status: 422, Title: "the order can't be used", Detail: fmt.Sprintf("%.80q is not 1 to 100 letters, digits, dots, hyphens and underscores", id), Field: "id"}
@@ -251,8 +251,8 @@
 		return nil, err
 	}
 	if len(targets.included) == 0 {
-		// Without instances the rollout would complete at once, and all instances would get the document at the
-		// same time, without a canary, when they are back.
+		// Without instances the rollout would complete at once, and all instances would get the
+		// document at the same time, without a canary, when they are back.
 		return nil, &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("none of the %d instances that it is for answers", len(targets.excluded))}
 	}
 	var report *Report
@@ -262,7 +262,7 @@
 				report = m.report(r)
 				return nil
 			}
-			return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: "its id stands for another", Field: "id"}
+			return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: "its ID is in use by a rollout of another document", Field: "id"}
 		}
 		if m.superseded || m.fence == 0 {
 			return m.inactiveProblem()
@@ -290,20 +290,20 @@
 
 func (m *Manager) inactiveProblem() *api.Problem {
 	if m.superseded {
-		return &api.Problem{Status: 412, Title: "this manager has been replaced", Detail: fmt.Sprintf("its number is %d, and %d has been heard; takeover gives it a higher one", m.fence, m.highestFence)}
+		return &api.Problem{Status: 412, Title: "this manager has been replaced", Detail: fmt.Sprintf("its fence is %d, and %d has been heard; takeover gives it a higher one", m.fence, m.highestFence)}
 	}
-	return &api.Problem{Status: 503, Title: "this manager has just begun", Detail: "it is asking the instances for the numbers of other managers"}
+	return &api.Problem{Status: 503, Title: "this manager has just started", Detail: "it is asking the instances for the fences of other managers"}
 }
 
-// evictOldestRollout deletes the oldest finished rollout if there are maxRollouts, and the documents that are no
-// longer used. It fails if no rollout can be deleted.
+// evictOldestRollout deletes the oldest finished rollout if there are maxRollouts, and the
+// documents that are no longer used. It fails if no rollout can be deleted.
 func (m *Manager) evictOldestRollout() error {
 	if len(m.rolloutOrder) < maxRollouts {
 		return nil
 	}
 	i := slices.IndexFunc(m.rolloutOrder, func(id string) bool { r := m.rollouts[id]; return r.Status.Over() && !r.Waiting() })
 	if i < 0 {
-		return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("%d rollouts are not over", len(m.rolloutOrder))}
+		return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("%d rollouts have not ended", len(m.rolloutOrder))}
 	}
 	id := m.rolloutOrder[i]
 	m.pendingRecords = append(m.pendingRecords, journal.Record{Bucket: rolloutBucket, Key: id})
@@ -338,8 +338,8 @@
 	RollbackAction = "rollback"
 )
 
-// ControlRollout applies AbortAction, ResumeAction or RollbackAction to a rollout. If leave is true, a resumed
-// rollout leaves out the instances that did not apply the change.
+// ControlRollout applies AbortAction, ResumeAction or RollbackAction to a rollout. If leave is
+// true, a resumed rollout leaves out the instances that did not apply the change.
 func (m *Manager) ControlRollout(ctx context.Context, id, action string, leave bool) (*Report, error) {
 	var report *Report
 	err := m.update(ctx, func() error {
@@ -373,7 +373,8 @@
 	return report, err
 }
 
-// TakeOver makes the manager choose a fence higher than all known ones, so that it replaces other managers.
+// TakeOver makes the manager choose a fence higher than all known ones, so that it replaces other
+// managers.
 func (m *Manager) TakeOver(ctx context.Context) (*Status, error) {
 	err := m.update(ctx, func() error {
 		m.chooseFence()
--- a/internal/manage/poll.go
+++ b/internal/manage/poll.go
@@ -16,7 +16,8 @@
 	"example.org/micaline/internal/rollout"
 )
 
-// poll starts polls of the instances that are due, and removes announced instances that have expired.
+// poll starts polls of the instances that are due, and removes announced instances that have
+// expired.
 func (m *Manager) poll(ctx context.Context, t time.Duration) {
 	for name, p := range m.instances {
 		if p.announcedAt != 0 && t-p.announcedAt > announcementExpiry && t-p.summaryAt > announcementExpiry {
@@ -145,21 +146,22 @@
 	switch s.Request {
 	case change.AskPrepare:
 		if doc == nil {
-			return change.Answer{}, errors.New("the manager has lost the document")
+			return change.Answer{}, errors.New("the manager does not have the document")
 		}
 		changed, err = client.Prepare(ctx, s.ID, &control.Proposal{Base: s.Base, Fence: fence, Confirm: confirmTimeout.Seconds(), Document: doc})
 	case change.AskCommit:
 		changed, err = client.Commit(ctx, s.ID, fence)
 		if err == nil && changed.Outcome == change.None.String() && changed.Pending == s.ID {
-			// The change is applied. Confirming over a new connection shows that the instance is still reachable.
+			// The change is applied. Confirming over a new connection shows that the instance is
+			// still reachable.
 			changed, err = m.opts.FreshClient(address).Confirm(ctx, s.ID, fence)
 		}
 	case change.AskAbort:
 		changed, err = client.Abort(ctx, s.ID, fence)
 		var problem *api.Problem
 		if errors.As(err, &problem) && problem.Status == 409 {
-			// It is too late to abort: the change is being applied, or it waits for a confirmation because the
-			// answer to the commit was lost.
+			// It is too late to abort: the change is being applied, or it waits for a confirmation
+			// because the answer to the commit was lost.
 			if late, lateErr := m.opts.FreshClient(address).Confirm(ctx, s.ID, fence); lateErr == nil {
 				changed, err = late, nil
 			}
@@ -172,8 +174,8 @@
 	return a, err
 }
 
-// parseAnswer converts the response of an instance. Only a refusal that carries the epoch of the instance's process
-// counts as an answer. Other errors are returned, and the outcome stays unknown.
+// parseAnswer converts the response of an instance. Only a refusal that carries the epoch of the
+// instance's process counts as an answer. Other errors are returned, and the outcome stays unknown.
 func parseAnswer(c *control.Change, err error) (change.Answer, error) {
 	var problem *api.Problem
 	switch {
--- a/internal/manage/report.go
+++ b/internal/manage/report.go
@@ -103,7 +103,7 @@
 			outcome.Back, outcome.BackWhy = x.Back.State.String(), x.Back.Reason
 		}
 		if x.Ended {
-			outcome.Back, outcome.BackWhy = RollbackNotNeeded, "the process that had it has ended"
+			outcome.Back, outcome.BackWhy = RollbackNotNeeded, "the process that had applied the change has ended"
 		}
 		if instance := m.instances[x.Name]; instance != nil && instance.summary != nil {
 			outcome.Now, outcome.Has, outcome.Reachable = instance.summary.Epoch, instance.summary.Hash, instance.pollErr == nil
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -20,16 +20,16 @@
 	http   *api.Server
 }
 
-// ActiveManager holds the manager of this process, or none while another process of the group manages the
-// fleet. It is safe for concurrent use.
+// ActiveManager holds the manager of this process, or none while another process of the group
+// manages the fleet. It is safe for concurrent use.
 type ActiveManager struct {
 	mu           sync.Mutex
 	manager      *Manager
 	remoteHolder func() string
 }
 
-// NewActiveManager returns an ActiveManager without a manager. remoteHolder returns the name of the group member
-// that manages the fleet, or "" if it is unknown.
+// NewActiveManager returns an ActiveManager without a manager. remoteHolder returns the name of the
+// group member that manages the fleet, or "" if it is unknown.
 func NewActiveManager(remoteHolder func() string) *ActiveManager {
 	return &ActiveManager{remoteHolder: remoteHolder}
 }
@@ -51,14 +51,14 @@
 	if holder := d.remoteHolder(); holder != "" {
 		return nil, &api.Problem{Status: http.StatusMisdirectedRequest, Title: "another process manages", Detail: holder + " does", Field: ""}
 	}
-	return nil, &api.Problem{Status: http.StatusServiceUnavailable, Title: "nobody manages at the moment", Detail: "the group has granted it to nobody, or does not agree"}
+	return nil, &api.Problem{Status: http.StatusServiceUnavailable, Title: "no manager is active at the moment", Detail: "no member of the group holds the lease, or the group has no quorum"}
 }
 
 // maxBodySize is the maximum size of a request body in bytes.
 const maxBodySize = document.MaxSize + 8192
 
-// NewServer returns a server; call Serve to start it. extraRoutes holds further handlers and extraRoles the roles
-// that they require, both by pattern.
+// NewServer returns a server; call Serve to start it. extraRoutes holds further handlers and
+// extraRoles the roles that they require, both by pattern.
 func NewServer(active *ActiveManager, door *api.Door, extraRoutes map[string]http.HandlerFunc, extraRoles map[string]api.Role) *Server {
 	s := &Server{active: active}
 	mux := http.NewServeMux()
@@ -86,7 +86,8 @@
 
 const announcementRoute = "PUT /v1/announcements/{name}"
 
-// routes returns the handlers of the API by pattern. openapi.yaml describes them, and TestOpenAPI compares both.
+// routes returns the handlers of the API by pattern. openapi.yaml describes them, and TestOpenAPI
+// compares both.
 func (s *Server) routes() map[string]http.HandlerFunc {
 	handle := func(f func(m *Manager, r *http.Request) (any, error)) http.HandlerFunc {
 		return api.Handler(maxBodySize, toProblem, func(r *http.Request) (any, error) {
--- a/internal/manage/server_test.go
+++ b/internal/manage/server_test.go
@@ -22,8 +22,8 @@
 	"example.org/micaline/internal/journal"
 )
 
-// fakeInstance is an instance in memory that applies all changes. It has a lock because the manager polls it while
-// a change is in progress. A real instance uses an owner goroutine instead.
+// fakeInstance is an instance in memory that applies all changes. It has a lock because the manager
+// polls it while a change is in progress. A real instance uses an owner goroutine instead.
 type fakeInstance struct {
 	mu       sync.Mutex
 	change   *change.Instance
@@ -58,11 +58,11 @@
 	return &control.Change{ID: id, Epoch: p.change.Epoch(), Outcome: r.Outcome.String(), Parts: r.Parts, Revision: r.Revision, Reason: r.Reason}, nil
 }
 
-func (p *fakeInstance) Prepare(_ context.Context, id string, x *control.Proposal) (*control.Change, error) {
+func (p *fakeInstance) Prepare(_ context.Context, id string, proposal *control.Proposal) (*control.Change, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.proposed[id] = x.Document
-	return p.toChange(id, p.change.Prepare(0, x.Fence, id, x.Base, change.Document{Hash: x.Document.Hash(), Parts: document.Parts}, 0))
+	p.proposed[id] = proposal.Document
+	return p.toChange(id, p.change.Prepare(0, proposal.Fence, id, proposal.Base, change.Document{Hash: proposal.Document.Hash(), Parts: document.Parts}, 0))
 }
 
 func (p *fakeInstance) Commit(_ context.Context, id string, fence uint64) (*control.Change, error) {
@@ -89,12 +89,13 @@
 	return p.toChange(id, p.change.Confirm(0, fence, id))
 }
 
-// TestOpenAPI checks that openapi.yaml describes exactly the routes that are served, and that responses match it.
+// TestOpenAPI checks that openapi.yaml describes exactly the routes that are served, and that
+// responses match it.
 func TestOpenAPI(t *testing.T) {
 	instances := map[string]*fakeInstance{"i1": newFakeInstance("i1-e1"), "i2": newFakeInstance("i2-e1"), "i3": newFakeInstance("i3-e1")}
-	at := func(a api.Address) InstanceClient { return instances[a.Name] }
+	newClient := func(a api.Address) InstanceClient { return instances[a.Name] }
 	manager, err := New(Options{
-		Store: &journal.Memory{}, Client: at, FreshClient: at, Log: slog.New(slog.DiscardHandler),
+		Store: &journal.Memory{}, Client: newClient, FreshClient: newClient, Log: slog.New(slog.DiscardHandler),
 		Instances: []inventory.Instance{{Name: "i1", Addr: "127.0.0.1:1", Labels: map[string]string{"zone": "a"}}, {Name: "i2", Addr: "127.0.0.1:2"}},
 	})
 	if err != nil {
--- a/internal/manage/store.go
+++ b/internal/manage/store.go
@@ -19,8 +19,8 @@
 	return fmt.Errorf("the journal's record %s/%q is damaged", bucket, key)
 }
 
-// load reads the journal. It skips damaged announcements and marks instances of a rollout whose record is damaged
-// as unknown. Other damaged records are errors.
+// load reads the journal. It skips damaged announcements and marks instances of a rollout whose
+// record is damaged as unknown. Other damaged records are errors.
 func (m *Manager) load() error {
 	store := m.opts.Store
 	err := errors.Join(
