--- a/cmd/micaline-manage/crew.go
+++ b/cmd/micaline-manage/crew.go
@@ -34,35 +34,35 @@
 }
 
 // runStandalone runs a manager without a group until the context ends.
-func (c *managerProcess) runStandalone(ctx context.Context) error {
+func (p *managerProcess) runStandalone(ctx context.Context) error {
 	// The journal of a group member may be older than the state that the group has agreed on since.
-	if name, grouped, err := group.Grouped(c.store); err != nil {
+	if name, grouped, err := group.Grouped(p.store); err != nil {
 		return err
 	} else if grouped {
-		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: group.name: missing: the journal is that of %s, a member of a group", c.path, name)}
+		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: group.name: missing: the journal is that of %s, a member of a group", p.path, name)}
 	}
-	m, err := manage.New(c.options)
+	m, err := manage.New(p.options)
 	if err != nil {
 		return err
 	}
 	active := manage.NewActiveManager(nil)
 	active.Set(m)
-	return c.serve(ctx, active, nil, m.Run)
+	return p.serve(ctx, active, nil, m.Run)
 }
 
 // runInGroup runs a group member, and a manager while this member holds the lease for it.
-func (c *managerProcess) runInGroup(ctx context.Context) error {
-	groupSettings := &c.settings.Group
+func (p *managerProcess) runInGroup(ctx context.Context) error {
+	groupSettings := &p.settings.Group
 	dialer, err := api.NewDialer(groupSettings.Access)
 	if err != nil {
-		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: group.access.%w", c.path, err)}
+		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: group.access.%w", p.path, err)}
 	}
 	defer dialer.Close()
 	peers := map[string]group.Peer{}
 	for i := range groupSettings.Member {
 		peers[groupSettings.Member[i].Name] = group.PeerAt(dialer.At(groupSettings.Member[i].Address()))
 	}
-	node, err := group.NewNode(group.Options{Store: c.store, Name: groupSettings.Name, Buckets: manage.Buckets, Found: groupSettings.Found, Peers: peers, Log: c.log})
+	node, err := group.NewNode(group.Options{Store: p.store, Name: groupSettings.Name, Buckets: manage.Buckets, Found: groupSettings.Found, Peers: peers, Log: p.log})
 	if err != nil {
 		return err
 	}
@@ -75,17 +75,17 @@
 		}
 		return ""
 	})
-	return c.serve(ctx, active, node.Routes(), func(ctx context.Context) {
+	return p.serve(ctx, active, node.Routes(), func(ctx context.Context) {
 		// The lease is released before the node stops.
 		nodeCtx, stopNode := context.WithCancel(context.WithoutCancel(ctx))
 		var running sync.WaitGroup
 		running.Go(func() { node.Run(nodeCtx) })
 		node.Hold(ctx, manageDuty, leaseDuration, func(s *group.Scope) []byte {
-			o := c.options
+			o := p.options
 			o.Store, o.MayAct = s, s.May
 			m, err := manage.New(o)
 			if err != nil {
-				c.log.Error("the manager can't start", "error", err)
+				p.log.Error("the manager can't start", "error", err)
 				return nil
 			}
 			active.Set(m)
@@ -100,20 +100,20 @@
 
 // serve serves the HTTP API and calls run, until the context ends or a listener fails. It then
 // waits for run to return.
-func (c *managerProcess) serve(ctx context.Context, active *manage.ActiveManager, routes map[string]group.Route, run func(context.Context)) error {
-	listeners, err := c.settings.Interface.Open()
+func (p *managerProcess) serve(ctx context.Context, active *manage.ActiveManager, routes map[string]group.Route, run func(context.Context)) error {
+	listeners, err := p.settings.Interface.Open()
 	if err != nil {
-		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: interface.%w", c.path, err)}
+		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: interface.%w", p.path, err)}
 	}
 	handlers, roles := map[string]http.HandlerFunc{}, map[string]api.Role{}
 	for pattern, r := range routes {
 		handlers[pattern], roles[pattern] = r.Handler, r.Role
 	}
-	server := manage.NewServer(active, &c.settings.Interface, handlers, roles)
+	server := manage.NewServer(active, &p.settings.Interface, handlers, roles)
 	failed := make(chan error, len(listeners))
 	for _, l := range listeners {
 		go func() { failed <- server.Serve(l) }()
-		c.log.Info("manager", "at", l.Addr().String())
+		p.log.Info("manager", "at", l.Addr().String())
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/internal/manage/hard_test.go
+++ b/internal/manage/hard_test.go
@@ -30,8 +30,8 @@
 // connections.
 func (fleet *testFleet) partition(match func(name string) bool) (undo func()) {
 	addrs := map[string]bool{}
-	for name, h := range fleet.instances {
-		addrs[h.addr] = match(name)
+	for name, instance := range fleet.instances {
+		addrs[instance.addr] = match(name)
 	}
 	return fleet.net.Apply(network.Rule{
 		Match:  func(from, to string) bool { return addrs[to] || addrs[from] },
@@ -96,18 +96,18 @@
 // on the canaries.
 func TestWorseServiceIsTakenBack(t *testing.T) {
 	withFleet(t, 9, func(t *testing.T, fleet *testFleet) {
-		for _, h := range fleet.instances {
+		for _, instance := range fleet.instances {
 			served := func(up time.Duration) control.Service {
 				n := int64(up.Seconds() * 100)
 				s := control.Service{Requests: n, InAim: n, Served: n}
 				fleet.mu.Lock()
 				defer fleet.mu.Unlock()
-				if has := h.applied[h.process.epoch]["decisions"]; has != "" && has != emptyHash {
+				if has := instance.applied[instance.process.epoch]["decisions"]; has != "" && has != emptyHash {
 					s.Failed, s.InAim = n/10, n-n/10
 				}
 				return s
 			}
-			fleet.update(func() { h.serviceCounts = served })
+			fleet.update(func() { instance.serviceCounts = served })
 		}
 		time.Sleep(time.Minute)
 		fleet.startRollout("worse", &Order{Document: doc(t, worthDocument)})
@@ -263,7 +263,7 @@
 	withFleet(t, 4, func(t *testing.T, fleet *testFleet) {
 		d := doc(t, worthDocument)
 		fleet.startRollout("r", &Order{Document: d, Limits: &Limits{Canaries: 1, Growth: 3, Bake: 5, MayFail: 0.4}})
-		h := fleet.instances["i02"]
+		instance := fleet.instances["i02"]
 		c := fleet.client("i02")
 		p := &control.Proposal{Base: 0, Fence: fleet.fence(), Document: doc(t, `{"decisions":{"max_attempts":2}}`)}
 		if _, err := c.Prepare(context.Background(), "hand", p); err != nil {
@@ -278,7 +278,7 @@
 		}
 		time.Sleep(time.Minute)
 		fleet.update(func() {
-			if has := h.applied[h.process.epoch]["decisions"]; has != d.Hash() {
+			if has := instance.applied[instance.process.epoch]["decisions"]; has != d.Hash() {
 				t.Errorf("instance has %s after the rollout", has)
 			}
 		})
--- a/internal/manage/instances.go
+++ b/internal/manage/instances.go
@@ -32,26 +32,26 @@
 	Service  control.Service   `json:"service"`
 }
 
-func (m *Manager) instanceReport(p *managedInstance, t time.Duration) InstanceReport {
-	r := InstanceReport{Name: p.Name, Address: cmp.Or(p.Addr, p.Unix), Labels: p.labels, Wanted: m.wanted[p.Name], Seen: -1}
-	if rolloutID, active := m.activeRollout(p.Name); active {
+func (m *Manager) instanceReport(instance *managedInstance, t time.Duration) InstanceReport {
+	r := InstanceReport{Name: instance.Name, Address: cmp.Or(instance.Addr, instance.Unix), Labels: instance.labels, Wanted: m.wanted[instance.Name], Seen: -1}
+	if rolloutID, active := m.activeRollout(instance.Name); active {
 		r.Rollout = rolloutID
 	}
-	if p.summary != nil {
-		r.Seen = (t - p.summaryAt).Seconds()
-		r.Epoch, r.Revision, r.Hash, r.Taking, r.Held, r.Service = p.summary.Epoch, p.summary.Revision, p.summary.Hash, p.summary.Taking, p.summary.Held, p.summary.Service
+	if instance.summary != nil {
+		r.Seen = (t - instance.summaryAt).Seconds()
+		r.Epoch, r.Revision, r.Hash, r.Taking, r.Held, r.Service = instance.summary.Epoch, instance.summary.Revision, instance.summary.Hash, instance.summary.Taking, instance.summary.Held, instance.summary.Service
 	}
 	switch {
-	case p.summary == nil && p.pollErr == nil:
+	case instance.summary == nil && instance.pollErr == nil:
 		r.State = StateNotSeen
-	case p.pollErr != nil:
-		r.State, r.Reason = StateUnreachable, p.pollErr.Error()
+	case instance.pollErr != nil:
+		r.State, r.Reason = StateUnreachable, instance.pollErr.Error()
 	case r.Wanted == "":
 		r.State = StateUnmanaged
-	case r.Wanted == r.Hash && len(p.summary.Mixed) == 0:
+	case r.Wanted == r.Hash && len(instance.summary.Mixed) == 0:
 		r.State = StateAsWanted
-	case p.keeper.Refusal() != "":
-		r.State, r.Reason = StateRefused, p.keeper.Refusal()
+	case instance.keeper.Refusal() != "":
+		r.State, r.Reason = StateRefused, instance.keeper.Refusal()
 	default:
 		r.State = StateDiffers
 	}
@@ -67,8 +67,8 @@
 	all := []InstanceReport{}
 	err = m.read(ctx, func() {
 		t := now()
-		for _, p := range m.selectInstances(s) {
-			all = append(all, m.instanceReport(p, t))
+		for _, instance := range m.selectInstances(s) {
+			all = append(all, m.instanceReport(instance, t))
 		}
 	})
 	return all, err
@@ -84,8 +84,8 @@
 
 func (m *Manager) selectInstances(s inventory.Selector) (all []*managedInstance) {
 	for _, name := range slices.Sorted(maps.Keys(m.instances)) {
-		if p := m.instances[name]; s.Match(name, p.labels) {
-			all = append(all, p)
+		if instance := m.instances[name]; s.Match(name, instance.labels) {
+			all = append(all, instance)
 		}
 	}
 	return all
@@ -106,18 +106,18 @@
 		return problem
 	}
 	return m.update(ctx, func() error {
-		p := m.instances[in.Name]
+		instance := m.instances[in.Name]
 		switch {
-		case p != nil && p.announcedAt == 0:
+		case instance != nil && instance.announcedAt == 0:
 			return nil
-		case p == nil && len(m.instances) >= inventory.MaxInstances:
+		case instance == nil && len(m.instances) >= inventory.MaxInstances:
 			return &api.Problem{Status: 503, Title: "there are too many instances", Detail: fmt.Sprintf("%d are known", len(m.instances))}
-		case p == nil || p.Addr != in.Addr || !maps.Equal(p.Labels, in.Labels):
-			p = m.registerInstance(in)
-			p.nextPoll = 0
+		case instance == nil || instance.Addr != in.Addr || !maps.Equal(instance.Labels, in.Labels):
+			instance = m.registerInstance(in)
+			instance.nextPoll = 0
 			m.appendRecord(announcedBucket, in.Name, in)
 		}
-		p.announcedAt = now()
+		instance.announcedAt = now()
 		return nil
 	})
 }
--- a/internal/manage/kill_test.go
+++ b/internal/manage/kill_test.go
@@ -121,28 +121,28 @@
 var emptyHash = (&document.Document{}).Hash()
 
 // start starts a new process of the instance at its address.
-func (h *testInstance) start() {
-	fleet := h.fleet
-	l, err := fleet.net.ListenAt(h.addr)
+func (instance *testInstance) start() {
+	fleet := instance.fleet
+	l, err := fleet.net.ListenAt(instance.addr)
 	if err != nil {
 		fleet.t.Error(err)
 		return
 	}
 	fleet.mu.Lock()
-	h.processCount++
-	h.process = &process{instance: h, epoch: fmt.Sprintf("%s-e%d", h.name, h.processCount), startedAt: time.Now()}
-	h.applied[h.process.epoch] = map[string]string{}
-	h.server = control.NewServer(h.process, control.Options{Epoch: h.process.epoch, Labels: map[string]string{"zone": "a"}})
-	server := h.server
+	instance.processCount++
+	instance.process = &process{instance: instance, epoch: fmt.Sprintf("%s-e%d", instance.name, instance.processCount), startedAt: time.Now()}
+	instance.applied[instance.process.epoch] = map[string]string{}
+	instance.server = control.NewServer(instance.process, control.Options{Epoch: instance.process.epoch, Labels: map[string]string{"zone": "a"}})
+	server := instance.server
 	fleet.mu.Unlock()
 	go server.Serve(l)
 }
 
 // crash ends the process at once. Changes in progress are not applied.
-func (h *testInstance) crash() {
-	h.fleet.mu.Lock()
-	p, s := h.process, h.server
-	h.fleet.mu.Unlock()
+func (instance *testInstance) crash() {
+	instance.fleet.mu.Lock()
+	p, s := instance.process, instance.server
+	instance.fleet.mu.Unlock()
 	p.mu.Lock()
 	p.dead = true
 	p.mu.Unlock()
@@ -191,10 +191,10 @@
 	fleet.mu.Lock()
 	n := len(fleet.killPoints)
 	fleet.killPoints = append(fleet.killPoints, strings.TrimSpace(event+" "+instance))
-	strike := fleet.onKillPoint
+	onKillPoint := fleet.onKillPoint
 	fleet.mu.Unlock()
-	if n == fleet.killIndex && strike != nil {
-		strike(event, instance)
+	if n == fleet.killIndex && onKillPoint != nil {
+		onKillPoint(event, instance)
 	}
 }
 
@@ -205,27 +205,27 @@
 	name  string
 }
 
-func (p recordingClient) recordCall(request string, f func() (*control.Change, error)) (*control.Change, error) {
-	p.fleet.reachKillPoint("before "+request, p.name)
+func (client recordingClient) recordCall(request string, f func() (*control.Change, error)) (*control.Change, error) {
+	client.fleet.reachKillPoint("before "+request, client.name)
 	c, err := f()
-	p.fleet.reachKillPoint("after "+request, p.name)
+	client.fleet.reachKillPoint("after "+request, client.name)
 	return c, err
 }
 
-func (p recordingClient) Prepare(ctx context.Context, id string, proposal *control.Proposal) (*control.Change, error) {
-	return p.recordCall("prepare", func() (*control.Change, error) { return p.InstanceClient.Prepare(ctx, id, proposal) })
+func (client recordingClient) Prepare(ctx context.Context, id string, proposal *control.Proposal) (*control.Change, error) {
+	return client.recordCall("prepare", func() (*control.Change, error) { return client.InstanceClient.Prepare(ctx, id, proposal) })
 }
 
-func (p recordingClient) Commit(ctx context.Context, id string, fence uint64) (*control.Change, error) {
-	return p.recordCall("commit", func() (*control.Change, error) { return p.InstanceClient.Commit(ctx, id, fence) })
+func (client recordingClient) Commit(ctx context.Context, id string, fence uint64) (*control.Change, error) {
+	return client.recordCall("commit", func() (*control.Change, error) { return client.InstanceClient.Commit(ctx, id, fence) })
 }
 
-func (p recordingClient) Abort(ctx context.Context, id string, fence uint64) (*control.Change, error) {
-	return p.recordCall("abort", func() (*control.Change, error) { return p.InstanceClient.Abort(ctx, id, fence) })
+func (client recordingClient) Abort(ctx context.Context, id string, fence uint64) (*control.Change, error) {
+	return client.recordCall("abort", func() (*control.Change, error) { return client.InstanceClient.Abort(ctx, id, fence) })
 }
 
-func (p recordingClient) Confirm(ctx context.Context, id string, fence uint64) (*control.Change, error) {
-	return p.recordCall("confirm", func() (*control.Change, error) { return p.InstanceClient.Confirm(ctx, id, fence) })
+func (client recordingClient) Confirm(ctx context.Context, id string, fence uint64) (*control.Change, error) {
+	return client.recordCall("confirm", func() (*control.Change, error) { return client.InstanceClient.Confirm(ctx, id, fence) })
 }
 
 // newTestFleet starts n instances and a manager for them.
@@ -247,9 +247,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := &testInstance{fleet: fleet, name: fmt.Sprintf("i%02d", i), addr: addr, applied: map[string]map[string]string{}}
-		fleet.instances[h.name] = h
-		h.start()
+		instance := &testInstance{fleet: fleet, name: fmt.Sprintf("i%02d", i), addr: addr, applied: map[string]map[string]string{}}
+		fleet.instances[instance.name] = instance
+		instance.start()
 	}
 	fleet.startManager()
 	return fleet
@@ -312,8 +312,8 @@
 	stop()
 	<-ended
 	dialer.Kill()
-	for _, h := range fleet.instances {
-		h.crash()
+	for _, instance := range fleet.instances {
+		instance.crash()
 	}
 	time.Sleep(time.Minute) // for connections that are still being opened
 	synctest.Wait()
@@ -412,10 +412,10 @@
 func (fleet *testFleet) checkApplied(hash string) error {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	for _, h := range fleet.instances {
+	for _, instance := range fleet.instances {
 		for _, part := range document.Parts {
-			if has := h.applied[h.process.epoch][part]; has != hash && (has != "" || hash != emptyHash) {
-				return fmt.Errorf("%s has %q of %s in %s", h.name, has, part, h.process.epoch)
+			if has := instance.applied[instance.process.epoch][part]; has != hash && (has != "" || hash != emptyHash) {
+				return fmt.Errorf("%s has %q of %s in %s", instance.name, has, part, instance.process.epoch)
 			}
 		}
 	}
@@ -438,8 +438,8 @@
 					fleet := newTestFleet(t, 4, uint64(killIndex))
 					defer fleet.close()
 					fleet.killIndex = killIndex
-					fleet.onKillPoint = func(event, instance string) {
-						lastPoint = event + " " + instance
+					fleet.onKillPoint = func(event, name string) {
+						lastPoint = event + " " + name
 						switch {
 						case victim == "manager":
 							fleet.killManager()
@@ -447,12 +447,12 @@
 								time.Sleep(time.Second)
 								fleet.startManager()
 							}()
-						case instance != "":
-							h := fleet.instances[instance]
-							h.crash()
+						case name != "":
+							instance := fleet.instances[name]
+							instance.crash()
 							go func() {
 								time.Sleep(time.Second)
-								h.start()
+								instance.start()
 							}()
 						}
 					}
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -123,7 +123,9 @@
 }
 
 // reachable reports whether the last poll succeeded.
-func (p *managedInstance) reachable() bool { return p.summary != nil && p.pollErr == nil }
+func (instance *managedInstance) reachable() bool {
+	return instance.summary != nil && instance.pollErr == nil
+}
 
 func now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
@@ -147,13 +149,13 @@
 
 // registerInstance adds an instance, or updates the address and labels of a known one.
 func (m *Manager) registerInstance(in inventory.Instance) *managedInstance {
-	p := m.instances[in.Name]
-	if p == nil {
-		p = &managedInstance{keeper: rollout.Keeper{Name: in.Name, Wanted: m.wanted[in.Name]}}
-		m.instances[in.Name] = p
+	instance := m.instances[in.Name]
+	if instance == nil {
+		instance = &managedInstance{keeper: rollout.Keeper{Name: in.Name, Wanted: m.wanted[in.Name]}}
+		m.instances[in.Name] = instance
 	}
-	p.Instance, p.labels = in, in.Labels
-	return p
+	instance.Instance, instance.labels = in, in.Labels
+	return instance
 }
 
 // Run runs the event loop until the context ends.
@@ -236,8 +238,8 @@
 		return
 	}
 	if t-m.started < fenceDiscoveryTimeout {
-		for _, p := range m.instances {
-			if p.summary == nil && p.pollErr == nil {
+		for _, instance := range m.instances {
+			if instance.summary == nil && instance.pollErr == nil {
 				return
 			}
 		}
@@ -249,8 +251,8 @@
 func (m *Manager) chooseFence() {
 	m.fence = change.NextFence(max(m.highestFence, m.storedFence), rand.Uint32())
 	m.storedFence, m.superseded = m.fence, false
-	for _, p := range m.instances {
-		p.nextPoll = 0 // so that it learns the new fence
+	for _, instance := range m.instances {
+		instance.nextPoll = 0 // so that it learns the new fence
 	}
 	m.appendRecord(metaBucket, "fence", m.fence)
 	m.opts.Log.Info("managing", "fence", m.fence, "instances", len(m.instances), "rollouts", len(m.rollouts))
@@ -271,8 +273,8 @@
 // fence. No change is sent before that, because an instance without the new fence would still
 // accept a late request of an earlier manager.
 func (m *Manager) fenceAcknowledged() bool {
-	for _, p := range m.instances {
-		if p.acknowledgedFence != m.fence && p.pollErr == nil {
+	for _, instance := range m.instances {
+		if instance.acknowledgedFence != m.fence && instance.pollErr == nil {
 			return false
 		}
 	}
@@ -286,7 +288,7 @@
 	for _, id := range m.rolloutOrder {
 		r := m.rollouts[id]
 		if m.superseded {
-			r.Supersede(t, fmt.Sprintf("a newer manager has spoken, with number %d", m.highestFence))
+			r.Supersede(t, fmt.Sprintf("a newer manager has spoken, with fence %d", m.highestFence))
 		} else if m.fence != 0 && acknowledged {
 			status, baking := r.Status, r.Baking
 			sends := r.Next(t)
@@ -295,8 +297,8 @@
 			}
 			if r.Baking > baking { // poll the wave's instances now instead of at their next interval
 				for _, x := range r.Members() {
-					if p := m.instances[x.Name]; p != nil && x.Wave == r.Wave {
-						p.nextPoll = t
+					if instance := m.instances[x.Name]; instance != nil && x.Wave == r.Wave {
+						instance.nextPoll = t
 					}
 				}
 			}
@@ -335,8 +337,8 @@
 func (m *Manager) setWanted(name, hash string) {
 	m.wanted[name] = hash
 	m.appendRecord(wantedBucket, name, hash)
-	if p := m.instances[name]; p != nil {
-		p.keeper.Wanted = hash
+	if instance := m.instances[name]; instance != nil {
+		instance.keeper.Wanted = hash
 	}
 }
 
--- a/internal/manage/orders.go
+++ b/internal/manage/orders.go
@@ -27,15 +27,15 @@
 // Limits set the sizes of a rollout's waves and its stop conditions (see change.Limits). Times are
 // in seconds, and rates are fractions of 1.
 type Limits struct {
-	Canaries    int     `json:"canaries"`
-	Growth      float64 `json:"growth"`
-	Bake        float64 `json:"bake_s"`
-	MoreRefused float64 `json:"more_refused"`
-	MoreFailed  float64 `json:"more_failed"`
-	LessInAim   float64 `json:"less_in_aim"`
-	Least       float64 `json:"least"`
-	Patience    float64 `json:"patience_s"`
-	MayFail     float64 `json:"may_fail"`
+	Canaries    int     `json:"canaries"`     // instances of the first wave
+	Growth      float64 `json:"growth"`       // factor from one wave to the next
+	Bake        float64 `json:"bake_s"`       // time to watch a wave before the next
+	MoreRefused float64 `json:"more_refused"` // tolerated increase of refused requests
+	MoreFailed  float64 `json:"more_failed"`  // tolerated increase of failed requests
+	LessInAim   float64 `json:"less_in_aim"`  // tolerated decrease of requests within the target latency
+	Least       float64 `json:"least"`        // requests needed to judge a wave
+	Patience    float64 `json:"patience_s"`   // longest time to wait for that many requests
+	MayFail     float64 `json:"may_fail"`     // tolerated rate of instances that do not apply the change
 }
 
 // DefaultLimits returns the limits of an order that sets none.
@@ -129,16 +129,16 @@
 	targets.hash = o.Document.Hash()
 	sources := map[string][]api.Address{} // by document hash: instances that have the document
 	err = m.read(ctx, func() {
-		for _, p := range m.selectInstances(selector) {
+		for _, instance := range m.selectInstances(selector) {
 			switch {
-			case p.pollErr != nil:
-				targets.excluded[p.Name] = "silent: " + p.pollErr.Error()
-			case p.summary == nil:
-				targets.excluded[p.Name] = "not seen yet"
+			case instance.pollErr != nil:
+				targets.excluded[instance.Name] = "silent: " + instance.pollErr.Error()
+			case instance.summary == nil:
+				targets.excluded[instance.Name] = "not seen yet"
 			default:
-				targets.included = append(targets.included, rollout.Planned{Name: p.Name, Look: p.observation})
-				if hash := p.observation.Hash; m.documents[hash] == nil && len(sources[hash]) < maxDocumentSources {
-					sources[hash] = append(sources[hash], p.Address())
+				targets.included = append(targets.included, rollout.Planned{Name: instance.Name, Look: instance.observation})
+				if hash := instance.observation.Hash; m.documents[hash] == nil && len(sources[hash]) < maxDocumentSources {
+					sources[hash] = append(sources[hash], instance.Address())
 				}
 			}
 		}
--- a/internal/manage/poll.go
+++ b/internal/manage/poll.go
@@ -19,19 +19,19 @@
 // poll starts polls of the instances that are due, and removes announced instances that have
 // expired.
 func (m *Manager) poll(ctx context.Context, t time.Duration) {
-	for name, p := range m.instances {
-		if p.announcedAt != 0 && t-p.announcedAt > announcementExpiry && t-p.summaryAt > announcementExpiry {
+	for name, instance := range m.instances {
+		if instance.announcedAt != 0 && t-instance.announcedAt > announcementExpiry && t-instance.summaryAt > announcementExpiry {
 			if _, active := m.activeRollout(name); !active {
 				delete(m.instances, name)
 				m.pendingRecords = append(m.pendingRecords, journal.Record{Bucket: announcedBucket, Key: name})
 				continue
 			}
 		}
-		if p.polling || t < p.nextPoll {
+		if instance.polling || t < instance.nextPoll {
 			continue
 		}
 		slots := m.requestSlots
-		if p.pollErr != nil {
+		if instance.pollErr != nil {
 			slots = m.slowRequestSlots
 		}
 		select {
@@ -39,8 +39,8 @@
 		default:
 			continue // no free slot: try again at the next tick
 		}
-		p.polling, p.nextPoll = true, t+pollInterval
-		address, fence := p.Address(), m.fenceToSend()
+		instance.polling, instance.nextPoll = true, t+pollInterval
+		address, fence := instance.Address(), m.fenceToSend()
 		client := m.opts.Client(address)
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, pollTimeout)
@@ -62,26 +62,26 @@
 
 // handleSummary processes the result of a poll.
 func (m *Manager) handleSummary(name string, address api.Address, fence uint64, s *control.Summary, err error) {
-	p := m.instances[name]
-	if p == nil {
+	instance := m.instances[name]
+	if instance == nil {
 		return
 	}
-	p.polling = false
-	if p.Address() != address {
-		p.nextPoll = 0 // the instance's address has changed during the poll
+	instance.polling = false
+	if instance.Address() != address {
+		instance.nextPoll = 0 // the instance's address has changed during the poll
 		return
 	}
 	if err == nil && s.Name != name {
 		err = fmt.Errorf("%q answers there", s.Name)
 	}
-	if p.pollErr = err; err != nil {
+	if instance.pollErr = err; err != nil {
 		return
 	}
 	t := now()
-	p.summary, p.summaryAt, p.acknowledgedFence = s, t, fence
+	instance.summary, instance.summaryAt, instance.acknowledgedFence = s, t, fence
 	if len(s.Labels) > 0 {
-		p.labels = maps.Clone(s.Labels)
-		maps.Copy(p.labels, p.Labels) // labels of the fleet file or announcement take precedence
+		instance.labels = maps.Clone(s.Labels)
+		maps.Copy(instance.labels, instance.Labels) // labels of the fleet file or announcement take precedence
 	}
 	m.highestFence = max(m.highestFence, s.Fence)
 	if m.fence != 0 && s.Fence > m.fence && !m.superseded {
@@ -89,38 +89,39 @@
 		m.opts.Log.Error("a newer manager has spoken; this manager sends no more changes", "fence", m.fence, "newer", s.Fence)
 	}
 	served := change.Service{Requests: float64(s.Service.Requests), InAim: float64(s.Service.InAim), Refused: float64(s.Service.Refused), Failed: float64(s.Service.Failed)}
-	p.observation = rollout.Look{Epoch: s.Epoch, Revision: s.Revision, Hash: s.Hash, Mixed: len(s.Mixed) > 0, Served: served, Before: p.serviceWindow.Add(t, s.Epoch, served)}
+	instance.observation = rollout.Look{Epoch: s.Epoch, Revision: s.Revision, Hash: s.Hash, Mixed: len(s.Mixed) > 0, Served: served, Before: instance.serviceWindow.Add(t, s.Epoch, served)}
 	if m.superseded || m.fence == 0 || fence != m.fence {
 		return
 	}
 	for _, id := range m.rolloutOrder {
-		m.pendingSends = append(m.pendingSends, m.rollouts[id].Looked(t, name, p.observation)...)
+		m.pendingSends = append(m.pendingSends, m.rollouts[id].Looked(t, name, instance.observation)...)
 	}
 	_, active := m.activeRollout(name)
-	if next, ok := p.keeper.Look(t, p.observation, active); ok {
+	if next, ok := instance.keeper.Look(t, instance.observation, active); ok {
 		m.pendingSends = append(m.pendingSends, next)
 	}
 }
 
-// startRequest starts a rollout's request to an instance. Its outcome is queued for handleAnswer.
+// startRequest starts a request of a rollout or keeper to an instance. Its outcome is queued for
+// handleAnswer.
 func (m *Manager) startRequest(ctx context.Context, s rollout.Send) {
-	p := m.instances[s.Instance]
-	if p == nil || p.pollErr != nil && s.Request == change.AskPrepare || !m.mayAct() {
+	instance := m.instances[s.Instance]
+	if instance == nil || instance.pollErr != nil && s.Request == change.AskPrepare || !m.mayAct() {
 		// Nothing is sent. The rollout handles this like an unanswered request, without a delay.
 		reason := "the instance is no longer known"
 		if !m.mayAct() {
 			reason = "this manager may no longer act"
-		} else if p != nil {
-			reason = p.pollErr.Error()
+		} else if instance != nil {
+			reason = instance.pollErr.Error()
 		}
 		go m.enqueue(func() { m.handleAnswer(s, change.Answer{}, errors.New(reason)) })
 		return
 	}
 	slots := m.requestSlots
-	if p.pollErr != nil {
+	if instance.pollErr != nil {
 		slots = m.slowRequestSlots
 	}
-	address, fence, doc := p.Address(), m.fence, m.documents[s.Document]
+	address, fence, doc := instance.Address(), m.fence, m.documents[s.Document]
 	go func() {
 		select {
 		case slots <- struct{}{}:
@@ -198,13 +199,13 @@
 		m.superseded = true
 	}
 	if s.Keeps {
-		if p := m.instances[s.Instance]; p != nil {
+		if instance := m.instances[s.Instance]; instance != nil {
 			if err != nil {
-				p.keeper.Silent(t)
+				instance.keeper.Silent(t)
 				return
 			}
 			_, active := m.activeRollout(s.Instance)
-			if next, ok := p.keeper.Answered(t, active || m.superseded, a); ok {
+			if next, ok := instance.keeper.Answered(t, active || m.superseded, a); ok {
 				m.pendingSends = append(m.pendingSends, next)
 			}
 		}
--- a/internal/manage/report.go
+++ b/internal/manage/report.go
@@ -30,10 +30,10 @@
 		if m.journalErr != nil {
 			s.Journal = m.journalErr.Error()
 		}
-		for name, p := range m.instances {
-			if p.reachable() {
+		for name, instance := range m.instances {
+			if instance.reachable() {
 				s.Reachable++
-				if w := m.wanted[name]; w != "" && w == p.summary.Hash && len(p.summary.Mixed) == 0 {
+				if w := m.wanted[name]; w != "" && w == instance.summary.Hash && len(instance.summary.Mixed) == 0 {
 					s.AsWanted++
 				}
 			}
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -49,7 +49,7 @@
 		return d.manager, nil
 	}
 	if holder := d.remoteHolder(); holder != "" {
-		return nil, &api.Problem{Status: http.StatusMisdirectedRequest, Title: "another process manages", Detail: holder + " does", Field: ""}
+		return nil, &api.Problem{Status: http.StatusMisdirectedRequest, Title: "another process manages", Detail: holder + " manages the fleet", Field: ""}
 	}
 	return nil, &api.Problem{Status: http.StatusServiceUnavailable, Title: "no manager is active at the moment", Detail: "no member of the group holds the lease, or the group has no quorum"}
 }
--- a/internal/manage/store.go
+++ b/internal/manage/store.go
@@ -78,8 +78,8 @@
 		m.rolloutOrder = append(m.rolloutOrder, id)
 	}
 	slices.SortFunc(m.rolloutOrder, func(a, b string) int { return int(headers[a].Begun - headers[b].Begun) })
-	for _, p := range m.instances {
-		p.keeper.Wanted = m.wanted[p.Name]
+	for _, instance := range m.instances {
+		instance.keeper.Wanted = m.wanted[instance.Name]
 	}
 	return nil
 }
