--- a/cmd/micaline-manage/crew.go
+++ b/cmd/micaline-manage/crew.go
@@ -36,7 +36,7 @@
 // runStandalone runs a manager without a group until the context ends.
 func (p *managerProcess) runStandalone(ctx context.Context) error {
 	// The journal of a group member may be older than the state that the group has agreed on since.
-	if name, grouped, err := group.Grouped(p.store); err != nil {
+	if name, grouped, err := group.JournalOwner(p.store); err != nil {
 		return err
 	} else if grouped {
 		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: group.name: missing: the journal is that of %s, a member of a group", p.path, name)}
@@ -60,9 +60,9 @@
 	defer dialer.Close()
 	peers := map[string]group.Peer{}
 	for i := range groupSettings.Member {
-		peers[groupSettings.Member[i].Name] = group.PeerAt(dialer.At(groupSettings.Member[i].Address()))
+		peers[groupSettings.Member[i].Name] = group.NewPeer(dialer.At(groupSettings.Member[i].Address()))
 	}
-	node, err := group.NewNode(group.Options{Store: p.store, Name: groupSettings.Name, Buckets: manage.Buckets, Found: groupSettings.Found, Peers: peers, Log: p.log})
+	node, err := group.NewNode(group.Options{Store: p.store, Name: groupSettings.Name, Buckets: manage.Buckets, Bootstrap: groupSettings.Found, Peers: peers, Log: p.log})
 	if err != nil {
 		return err
 	}
@@ -80,9 +80,9 @@
 		nodeCtx, stopNode := context.WithCancel(context.WithoutCancel(ctx))
 		var running sync.WaitGroup
 		running.Go(func() { node.Run(nodeCtx) })
-		node.Hold(ctx, manageDuty, leaseDuration, func(s *group.Scope) []byte {
+		node.Hold(ctx, manageDuty, leaseDuration, func(s *group.Grant) []byte {
 			o := p.options
-			o.Store, o.MayAct = s, s.May
+			o.Store, o.MayAct = s, s.IsValid
 			m, err := manage.New(o)
 			if err != nil {
 				p.log.Error("the manager can't start", "error", err)
