--- a/internal/manage/instances.go
+++ b/internal/manage/instances.go
@@ -14,61 +14,61 @@
 	"example.org/micaline/internal/inventory"
 )
 
-// InstanceReport is what the manager knows of an instance.
+// InstanceReport describes an instance as the manager knows it.
 type InstanceReport struct {
 	Name     string            `json:"name"`
 	Address  string            `json:"address"`
 	Labels   map[string]string `json:"labels,omitempty"`
-	State    string            `json:"state"` // as wanted, differs, refuses, silent, not seen
+	State    string            `json:"state"` // one of the State constants
 	Reason   string            `json:"reason,omitempty"`
 	Epoch    string            `json:"epoch,omitempty"`
 	Revision uint64            `json:"revision"`
 	Hash     string            `json:"hash,omitempty"`
 	Wanted   string            `json:"wanted,omitempty"`
-	Rollout  string            `json:"rollout,omitempty"` // that has it in hand
-	Seen     float64           `json:"seen_s"`            // since its last answer; -1 for never
+	Rollout  string            `json:"rollout,omitempty"` // ID of the rollout that is changing the instance
+	Seen     float64           `json:"seen_s"`            // seconds since its last answer; -1 if there was none
 	Taking   bool              `json:"taking"`
 	Held     int               `json:"held"`
 	Service  control.Service   `json:"service"`
 }
 
-func (m *Manager) instance(p *place, t time.Duration) InstanceReport {
-	r := InstanceReport{Name: p.Name, Address: cmp.Or(p.Addr, p.Unix), Labels: p.labels, Wanted: m.wanted[p.Name], Seen: -1}
-	if by, busy := m.busy(p.Name); busy {
-		r.Rollout = by
+func (m *Manager) instanceReport(instance *managedInstance, t time.Duration) InstanceReport {
+	r := InstanceReport{Name: instance.Name, Address: cmp.Or(instance.Addr, instance.Unix), Labels: instance.labels, Wanted: m.wanted[instance.Name], Seen: -1}
+	if rolloutID, active := m.activeRollout(instance.Name); active {
+		r.Rollout = rolloutID
 	}
-	if p.look != nil {
-		r.Seen = (t - p.looked).Seconds()
-		r.Epoch, r.Revision, r.Hash, r.Taking, r.Held, r.Service = p.look.Epoch, p.look.Revision, p.look.Hash, p.look.Taking, p.look.Held, p.look.Service
+	if instance.summary != nil {
+		r.Seen = (t - instance.summaryAt).Seconds()
+		r.Epoch, r.Revision, r.Hash, r.Taking, r.Held, r.Service = instance.summary.Epoch, instance.summary.Revision, instance.summary.Hash, instance.summary.Taking, instance.summary.Held, instance.summary.Service
 	}
 	switch {
-	case p.look == nil && p.err == nil:
-		r.State = NotSeen
-	case p.err != nil:
-		r.State, r.Reason = Silent, p.err.Error()
+	case instance.summary == nil && instance.pollErr == nil:
+		r.State = StateNotSeen
+	case instance.pollErr != nil:
+		r.State, r.Reason = StateUnreachable, instance.pollErr.Error()
 	case r.Wanted == "":
-		r.State = Free
-	case r.Wanted == r.Hash && len(p.look.Mixed) == 0:
-		r.State = AsWanted
-	case p.keeper.Refusal() != "":
-		r.State, r.Reason = Refuses, p.keeper.Refusal()
+		r.State = StateUnmanaged
+	case r.Wanted == r.Hash && len(instance.summary.Mixed) == 0:
+		r.State = StateAsWanted
+	case instance.keeper.Refusal() != "":
+		r.State, r.Reason = StateRefused, instance.keeper.Refusal()
 	default:
-		r.State = Differs
+		r.State = StateDiffers
 	}
 	return r
 }
 
-// Instances returns what is known of those that are chosen, in the order of their names.
+// Instances returns reports of the instances that match a selector, in the order of their names.
 func (m *Manager) Instances(ctx context.Context, selector string) ([]InstanceReport, error) {
 	s, err := parseSelector(selector)
 	if err != nil {
 		return nil, err
 	}
 	all := []InstanceReport{}
-	err = m.look(ctx, func() {
+	err = m.read(ctx, func() {
 		t := now()
-		for _, p := range m.chosen(s) {
-			all = append(all, m.instance(p, t))
+		for _, instance := range m.selectInstances(s) {
+			all = append(all, m.instanceReport(instance, t))
 		}
 	})
 	return all, err
@@ -82,41 +82,42 @@
 	return s, nil
 }
 
-func (m *Manager) chosen(s inventory.Selector) (all []*place) {
-	for _, name := range slices.Sorted(maps.Keys(m.places)) {
-		if p := m.places[name]; s.Match(name, p.labels) {
-			all = append(all, p)
+func (m *Manager) selectInstances(s inventory.Selector) (all []*managedInstance) {
+	for _, name := range slices.Sorted(maps.Keys(m.instances)) {
+		if instance := m.instances[name]; s.Match(name, instance.labels) {
+			all = append(all, instance)
 		}
 	}
 	return all
 }
 
-// Announced takes in where an instance says it is. One of the file stays where the file has it.
-func (m *Manager) Announced(ctx context.Context, in inventory.Instance) error {
+// RecordAnnouncement records the announced address and labels of an instance. An instance of the
+// fleet file keeps the address and labels of the file.
+func (m *Manager) RecordAnnouncement(ctx context.Context, in inventory.Instance) error {
 	if in.Unix != "" {
-		return &api.Problem{Status: 422, Title: "the announcement can't be used", Detail: "a socket is on its own machine only", Field: "unix"}
+		return &api.Problem{Status: 422, Title: "the announcement can't be used", Detail: "a Unix socket can be reached on its own machine only", Field: "unix"}
 	}
 	if err := in.Check(); err != nil {
-		var f *api.FieldError
-		p := &api.Problem{Status: 422, Title: "the announcement can't be used", Detail: err.Error()}
-		if errors.As(err, &f) {
-			p.Detail, p.Field = f.What, f.Field
+		var fieldErr *api.FieldError
+		problem := &api.Problem{Status: 422, Title: "the announcement can't be used", Detail: err.Error()}
+		if errors.As(err, &fieldErr) {
+			problem.Detail, problem.Field = fieldErr.What, fieldErr.Field
 		}
-		return p
+		return problem
 	}
-	return m.change(ctx, func() error {
-		p := m.places[in.Name]
+	return m.update(ctx, func() error {
+		instance := m.instances[in.Name]
 		switch {
-		case p != nil && p.announced == 0:
+		case instance != nil && instance.announcedAt == 0:
 			return nil
-		case p == nil && len(m.places) >= inventory.MaxInstances:
-			return &api.Problem{Status: 503, Title: "there are too many instances", Detail: fmt.Sprintf("%d are known", len(m.places))}
-		case p == nil || p.Addr != in.Addr || !maps.Equal(p.Labels, in.Labels):
-			p = m.place(in)
-			p.due = 0
-			m.write(announcedBucket, in.Name, in)
+		case instance == nil && len(m.instances) >= inventory.MaxInstances:
+			return &api.Problem{Status: 503, Title: "there are too many instances", Detail: fmt.Sprintf("%d are known", len(m.instances))}
+		case instance == nil || instance.Addr != in.Addr || !maps.Equal(instance.Labels, in.Labels):
+			instance = m.registerInstance(in)
+			instance.nextPoll = 0
+			m.appendRecord(announcedBucket, in.Name, in)
 		}
-		p.announced = now()
+		instance.announcedAt = now()
 		return nil
 	})
 }
