--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -20,69 +20,69 @@
 )
 
 // fake is an instance that notes what is done to it.
-type fake struct {
+type fakeInstance struct {
 	base *settings.Settings
 
-	mu     sync.Mutex
-	did    []string
-	fails  string // part whose application fails
-	taking bool
-	loads  int // of the configuration
-	holds  map[string]time.Duration
-	state  State
-	gate   chan struct{} // if set, applying waits for it
+	mu        sync.Mutex
+	applied   []string
+	failing   string // part whose application fails
+	accepting bool
+	reloads   int // of the configuration
+	holds     map[string]time.Duration
+	state     State
+	applyGate chan struct{} // if set, applying waits for it
 }
 
-func (f *fake) Name() string             { return "n1" }
-func (f *fake) Base() *settings.Settings { return f.base }
+func (f *fakeInstance) Name() string             { return "n1" }
+func (f *fakeInstance) Base() *settings.Settings { return f.base }
 
-func (f *fake) State(context.Context) (*State, error) {
+func (f *fakeInstance) State(context.Context) (*State, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	st := f.state
-	st.Taking = f.taking
+	st.Taking = f.accepting
 	return &st, nil
 }
 
 // set changes what is shown.
-func (f *fake) set(how func(*State)) {
+func (f *fakeInstance) updateState(update func(*State)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	how(&f.state)
+	update(&f.state)
 }
 
-func (f *fake) Apply(_ context.Context, part string, d *document.Document) error {
-	if f.gate != nil {
-		<-f.gate
+func (f *fakeInstance) Apply(_ context.Context, part string, d *document.Document) error {
+	if f.applyGate != nil {
+		<-f.applyGate
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if part == f.fails {
+	if part == f.failing {
 		return errors.New("no")
 	}
-	f.did = append(f.did, part+" "+d.Hash())
+	f.applied = append(f.applied, part+" "+d.Hash())
 	return nil
 }
 
-func (f *fake) Hold(_ context.Context, backend string, d time.Duration) (bool, error) {
+func (f *fakeInstance) Hold(_ context.Context, backend string, d time.Duration) (bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.holds[backend] = d
 	return backend == "x", nil
 }
 
-func (f *fake) Level(context.Context) (*Level, error) {
+func (f *fakeInstance) Level(context.Context) (*Level, error) {
 	return &Level{Level: "lean", Levels: []string{"normal", "lean"}, Figures: []string{}, Refusals: []LevelRefusal{{"lean", "class", 3}}, History: []LevelChange{}}, nil
 }
 
-func (f *fake) HoldLevel(ctx context.Context, name string, d time.Duration, _ string) (*Level, error) {
+func (f *fakeInstance) HoldLevel(ctx context.Context, name string, d time.Duration, _ string) (*Level, error) {
 	if d > 0 && name != "lean" {
 		return nil, errors.New("there is no such level")
 	}
 	return f.Level(ctx)
 }
 
-func (f *fake) Sites(context.Context) (*Sites, error) {
+func (f *fakeInstance) Sites(context.Context) (*Sites, error) {
 	after := 0.6
 	return &Sites{
 		Sites:   []Site{{Name: "a", State: "lost", Servers: 4, Retry: 1.5}},
@@ -91,7 +91,7 @@
 	}, nil
 }
 
-func (f *fake) EvacuateSite(ctx context.Context, name string, d time.Duration, force bool, _ string) (*Sites, error) {
+func (f *fakeInstance) EvacuateSite(ctx context.Context, name string, d time.Duration, force bool, _ string) (*Sites, error) {
 	switch {
 	case name != "a":
 		return nil, site.ErrUnknownSite
@@ -101,30 +101,30 @@
 	return f.Sites(ctx)
 }
 
-func (f *fake) SetAccepting(on bool) {
+func (f *fakeInstance) SetAccepting(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.taking = on
+	f.accepting = on
 }
 
-func (f *fake) Reload(context.Context) error {
+func (f *fakeInstance) Reload(context.Context) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.loads++; f.fails == "reload" {
+	if f.reloads++; f.failing == "reload" {
 		return errors.New("line 3: no")
 	}
 	return nil
 }
 
 // serve starts a server of a fake instance and returns a client of it.
-func serve(t *testing.T) (*fake, *Client, string) {
+func startServer(t *testing.T) (*fakeInstance, *Client, string) {
 	t.Helper()
 	base, err := settings.Parse([]byte(`{"categories":[{"name":"close","aim":600,"deadline":2500,"credit":2,"effect":"side_effect"}],
 		"replicasOfMe":1,"limits":{"maxAttempts":3,"connectTimeout":100},"rules":{"coldFrom":0.5,"overloadFactor":2}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fake{base: &base, taking: true, holds: map[string]time.Duration{}, state: State{
+	f := &fakeInstance{base: &base, accepting: true, holds: map[string]time.Duration{}, state: State{
 		Backends: []Backend{{Name: "x", Phase: "Ready"}}, Requests: []Request{}, Causes: []FailureCause{}, Classes: []Class{}, Accounts: []Account{},
 	}}
 	path := filepath.Join(t.TempDir(), "c")
@@ -141,11 +141,11 @@
 			t.Error(err)
 		}
 	})
-	return f, atUnix(t, path), path
+	return f, unixClient(t, path), path
 }
 
 // atUnix returns a client of the interface at a Unix socket.
-func atUnix(t *testing.T, path string) *Client {
+func unixClient(t *testing.T, path string) *Client {
 	t.Helper()
 	d, err := api.NewDialer(api.Credentials{})
 	if err != nil {
@@ -155,7 +155,7 @@
 	return NewClient(d.At(api.Address{Name: "n1", Unix: path}))
 }
 
-func proposal(t *testing.T, text string) *Proposal {
+func newProposal(t *testing.T, text string) *Proposal {
 	t.Helper()
 	d, err := document.Parse([]byte(text))
 	if err != nil {
@@ -164,81 +164,81 @@
 	return &Proposal{Fence: 1, Document: d}
 }
 
-const someWorth = `{"decisions":{"classes":{"close":{"worth":9}}}}`
+const worthDocument = `{"decisions":{"classes":{"close":{"worth":9}}}}`
 
 // A change is prepared, which applies nothing, and committed; repeats get the first result.
 func TestChange(t *testing.T) {
-	f, c, _ := serve(t)
+	instance, client, _ := startServer(t)
 	ctx := t.Context()
-	p := proposal(t, someWorth)
-	if r, err := c.Prepare(ctx, "x", p); err != nil || r.Outcome != "none" || r.Pending != "x" || r.Epoch != "e1" || len(f.did) > 0 {
-		t.Fatalf("prepared: %+v, error %v, did %v", r, err, f.did)
+	p := newProposal(t, worthDocument)
+	if r, err := client.Prepare(ctx, "x", p); err != nil || r.Outcome != "none" || r.Pending != "x" || r.Epoch != "e1" || len(instance.applied) > 0 {
+		t.Fatalf("prepared: %+v, error %v, did %v", r, err, instance.applied)
 	}
 	for range 2 {
-		r, err := c.Commit(ctx, "x", 1)
-		if err != nil || r.Outcome != "applied" || r.Revision != 1 || len(f.did) != len(document.Parts) {
-			t.Fatalf("committed: %+v, error %v, did %v", r, err, f.did)
+		r, err := client.Commit(ctx, "x", 1)
+		if err != nil || r.Outcome != "applied" || r.Revision != 1 || len(instance.applied) != len(document.Parts) {
+			t.Fatalf("committed: %+v, error %v, did %v", r, err, instance.applied)
 		}
 	}
-	v, err := c.Document(ctx)
+	v, err := client.Document(ctx)
 	if err != nil || v.Revision != 1 || v.Hash != p.Document.Hash() || v.Document.Hash() != v.Hash {
 		t.Errorf("in force: %+v, error %v", v, err)
 	}
-	if id, err := c.Identity(ctx); err != nil || id.Name != "n1" || id.Revision != 1 || id.Hash != v.Hash || id.Fence != 1 {
+	if id, err := client.Identity(ctx); err != nil || id.Name != "n1" || id.Revision != 1 || id.Hash != v.Hash || id.Fence != 1 {
 		t.Errorf("identity %+v, error %v", id, err)
 	}
-	if r, err := c.Change(ctx, "x"); err != nil || r.Outcome != "applied" {
+	if r, err := client.Change(ctx, "x"); err != nil || r.Outcome != "applied" {
 		t.Errorf("asked later: %+v, error %v", r, err)
 	}
 }
 
 // A part that fails leaves what was before.
 func TestFailedPart(t *testing.T) {
-	f, c, _ := serve(t)
-	f.fails = document.PartDecisions
-	if _, err := c.Prepare(t.Context(), "x", proposal(t, someWorth)); err != nil {
+	instance, client, _ := startServer(t)
+	instance.failing = document.PartDecisions
+	if _, err := client.Prepare(t.Context(), "x", newProposal(t, worthDocument)); err != nil {
 		t.Fatal(err)
 	}
-	r, err := c.Commit(t.Context(), "x", 1)
+	r, err := client.Commit(t.Context(), "x", 1)
 	if err != nil || r.Outcome != "unchanged" || r.Revision != 0 || !strings.Contains(r.Reason, "decisions") {
 		t.Errorf("%+v, error %v", r, err)
 	}
 	empty := (&document.Document{}).Hash()
-	if len(f.did) != 4 || f.did[3] != "service "+empty {
-		t.Errorf("did %v", f.did)
+	if len(instance.applied) != 4 || instance.applied[3] != "service "+empty {
+		t.Errorf("did %v", instance.applied)
 	}
 }
 
 // What is not confirmed in time is taken back by itself; what is confirmed stays.
 func TestConfirm(t *testing.T) {
 	for _, confirmed := range []bool{true, false} {
-		_, c, _ := serve(t)
-		p := proposal(t, someWorth)
+		_, client, _ := startServer(t)
+		p := newProposal(t, worthDocument)
 		if p.Confirm = 0.05; confirmed {
 			p.Confirm = 60
 		}
-		if _, err := c.Prepare(t.Context(), "x", p); err != nil {
+		if _, err := client.Prepare(t.Context(), "x", p); err != nil {
 			t.Fatal(err)
 		}
-		if r, err := c.Commit(t.Context(), "x", 1); err != nil || r.Outcome == "unchanged" {
+		if r, err := client.Commit(t.Context(), "x", 1); err != nil || r.Outcome == "unchanged" {
 			t.Fatalf("committed: %+v, error %v", r, err)
 		}
 		want := "taken back"
 		if confirmed {
 			want = "applied"
-			if _, err := c.Confirm(t.Context(), "x", 1); err != nil {
+			if _, err := client.Confirm(t.Context(), "x", 1); err != nil {
 				t.Fatal(err)
 			}
 		}
-		for begun := time.Now(); ; time.Sleep(time.Millisecond) {
-			r, err := c.Change(t.Context(), "x")
+		for started := time.Now(); ; time.Sleep(time.Millisecond) {
+			r, err := client.Change(t.Context(), "x")
 			if err != nil {
 				t.Fatal(err)
 			}
 			if r.Outcome == want {
 				break
 			}
-			if time.Since(begun) > 20*time.Second {
+			if time.Since(started) > 20*time.Second {
 				t.Fatalf("confirmed %v: %+v", confirmed, r)
 			}
 		}
@@ -247,61 +247,61 @@
 
 // A commit that outlasts its caller goes on, and is told as what it is.
 func TestCommitOutlastsItsCaller(t *testing.T) {
-	f, c, _ := serve(t)
-	f.gate = make(chan struct{})
-	if _, err := c.Prepare(t.Context(), "x", proposal(t, someWorth)); err != nil {
+	instance, client, _ := startServer(t)
+	instance.applyGate = make(chan struct{})
+	if _, err := client.Prepare(t.Context(), "x", newProposal(t, worthDocument)); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	gone := make(chan struct{})
+	returned := make(chan struct{})
 	go func() {
-		c.Commit(ctx, "x", 1)
-		close(gone)
+		client.Commit(ctx, "x", 1)
+		close(returned)
 	}()
-	f.gate <- struct{}{} // it has begun
+	instance.applyGate <- struct{}{} // it has begun
 	cancel()
-	<-gone
-	if r, err := c.Change(t.Context(), "x"); err != nil || r.Outcome != "none" || r.Pending != "x" {
+	<-returned
+	if r, err := client.Change(t.Context(), "x"); err != nil || r.Outcome != "none" || r.Pending != "x" {
 		t.Errorf("meanwhile: %+v, error %v", r, err)
 	}
-	close(f.gate)
-	if r, err := c.Commit(t.Context(), "x", 1); err != nil || r.Outcome != "applied" {
+	close(instance.applyGate)
+	if r, err := client.Commit(t.Context(), "x", 1); err != nil || r.Outcome != "applied" {
 		t.Errorf("asked again: %+v, error %v", r, err)
 	}
 }
 
 // What can't be done is refused with its reason and its field, and changes nothing.
 func TestRefusals(t *testing.T) {
-	f, c, _ := serve(t)
+	instance, client, _ := startServer(t)
 	ctx := t.Context()
-	stale := proposal(t, someWorth)
+	stale := newProposal(t, worthDocument)
 	stale.Base = 7
-	newer := proposal(t, someWorth)
+	newer := newProposal(t, worthDocument)
 	newer.Fence = 5
-	long := proposal(t, someWorth)
-	long.Confirm = -1
-	prepare := func(id string, p *Proposal) error { _, err := c.Prepare(ctx, id, p); return err }
+	badConfirm := newProposal(t, worthDocument)
+	badConfirm.Confirm = -1
+	prepare := func(id string, p *Proposal) error { _, err := client.Prepare(ctx, id, p); return err }
 	for _, row := range []struct {
 		what   string
 		err    error
 		status int
 		field  string
 	}{
-		{"unknown class", prepare("x", proposal(t, `{"decisions":{"classes":{"other":{}}}}`)), 422, "decisions.classes.other"},
+		{"unknown class", prepare("x", newProposal(t, `{"decisions":{"classes":{"other":{}}}}`)), 422, "decisions.classes.other"},
 		{"stale", prepare("x", stale), 409, ""},
-		{"confirm", prepare("x", long), 422, "confirm_s"},
+		{"confirm", prepare("x", badConfirm), 422, "confirm_s"},
 		{"newer manager", prepare("y", newer), 0, ""},
-		{"older manager", prepare("z", proposal(t, someWorth)), 412, ""},
-		{"not prepared", func() error { _, err := c.Commit(ctx, "z", 5); return err }(), 409, ""},
-		{"hold of nobody", func() error { _, err := c.Hold(ctx, "", "nobody", 5); return err }(), 404, "backend"},
-		{"level for ever", func() error { _, err := c.HoldLevel(ctx, "", "lean", 1e9, "a fair"); return err }(), 422, "for_s"},
-		{"level without a reason", func() error { _, err := c.HoldLevel(ctx, "", "lean", 5, ""); return err }(), 422, "why"},
-		{"level of nobody", func() error { _, err := c.HoldLevel(ctx, "", "none", 5, "a fair"); return err }(), 422, "level"},
-		{"site for ever", func() error { _, err := c.EvacuateSite(ctx, "", "a", 1e9, true, "a fair"); return err }(), 422, "for_s"},
-		{"site without a reason", func() error { _, err := c.EvacuateSite(ctx, "", "a", 5, true, ""); return err }(), 422, "why"},
-		{"site of nobody", func() error { _, err := c.EvacuateSite(ctx, "", "none", 5, true, "a fair"); return err }(), 404, "site"},
-		{"the last site", func() error { _, err := c.EvacuateSite(ctx, "", "a", 5, false, "a fair"); return err }(), 409, "site"},
-		{"hold for ever", func() error { _, err := c.Hold(ctx, "", "x", 1e9); return err }(), 422, "for_s"},
+		{"older manager", prepare("z", newProposal(t, worthDocument)), 412, ""},
+		{"not prepared", func() error { _, err := client.Commit(ctx, "z", 5); return err }(), 409, ""},
+		{"hold of nobody", func() error { _, err := client.Hold(ctx, "", "nobody", 5); return err }(), 404, "backend"},
+		{"level for ever", func() error { _, err := client.HoldLevel(ctx, "", "lean", 1e9, "a fair"); return err }(), 422, "for_s"},
+		{"level without a reason", func() error { _, err := client.HoldLevel(ctx, "", "lean", 5, ""); return err }(), 422, "why"},
+		{"level of nobody", func() error { _, err := client.HoldLevel(ctx, "", "none", 5, "a fair"); return err }(), 422, "level"},
+		{"site for ever", func() error { _, err := client.EvacuateSite(ctx, "", "a", 1e9, true, "a fair"); return err }(), 422, "for_s"},
+		{"site without a reason", func() error { _, err := client.EvacuateSite(ctx, "", "a", 5, true, ""); return err }(), 422, "why"},
+		{"site of nobody", func() error { _, err := client.EvacuateSite(ctx, "", "none", 5, true, "a fair"); return err }(), 404, "site"},
+		{"the last site", func() error { _, err := client.EvacuateSite(ctx, "", "a", 5, false, "a fair"); return err }(), 409, "site"},
+		{"hold for ever", func() error { _, err := client.Hold(ctx, "", "x", 1e9); return err }(), 422, "for_s"},
 	} {
 		var p *api.Problem
 		if row.status == 0 && row.err == nil {
@@ -311,14 +311,14 @@
 			t.Errorf("%s: %v", row.what, row.err)
 		}
 	}
-	if len(f.did) > 0 {
-		t.Errorf("did %v", f.did)
+	if len(instance.applied) > 0 {
+		t.Errorf("did %v", instance.applied)
 	}
 }
 
 // Bodies that are too large, not JSON, or have unknown fields are refused, and so are unknown paths and methods.
 func TestBadBodies(t *testing.T) {
-	f, _, path := serve(t)
+	instance, _, path := startServer(t)
 	for what, r := range map[string]struct {
 		method, path, body string
 		status             int
@@ -351,67 +351,67 @@
 			t.Errorf("%s: %s", what, resp.Status)
 		}
 	}
-	if len(f.did) > 0 || !f.taking {
-		t.Errorf("did %v", f.did)
+	if len(instance.applied) > 0 || !instance.accepting {
+		t.Errorf("did %v", instance.applied)
 	}
 }
 
 // Holds, the taking of requests and reloads are changes as others: a repeat under an id does nothing and gets the first
 // result, and another change under it is refused.
 func TestHoldTakingReload(t *testing.T) {
-	f, c, _ := serve(t)
+	instance, client, _ := startServer(t)
 	ctx := t.Context()
-	if _, err := c.Hold(ctx, "one", "x", 2.5); err != nil || f.holds["x"] != 2500*time.Millisecond {
-		t.Errorf("held for %v, error %v", f.holds["x"], err)
+	if _, err := client.Hold(ctx, "one", "x", 2.5); err != nil || instance.holds["x"] != 2500*time.Millisecond {
+		t.Errorf("held for %v, error %v", instance.holds["x"], err)
 	}
-	if _, err := c.Hold(ctx, "two", "x", 0); err != nil || f.holds["x"] != 0 {
-		t.Errorf("held for %v, error %v", f.holds["x"], err)
+	if _, err := client.Hold(ctx, "two", "x", 0); err != nil || instance.holds["x"] != 0 {
+		t.Errorf("held for %v, error %v", instance.holds["x"], err)
 	}
-	if h, err := c.Hold(ctx, "one", "x", 2.5); err != nil || h.For != 2.5 || f.holds["x"] != 0 {
-		t.Errorf("the same again: %+v, error %v, held for %v", h, err, f.holds["x"])
+	if h, err := client.Hold(ctx, "one", "x", 2.5); err != nil || h.For != 2.5 || instance.holds["x"] != 0 {
+		t.Errorf("the same again: %+v, error %v, held for %v", h, err, instance.holds["x"])
 	}
 	var p *api.Problem
-	if _, err := c.Hold(ctx, "one", "x", 3); !errors.As(err, &p) || p.Status != 409 {
+	if _, err := client.Hold(ctx, "one", "x", 3); !errors.As(err, &p) || p.Status != 409 {
 		t.Errorf("another under its id: %v", err)
 	}
-	if v, err := c.SetAccepting(ctx, "", false); err != nil || v.Taking || f.taking {
-		t.Errorf("taking %v, error %v", f.taking, err)
+	if v, err := client.SetAccepting(ctx, "", false); err != nil || v.Taking || instance.accepting {
+		t.Errorf("taking %v, error %v", instance.accepting, err)
 	}
 	for range 2 {
-		if id, err := c.Reload(ctx, "r"); err != nil || id.Configuration != "c1" || f.loads != 1 {
-			t.Errorf("reloaded: %+v, error %v, %d times", id, err, f.loads)
+		if id, err := client.Reload(ctx, "r"); err != nil || id.Configuration != "c1" || instance.reloads != 1 {
+			t.Errorf("reloaded: %+v, error %v, %d times", id, err, instance.reloads)
 		}
 	}
-	f.fails = "reload"
-	if _, err := c.Reload(ctx, "s"); !errors.As(err, &p) || p.Status != 422 || p.Detail != "line 3: no" {
+	instance.failing = "reload"
+	if _, err := client.Reload(ctx, "s"); !errors.As(err, &p) || p.Status != 422 || p.Detail != "line 3: no" {
 		t.Errorf("a bad configuration: %v", err)
 	}
-	if err := c.call(ctx, "PUT", "taking", &Admission{true}, nil); !errors.As(err, &p) || p.Field != api.IdempotencyKey {
+	if err := client.call(ctx, "PUT", "taking", &Admission{true}, nil); !errors.As(err, &p) || p.Field != api.IdempotencyKey {
 		t.Errorf("without an id: %v", err)
 	}
 }
 
 // The stream begins with everything, and then tells what changes and nothing else.
 func TestWatch(t *testing.T) {
-	f, c, _ := serve(t)
-	f.set(func(s *State) { s.Backends = []Backend{{Name: "x", Phase: "Ready"}, {Name: "y", Phase: "Ready"}} })
+	instance, client, _ := startServer(t)
+	instance.updateState(func(s *State) { s.Backends = []Backend{{Name: "x", Phase: "Ready"}, {Name: "y", Phase: "Ready"}} })
 	var events []*Event
-	enough := errors.New("enough")
-	err := c.Watch(t.Context(), func(e *Event) error {
+	errEnough := errors.New("enough")
+	err := client.Watch(t.Context(), func(e *Event) error {
 		switch events = append(events, e); len(events) {
 		case 1:
-			f.set(func(s *State) { // in flight is no event
+			instance.updateState(func(s *State) { // in flight is no event
 				s.Backends = []Backend{{Name: "x", Phase: "Ready", InFlight: 3}, {Name: "y", Phase: "Ready"}}
 				s.Service.Requests = 7
 			})
 		case 2:
-			f.set(func(s *State) { s.Backends = []Backend{{Name: "x", Phase: "Terminating"}} })
+			instance.updateState(func(s *State) { s.Backends = []Backend{{Name: "x", Phase: "Terminating"}} })
 		case 3:
-			return enough
+			return errEnough
 		}
 		return nil
 	})
-	if err != enough {
+	if err != errEnough {
 		t.Fatal(err)
 	}
 	if e := events[0]; e.Identity == nil || e.Identity.Labels["zone"] != "a" || len(e.Backends) != 2 || e.Service == nil || e.Held == nil {
@@ -425,4 +425,4 @@
 	}
 }
 
-var _ Instance = (*fake)(nil)
+var _ Instance = (*fakeInstance)(nil)
--- a/internal/control/level.go
+++ b/internal/control/level.go
@@ -35,46 +35,46 @@
 	Why  string    `json:"why"`
 }
 
-var noLevels = &api.Problem{Status: 404, Title: "there are no levels", Detail: "the operators' file names none"}
+var errNoLevels = &api.Problem{Status: 404, Title: "there are no levels", Detail: "the operators' file names none"}
 
 func (s *Server) level(r *http.Request) (any, error) {
 	v, err := s.service.instance.Level(r.Context())
 	if err == nil && v == nil {
-		err = noLevels
+		err = errNoLevels
 	}
 	return v, err
 }
 
-const mostWhy = 200
+const maxReasonBytes = 200
 
 // holdLevel keeps a level by hand, or lets the figures decide again.
 func (s *Server) holdLevel(r *http.Request) (any, error) {
-	var b struct {
+	var body struct {
 		Level string  `json:"level"`
 		For   float64 `json:"for_s"`
 		Why   string  `json:"why"`
 	}
 	if r.Method == http.MethodPut {
-		if err := api.Body(r, &b); err != nil {
+		if err := api.Body(r, &body); err != nil {
 			return nil, err
 		}
-		wrong := func(field, what string, args ...any) error {
-			return &api.Problem{Status: 422, Title: "the hold can't be used", Detail: fmt.Sprintf(what, args...), Field: field}
+		invalidField := func(field, format string, args ...any) error {
+			return &api.Problem{Status: 422, Title: "the hold can't be used", Detail: fmt.Sprintf(format, args...), Field: field}
 		}
 		switch {
-		case !(b.For > 0 && b.For <= mostHold.Seconds()):
-			return nil, wrong("for_s", "%v is not between 0 and %v", b.For, mostHold.Seconds())
-		case b.Why == "" || len(b.Why) > mostWhy:
-			return nil, wrong("why", "it has %d bytes, and 1 to %d are wanted", len(b.Why), mostWhy)
+		case !(body.For > 0 && body.For <= maxHold.Seconds()):
+			return nil, invalidField("for_s", "%v is not between 0 and %v", body.For, maxHold.Seconds())
+		case body.Why == "" || len(body.Why) > maxReasonBytes:
+			return nil, invalidField("why", "it has %d bytes, and 1 to %d are wanted", len(body.Why), maxReasonBytes)
 		}
 	}
-	return s.once(r, fmt.Sprintf("level %q %v", b.Level, b.For), func() (any, error) {
-		v, err := s.service.instance.HoldLevel(r.Context(), b.Level, time.Duration(b.For*float64(time.Second)), b.Why)
+	return s.runOnce(r, fmt.Sprintf("level %q %v", body.Level, body.For), func() (any, error) {
+		v, err := s.service.instance.HoldLevel(r.Context(), body.Level, time.Duration(body.For*float64(time.Second)), body.Why)
 		switch {
 		case err != nil:
 			return nil, &api.Problem{Status: 422, Title: "the hold can't be used", Detail: err.Error(), Field: "level"}
 		case v == nil:
-			return nil, noLevels
+			return nil, errNoLevels
 		}
 		return v, nil
 	})
--- a/internal/control/openapi_test.go
+++ b/internal/control/openapi_test.go
@@ -10,12 +10,12 @@
 
 // The description names what is served and nothing else, and what is answered is as it says.
 func TestOpenAPI(t *testing.T) {
-	_, _, path := serve(t)
-	served := slices.Collect(maps.Keys(NewServer(&fake{}, Options{}).routes()))
+	_, _, path := startServer(t)
+	served := slices.Collect(maps.Keys(NewServer(&fakeInstance{}, Options{}).routes()))
 	apitest.Check(t, openapi, served, path, []apitest.Call{
 		apitest.On("GET", "instance", "", 200), apitest.On("GET", "state", "", 200), apitest.On("GET", "backends", "", 200), apitest.On("GET", "requests", "", 200),
 		apitest.On("GET", "causes", "", 200), apitest.On("GET", "document", "", 200), apitest.On("GET", "changes/x", "", 200),
-		apitest.On("PUT", "changes/x", `{"base":0,"fence":1,"document":`+someWorth+`}`, 200),
+		apitest.On("PUT", "changes/x", `{"base":0,"fence":1,"document":`+worthDocument+`}`, 200),
 		apitest.On("POST", "changes/x/commit", `{"fence":1}`, 200), apitest.On("POST", "changes/x/abort", `{"fence":1}`, 200),
 		apitest.On("POST", "changes/x/confirm", `{"fence":1}`, 200), apitest.On("POST", "changes/y/confirm", `{"fence":1}`, 409),
 		apitest.On("POST", "changes/z/abort", `{"fence":0}`, 412), apitest.On("POST", "fence", `{"fence":2}`, 200), apitest.On("POST", "fence", `{"fence":1}`, 412),
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -12,7 +12,7 @@
 	"example.org/micaline/internal/document"
 )
 
-const mostHold = 24 * time.Hour
+const maxHold = 24 * time.Hour
 
 // Identity says which process answers.
 type Identity struct {
@@ -48,8 +48,8 @@
 }
 
 // NewServer returns a server that is not serving yet.
-func NewServer(i Instance, o Options) *Server {
-	s := &Server{service: newService(i, o.Epoch), options: o}
+func NewServer(instance Instance, options Options) *Server {
+	s := &Server{service: newService(instance, options.Epoch), options: options}
 	mux := http.NewServeMux()
 	for pattern, handler := range s.routes() {
 		mux.HandleFunc(pattern, handler)
@@ -65,44 +65,44 @@
 
 // routes are all that the interface answers to. openapi.yaml describes them, and a test holds the two together.
 func (s *Server) routes() map[string]http.HandlerFunc {
-	of := func(f func(r *http.Request) (any, error)) http.HandlerFunc {
-		return api.Handler(document.MaxSize+4096, s.service.problem, f)
+	handle := func(respond func(r *http.Request) (any, error)) http.HandlerFunc {
+		return api.Handler(document.MaxSize+4096, s.service.problem, respond)
 	}
 	return map[string]http.HandlerFunc{
-		"GET /v1/instance":              of(s.identity),
-		"GET /v1/summary":               of(s.summary),
-		"GET /v1/state":                 of(s.look(func(st *State) any { return st })),
-		"GET /v1/backends":              of(s.look(func(st *State) any { return st.Backends })),
-		"GET /v1/requests":              of(s.look(func(st *State) any { return st.Requests })),
-		"GET /v1/causes":                of(s.look(func(st *State) any { return st.Causes })),
-		"GET /v1/classes":               of(s.look(func(st *State) any { return st.Classes })),
-		"GET /v1/accounts":              of(s.look(func(st *State) any { return st.Accounts })),
+		"GET /v1/instance":              handle(s.identity),
+		"GET /v1/summary":               handle(s.summary),
+		"GET /v1/state":                 handle(s.viewState(func(st *State) any { return st })),
+		"GET /v1/backends":              handle(s.viewState(func(st *State) any { return st.Backends })),
+		"GET /v1/requests":              handle(s.viewState(func(st *State) any { return st.Requests })),
+		"GET /v1/causes":                handle(s.viewState(func(st *State) any { return st.Causes })),
+		"GET /v1/classes":               handle(s.viewState(func(st *State) any { return st.Classes })),
+		"GET /v1/accounts":              handle(s.viewState(func(st *State) any { return st.Accounts })),
 		"GET /v1/watch":                 s.watch,
-		"GET /v1/document":              of(s.document),
-		"GET /v1/changes/{id}":          of(s.known),
-		"PUT /v1/changes/{id}":          of(s.prepare),
-		"POST /v1/changes/{id}/commit":  of(s.commit),
-		"POST /v1/fence":                of(s.hear),
-		"POST /v1/changes/{id}/abort":   of(s.fenced(s.service.abort)),
-		"POST /v1/changes/{id}/confirm": of(s.fenced(s.service.confirm)),
-		"PUT /v1/holds/{backend}":       of(s.hold),
-		"DELETE /v1/holds/{backend}":    of(s.hold),
-		"GET /v1/level":                 of(s.level),
-		"PUT /v1/level":                 of(s.holdLevel),
-		"DELETE /v1/level":              of(s.holdLevel),
-		"GET /v1/sites":                 of(s.sites),
-		"PUT /v1/sites/{site}/out":      of(s.takeOut),
-		"DELETE /v1/sites/{site}/out":   of(s.takeOut),
-		"PUT /v1/taking":                of(s.taking),
-		"POST /v1/reload":               of(s.reload),
-		"GET /v1/openapi.yaml":          description,
+		"GET /v1/document":              handle(s.document),
+		"GET /v1/changes/{id}":          handle(s.changeStatus),
+		"PUT /v1/changes/{id}":          handle(s.prepare),
+		"POST /v1/changes/{id}/commit":  handle(s.commit),
+		"POST /v1/fence":                handle(s.observeFence),
+		"POST /v1/changes/{id}/abort":   handle(s.withFence(s.service.abort)),
+		"POST /v1/changes/{id}/confirm": handle(s.withFence(s.service.confirm)),
+		"PUT /v1/holds/{backend}":       handle(s.holdBackend),
+		"DELETE /v1/holds/{backend}":    handle(s.holdBackend),
+		"GET /v1/level":                 handle(s.level),
+		"PUT /v1/level":                 handle(s.holdLevel),
+		"DELETE /v1/level":              handle(s.holdLevel),
+		"GET /v1/sites":                 handle(s.sites),
+		"PUT /v1/sites/{site}/out":      handle(s.evacuateSite),
+		"DELETE /v1/sites/{site}/out":   handle(s.evacuateSite),
+		"PUT /v1/taking":                handle(s.setAccepting),
+		"POST /v1/reload":               handle(s.reload),
+		"GET /v1/openapi.yaml":          serveOpenAPI,
 	}
 }
 
 //go:embed openapi.yaml
 var openapi []byte
 
-func description(w http.ResponseWriter, _ *http.Request) {
+func serveOpenAPI(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/yaml")
 	w.Write(openapi) // a client that does not take it is gone
 }
@@ -117,21 +117,21 @@
 }
 
 func (s *Server) identity(r *http.Request) (any, error) {
-	st, err := s.service.instance.State(r.Context())
+	state, err := s.service.instance.State(r.Context())
 	if err != nil {
 		return nil, err
 	}
 	s.service.mu.Lock()
 	defer s.service.mu.Unlock()
-	return s.identify(st), nil
+	return s.identify(state), nil
 }
 
 // identify says which process this is. The service's mutex is held.
 func (s *Server) identify(st *State) *Identity {
-	m := s.service.machine
+	machine := s.service.stateMachine
 	id := &Identity{
-		Name: s.service.instance.Name(), Epoch: m.Epoch(), Uptime: s.service.now().Seconds(), Revision: m.Revision(),
-		Hash: m.Current().Hash, Fence: m.Fence(), Pending: m.Pending(), Taking: st.Taking, Labels: s.options.Labels, Mixed: m.Mixed(),
+		Name: s.service.instance.Name(), Epoch: machine.Epoch(), Uptime: s.service.now().Seconds(), Revision: machine.Revision(),
+		Hash: machine.Current().Hash, Fence: machine.Fence(), Pending: machine.Pending(), Taking: st.Taking, Labels: s.options.Labels, Mixed: machine.Mixed(),
 	}
 	if s.options.Configuration != nil {
 		id.Configuration = s.options.Configuration()
@@ -146,35 +146,35 @@
 	Service RequestCounts `json:"service"`
 }
 
-func (s *Server) look(part func(*State) any) func(*http.Request) (any, error) {
+func (s *Server) viewState(part func(*State) any) func(*http.Request) (any, error) {
 	return func(r *http.Request) (any, error) {
-		st, err := s.service.instance.State(r.Context())
+		state, err := s.service.instance.State(r.Context())
 		if err != nil {
 			return nil, err
 		}
-		return part(st), nil
+		return part(state), nil
 	}
 }
 
 func (s *Server) summary(r *http.Request) (any, error) {
-	st, err := s.service.instance.State(r.Context())
+	state, err := s.service.instance.State(r.Context())
 	if err != nil {
 		return nil, err
 	}
 	s.service.mu.Lock()
 	defer s.service.mu.Unlock()
-	return &Summary{*s.identify(st), st.Held, st.Service}, nil
+	return &Summary{*s.identify(state), state.Held, state.Service}, nil
 }
 
 // hear takes in that a manager has spoken, and answers with the summary: whoever was the manager before is refused from then on.
-func (s *Server) hear(r *http.Request) (any, error) {
-	var b struct {
+func (s *Server) observeFence(r *http.Request) (any, error) {
+	var body struct {
 		Fence uint64 `json:"fence"`
 	}
-	if err := api.Body(r, &b); err != nil {
+	if err := api.Body(r, &body); err != nil {
 		return nil, err
 	}
-	if err := s.service.hear(b.Fence); err != nil {
+	if err := s.service.observeFence(body.Fence); err != nil {
 		return nil, err
 	}
 	return s.summary(r)
@@ -188,55 +188,55 @@
 }
 
 func (s *Server) document(*http.Request) (any, error) {
-	d, revision := s.service.inForce()
+	d, revision := s.service.current()
 	return &VersionedDocument{revision, d.Hash(), d}, nil
 }
 
-func (s *Server) known(r *http.Request) (any, error) {
+func (s *Server) changeStatus(r *http.Request) (any, error) {
 	s.service.mu.Lock()
 	defer s.service.mu.Unlock()
-	return s.service.change(r.PathValue("id")), nil
+	return s.service.changeStatus(r.PathValue("id")), nil
 }
 
 func (s *Server) prepare(r *http.Request) (any, error) {
-	var raw struct {
+	var body struct {
 		Base     uint64          `json:"base"`
 		Fence    uint64          `json:"fence"`
 		Confirm  float64         `json:"confirm_s"`
 		Document json.RawMessage `json:"document"`
 	}
-	if err := api.Body(r, &raw); err != nil {
+	if err := api.Body(r, &body); err != nil {
 		return nil, err
 	}
-	if !(raw.Confirm >= 0 && raw.Confirm <= 3600) {
-		return nil, &api.Problem{Status: 422, Title: "the change can't be used", Detail: fmt.Sprintf("%v is not between 0 and 3600", raw.Confirm), Field: "confirm_s"}
+	if !(body.Confirm >= 0 && body.Confirm <= 3600) {
+		return nil, &api.Problem{Status: 422, Title: "the change can't be used", Detail: fmt.Sprintf("%v is not between 0 and 3600", body.Confirm), Field: "confirm_s"}
 	}
-	d, err := document.Parse(raw.Document)
+	d, err := document.Parse(body.Document)
 	if err != nil {
 		return nil, err
 	}
-	return s.service.prepare(r.PathValue("id"), &Proposal{raw.Base, raw.Fence, raw.Confirm, d})
+	return s.service.prepare(r.PathValue("id"), &Proposal{body.Base, body.Fence, body.Confirm, d})
 }
 
 func (s *Server) commit(r *http.Request) (any, error) {
-	var b struct {
+	var body struct {
 		Fence uint64 `json:"fence"`
 	}
-	if err := api.Body(r, &b); err != nil {
+	if err := api.Body(r, &body); err != nil {
 		return nil, err
 	}
-	return s.service.commit(r.Context(), r.PathValue("id"), b.Fence)
+	return s.service.commit(r.Context(), r.PathValue("id"), body.Fence)
 }
 
-func (s *Server) fenced(f func(id string, fence uint64) (*Change, error)) func(*http.Request) (any, error) {
+func (s *Server) withFence(apply func(id string, fence uint64) (*Change, error)) func(*http.Request) (any, error) {
 	return func(r *http.Request) (any, error) {
-		var b struct {
+		var body struct {
 			Fence uint64 `json:"fence"`
 		}
-		if err := api.Body(r, &b); err != nil {
+		if err := api.Body(r, &body); err != nil {
 			return nil, err
 		}
-		return f(r.PathValue("id"), b.Fence)
+		return apply(r.PathValue("id"), body.Fence)
 	}
 }
 
@@ -246,35 +246,35 @@
 	For     float64 `json:"for_s"` // 0: it is let in
 }
 
-func (s *Server) hold(r *http.Request) (any, error) {
-	h := BackendHold{Backend: r.PathValue("backend")}
+func (s *Server) holdBackend(r *http.Request) (any, error) {
+	hold := BackendHold{Backend: r.PathValue("backend")}
 	if r.Method == http.MethodPut {
-		var b struct {
+		var body struct {
 			For float64 `json:"for_s"`
 		}
-		if err := api.Body(r, &b); err != nil {
+		if err := api.Body(r, &body); err != nil {
 			return nil, err
 		}
-		if h.For = b.For; !(h.For > 0 && h.For <= mostHold.Seconds()) {
-			return nil, &api.Problem{Status: 422, Title: "the hold can't be used", Detail: fmt.Sprintf("%v is not between 0 and %v", h.For, mostHold.Seconds()), Field: "for_s"}
+		if hold.For = body.For; !(hold.For > 0 && hold.For <= maxHold.Seconds()) {
+			return nil, &api.Problem{Status: 422, Title: "the hold can't be used", Detail: fmt.Sprintf("%v is not between 0 and %v", hold.For, maxHold.Seconds()), Field: "for_s"}
 		}
 	}
-	return s.once(r, fmt.Sprintf("hold %q %v", h.Backend, h.For), func() (any, error) {
-		known, err := s.service.instance.Hold(r.Context(), h.Backend, time.Duration(h.For*float64(time.Second)))
+	return s.runOnce(r, fmt.Sprintf("hold %q %v", hold.Backend, hold.For), func() (any, error) {
+		known, err := s.service.instance.Hold(r.Context(), hold.Backend, time.Duration(hold.For*float64(time.Second)))
 		if err == nil && !known {
-			err = &api.Problem{Status: 404, Title: "there is no such backend", Detail: h.Backend, Field: "backend"}
+			err = &api.Problem{Status: 404, Title: "there is no such backend", Detail: hold.Backend, Field: "backend"}
 		}
-		return &h, err
+		return &hold, err
 	})
 }
 
 // once makes a change that has no document under the id that the request has.
-func (s *Server) once(r *http.Request, what string, f func() (any, error)) (any, error) {
+func (s *Server) runOnce(r *http.Request, description string, apply func() (any, error)) (any, error) {
 	id, err := api.Key(r)
 	if err != nil {
 		return nil, err
 	}
-	return s.service.do(id, what, f)
+	return s.service.runOnce(id, description, apply)
 }
 
 // Taking says whether requests are taken.
@@ -282,32 +282,32 @@
 	Taking bool `json:"taking"`
 }
 
-func (s *Server) taking(r *http.Request) (any, error) {
-	var b struct {
+func (s *Server) setAccepting(r *http.Request) (any, error) {
+	var body struct {
 		Taking *bool `json:"taking"`
 	}
-	if err := api.Body(r, &b); err != nil {
+	if err := api.Body(r, &body); err != nil {
 		return nil, err
 	}
-	if b.Taking == nil {
+	if body.Taking == nil {
 		return nil, &api.Problem{Status: 422, Title: "the switch can't be used", Detail: "missing", Field: "taking"}
 	}
-	return s.once(r, fmt.Sprintf("taking %v", *b.Taking), func() (any, error) {
-		s.service.instance.SetAccepting(*b.Taking)
-		return &Admission{*b.Taking}, nil
+	return s.runOnce(r, fmt.Sprintf("taking %v", *body.Taking), func() (any, error) {
+		s.service.instance.SetAccepting(*body.Taking)
+		return &Admission{*body.Taking}, nil
 	})
 }
 
 // reload has the process read the platform's configuration again.
 func (s *Server) reload(r *http.Request) (any, error) {
-	st, err := s.service.instance.State(r.Context())
+	state, err := s.service.instance.State(r.Context())
 	if err != nil {
 		return nil, err
 	}
-	return s.once(r, "reload", func() (any, error) {
+	return s.runOnce(r, "reload", func() (any, error) {
 		if err := s.service.instance.Reload(r.Context()); err != nil {
 			return nil, &api.Problem{Status: 422, Title: "the configuration can't be used, and the old one stays", Detail: err.Error()}
 		}
-		return s.identify(st), nil
+		return s.identify(state), nil
 	})
 }
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -30,11 +30,11 @@
 	// Level returns the level of service; nil where there are none.
 	Level(ctx context.Context) (*Level, error)
 	// HoldLevel keeps a level for so long, or lets the figures decide again if that is 0. It returns nil where there are none.
-	HoldLevel(ctx context.Context, name string, d time.Duration, why string) (*Level, error)
+	HoldLevel(ctx context.Context, name string, d time.Duration, reason string) (*Level, error)
 	// Sites returns what is the matter with each site; nil where they are not watched.
 	Sites(ctx context.Context) (*Sites, error)
 	// TakeOut has a site taken out by hand for so long, or let in again if that is 0. It returns nil where sites are not watched.
-	EvacuateSite(ctx context.Context, name string, d time.Duration, force bool, why string) (*Sites, error)
+	EvacuateSite(ctx context.Context, name string, d time.Duration, force bool, reason string) (*Sites, error)
 	// SetTaking says whether requests are taken.
 	SetAccepting(on bool)
 	// Reload reads the platform's configuration again.
@@ -158,26 +158,26 @@
 // service keeps the change machine of one process, and carries out what it wants.
 type service struct {
 	instance Instance
-	began    time.Time
-
-	mu        sync.Mutex
-	once      change.Once // what became of changes without a document
-	machine   *change.Instance
-	documents map[string]*document.Document // by hash: the one in force, and the one under way
-	timer     *time.Timer
-	settled   chan struct{} // closed when a change has ended, and made anew
+	started  time.Time
+
+	mu           sync.Mutex
+	results      change.Once // what became of changes without a document
+	stateMachine *change.Instance
+	documents    map[string]*document.Document // by hash: the one in force, and the one under way
+	timer        *time.Timer
+	changeEnded  chan struct{} // closed when a change has ended, and made anew
 }
 
-func newService(i Instance, epoch string) *service {
+func newService(instance Instance, epoch string) *service {
 	empty := &document.Document{}
 	s := &service{
-		instance: i, began: time.Now(), documents: map[string]*document.Document{empty.Hash(): empty}, settled: make(chan struct{}),
+		instance: instance, started: time.Now(), documents: map[string]*document.Document{empty.Hash(): empty}, changeEnded: make(chan struct{}),
 	}
-	s.machine = change.NewInstance(epoch, 0, change.Document{Hash: empty.Hash(), Parts: document.Parts})
+	s.stateMachine = change.NewInstance(epoch, 0, change.Document{Hash: empty.Hash(), Parts: document.Parts})
 	return s
 }
 
-func (s *service) now() time.Duration { return time.Since(s.began) }
+func (s *service) now() time.Duration { return time.Since(s.started) }
 
 // close stops what would still happen by itself.
 func (s *service) close() {
@@ -196,38 +196,38 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := change.Document{Hash: p.Document.Hash(), Parts: document.Parts}
-	if err := s.machine.Prepare(s.now(), p.Fence, id, p.Base, d, time.Duration(p.Confirm*float64(time.Second))); err != nil {
+	if err := s.stateMachine.Prepare(s.now(), p.Fence, id, p.Base, d, time.Duration(p.Confirm*float64(time.Second))); err != nil {
 		return nil, err
 	}
-	s.keep(p.Document)
-	s.arm()
-	return s.change(id), nil
+	s.retainDocument(p.Document)
+	s.armTimer()
+	return s.changeStatus(id), nil
 }
 
 // keep holds a document that may come in force, and drops those that can't any more. The mutex is held.
-func (s *service) keep(d *document.Document) {
-	current := s.documents[s.machine.Current().Hash]
+func (s *service) retainDocument(d *document.Document) {
+	current := s.documents[s.stateMachine.Current().Hash]
 	s.documents = map[string]*document.Document{current.Hash(): current, d.Hash(): d}
 }
 
 // commit applies what is prepared and waits until it has ended, or the context has.
 func (s *service) commit(ctx context.Context, id string, fence uint64) (*Change, error) {
 	s.mu.Lock()
-	todo, err := s.machine.Commit(s.now(), fence, id)
-	if err == nil && len(todo) > 0 {
-		go s.carryOut(todo)
+	actions, err := s.stateMachine.Commit(s.now(), fence, id)
+	if err == nil && len(actions) > 0 {
+		go s.runActions(actions)
 	}
 	for err == nil {
-		c, ended := s.change(id), s.settled
-		if r, ok := s.machine.Result(id); ok && r.Outcome != change.None || s.machine.Confirming(id) {
+		status, ended := s.changeStatus(id), s.changeEnded
+		if r, ok := s.stateMachine.Result(id); ok && r.Outcome != change.None || s.stateMachine.Confirming(id) {
 			s.mu.Unlock()
-			return c, nil
+			return status, nil
 		}
 		s.mu.Unlock()
 		select {
 		case <-ended:
 		case <-ctx.Done():
-			return c, nil // it goes on: the answer says that it is under way
+			return status, nil // it goes on: the answer says that it is under way
 		}
 		s.mu.Lock()
 	}
@@ -237,116 +237,116 @@
 
 // carryOut does what the machine wants, one thing after the other. What is asked of the instance is not done under
 // the mutex: others may look meanwhile.
-func (s *service) carryOut(todo []change.Action) {
-	for len(todo) > 0 {
-		a := todo[0]
+func (s *service) runActions(actions []change.Action) {
+	for len(actions) > 0 {
+		action := actions[0]
 		s.mu.Lock()
-		d := s.documents[s.machine.Wanted(a).Hash]
+		d := s.documents[s.stateMachine.Wanted(action).Hash]
 		s.mu.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), applyTimeout)
 		err := errors.New("its document is gone")
 		if d != nil {
-			err = s.instance.Apply(ctx, a.Part, d)
+			err = s.instance.Apply(ctx, action.Part, d)
 		}
 		cancel()
 		s.mu.Lock()
-		todo = s.machine.Done(s.now(), a, err)
-		if len(todo) == 0 {
-			s.wake()
+		actions = s.stateMachine.Done(s.now(), action, err)
+		if len(actions) == 0 {
+			s.notifyWaiters()
 		}
 		s.mu.Unlock()
 	}
 }
 
 // wake tells those that wait that a change has ended, or waits for its confirmation. The mutex is held.
-func (s *service) wake() {
-	close(s.settled)
-	s.settled = make(chan struct{})
-	s.arm()
+func (s *service) notifyWaiters() {
+	close(s.changeEnded)
+	s.changeEnded = make(chan struct{})
+	s.armTimer()
 }
 
 // arm sets the timer for what the machine does by itself. The mutex is held.
-func (s *service) arm() {
-	at, ok := s.machine.Due()
+func (s *service) armTimer() {
+	due, ok := s.stateMachine.Due()
 	if !ok {
 		return
 	}
-	wait := max(0, at-s.now())
+	wait := max(0, due-s.now())
 	if s.timer != nil {
 		s.timer.Stop()
 	}
 	s.timer = time.AfterFunc(wait, func() {
 		s.mu.Lock()
-		todo := s.machine.Tick(s.now())
-		s.arm()
+		actions := s.stateMachine.Tick(s.now())
+		s.armTimer()
 		s.mu.Unlock()
-		s.carryOut(todo)
+		s.runActions(actions)
 	})
 }
 
 // do makes a change that has no document, once under its id, and one after the other.
-func (s *service) do(id, what string, f func() (any, error)) (any, error) {
+func (s *service) runOnce(id, description string, apply func() (any, error)) (any, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if first, known, err := s.once.Begin(id, what); known || err != nil {
-		return first, err
+	if firstResult, known, err := s.results.Begin(id, description); known || err != nil {
+		return firstResult, err
 	}
-	v, err := f()
+	v, err := apply()
 	if err != nil {
 		return nil, err
 	}
-	s.once.End(id, v)
+	s.results.End(id, v)
 	return v, nil
 }
 
-func (s *service) hear(fence uint64) error {
+func (s *service) observeFence(fence uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.machine.Hear(fence)
+	return s.stateMachine.Hear(fence)
 }
 
 func (s *service) abort(id string, fence uint64) (*Change, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, err := s.machine.Abort(s.now(), fence, id); err != nil {
+	if _, err := s.stateMachine.Abort(s.now(), fence, id); err != nil {
 		return nil, err
 	}
-	return s.change(id), nil
+	return s.changeStatus(id), nil
 }
 
 func (s *service) confirm(id string, fence uint64) (*Change, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.machine.Confirm(s.now(), fence, id); err != nil {
+	if err := s.stateMachine.Confirm(s.now(), fence, id); err != nil {
 		return nil, err
 	}
-	return s.change(id), nil
+	return s.changeStatus(id), nil
 }
 
 // change is what is known of a change. The mutex is held.
-func (s *service) change(id string) *Change {
-	c := &Change{ID: id, Epoch: s.machine.Epoch(), Outcome: change.None.String(), Revision: s.machine.Revision(), Pending: s.machine.Pending()}
-	if r, ok := s.machine.Result(id); ok {
+func (s *service) changeStatus(id string) *Change {
+	c := &Change{ID: id, Epoch: s.stateMachine.Epoch(), Outcome: change.None.String(), Revision: s.stateMachine.Revision(), Pending: s.stateMachine.Pending()}
+	if r, ok := s.stateMachine.Result(id); ok {
 		c.Outcome, c.Parts, c.Revision, c.Reason = r.Outcome.String(), r.Parts, r.Revision, r.Reason
 	}
 	return c
 }
 
 // inForce is the document in force and its revision.
-func (s *service) inForce() (*document.Document, uint64) {
+func (s *service) current() (*document.Document, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.documents[s.machine.Current().Hash], s.machine.Revision()
+	return s.documents[s.stateMachine.Current().Hash], s.stateMachine.Revision()
 }
 
 // problem turns an error into what the client is told, and under which epoch.
 func (s *service) problem(err error) *api.Problem {
-	p := *problem(err)
-	p.Epoch = s.machine.Epoch() // which never changes
+	p := *problemFor(err)
+	p.Epoch = s.stateMachine.Epoch() // which never changes
 	return &p
 }
 
-func problem(err error) *api.Problem {
+func problemFor(err error) *api.Problem {
 	var f *document.FieldError
 	var p *api.Problem
 	switch {
--- a/internal/control/site.go
+++ b/internal/control/site.go
@@ -65,47 +65,47 @@
 	Why  string    `json:"why"`
 }
 
-var noSites = &api.Problem{Status: 404, Title: "sites are not watched", Detail: "the operators' file does not say so, or there is only one"}
+var errSitesNotWatched = &api.Problem{Status: 404, Title: "sites are not watched", Detail: "the operators' file does not say so, or there is only one"}
 
 func (s *Server) sites(r *http.Request) (any, error) {
 	v, err := s.service.instance.Sites(r.Context())
 	if err == nil && v == nil {
-		err = noSites
+		err = errSitesNotWatched
 	}
 	return v, err
 }
 
 // takeOut takes a site out by hand, or lets it in again.
-func (s *Server) takeOut(r *http.Request) (any, error) {
-	var b struct {
+func (s *Server) evacuateSite(r *http.Request) (any, error) {
+	var body struct {
 		For   float64 `json:"for_s"`
 		Force bool    `json:"force"`
 		Why   string  `json:"why"`
 	}
 	name := r.PathValue("site")
-	wrong := func(status int, field, what string, args ...any) error {
-		return &api.Problem{Status: status, Title: "the site can't be taken out", Detail: fmt.Sprintf(what, args...), Field: field}
+	invalid := func(status int, field, format string, args ...any) error {
+		return &api.Problem{Status: status, Title: "the site can't be taken out", Detail: fmt.Sprintf(format, args...), Field: field}
 	}
 	if r.Method == http.MethodPut {
-		if err := api.Body(r, &b); err != nil {
+		if err := api.Body(r, &body); err != nil {
 			return nil, err
 		}
 		switch {
-		case !(b.For > 0 && b.For <= mostHold.Seconds()):
-			return nil, wrong(422, "for_s", "%v is not between 0 and %v", b.For, mostHold.Seconds())
-		case b.Why == "" || len(b.Why) > mostWhy:
-			return nil, wrong(422, "why", "it has %d bytes, and 1 to %d are wanted", len(b.Why), mostWhy)
+		case !(body.For > 0 && body.For <= maxHold.Seconds()):
+			return nil, invalid(422, "for_s", "%v is not between 0 and %v", body.For, maxHold.Seconds())
+		case body.Why == "" || len(body.Why) > maxReasonBytes:
+			return nil, invalid(422, "why", "it has %d bytes, and 1 to %d are wanted", len(body.Why), maxReasonBytes)
 		}
 	}
-	return s.once(r, fmt.Sprintf("site %q %v %v", name, b.For, b.Force), func() (any, error) {
-		v, err := s.service.instance.EvacuateSite(r.Context(), name, time.Duration(b.For*float64(time.Second)), b.Force, b.Why)
+	return s.runOnce(r, fmt.Sprintf("site %q %v %v", name, body.For, body.Force), func() (any, error) {
+		v, err := s.service.instance.EvacuateSite(r.Context(), name, time.Duration(body.For*float64(time.Second)), body.Force, body.Why)
 		switch {
 		case errors.Is(err, site.ErrInsufficientCapacity):
-			return nil, wrong(409, "site", "%v; force it to have it all the same", err)
+			return nil, invalid(409, "site", "%v; force it to have it all the same", err)
 		case errors.Is(err, site.ErrUnknownSite):
-			return nil, wrong(404, "site", "%v", err)
+			return nil, invalid(404, "site", "%v", err)
 		case err == nil && v == nil:
-			return nil, noSites
+			return nil, errSitesNotWatched
 		}
 		return v, err
 	})
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	watchEvery = time.Second
-	beatEvery  = 10 * time.Second // without a change
-	mostEvent  = 8 << 20          // bytes
+	watchInterval     = time.Second
+	heartbeatInterval = 10 * time.Second // without a change
+	maxEventBytes     = 8 << 20          // bytes
 )
 
 // Event is what has changed since the one before. The first has everything; one with nothing tells that the instance
@@ -31,62 +31,62 @@
 }
 
 // shown is what a watcher has been told.
-type shown struct {
+type sentState struct {
 	identity string // as JSON, without what changes all the time
 	backends map[string]string
 	causes   map[FailureCause]int64 // without their counts
 	service  RequestCounts
 	held     int
-	any      bool
+	sent     bool
 }
 
 // event returns what a watcher is to be told, and whether that is anything.
-func (w *shown) event(id *Identity, s *State) (*Event, bool) {
-	e := &Event{At: id.Uptime}
-	still := *id
-	still.Uptime = 0
-	text, _ := json.Marshal(&still) // of strings and numbers
+func (w *sentState) next(identity *Identity, state *State) (*Event, bool) {
+	event := &Event{At: identity.Uptime}
+	stable := *identity
+	stable.Uptime = 0
+	text, _ := json.Marshal(&stable) // of strings and numbers
 	if string(text) != w.identity {
-		w.identity, e.Identity = string(text), id
+		w.identity, event.Identity = string(text), identity
 	}
 	if w.backends == nil {
 		w.backends, w.causes = map[string]string{}, map[FailureCause]int64{}
 	}
-	here := make(map[string]bool, len(s.Backends))
-	for i := range s.Backends {
-		b := &s.Backends[i]
-		here[b.Name] = true
-		if key := b.standing(); w.backends[b.Name] != key {
+	present := make(map[string]bool, len(state.Backends))
+	for i := range state.Backends {
+		b := &state.Backends[i]
+		present[b.Name] = true
+		if key := b.watchKey(); w.backends[b.Name] != key {
 			w.backends[b.Name] = key
-			e.Backends = append(e.Backends, *b)
+			event.Backends = append(event.Backends, *b)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(w.backends)) {
-		if !here[name] {
+		if !present[name] {
 			delete(w.backends, name)
-			e.Gone = append(e.Gone, name)
+			event.Gone = append(event.Gone, name)
 		}
 	}
-	for _, c := range s.Causes {
+	for _, c := range state.Causes {
 		key := c
 		key.Count = 0
 		if w.causes[key] != c.Count {
 			w.causes[key] = c.Count
-			e.Causes = append(e.Causes, c)
+			event.Causes = append(event.Causes, c)
 		}
 	}
-	if s.Service != w.service || !w.any {
-		w.service, e.Service = s.Service, &s.Service
+	if state.Service != w.service || !w.sent {
+		w.service, event.Service = state.Service, &state.Service
 	}
-	if s.Held != w.held || !w.any {
-		w.held, e.Held = s.Held, &s.Held
+	if state.Held != w.held || !w.sent {
+		w.held, event.Held = state.Held, &state.Held
 	}
-	w.any = true
-	return e, e.Identity != nil || e.Backends != nil || e.Gone != nil || e.Causes != nil || e.Service != nil || e.Held != nil
+	w.sent = true
+	return event, event.Identity != nil || event.Backends != nil || event.Gone != nil || event.Causes != nil || event.Service != nil || event.Held != nil
 }
 
 // standing is what of a backend is worth telling when it changes.
-func (b *Backend) standing() string {
+func (b *Backend) watchKey() string {
 	var ejected []string
 	for _, e := range b.Ejected {
 		ejected = append(ejected, e.Class)
@@ -98,27 +98,27 @@
 // watch writes what changes, a line each, until the client goes.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	rc := http.NewResponseController(w)
-	tick := time.NewTicker(watchEvery)
+	controller := http.NewResponseController(w)
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
-	enc := json.NewEncoder(w)
-	var told shown
-	last := time.Now()
+	encoder := json.NewEncoder(w)
+	var sent sentState
+	lastSent := time.Now()
 	for {
 		ctx, cancel := context.WithTimeout(r.Context(), api.AnswerTimeout)
-		st, err := s.service.instance.State(ctx)
+		state, err := s.service.instance.State(ctx)
 		cancel()
 		if err != nil {
 			return
 		}
 		s.service.mu.Lock()
-		id := s.identify(st)
+		identity := s.identify(state)
 		s.service.mu.Unlock()
-		if e, any := told.event(id, st); any || time.Since(last) >= beatEvery {
-			last = time.Now()
+		if e, changed := sent.next(identity, state); changed || time.Since(lastSent) >= heartbeatInterval {
+			lastSent = time.Now()
 			// Danger: who reads no more must not hold the connection for good.
-			rc.SetWriteDeadline(last.Add(api.AnswerTimeout))
-			if enc.Encode(e) != nil || rc.Flush() != nil {
+			controller.SetWriteDeadline(lastSent.Add(api.AnswerTimeout))
+			if encoder.Encode(e) != nil || controller.Flush() != nil {
 				return
 			}
 		}
@@ -131,18 +131,18 @@
 }
 
 // alarm calls a function unless it is put off again and again.
-type alarm struct {
-	timer *time.Timer
-	wait  time.Duration
-	rings atomic.Bool
+type watchdog struct {
+	timer   *time.Timer
+	timeout time.Duration
+	fired   atomic.Bool
 }
 
-func newAlarm(wait time.Duration, f func()) *alarm {
-	a := &alarm{wait: wait}
-	a.timer = time.AfterFunc(wait, func() { a.rings.Store(true); f() })
+func newWatchdog(wait time.Duration, f func()) *watchdog {
+	a := &watchdog{timeout: wait}
+	a.timer = time.AfterFunc(wait, func() { a.fired.Store(true); f() })
 	return a
 }
 
-func (a *alarm) again()     { a.timer.Reset(a.wait) }
-func (a *alarm) stop()      { a.timer.Stop() }
-func (a *alarm) rang() bool { return a.rings.Load() }
+func (a *watchdog) reset()        { a.timer.Reset(a.timeout) }
+func (a *watchdog) stop()         { a.timer.Stop() }
+func (a *watchdog) expired() bool { return a.fired.Load() }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -33,7 +33,7 @@
 )
 
 // atOnce is how many instances are asked at a time.
-const atOnce = 64
+const maxConcurrentQueries = 64
 
 type options struct {
 	instance string
@@ -61,25 +61,25 @@
 			"part, 6 what became of it is not known.",
 	}
 	env := os.Getenv
-	f := root.PersistentFlags()
-	f.StringVarP(&o.instance, "instance", "i", env("MICALINE_INSTANCE"), "one instance (or $MICALINE_INSTANCE)")
-	f.StringVarP(&o.fleet, "fleet", "f", env("MICALINE_FLEET"), "fleet file with many instances (or $MICALINE_FLEET)")
-	f.StringVarP(&o.selector, "select", "s", "", "which instances of the fleet, all if it is empty")
-	f.StringVarP(&o.manager, "manager", "m", env("MICALINE_MANAGER"), "the manager, or those of a group with commas (or $MICALINE_MANAGER)")
-	f.StringVar(&o.credentials.CA, "ca", env("MICALINE_CA"), "PEM file of those that sign servers' certificates (or $MICALINE_CA)")
-	f.StringVar(&o.credentials.TokenFile, "token-file", env("MICALINE_TOKEN_FILE"), "file with a token (or $MICALINE_TOKEN_FILE)")
-	f.StringVar(&o.credentials.Certificate, "certificate", env("MICALINE_CERTIFICATE"), "PEM file of a certificate to come with (or $MICALINE_CERTIFICATE)")
-	f.StringVar(&o.credentials.Key, "key", env("MICALINE_KEY"), "PEM file of its key (or $MICALINE_KEY)")
-	f.StringVarP(&o.output, "output", "o", "table", "table, or json for programs")
-	f.DurationVar(&o.timeout, "timeout", 10*time.Second, "how long an answer is waited for")
+	flags := root.PersistentFlags()
+	flags.StringVarP(&o.instance, "instance", "i", env("MICALINE_INSTANCE"), "one instance (or $MICALINE_INSTANCE)")
+	flags.StringVarP(&o.fleet, "fleet", "f", env("MICALINE_FLEET"), "fleet file with many instances (or $MICALINE_FLEET)")
+	flags.StringVarP(&o.selector, "select", "s", "", "which instances of the fleet, all if it is empty")
+	flags.StringVarP(&o.manager, "manager", "m", env("MICALINE_MANAGER"), "the manager, or those of a group with commas (or $MICALINE_MANAGER)")
+	flags.StringVar(&o.credentials.CA, "ca", env("MICALINE_CA"), "PEM file of those that sign servers' certificates (or $MICALINE_CA)")
+	flags.StringVar(&o.credentials.TokenFile, "token-file", env("MICALINE_TOKEN_FILE"), "file with a token (or $MICALINE_TOKEN_FILE)")
+	flags.StringVar(&o.credentials.Certificate, "certificate", env("MICALINE_CERTIFICATE"), "PEM file of a certificate to come with (or $MICALINE_CERTIFICATE)")
+	flags.StringVar(&o.credentials.Key, "key", env("MICALINE_KEY"), "PEM file of its key (or $MICALINE_KEY)")
+	flags.StringVarP(&o.output, "output", "o", "table", "table, or json for programs")
+	flags.DurationVar(&o.timeout, "timeout", 10*time.Second, "how long an answer is waited for")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &exit.Error{Code: ExitUsage, Err: err} })
 	must(root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json"}, cobra.ShellCompDirectiveNoFileComp)))
 	must(root.RegisterFlagCompletionFunc("select", o.completeNames))
 
-	o.addShown(root)
-	o.addChanges(root)
-	o.addFleet(root)
-	o.addDuty(root)
+	o.addShowCommands(root)
+	o.addChangeCommands(root)
+	o.addFleetCommands(root)
+	o.addDutyCommands(root)
 	return root
 }
 
@@ -90,61 +90,61 @@
 	}
 }
 
-func exactly(n int) cobra.PositionalArgs {
+func exactArgs(count int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
-		if len(args) != n {
-			return &exit.Error{Code: ExitUsage, Err: fmt.Errorf("%s takes %d arguments, and was given %d", c.CommandPath(), n, len(args))}
+		if len(args) != count {
+			return &exit.Error{Code: ExitUsage, Err: fmt.Errorf("%s takes %d arguments, and was given %d", c.CommandPath(), count, len(args))}
 		}
 		return nil
 	}
 }
 
-func usage(format string, args ...any) error {
+func usageError(format string, args ...any) error {
 	return &exit.Error{Code: ExitUsage, Err: fmt.Errorf(format, args...)}
 }
 
 // check looks at the flags that all commands have.
-func (o *options) check() error {
+func (o *options) validate() error {
 	if o.output != "table" && o.output != "json" {
-		return usage("--output %q is neither table nor json", o.output)
+		return usageError("--output %q is neither table nor json", o.output)
 	}
 	if o.timeout <= 0 {
-		return usage("--timeout %v is not above 0", o.timeout)
+		return usageError("--timeout %v is not above 0", o.timeout)
 	}
-	if err := absolute(&o.credentials); err != nil {
-		return usage("%v", err)
+	if err := makePathsAbsolute(&o.credentials); err != nil {
+		return usageError("%v", err)
 	}
 	if err := o.credentials.Check(); err != nil {
-		return usage("%v", err)
+		return usageError("%v", err)
 	}
 	return nil
 }
 
 // absolute has the files of credentials named from the root: an operator's are named from where they are.
-func absolute(c *api.Credentials) error {
+func makePathsAbsolute(c *api.Credentials) error {
 	for _, p := range []*string{&c.CA, &c.Certificate, &c.Key, &c.TokenFile} {
 		if *p == "" {
 			continue
 		}
-		full, err := filepath.Abs(*p)
+		path, err := filepath.Abs(*p)
 		if err != nil {
 			return err
 		}
-		*p = full
+		*p = path
 	}
 	return nil
 }
 
 // address reads the name of an interface.
-func address(flag, text string) (api.Address, error) {
+func parseAddress(flag, text string) (api.Address, error) {
 	a := api.Address{Name: "instance", Unix: text}
-	if name, at, ok := strings.Cut(text, "@"); ok {
-		a = api.Address{Name: name, Addr: at}
-	} else if full, err := filepath.Abs(text); err == nil {
-		a.Unix = full
+	if name, hostPort, ok := strings.Cut(text, "@"); ok {
+		a = api.Address{Name: name, Addr: hostPort}
+	} else if path, err := filepath.Abs(text); err == nil {
+		a.Unix = path
 	}
 	if err := a.Check(); err != nil {
-		return a, usage("--%s %q: %v", flag, text, err)
+		return a, usageError("--%s %q: %v", flag, text, err)
 	}
 	return a, nil
 }
@@ -156,45 +156,45 @@
 }
 
 // targets are the instances that the flags name. One is alone if no fleet is meant.
-func (o *options) targets() (all []target, alone bool, err error) {
-	if err := o.check(); err != nil {
+func (o *options) targets() (found []target, single bool, err error) {
+	if err := o.validate(); err != nil {
 		return nil, false, err
 	}
 	if o.instance != "" && (o.fleet == "" || o.selector == "") {
-		a, err := address("instance", o.instance)
+		a, err := parseAddress("instance", o.instance)
 		if err != nil {
 			return nil, false, err
 		}
 		d, err := api.NewDialer(o.credentials)
 		if err != nil {
-			return nil, false, usage("%v", err)
+			return nil, false, usageError("%v", err)
 		}
 		return []target{{a.Name, control.NewClient(d.At(a))}}, true, nil
 	}
 	if o.fleet == "" {
-		return nil, false, usage("--instance or --fleet is missing")
+		return nil, false, usageError("--instance or --fleet is missing")
 	}
 	s, err := inventory.ParseSelector(o.selector)
 	if err != nil {
-		return nil, false, usage("--select: %v", err)
+		return nil, false, usageError("--select: %v", err)
 	}
 	f, err := inventory.Load(o.fleet)
 	if err != nil {
-		return nil, false, usage("%v", err)
+		return nil, false, usageError("%v", err)
 	}
 	d, err := api.NewDialer(f.Access)
 	if err != nil {
-		return nil, false, usage("%s: access.%v", o.fleet, err)
+		return nil, false, usageError("%s: access.%v", o.fleet, err)
 	}
 	for _, in := range f.Instance {
 		if s.Match(in.Name, in.Labels) {
-			all = append(all, target{in.Name, control.NewClient(d.At(in.Address()))})
+			found = append(found, target{in.Name, control.NewClient(d.At(in.Address()))})
 		}
 	}
-	if len(all) == 0 {
-		return nil, false, usage("--select %q chooses none of the %d instances", o.selector, len(f.Instance))
+	if len(found) == 0 {
+		return nil, false, usageError("--select %q chooses none of the %d instances", o.selector, len(f.Instance))
 	}
-	return all, false, nil
+	return found, false, nil
 }
 
 // completeNames completes names of instances.
@@ -214,7 +214,7 @@
 }
 
 // said is what came of asking an instance.
-type said[T any] struct {
+type result[T any] struct {
 	Instance string `json:"instance"`
 	Value    *T     `json:"value,omitempty"`
 	Error    string `json:"error,omitempty"`
@@ -223,29 +223,29 @@
 }
 
 // each asks instances, so many at once.
-func each[T any](ctx context.Context, o *options, targets []target, f func(context.Context, *control.Client) (*T, error)) []said[T] {
-	all := make([]said[T], len(targets))
-	room := make(chan struct{}, atOnce)
-	var asking sync.WaitGroup
+func queryAll[T any](ctx context.Context, o *options, targets []target, query func(context.Context, *control.Client) (*T, error)) []result[T] {
+	all := make([]result[T], len(targets))
+	slots := make(chan struct{}, maxConcurrentQueries)
+	var queries sync.WaitGroup
 	for i, t := range targets {
-		asking.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
+		queries.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			ctx, cancel := context.WithTimeout(ctx, o.timeout)
 			defer cancel()
-			v, err := f(ctx, t.client)
-			all[i] = said[T]{Instance: t.name, Value: v, err: code(err)}
+			v, err := query(ctx, t.client)
+			all[i] = result[T]{Instance: t.name, Value: v, err: withExitCode(err)}
 			if err != nil {
 				all[i].Value, all[i].Error = nil, err.Error()
 			}
 		})
 	}
-	asking.Wait()
+	queries.Wait()
 	return all
 }
 
 // code gives an error its exit code.
-func code(err error) error {
+func withExitCode(err error) error {
 	var known *exit.Error
 	var p *api.Problem
 	switch {
@@ -258,23 +258,23 @@
 }
 
 // verdict is the exit code of all of them together.
-func verdict[T any](all []said[T]) error {
-	codes, well := map[int]int{}, 0
+func overallError[T any](all []result[T]) error {
+	codes, succeeded := map[int]int{}, 0
 	for _, s := range all {
 		var e *exit.Error
 		if errors.As(s.err, &e) {
 			codes[e.Code]++
 		} else {
-			well++
+			succeeded++
 		}
 	}
 	switch {
-	case well == len(all):
+	case succeeded == len(all):
 		return nil
 	case codes[ExitUnknown] > 0:
 		return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("of %d of %d instances it is not known", codes[ExitUnknown], len(all))}
-	case well > 0 || codes[ExitPartial] > 0:
-		return &exit.Error{Code: ExitPartial, Err: fmt.Errorf("%d of %d instances did not", len(all)-well, len(all))}
+	case succeeded > 0 || codes[ExitPartial] > 0:
+		return &exit.Error{Code: ExitPartial, Err: fmt.Errorf("%d of %d instances did not", len(all)-succeeded, len(all))}
 	case codes[ExitRefused] == len(all):
 		return &exit.Error{Code: ExitRefused, Err: errors.New("all refuse")}
 	}
@@ -295,58 +295,58 @@
 
 // view is how a value of an instance is shown.
 type view[T any] struct {
-	ask  func(context.Context, *control.Client) (*T, error)
-	head string                     // of the table
-	rows func(v *T) (rows []string) // with tabs between their columns
-	one  func(w io.Writer, v *T)    // of an instance alone, if that is another
-	json func(v *T) any             // what programs get; nil for the value
+	query     func(context.Context, *control.Client) (*T, error)
+	header    string                     // of the table
+	rows      func(v *T) (rows []string) // with tabs between their columns
+	printOne  func(w io.Writer, v *T)    // of an instance alone, if that is another
+	jsonValue func(v *T) any             // what programs get; nil for the value
 }
 
 // show asks the instances that the flags name and prints what they say.
-func show[T any](o *options, v view[T]) func(*cobra.Command, []string) error {
+func showCommand[T any](o *options, v view[T]) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, _ []string) error {
-		targets, alone, err := o.targets()
+		targets, single, err := o.targets()
 		if err != nil {
 			return err
 		}
-		return tell(o, c.OutOrStdout(), each(c.Context(), o, targets, v.ask), alone, v)
+		return printResults(o, c.OutOrStdout(), queryAll(c.Context(), o, targets, v.query), single, v)
 	}
 }
 
 // tell prints what instances have said.
-func tell[T any](o *options, out io.Writer, all []said[T], alone bool, v view[T]) error {
-	value := func(s *T) any {
-		if v.json != nil {
-			return v.json(s)
+func printResults[T any](o *options, out io.Writer, found []result[T], single bool, v view[T]) error {
+	jsonValue := func(s *T) any {
+		if v.jsonValue != nil {
+			return v.jsonValue(s)
 		}
 		return s
 	}
-	if alone {
-		if all[0].err != nil {
-			return all[0].err
+	if single {
+		if found[0].err != nil {
+			return found[0].err
 		}
-		return o.print(out, value(all[0].Value), func(w io.Writer) {
-			if v.one != nil {
-				v.one(w, all[0].Value)
+		return o.print(out, jsonValue(found[0].Value), func(w io.Writer) {
+			if v.printOne != nil {
+				v.printOne(w, found[0].Value)
 				return
 			}
-			fmt.Fprintln(w, v.head)
-			for _, row := range v.rows(all[0].Value) {
+			fmt.Fprintln(w, v.header)
+			for _, row := range v.rows(found[0].Value) {
 				fmt.Fprintln(w, row)
 			}
 		})
 	}
-	many := make([]said[any], len(all))
-	for i, s := range all {
-		many[i] = said[any]{Instance: s.Instance, Error: s.Error}
+	results := make([]result[any], len(found))
+	for i, s := range found {
+		results[i] = result[any]{Instance: s.Instance, Error: s.Error}
 		if s.Value != nil {
-			shown := value(s.Value)
-			many[i].Value = &shown
+			shown := jsonValue(s.Value)
+			results[i].Value = &shown
 		}
 	}
-	if err := o.print(out, many, func(w io.Writer) {
-		fmt.Fprintf(w, "INSTANCE\t%s\n", v.head)
-		for _, s := range all {
+	if err := o.print(out, results, func(w io.Writer) {
+		fmt.Fprintf(w, "INSTANCE\t%s\n", v.header)
+		for _, s := range found {
 			if s.err != nil {
 				fmt.Fprintf(w, "%s\t%s\n", s.Instance, s.Error)
 				continue
@@ -358,5 +358,5 @@
 	}); err != nil {
 		return err
 	}
-	return verdict(all)
+	return overallError(found)
 }
--- a/internal/ctl/duty.go
+++ b/internal/ctl/duty.go
@@ -15,22 +15,22 @@
 )
 
 // addDuty adds the commands about a group of managers and the duties that it grants.
-func (o *options) addDuty(root *cobra.Command) {
-	group := &cobra.Command{Use: "group", Short: "Show the group of managers, and remove members"}
-	all := &cobra.Command{Use: "duty", Short: "Show who holds which duty, and have it move"}
-	root.AddCommand(group, all)
-	add := func(to *cobra.Command, use, short string, args int, run func(ctx context.Context, c *duty.Client, w io.Writer, words []string) error) *cobra.Command {
-		c := &cobra.Command{Use: use, Short: short, Args: exactly(args)}
-		c.RunE = func(c *cobra.Command, words []string) error {
-			callers, err := o.callers()
+func (o *options) addDutyCommands(root *cobra.Command) {
+	groupCommand := &cobra.Command{Use: "group", Short: "Show the group of managers, and remove members"}
+	dutyCommand := &cobra.Command{Use: "duty", Short: "Show who holds which duty, and have it move"}
+	root.AddCommand(groupCommand, dutyCommand)
+	add := func(parent *cobra.Command, use, short string, argCount int, run func(ctx context.Context, c *duty.Client, w io.Writer, args []string) error) *cobra.Command {
+		c := &cobra.Command{Use: use, Short: short, Args: exactArgs(argCount)}
+		c.RunE = func(c *cobra.Command, args []string) error {
+			callers, err := o.managerCallers()
 			if err != nil {
 				return err
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), o.timeout)
 			defer cancel()
-			return code(anyOf(ctx, o.timeout, callers, func(ctx context.Context, at *duty.Client) error { return run(ctx, at, c.OutOrStdout(), words) }))
+			return withExitCode(tryManagers(ctx, o.timeout, callers, func(ctx context.Context, client *duty.Client) error { return run(ctx, client, c.OutOrStdout(), args) }))
 		}
-		to.AddCommand(c)
+		parent.AddCommand(c)
 		return c
 	}
 	showGroup := func(w io.Writer, g *duty.Group, err error) error {
@@ -42,8 +42,8 @@
 			for _, m := range g.Members {
 				fmt.Fprintf(t, "%s\t%s\t%v\t%v\n", m.Name, m.ID, m.Voter, m.Name == g.Lead)
 			}
-			for _, x := range g.Others {
-				fmt.Fprintf(t, "%s\tno member: %s\n", x.Name, x.Why)
+			for _, other := range g.Others {
+				fmt.Fprintf(t, "%s\tno member: %s\n", other.Name, other.Why)
 			}
 			if g.Why != "" {
 				fmt.Fprintf(t, "%s\ttakes no part: %s\n", g.Name, g.Why)
@@ -56,31 +56,31 @@
 		}
 		return o.print(w, d, func(t io.Writer) {
 			fmt.Fprintln(t, "DUTY\tSTATE\tHOLDER\tEPOCH\tTERM\tLEFT\tOWN LEFT\tWHY")
-			for _, x := range d.Duties {
-				holder, _, _ := strings.Cut(x.Holder, "/")
-				if x.State == "handed" {
-					holder = "to " + x.To
+			for _, entry := range d.Duties {
+				holder, _, _ := strings.Cut(entry.Holder, "/")
+				if entry.State == "handed" {
+					holder = "to " + entry.To
 				}
-				fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%v\t%v\t%v\t%s\n", x.Name, x.State, holder, x.Epoch, span(x.Term), span(x.Left), span(x.Own), x.Why)
+				fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%v\t%v\t%v\t%s\n", entry.Name, entry.State, holder, entry.Epoch, toDuration(entry.Term), toDuration(entry.Left), toDuration(entry.Own), entry.Why)
 			}
 		})
 	}
-	add(group, "show", "Show the members, who leads, and who can't be a member", 0,
+	add(groupCommand, "show", "Show the members, who leads, and who can't be a member", 0,
 		func(ctx context.Context, c *duty.Client, w io.Writer, _ []string) error {
 			g, err := c.Group(ctx)
 			return showGroup(w, g, err)
 		})
-	add(group, "remove MEMBER", "Remove a member for good; its name may come back with an empty disk", 1,
-		func(ctx context.Context, c *duty.Client, w io.Writer, words []string) error {
-			g, err := c.Remove(ctx, words[0])
+	add(groupCommand, "remove MEMBER", "Remove a member for good; its name may come back with an empty disk", 1,
+		func(ctx context.Context, c *duty.Client, w io.Writer, args []string) error {
+			g, err := c.Remove(ctx, args[0])
 			return showGroup(w, g, err)
 		})
-	add(all, "list", "Show who holds which duty, until when, and why it last moved", 0,
+	add(dutyCommand, "list", "Show who holds which duty, until when, and why it last moved", 0,
 		func(ctx context.Context, c *duty.Client, w io.Writer, _ []string) error {
 			d, err := c.Duties(ctx)
 			return showDuties(w, d, err)
 		})
-	add(all, "history", "Show how the duties have moved, the newest first", 0,
+	add(dutyCommand, "history", "Show how the duties have moved, the newest first", 0,
 		func(ctx context.Context, c *duty.Client, w io.Writer, _ []string) error {
 			d, err := c.Duties(ctx)
 			if err != nil {
@@ -88,32 +88,32 @@
 			}
 			return o.print(w, d.History, func(t io.Writer) {
 				fmt.Fprintln(t, "STEP\tDUTY\tEPOCH\tHOLDER\tWHY")
-				for _, x := range d.History {
-					fmt.Fprintf(t, "%d\t%s\t%d\t%s\t%s\n", x.Number, x.Duty, x.Epoch, x.Holder, x.Why)
+				for _, entry := range d.History {
+					fmt.Fprintf(t, "%d\t%s\t%d\t%s\t%s\n", entry.Number, entry.Duty, entry.Epoch, entry.Holder, entry.Why)
 				}
 			})
 		})
-	add(all, "hand DUTY MEMBER", "Have the holder end what it does and a member go on", 2,
-		func(ctx context.Context, c *duty.Client, w io.Writer, words []string) error {
-			d, err := c.Hand(ctx, words[0], words[1])
+	add(dutyCommand, "hand DUTY MEMBER", "Have the holder end what it does and a member go on", 2,
+		func(ctx context.Context, c *duty.Client, w io.Writer, args []string) error {
+			d, err := c.Hand(ctx, args[0], args[1])
 			return showDuties(w, d, err)
 		})
-	why := ""
-	revoke := add(all, "revoke DUTY", "Have a duty renewed no more: free once its holder's time is over", 1,
-		func(ctx context.Context, c *duty.Client, w io.Writer, words []string) error {
-			d, err := c.Revoke(ctx, words[0], why)
+	reason := ""
+	revoke := add(dutyCommand, "revoke DUTY", "Have a duty renewed no more: free once its holder's time is over", 1,
+		func(ctx context.Context, c *duty.Client, w io.Writer, args []string) error {
+			d, err := c.Revoke(ctx, args[0], reason)
 			return showDuties(w, d, err)
 		})
-	revoke.Flags().StringVar(&why, "why", "", "the reason, which the history keeps")
+	revoke.Flags().StringVar(&reason, "why", "", "the reason, which the history keeps")
 	must(revoke.MarkFlagRequired("why"))
 }
 
 // anyOf asks one manager after the other until one does it or refuses it. One that can't be reached, knows no lead or sends
 // elsewhere does neither.
-func anyOf(ctx context.Context, timeout time.Duration, callers []*api.Caller, ask func(ctx context.Context, c *duty.Client) error) (err error) {
-	for i, at := range callers {
-		within, cancel := context.WithTimeout(ctx, timeout/time.Duration(len(callers)-i))
-		err = ask(within, duty.NewClient(at))
+func tryManagers(ctx context.Context, timeout time.Duration, callers []*api.Caller, call func(ctx context.Context, c *duty.Client) error) (err error) {
+	for i, caller := range callers {
+		attemptCtx, cancel := context.WithTimeout(ctx, timeout/time.Duration(len(callers)-i))
+		err = call(attemptCtx, duty.NewClient(caller))
 		cancel()
 		var p *api.Problem
 		if err == nil || errors.As(err, &p) && p.Status != 421 && p.Status < 500 {
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -17,116 +17,116 @@
 )
 
 // askEvery is how often a rollout that is waited for is asked about.
-const askEvery = 500 * time.Millisecond
+const reportPollInterval = 500 * time.Millisecond
 
 // addFleet adds the commands that go to a manager.
-func (o *options) addFleet(root *cobra.Command) {
-	add := func(c *cobra.Command, args int, run func(ctx context.Context, m *manage.Client, c *cobra.Command, words []string) error) *cobra.Command {
-		c.Args = exactly(args)
-		c.RunE = func(c *cobra.Command, words []string) error {
-			m, err := o.managed(c.Context())
+func (o *options) addFleetCommands(root *cobra.Command) {
+	add := func(c *cobra.Command, argCount int, run func(ctx context.Context, m *manage.Client, c *cobra.Command, args []string) error) *cobra.Command {
+		c.Args = exactArgs(argCount)
+		c.RunE = func(c *cobra.Command, args []string) error {
+			m, err := o.managerClient(c.Context())
 			if err != nil {
 				return err
 			}
-			return code(run(c.Context(), m, c, words))
+			return withExitCode(run(c.Context(), m, c, args))
 		}
 		root.AddCommand(c)
 		return c
 	}
 	root.AddCommand(&cobra.Command{
-		Use: "instances", Short: "List the instances: those a manager knows, or those of the fleet file", Args: exactly(0), RunE: o.instances,
+		Use: "instances", Short: "List the instances: those a manager knows, or those of the fleet file", Args: exactArgs(0), RunE: o.listInstances,
 	})
 	add(&cobra.Command{Use: "manager", Short: "Show what the manager says of itself"}, 0,
 		func(ctx context.Context, m *manage.Client, c *cobra.Command, _ []string) error {
-			return o.status(ctx, c.OutOrStdout(), m.Status)
+			return o.showStatus(ctx, c.OutOrStdout(), m.Status)
 		})
 	add(&cobra.Command{Use: "takeover", Short: "Give the manager a number above all others', which the instances then refuse"}, 0,
 		func(ctx context.Context, m *manage.Client, c *cobra.Command, _ []string) error {
-			return o.status(ctx, c.OutOrStdout(), m.TakeOver)
+			return o.showStatus(ctx, c.OutOrStdout(), m.TakeOver)
 		})
 
 	var limits limitFlags
 	plan := add(&cobra.Command{Use: "plan FILE", Short: "Show what a settings document would change on each instance, and in which waves"}, 1,
-		func(ctx context.Context, m *manage.Client, c *cobra.Command, words []string) error {
-			return o.plan(ctx, m, c, words[0], &limits)
+		func(ctx context.Context, m *manage.Client, c *cobra.Command, args []string) error {
+			return o.showPlan(ctx, m, c, args[0], &limits)
 		})
-	limits.add(plan)
+	limits.addFlags(plan)
 	var id string
-	var dry, later bool
+	var dryRun, detach bool
 	apply := add(&cobra.Command{Use: "apply FILE", Short: "Bring a settings document to the instances, in waves"}, 1,
-		func(ctx context.Context, m *manage.Client, c *cobra.Command, words []string) error {
-			if dry {
-				return o.plan(ctx, m, c, words[0], &limits)
+		func(ctx context.Context, m *manage.Client, c *cobra.Command, args []string) error {
+			if dryRun {
+				return o.showPlan(ctx, m, c, args[0], &limits)
 			}
-			order, err := o.order(c, words[0], &limits)
+			order, err := o.buildOrder(c, args[0], &limits)
 			if err != nil {
 				return err
 			}
 			if id == "" {
 				id = "r" + time.Now().UTC().Format("20060102-150405.000")
 			}
-			return o.follow(ctx, m, c, id, !later, func(ctx context.Context) (*manage.Report, error) { return m.Begin(ctx, id, order) })
+			return o.follow(ctx, m, c, id, !detach, func(ctx context.Context) (*manage.Report, error) { return m.Begin(ctx, id, order) })
 		})
-	limits.add(apply)
+	limits.addFlags(apply)
 	apply.Flags().StringVar(&id, "id", "", "id of the rollout; the same order again under it begins nothing (default by the time)")
-	apply.Flags().BoolVar(&dry, "dry-run", false, "as plan")
-	noWait := func(c *cobra.Command) { c.Flags().BoolVar(&later, "no-wait", false, "do not wait for its end") }
-	noWait(apply)
+	apply.Flags().BoolVar(&dryRun, "dry-run", false, "as plan")
+	addNoWait := func(c *cobra.Command) { c.Flags().BoolVar(&detach, "no-wait", false, "do not wait for its end") }
+	addNoWait(apply)
 
-	tell := func(word, short string) *cobra.Command {
-		var leave bool
-		c := add(&cobra.Command{Use: word + " ID", Short: short}, 1,
-			func(ctx context.Context, m *manage.Client, c *cobra.Command, words []string) error {
-				return o.follow(ctx, m, c, words[0], !later, func(ctx context.Context) (*manage.Report, error) {
-					return m.Tell(ctx, words[0], word, leave)
+	addOrder := func(order, short string) *cobra.Command {
+		var leaveFailed bool
+		c := add(&cobra.Command{Use: order + " ID", Short: short}, 1,
+			func(ctx context.Context, m *manage.Client, c *cobra.Command, args []string) error {
+				return o.follow(ctx, m, c, args[0], !detach, func(ctx context.Context) (*manage.Report, error) {
+					return m.Tell(ctx, args[0], order, leaveFailed)
 				})
 			})
-		if word == manage.ResumeOrder {
-			c.Flags().BoolVar(&leave, "leave", false, "go on without those that did not apply the change")
+		if order == manage.ResumeOrder {
+			c.Flags().BoolVar(&leaveFailed, "leave", false, "go on without those that did not apply the change")
 		}
-		noWait(c)
+		addNoWait(c)
 		c.ValidArgsFunction = o.completeRollouts
 		return c
 	}
-	tell(manage.AbortOrder, "Halt a rollout, and leave what is applied")
-	tell(manage.ResumeOrder, "Go on with a rollout that is halted or superseded")
-	tell(manage.RollbackOrder, "Take back what a rollout has applied")
+	addOrder(manage.AbortOrder, "Halt a rollout, and leave what is applied")
+	addOrder(manage.ResumeOrder, "Go on with a rollout that is halted or superseded")
+	addOrder(manage.RollbackOrder, "Take back what a rollout has applied")
 
 	report := &cobra.Command{
 		Use: "report [ID]", Short: "Show who got what of a rollout; without ID, all rollouts",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) > 1 {
-				return usage("%s takes 1 argument at most, and was given %d", c.CommandPath(), len(args))
+				return usageError("%s takes 1 argument at most, and was given %d", c.CommandPath(), len(args))
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, words []string) error {
-			m, err := o.managed(c.Context())
+		RunE: func(c *cobra.Command, args []string) error {
+			m, err := o.managerClient(c.Context())
 			if err != nil {
 				return err
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), o.timeout)
 			defer cancel()
-			if len(words) == 0 {
+			if len(args) == 0 {
 				all, err := m.Reports(ctx)
 				if err != nil {
-					return code(err)
+					return withExitCode(err)
 				}
 				return o.print(c.OutOrStdout(), all, func(w io.Writer) {
 					fmt.Fprintln(w, "ID\tSTATUS\tWAVE\tDOCUMENT\tINSTANCES\tREASON")
 					for _, r := range all {
-						fmt.Fprintf(w, "%s\t%s\t%d of %d\t%s\t%s\t%s\n", r.ID, r.Status, r.Wave, r.Waves, r.Document, counts(r), r.Reason)
+						fmt.Fprintf(w, "%s\t%s\t%d of %d\t%s\t%s\t%s\n", r.ID, r.Status, r.Wave, r.Waves, r.Document, countsByState(r), r.Reason)
 					}
 				})
 			}
-			r, err := m.Report(ctx, words[0])
+			r, err := m.Report(ctx, args[0])
 			if err != nil {
-				return code(err)
+				return withExitCode(err)
 			}
-			if err := o.report(c.OutOrStdout(), r); err != nil {
+			if err := o.printReport(c.OutOrStdout(), r); err != nil {
 				return err
 			}
-			return ended(r)
+			return rolloutError(r)
 		},
 	}
 	report.ValidArgsFunction = o.completeRollouts
@@ -134,19 +134,19 @@
 }
 
 // callers are callers of the managers that the flags name: one, or those of a group with commas between them.
-func (o *options) callers() (all []*api.Caller, err error) {
-	if err := o.check(); err != nil {
+func (o *options) managerCallers() (all []*api.Caller, err error) {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
 	if o.manager == "" {
-		return nil, usage("--manager is missing")
+		return nil, usageError("--manager is missing")
 	}
 	d, err := api.NewDialer(o.credentials)
 	if err != nil {
-		return nil, usage("%v", err)
+		return nil, usageError("%v", err)
 	}
 	for text := range strings.SplitSeq(o.manager, ",") {
-		a, err := address("manager", text)
+		a, err := parseAddress("manager", text)
 		if err != nil {
 			return nil, err
 		}
@@ -156,15 +156,15 @@
 }
 
 // managed is a client of the manager that the flags name; of those of a group, of the one that manages.
-func (o *options) managed(ctx context.Context) (*manage.Client, error) {
-	all, err := o.callers()
+func (o *options) managerClient(ctx context.Context) (*manage.Client, error) {
+	all, err := o.managerCallers()
 	if err != nil {
 		return nil, err
 	}
-	for _, at := range all[:len(all)-1] {
-		m := manage.NewClient(at)
-		within, cancel := context.WithTimeout(ctx, o.timeout/time.Duration(len(all)))
-		_, err := m.Status(within)
+	for _, caller := range all[:len(all)-1] {
+		m := manage.NewClient(caller)
+		attemptCtx, cancel := context.WithTimeout(ctx, o.timeout/time.Duration(len(all)))
+		_, err := m.Status(attemptCtx)
 		cancel()
 		if err == nil {
 			return m, nil
@@ -175,7 +175,7 @@
 
 // completeRollouts completes ids of rollouts.
 func (o *options) completeRollouts(c *cobra.Command, _ []string, _ string) (ids []string, _ cobra.ShellCompDirective) {
-	m, err := o.managed(c.Context())
+	m, err := o.managerClient(c.Context())
 	if err != nil {
 		return nil, cobra.ShellCompDirectiveNoFileComp
 	}
@@ -194,7 +194,7 @@
 	bake, patience time.Duration
 }
 
-func (l *limitFlags) add(c *cobra.Command) {
+func (l *limitFlags) addFlags(c *cobra.Command) {
 	l.Limits = *manage.DefaultLimits()
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	f := c.Flags()
@@ -210,8 +210,8 @@
 }
 
 // order is what the flags and a file say.
-func (o *options) order(c *cobra.Command, file string, l *limitFlags) (*manage.Order, error) {
-	d, err := read(c.InOrStdin(), file)
+func (o *options) buildOrder(c *cobra.Command, file string, l *limitFlags) (*manage.Order, error) {
+	d, err := readDocument(c.InOrStdin(), file)
 	if err != nil {
 		return nil, &exit.Error{Code: ExitUsage, Err: err}
 	}
@@ -220,17 +220,17 @@
 	return &manage.Order{Document: d, Select: o.selector, Limits: &limits}, nil
 }
 
-func (o *options) instances(c *cobra.Command, words []string) error {
+func (o *options) listInstances(c *cobra.Command, args []string) error {
 	if o.manager == "" {
-		return show(o, view[control.Summary]{
-			ask:  func(ctx context.Context, c *control.Client) (*control.Summary, error) { return c.Summary(ctx, 0) },
-			head: "EPOCH\tUP\tDOCUMENT\tLABELS",
+		return showCommand(o, view[control.Summary]{
+			query:  func(ctx context.Context, c *control.Client) (*control.Summary, error) { return c.Summary(ctx, 0) },
+			header: "EPOCH\tUP\tDOCUMENT\tLABELS",
 			rows: func(s *control.Summary) []string {
-				return []string{fmt.Sprintf("%s\t%v\t%d %s\t%s", s.Epoch, uptime(&s.Identity), s.Revision, s.Hash, labels(s.Labels))}
+				return []string{fmt.Sprintf("%s\t%v\t%d %s\t%s", s.Epoch, uptime(&s.Identity), s.Revision, s.Hash, formatLabels(s.Labels))}
 			},
-		})(c, words)
+		})(c, args)
 	}
-	m, err := o.managed(c.Context())
+	m, err := o.managerClient(c.Context())
 	if err != nil {
 		return err
 	}
@@ -238,7 +238,7 @@
 	defer cancel()
 	all, err := m.Instances(ctx, o.selector)
 	if err != nil {
-		return code(err)
+		return withExitCode(err)
 	}
 	return o.print(c.OutOrStdout(), all, func(w io.Writer) {
 		fmt.Fprintln(w, "NAME\tADDRESS\tSTATE\tSEEN\tEPOCH\tDOCUMENT\tWANTED\tLABELS\tROLLOUT\tREASON")
@@ -248,22 +248,22 @@
 				seen = fmt.Sprintf("%.0f s", i.Seen)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d %s\t%s\t%s\t%s\t%s\n",
-				i.Name, i.Address, i.State, seen, dash(i.Epoch), i.Revision, i.Hash, dash(i.Wanted), labels(i.Labels), dash(i.Rollout), i.Reason)
+				i.Name, i.Address, i.State, seen, orDash(i.Epoch), i.Revision, i.Hash, orDash(i.Wanted), formatLabels(i.Labels), orDash(i.Rollout), i.Reason)
 		}
 	})
 }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-func (o *options) status(ctx context.Context, out io.Writer, ask func(context.Context) (*manage.Status, error)) error {
+func (o *options) showStatus(ctx context.Context, out io.Writer, call func(context.Context) (*manage.Status, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
-	s, err := ask(ctx)
+	s, err := call(ctx)
 	if err != nil {
 		return err
 	}
@@ -279,8 +279,8 @@
 	})
 }
 
-func (o *options) plan(ctx context.Context, m *manage.Client, c *cobra.Command, file string, l *limitFlags) error {
-	order, err := o.order(c, file, l)
+func (o *options) showPlan(ctx context.Context, m *manage.Client, c *cobra.Command, file string, l *limitFlags) error {
+	order, err := o.buildOrder(c, file, l)
 	if err != nil {
 		return err
 	}
@@ -301,7 +301,7 @@
 				fmt.Fprintf(w, "%s\t%d\t%d\tnothing differs\n", i.Name, i.Wave, i.Revision)
 			}
 			if i.Reason == "" {
-				for _, row := range differences(&i.Changes) {
+				for _, row := range differenceRows(&i.Changes) {
 					fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", i.Name, i.Wave, i.Revision, row)
 				}
 			}
@@ -310,55 +310,55 @@
 }
 
 // follow gives an order and, where it is waited for, says how far it is until it is over.
-func (o *options) follow(ctx context.Context, m *manage.Client, c *cobra.Command, id string, wait bool, give func(context.Context) (*manage.Report, error)) error {
-	once := func(ask func(context.Context) (*manage.Report, error)) (*manage.Report, error) {
+func (o *options) follow(ctx context.Context, m *manage.Client, c *cobra.Command, id string, wait bool, send func(context.Context) (*manage.Report, error)) error {
+	callOnce := func(call func(context.Context) (*manage.Report, error)) (*manage.Report, error) {
 		ctx, cancel := context.WithTimeout(ctx, o.timeout)
 		defer cancel()
-		return ask(ctx)
+		return call(ctx)
 	}
-	r, err := once(give)
+	r, err := callOnce(send)
 	if err != nil {
 		return err
 	}
-	last, silent := "", time.Time{}
+	lastProgress, silentSince := "", time.Time{}
 	for wait {
-		if now := progress(r); now != last {
-			last = now
-			fmt.Fprintf(c.ErrOrStderr(), "%s: %s\n", id, now)
+		if current := progress(r); current != lastProgress {
+			lastProgress = current
+			fmt.Fprintf(c.ErrOrStderr(), "%s: %s\n", id, current)
 		}
 		if r.Over() {
 			break
 		}
 		select {
-		case <-time.After(askEvery):
+		case <-time.After(reportPollInterval):
 		case <-ctx.Done():
 			return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("%s goes on; `micaline ctl report %s` tells how", id, id)}
 		}
-		next, err := once(func(ctx context.Context) (*manage.Report, error) { return m.Report(ctx, id) })
+		update, err := callOnce(func(ctx context.Context) (*manage.Report, error) { return m.Report(ctx, id) })
 		var p *api.Problem
 		switch {
 		case err == nil:
-			r, silent = next, time.Time{}
+			r, silentSince = update, time.Time{}
 		case errors.As(err, &p) && p.Status < 500:
 			return err
-		case silent.IsZero(): // it may be being replaced
-			silent = time.Now()
-		case time.Since(silent) > time.Minute:
+		case silentSince.IsZero(): // it may be being replaced
+			silentSince = time.Now()
+		case time.Since(silentSince) > time.Minute:
 			return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("the manager has fallen silent: %w", err)}
 		}
 	}
-	if err := o.report(c.OutOrStdout(), r); err != nil || !wait {
+	if err := o.printReport(c.OutOrStdout(), r); err != nil || !wait {
 		return err
 	}
 	if s := r.Summary; c.Name() == manage.RollbackOrder && r.Status == "rolled back" && s.Applied+s.Partly+s.Unknown == 0 {
 		return nil // which is what was wanted
 	}
-	return ended(r)
+	return rolloutError(r)
 }
 
 // progress is how far a rollout is, in a line.
 func progress(r *manage.Report) string {
-	text := fmt.Sprintf("%s, wave %d of %d, %s", r.Status, r.Wave, r.Waves, counts(r))
+	text := fmt.Sprintf("%s, wave %d of %d, %s", r.Status, r.Wave, r.Waves, countsByState(r))
 	if r.Baking {
 		text += ", watched"
 	}
@@ -369,7 +369,7 @@
 }
 
 // counts are the instances by what is known of them.
-func counts(r *manage.Report) string {
+func countsByState(r *manage.Report) string {
 	var words []string
 	for _, n := range []struct {
 		n    int
@@ -385,7 +385,7 @@
 	return strings.Join(words, ", ")
 }
 
-func (o *options) report(out io.Writer, r *manage.Report) error {
+func (o *options) printReport(out io.Writer, r *manage.Report) error {
 	return o.print(out, r, func(w io.Writer) {
 		fmt.Fprintf(w, "%s: %s, document %s, %.1f s\n", r.ID, progress(r), r.Document, r.Took)
 		fmt.Fprintln(w, "INSTANCE\tWAVE\tGOT IT\tEPOCH\tREVISION\tTAKEN BACK\tNOW\tREASON")
@@ -408,13 +408,13 @@
 			if g.Left {
 				reason = "left out: " + reason
 			}
-			fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d\t%s\t%s\t%s\n", g.Name, g.Wave, state, dash(g.Epoch), g.Revision, dash(g.Back), now, reason)
+			fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d\t%s\t%s\t%s\n", g.Name, g.Wave, state, orDash(g.Epoch), g.Revision, orDash(g.Back), now, reason)
 		}
 	})
 }
 
 // ended is a rollout's exit code.
-func ended(r *manage.Report) error {
+func rolloutError(r *manage.Report) error {
 	s := r.Summary
 	all := s.Applied + s.Unchanged + s.Partly + s.Unknown + s.Waiting + s.Back + s.Ended
 	switch {
--- a/internal/ctl/set.go
+++ b/internal/ctl/set.go
@@ -18,69 +18,69 @@
 )
 
 // addChanges adds the commands that change.
-func (o *options) addChanges(root *cobra.Command) {
+func (o *options) addChangeCommands(root *cobra.Command) {
 	var id string
 	// change adds a command that changes something at once.
-	change := func(use, short string, args int, run func(ctx context.Context, c *control.Client, id string, words []string) (string, error)) *cobra.Command {
-		cmd := &cobra.Command{Use: use, Short: short, Args: exactly(args), RunE: func(c *cobra.Command, words []string) error {
-			targets, alone, err := o.targets()
+	addChange := func(use, short string, argCount int, run func(ctx context.Context, c *control.Client, id string, args []string) (string, error)) *cobra.Command {
+		cmd := &cobra.Command{Use: use, Short: short, Args: exactArgs(argCount), RunE: func(c *cobra.Command, args []string) error {
+			targets, single, err := o.targets()
 			if err != nil {
 				return err
 			}
 			if id == "" {
 				id = rand.Text()
 			}
-			all := each(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*string, error) {
-				text, err := run(ctx, c, id, words)
+			results := queryAll(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*string, error) {
+				text, err := run(ctx, c, id, args)
 				return &text, err
 			})
-			return tell(o, c.OutOrStdout(), all, alone, view[string]{
-				head: "NOW", rows: func(v *string) []string { return []string{*v} }, one: func(w io.Writer, v *string) { fmt.Fprintln(w, *v) },
+			return printResults(o, c.OutOrStdout(), results, single, view[string]{
+				header: "NOW", rows: func(v *string) []string { return []string{*v} }, printOne: func(w io.Writer, v *string) { fmt.Fprintln(w, *v) },
 			})
 		}}
 		cmd.Flags().StringVar(&id, "id", "", "id of the change; the same id again has the first result (default a new one)")
 		root.AddCommand(cmd)
 		return cmd
 	}
-	length := 10 * time.Minute
-	hold := change("hold BACKEND", "Keep a backend out for a while", 1,
-		func(ctx context.Context, c *control.Client, id string, words []string) (string, error) {
-			h, err := c.Hold(ctx, id, words[0], length.Seconds())
+	duration := 10 * time.Minute
+	hold := addChange("hold BACKEND", "Keep a backend out for a while", 1,
+		func(ctx context.Context, c *control.Client, id string, args []string) (string, error) {
+			h, err := c.Hold(ctx, id, args[0], duration.Seconds())
 			return fmt.Sprintf("%s is held out for %v", h.Backend, time.Duration(h.For*float64(time.Second))), err
 		})
-	hold.Flags().DurationVar(&length, "for", length, "for how long")
+	hold.Flags().DurationVar(&duration, "for", duration, "for how long")
 	hold.PreRunE = func(*cobra.Command, []string) error {
-		if length <= 0 {
-			return usage("--for %v is not above 0", length)
+		if duration <= 0 {
+			return usageError("--for %v is not above 0", duration)
 		}
 		return nil
 	}
 	hold.ValidArgsFunction = o.completeBackends
-	release := change("release BACKEND", "Let a backend in again that is held out; one that drains gets nothing all the same", 1,
-		func(ctx context.Context, c *control.Client, id string, words []string) (string, error) {
-			h, err := c.Hold(ctx, id, words[0], 0)
+	release := addChange("release BACKEND", "Let a backend in again that is held out; one that drains gets nothing all the same", 1,
+		func(ctx context.Context, c *control.Client, id string, args []string) (string, error) {
+			h, err := c.Hold(ctx, id, args[0], 0)
 			return fmt.Sprintf("%s is not held out", h.Backend), err
 		})
 	release.ValidArgsFunction = o.completeBackends
-	taking := func(on bool) func(context.Context, *control.Client, string, []string) (string, error) {
+	setAccepting := func(accept bool) func(context.Context, *control.Client, string, []string) (string, error) {
 		return func(ctx context.Context, c *control.Client, id string, _ []string) (string, error) {
-			v, err := c.SetAccepting(ctx, id, on)
+			v, err := c.SetAccepting(ctx, id, accept)
 			if v.Taking {
 				return "requests are taken", err
 			}
 			return "requests are refused", err
 		}
 	}
-	change("drain", "Stop taking requests: they are refused, and told when to come back", 0, taking(false))
-	change("undrain", "Take requests again", 0, taking(true))
-	change("reload", "Read the platform's configuration again, as SIGHUP does", 0,
+	addChange("drain", "Stop taking requests: they are refused, and told when to come back", 0, setAccepting(false))
+	addChange("undrain", "Take requests again", 0, setAccepting(true))
+	addChange("reload", "Read the platform's configuration again, as SIGHUP does", 0,
 		func(ctx context.Context, c *control.Client, id string, _ []string) (string, error) {
 			v, err := c.Reload(ctx, id)
 			return "configuration " + v.Configuration, err
 		})
-	o.addLevel(root, change)
-	o.addSite(root, change)
-	o.addSet(root)
+	o.addLevelCommands(root, addChange)
+	o.addSiteCommands(root, addChange)
+	o.addSetCommand(root)
 }
 
 // completeBackends completes names of backends.
@@ -100,68 +100,68 @@
 }
 
 // addSet adds the command that changes the settings document.
-func (o *options) addSet(root *cobra.Command) {
-	var dry bool
+func (o *options) addSetCommand(root *cobra.Command) {
+	var dryRun bool
 	var id string
 	var confirm time.Duration
-	set := &cobra.Command{
-		Use: "set FILE", Short: "Put a settings document in force, - for standard input", Args: exactly(1),
-		RunE: func(c *cobra.Command, words []string) error {
-			targets, alone, err := o.targets()
+	command := &cobra.Command{
+		Use: "set FILE", Short: "Put a settings document in force, - for standard input", Args: exactArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			targets, single, err := o.targets()
 			if err != nil {
 				return err
 			}
-			d, err := read(c.InOrStdin(), words[0])
+			d, err := readDocument(c.InOrStdin(), args[0])
 			if err != nil {
 				return &exit.Error{Code: ExitUsage, Err: err}
 			}
-			if dry {
-				all := each(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*[]document.Difference, error) {
-					now, err := c.Document(ctx)
+			if dryRun {
+				results := queryAll(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*[]document.Difference, error) {
+					current, err := c.Document(ctx)
 					if err != nil {
 						return nil, err
 					}
-					diff := now.Document.Diff(d)
+					diff := current.Document.Diff(d)
 					return &diff, nil
 				})
-				return tell(o, c.OutOrStdout(), all, alone, view[[]document.Difference]{head: "FIELD\tNOW\tTHEN", rows: differences})
+				return printResults(o, c.OutOrStdout(), results, single, view[[]document.Difference]{header: "FIELD\tNOW\tTHEN", rows: differenceRows})
 			}
 			if id == "" {
 				id = rand.Text()
 			}
-			all := each(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*control.Change, error) {
-				return set(ctx, c, d, id, confirm)
+			results := queryAll(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*control.Change, error) {
+				return applyDocument(ctx, c, d, id, confirm)
 			})
-			return tell(o, c.OutOrStdout(), all, alone, view[control.Change]{
-				head: "OUTCOME\tREVISION\tEPOCH\tCHANGE",
+			return printResults(o, c.OutOrStdout(), results, single, view[control.Change]{
+				header: "OUTCOME\tREVISION\tEPOCH\tCHANGE",
 				rows: func(r *control.Change) []string {
 					return []string{fmt.Sprintf("%s\trevision %d\tepoch %s\tchange %s", r.Outcome, r.Revision, r.Epoch, r.ID)}
 				},
 			})
 		},
 	}
-	set.Flags().BoolVar(&dry, "dry-run", false, "show what would differ, and change nothing")
-	set.Flags().StringVar(&id, "id", "", "id of the change; the same id again has the first result (default a new one)")
-	set.Flags().DurationVar(&confirm, "confirm", 0, "have the instance take the change back unless it can be confirmed within this")
-	root.AddCommand(set)
+	command.Flags().BoolVar(&dryRun, "dry-run", false, "show what would differ, and change nothing")
+	command.Flags().StringVar(&id, "id", "", "id of the change; the same id again has the first result (default a new one)")
+	command.Flags().DurationVar(&confirm, "confirm", 0, "have the instance take the change back unless it can be confirmed within this")
+	root.AddCommand(command)
 }
 
 // differences are the rows of what differs.
-func differences(diff *[]document.Difference) (rows []string) {
+func differenceRows(diff *[]document.Difference) (rows []string) {
 	for _, f := range *diff {
-		rows = append(rows, fmt.Sprintf("%s\t%s\t-> %s", f.Field, absent(f.From), absent(f.To)))
+		rows = append(rows, fmt.Sprintf("%s\t%s\t-> %s", f.Field, orConfigured(f.From), orConfigured(f.To)))
 	}
 	return rows
 }
 
-func absent(v string) string {
+func orConfigured(v string) string {
 	if v == "" {
 		return "(as configured)"
 	}
 	return v
 }
 
-func read(in io.Reader, name string) (*document.Document, error) {
+func readDocument(in io.Reader, name string) (*document.Document, error) {
 	if name != "-" {
 		f, err := os.Open(name)
 		if err != nil {
@@ -178,22 +178,22 @@
 }
 
 // set puts a document in force on one instance.
-func set(ctx context.Context, c *control.Client, d *document.Document, id string, confirm time.Duration) (*control.Change, error) {
+func applyDocument(ctx context.Context, c *control.Client, d *document.Document, id string, confirm time.Duration) (*control.Change, error) {
 	identity, err := c.Identity(ctx)
 	if err != nil {
 		return nil, err
 	}
-	p := &control.Proposal{Base: identity.Revision, Fence: identity.Fence, Confirm: confirm.Seconds(), Document: d}
-	if _, err := c.Prepare(ctx, id, p); err != nil {
+	proposal := &control.Proposal{Base: identity.Revision, Fence: identity.Fence, Confirm: confirm.Seconds(), Document: d}
+	if _, err := c.Prepare(ctx, id, proposal); err != nil {
 		return nil, err
 	}
-	r, err := c.Commit(ctx, id, p.Fence)
+	r, err := c.Commit(ctx, id, proposal.Fence)
 	var refusal *api.Problem
 	if err != nil && !errors.As(err, &refusal) {
 		return nil, &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("the commit of %s was sent to epoch %s and not answered: %w", id, identity.Epoch, err)}
 	}
 	if err == nil && confirm > 0 && r.Outcome == "none" {
-		r, err = c.Confirm(ctx, id, p.Fence)
+		r, err = c.Confirm(ctx, id, proposal.Fence)
 	}
 	if err != nil {
 		return nil, err
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -49,7 +49,7 @@
 }
 
 // mostWhy is how long a reason may be, in bytes.
-const mostWhy = 200
+const maxReasonBytes = 200
 
 // ServicePart is how much is taken, and where discovery is.
 type ServicePart struct {
@@ -90,30 +90,30 @@
 	return e.Field + ": " + e.Reason
 }
 
-func bad(field, format string, args ...any) *FieldError {
+func invalidField(field, format string, args ...any) *FieldError {
 	return &FieldError{field, fmt.Sprintf(format, args...)}
 }
 
 // Parse reads a document. Its error is a *FieldError. Whether an instance can use the document, Check says.
 func Parse(text []byte) (*Document, error) {
 	if len(text) > MaxSize {
-		return nil, bad("", "the document has %d bytes, and %d are allowed", len(text), MaxSize)
+		return nil, invalidField("", "the document has %d bytes, and %d are allowed", len(text), MaxSize)
 	}
 	var d Document
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&d); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) {
-			return nil, bad(kind.Field, "a %s is no %s", kind.Value, kind.Type)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return nil, invalidField(typeErr.Field, "a %s is no %s", typeErr.Value, typeErr.Type)
 		}
 		if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-			return nil, bad(strings.Trim(name, `"`), "there is no such field")
+			return nil, invalidField(strings.Trim(name, `"`), "there is no such field")
 		}
-		return nil, bad("", "the document can't be read: %v", err)
+		return nil, invalidField("", "the document can't be read: %v", err)
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return nil, bad("", "there is more behind the document")
+		return nil, invalidField("", "there is more behind the document")
 	}
 	return &d, nil
 }
@@ -128,49 +128,49 @@
 // Check says whether an instance that was configured so can use the document whole. Its error is a *FieldError.
 func (d *Document) Check(base *settings.Settings) error {
 	if r := d.Service.Requests; r != nil && (*r < 1 || *r > 1<<20) {
-		return bad("service.requests", "%d is not between 1 and %d", *r, 1<<20)
+		return invalidField("service.requests", "%d is not between 1 and %d", *r, 1<<20)
 	}
 	if a := d.Service.Discovery; a != nil {
 		if _, err := netip.ParseAddrPort(*a); err != nil {
-			return bad("service.discovery", "%v", err)
+			return invalidField("service.discovery", "%v", err)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Sites)) {
 		switch s, field := d.Sites[name], "sites."+name; {
 		case !slices.Contains(base.Zones, name):
-			return bad(field, "the instance has no such site")
+			return invalidField(field, "the instance has no such site")
 		case s.Until.IsZero():
-			return bad(field+".out_until", "missing")
-		case s.Why == "" || len(s.Why) > mostWhy:
-			return bad(field+".why", "it has %d bytes, and 1 to %d are wanted", len(s.Why), mostWhy)
+			return invalidField(field+".out_until", "missing")
+		case s.Why == "" || len(s.Why) > maxReasonBytes:
+			return invalidField(field+".why", "it has %d bytes, and 1 to %d are wanted", len(s.Why), maxReasonBytes)
 		}
 	}
 	if n := d.Decisions.MaxAttempts; n != nil && (*n < 1 || *n > 100) {
-		return bad("decisions.max_attempts", "%d is not between 1 and 100", *n)
+		return invalidField("decisions.max_attempts", "%d is not between 1 and 100", *n)
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Decisions.Classes)) {
 		c, field := d.Decisions.Classes[name], "decisions.classes."+name
 		i := slices.Index(base.Classes, name)
 		if i < 0 {
-			return bad(field, "the instance has no such class")
+			return invalidField(field, "the instance has no such class")
 		}
 		if c.AimMS != nil && !(*c.AimMS > 0 && settings.Millis(*c.AimMS) <= base.Module.Classes[i].Deadline) {
-			return bad(field+".aim_ms", "%v is not between 0 and the class's deadline, %v", *c.AimMS, base.Module.Classes[i].Deadline)
+			return invalidField(field+".aim_ms", "%v is not between 0 and the class's deadline, %v", *c.AimMS, base.Module.Classes[i].Deadline)
 		}
 		if c.Worth != nil && !(*c.Worth >= 0 && *c.Worth <= 1e6) {
-			return bad(field+".worth", "%v is not between 0 and 1000000", *c.Worth)
+			return invalidField(field+".worth", "%v is not between 0 and 1000000", *c.Worth)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Decisions.Accounts)) {
 		if slices.Index(base.Tenants, name) < 0 {
-			return bad("decisions.accounts."+name, "the instance has no such account")
+			return invalidField("decisions.accounts."+name, "the instance has no such account")
 		}
 		if p := d.Decisions.Accounts[name].Portion; p != nil && !(*p >= 0 && *p <= 1) {
-			return bad("decisions.accounts."+name+".portion", "%v is no share", *p)
+			return invalidField("decisions.accounts."+name+".portion", "%v is no share", *p)
 		}
 	}
 	if _, err := policy.New(d.PolicySettings(base), 0); err != nil {
-		return bad("decisions", "%v", err)
+		return invalidField("decisions", "%v", err)
 	}
 	return nil
 }
@@ -214,8 +214,8 @@
 }
 
 // Diff returns the fields in which another document differs, in order.
-func (d *Document) Diff(to *Document) (all []Difference) {
-	a, b := d.fields(), to.fields()
+func (d *Document) Diff(other *Document) (differences []Difference) {
+	a, b := d.flatten(), other.flatten()
 	names := map[string]bool{}
 	for name := range a {
 		names[name] = true
@@ -225,28 +225,28 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		if a[name] != b[name] {
-			all = append(all, Difference{name, a[name], b[name]})
+			differences = append(differences, Difference{name, a[name], b[name]})
 		}
 	}
-	return all
+	return differences
 }
 
 // fields are the values that the document has, by the paths of their fields.
-func (d *Document) fields() map[string]string {
+func (d *Document) flatten() map[string]string {
 	text, _ := json.Marshal(d)
 	var tree map[string]any
 	json.Unmarshal(text, &tree) // which was made just now
-	out := map[string]string{}
-	var walk func(path string, v any)
-	walk = func(path string, v any) {
+	values := map[string]string{}
+	var visit func(path string, v any)
+	visit = func(path string, v any) {
 		if m, ok := v.(map[string]any); ok {
 			for name, v := range m {
-				walk(strings.TrimPrefix(path+"."+name, "."), v)
+				visit(strings.TrimPrefix(path+"."+name, "."), v)
 			}
 			return
 		}
-		out[path] = fmt.Sprint(v)
+		values[path] = fmt.Sprint(v)
 	}
-	walk("", tree)
-	return out
+	visit("", tree)
+	return values
 }
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -8,7 +8,7 @@
 	"example.org/micaline/internal/settings"
 )
 
-func base(t *testing.T) *settings.Settings {
+func baseSettings(t *testing.T) *settings.Settings {
 	t.Helper()
 	s, err := settings.Parse([]byte(`{"categories":[{"name":"close","aim":600,"deadline":2500,"credit":2,"effect":"side_effect"},
 		{"name":"status","aim":500,"deadline":1000,"credit":5,"effect":"pure"}],"accounts":[{"name":"acme","portion":0.7}],
@@ -41,7 +41,7 @@
 	} {
 		d, err := Parse([]byte(c.text))
 		if err == nil {
-			err = d.Check(base(t))
+			err = d.Check(baseSettings(t))
 		}
 		var f *FieldError
 		if !errors.As(err, &f) || f.Field != c.field || f.Reason == "" {
@@ -52,7 +52,7 @@
 
 // The document's word goes over the platform's, and the platform's settings stay as they are.
 func TestModule(t *testing.T) {
-	b := base(t)
+	b := baseSettings(t)
 	d, err := Parse([]byte(`{"decisions":{"max_attempts":5,"probes":true,"classes":{"close":{"aim_ms":700,"worth":9}},"accounts":{"acme":{"portion":0.1}}}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -103,8 +103,8 @@
 		if err != nil {
 			return
 		}
-		again, err := Parse([]byte(`{}`))
-		if err != nil || len(d.Diff(d)) > 0 || d.Hash() == again.Hash() && len(d.Diff(again)) > 0 {
+		empty, err := Parse([]byte(`{}`))
+		if err != nil || len(d.Diff(d)) > 0 || d.Hash() == empty.Hash() && len(d.Diff(empty)) > 0 {
 			t.Errorf("%s: error %v", text, err)
 		}
 	})
