--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -15,17 +15,18 @@
 	"example.org/micaline/internal/document"
 )
 
-// Client talks to the control interface of one instance.
+// Client is a client of the control interface of one instance.
 type Client struct{ caller *api.Caller }
 
-// NewClient returns a client of the interface that a caller calls.
+// NewClient returns a client that sends its requests through the given caller.
 func NewClient(caller *api.Caller) *Client { return &Client{caller} }
 
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	return c.caller.Call(ctx, method, path, nil, in, out)
 }
 
-// once makes a change that has no document, under an id; "" for a new one.
+// callIdempotent sends a change under an idempotency key, so that a retry with the same id is not
+// applied twice. If id is empty, it generates one.
 func (c *Client) callIdempotent(ctx context.Context, id, method, path string, in, out any) error {
 	if id == "" {
 		id = rand.Text()
@@ -33,14 +34,15 @@
 	return c.caller.Call(ctx, method, path, http.Header{api.IdempotencyKey: {id}}, in, out)
 }
 
-// Identity asks which process answers.
+// Identity returns the identity of the process that serves the control interface.
 func (c *Client) Identity(ctx context.Context) (*Identity, error) {
 	var v Identity
 	return &v, c.call(ctx, http.MethodGet, "instance", nil, &v)
 }
 
-// Summary asks which process answers, and how it serves. A fence above 0 is that of the manager that asks, which the instance
-// then knows to have spoken; an instance of an older build is asked without.
+// Summary returns the identity of the process and its request counts. A fencing token above 0 is the
+// one of the calling manager: the instance records it and refuses lower ones from then on. An instance
+// of an older version, which answers 404 or 412 to this, is asked without the token.
 func (c *Client) Summary(ctx context.Context, fencingToken uint64) (*Summary, error) {
 	var v Summary
 	if fencingToken > 0 {
@@ -53,25 +55,25 @@
 	return &v, c.call(ctx, http.MethodGet, "summary", nil, &v)
 }
 
-// State asks for all that is shown.
+// State returns the full state of the instance.
 func (c *Client) State(ctx context.Context) (*State, error) {
 	var v State
 	return &v, c.call(ctx, http.MethodGet, "state", nil, &v)
 }
 
-// Document asks for the document in force.
+// Document returns the settings document in force, with its revision and hash.
 func (c *Client) Document(ctx context.Context) (*VersionedDocument, error) {
 	v := VersionedDocument{Document: &document.Document{}}
 	return &v, c.call(ctx, http.MethodGet, "document", nil, &v)
 }
 
-// Change asks what became of a change.
+// Change returns the status of a change.
 func (c *Client) Change(ctx context.Context, id string) (*Change, error) {
 	var v Change
 	return &v, c.call(ctx, http.MethodGet, "changes/"+url.PathEscape(id), nil, &v)
 }
 
-// Prepare has the instance check a change, and keep it for its commit.
+// Prepare has the instance validate a change and store it until it is committed. It applies nothing.
 func (c *Client) Prepare(ctx context.Context, id string, p *Proposal) (*Change, error) {
 	var v Change
 	return &v, c.call(ctx, http.MethodPut, "changes/"+url.PathEscape(id), p, &v)
@@ -81,25 +83,27 @@
 	Fence uint64 `json:"fence"`
 }
 
-// Commit has the instance apply what it has prepared.
+// Commit applies a prepared change.
 func (c *Client) Commit(ctx context.Context, id string, fencingToken uint64) (*Change, error) {
 	var v Change
 	return &v, c.call(ctx, http.MethodPost, "changes/"+url.PathEscape(id)+"/commit", fenceBody{fencingToken}, &v)
 }
 
-// Abort ends a change that is not committed.
+// Abort discards a change that is not committed.
 func (c *Client) Abort(ctx context.Context, id string, fencingToken uint64) (*Change, error) {
 	var v Change
 	return &v, c.call(ctx, http.MethodPost, "changes/"+url.PathEscape(id)+"/abort", fenceBody{fencingToken}, &v)
 }
 
-// Confirm keeps a change that must be confirmed.
+// Confirm makes an applied change permanent that would otherwise be reverted at its confirmation
+// deadline.
 func (c *Client) Confirm(ctx context.Context, id string, fencingToken uint64) (*Change, error) {
 	var v Change
 	return &v, c.call(ctx, http.MethodPost, "changes/"+url.PathEscape(id)+"/confirm", fenceBody{fencingToken}, &v)
 }
 
-// Hold keeps a backend out for so many seconds; 0 lets it in. A repeat under an id does nothing; "" is a new one.
+// Hold excludes a backend from traffic for the given number of seconds; 0 ends the hold. A retry with
+// the same id is not applied again; an empty id stands for a new one.
 func (c *Client) Hold(ctx context.Context, id, backend string, seconds float64) (*BackendHold, error) {
 	var v BackendHold
 	path := "holds/" + url.PathEscape(backend)
@@ -109,14 +113,14 @@
 	return &v, c.callIdempotent(ctx, id, http.MethodPut, path, map[string]float64{"for_s": seconds}, &v)
 }
 
-// Level asks for the level of service.
+// Level returns the current level of reduced service.
 func (c *Client) Level(ctx context.Context) (*Level, error) {
 	var v Level
 	return &v, c.call(ctx, http.MethodGet, "level", nil, &v)
 }
 
-// HoldLevel keeps a level for so many seconds and says why; 0 lets the figures decide again. A repeat under an id does nothing;
-// "" is a new one.
+// HoldLevel pins a level of reduced service for the given number of seconds; 0 returns to automatic
+// selection. A retry with the same id is not applied again; an empty id stands for a new one.
 func (c *Client) HoldLevel(ctx context.Context, id, level string, seconds float64, reason string) (*Level, error) {
 	var v Level
 	if seconds == 0 {
@@ -125,14 +129,15 @@
 	return &v, c.callIdempotent(ctx, id, http.MethodPut, "level", map[string]any{"level": level, "for_s": seconds, "why": reason}, &v)
 }
 
-// Sites asks for the sites.
+// Sites returns the state of the sites.
 func (c *Client) Sites(ctx context.Context) (*Sites, error) {
 	var v Sites
 	return &v, c.call(ctx, http.MethodGet, "sites", nil, &v)
 }
 
-// TakeOut takes a site out for so many seconds and says why; 0 lets it in again. Unless it is forced it is refused where the
-// others could not carry the load. A repeat under an id does nothing; "" is a new one.
+// EvacuateSite evacuates a site for the given number of seconds; 0 ends the evacuation. Unless force is
+// set, the instance refuses if the other sites could not carry the load. A retry with the same id is
+// not applied again; an empty id stands for a new one.
 func (c *Client) EvacuateSite(ctx context.Context, id, site string, seconds float64, force bool, reason string) (*Sites, error) {
 	var v Sites
 	path := "sites/" + url.PathEscape(site) + "/out"
@@ -142,20 +147,22 @@
 	return &v, c.callIdempotent(ctx, id, http.MethodPut, path, map[string]any{"for_s": seconds, "force": force, "why": reason}, &v)
 }
 
-// SetTaking says whether the instance takes requests.
+// SetAccepting sets whether the instance accepts requests. A retry with the same id is not applied
+// again; an empty id stands for a new one.
 func (c *Client) SetAccepting(ctx context.Context, id string, on bool) (*Admission, error) {
 	var v Admission
 	return &v, c.callIdempotent(ctx, id, http.MethodPut, "taking", &Admission{on}, &v)
 }
 
-// Reload has the instance read its configuration again.
+// Reload has the instance reread its platform configuration. A retry with the same id is not applied
+// again; an empty id stands for a new one.
 func (c *Client) Reload(ctx context.Context, id string) (*Identity, error) {
 	var v Identity
 	return &v, c.callIdempotent(ctx, id, http.MethodPost, "reload", struct{}{}, &v)
 }
 
-// Watch calls a function with each event of the stream until the context ends, the function says so, or the instance has
-// been silent for too long.
+// Watch calls handle with each event of the watch stream. It returns when the context ends, handle
+// returns an error, the stream breaks, or the instance misses three heartbeats.
 func (c *Client) Watch(ctx context.Context, handle func(*Event) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -172,7 +179,7 @@
 		silence.reset()
 		var e Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
-			return fmt.Errorf("the instance's event: %w", err)
+			return fmt.Errorf("invalid event from the instance: %w", err)
 		}
 		if err := handle(&e); err != nil {
 			return err
@@ -182,9 +189,9 @@
 	case silence.expired():
 		return errInstanceSilent
 	case lines.Err() != nil:
-		return fmt.Errorf("watching: %w", lines.Err())
+		return fmt.Errorf("reading the watch stream: %w", lines.Err())
 	}
 	return io.ErrUnexpectedEOF
 }
 
-var errInstanceSilent = errors.New("the instance has fallen silent")
+var errInstanceSilent = errors.New("the instance sent no heartbeat")
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -19,18 +19,18 @@
 	"example.org/micaline/internal/site"
 )
 
-// fake is an instance that notes what is done to it.
+// fakeInstance is an Instance that records the calls it gets.
 type fakeInstance struct {
 	base *settings.Settings
 
 	mu        sync.Mutex
 	applied   []string
-	failing   string // part whose application fails
+	failing   string // part that fails to apply, or "reload"
 	accepting bool
 	reloads   int // of the configuration
 	holds     map[string]time.Duration
 	state     State
-	applyGate chan struct{} // if set, applying waits for it
+	applyGate chan struct{} // if set, Apply waits for it
 }
 
 func (f *fakeInstance) Name() string             { return "n1" }
@@ -44,7 +44,7 @@
 	return &st, nil
 }
 
-// set changes what is shown.
+// updateState changes the state that the instance reports.
 func (f *fakeInstance) updateState(update func(*State)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,7 +116,8 @@
 	return nil
 }
 
-// serve starts a server of a fake instance and returns a client of it.
+// startServer starts a server of a fake instance. It returns the instance, a client and the path of the
+// server's socket.
 func startServer(t *testing.T) (*fakeInstance, *Client, string) {
 	t.Helper()
 	base, err := settings.Parse([]byte(`{"categories":[{"name":"close","aim":600,"deadline":2500,"credit":2,"effect":"side_effect"}],
@@ -144,7 +145,7 @@
 	return f, unixClient(t, path), path
 }
 
-// atUnix returns a client of the interface at a Unix socket.
+// unixClient returns a client of the interface at a Unix socket.
 func unixClient(t *testing.T, path string) *Client {
 	t.Helper()
 	d, err := api.NewDialer(api.Credentials{})
@@ -166,7 +167,8 @@
 
 const worthDocument = `{"decisions":{"classes":{"close":{"worth":9}}}}`
 
-// A change is prepared, which applies nothing, and committed; repeats get the first result.
+// Preparing a change applies nothing. Committing it applies all parts, and a repeated commit gets the
+// first result.
 func TestChange(t *testing.T) {
 	instance, client, _ := startServer(t)
 	ctx := t.Context()
@@ -192,7 +194,7 @@
 	}
 }
 
-// A part that fails leaves what was before.
+// If a part fails to apply, the parts before it are reverted and the old document stays in force.
 func TestFailedPart(t *testing.T) {
 	instance, client, _ := startServer(t)
 	instance.failing = document.PartDecisions
@@ -209,7 +211,7 @@
 	}
 }
 
-// What is not confirmed in time is taken back by itself; what is confirmed stays.
+// A change that is not confirmed in time is reverted automatically; a confirmed one stays.
 func TestConfirm(t *testing.T) {
 	for _, confirmed := range []bool{true, false} {
 		_, client, _ := startServer(t)
@@ -245,7 +247,7 @@
 	}
 }
 
-// A commit that outlasts its caller goes on, and is told as what it is.
+// A commit whose caller disconnects continues. Its status is "none" until it is applied.
 func TestCommitOutlastsItsCaller(t *testing.T) {
 	instance, client, _ := startServer(t)
 	instance.applyGate = make(chan struct{})
@@ -258,7 +260,7 @@
 		client.Commit(ctx, "x", 1)
 		close(returned)
 	}()
-	instance.applyGate <- struct{}{} // it has begun
+	instance.applyGate <- struct{}{} // the commit is applying its first part
 	cancel()
 	<-returned
 	if r, err := client.Change(t.Context(), "x"); err != nil || r.Outcome != "none" || r.Pending != "x" {
@@ -270,7 +272,7 @@
 	}
 }
 
-// What can't be done is refused with its reason and its field, and changes nothing.
+// Invalid requests are refused with a status and the name of the field, and change nothing.
 func TestRefusals(t *testing.T) {
 	instance, client, _ := startServer(t)
 	ctx := t.Context()
@@ -340,7 +342,7 @@
 		resp, err := apitest.Raw(path).Do(req)
 		if err != nil {
 			if r.status == 413 {
-				continue // it was closed while it was still sending
+				continue // the server closed the connection while the client was still sending
 			}
 			t.Errorf("%s: %v", what, err)
 			continue
@@ -356,8 +358,8 @@
 	}
 }
 
-// Holds, the taking of requests and reloads are changes as others: a repeat under an id does nothing and gets the first
-// result, and another change under it is refused.
+// Holds, admission switches and reloads are idempotent: a repeat of an id applies nothing and gets the
+// first result, and a different change under the same id is refused.
 func TestHoldTakingReload(t *testing.T) {
 	instance, client, _ := startServer(t)
 	ctx := t.Context()
@@ -391,7 +393,7 @@
 	}
 }
 
-// The stream begins with everything, and then tells what changes and nothing else.
+// The first event of the watch stream has the whole state; later events have only what changed.
 func TestWatch(t *testing.T) {
 	instance, client, _ := startServer(t)
 	instance.updateState(func(s *State) { s.Backends = []Backend{{Name: "x", Phase: "Ready"}, {Name: "y", Phase: "Ready"}} })
@@ -400,7 +402,7 @@
 	err := client.Watch(t.Context(), func(e *Event) error {
 		switch events = append(events, e); len(events) {
 		case 1:
-			instance.updateState(func(s *State) { // in flight is no event
+			instance.updateState(func(s *State) { // a change of InFlight alone causes no event
 				s.Backends = []Backend{{Name: "x", Phase: "Ready", InFlight: 3}, {Name: "y", Phase: "Ready"}}
 				s.Service.Requests = 7
 			})
--- a/internal/control/openapi_test.go
+++ b/internal/control/openapi_test.go
@@ -8,7 +8,7 @@
 	"example.org/micaline/internal/api/apitest"
 )
 
-// The description names what is served and nothing else, and what is answered is as it says.
+// openapi.yaml describes exactly the routes that are served, and the answers match its schemas.
 func TestOpenAPI(t *testing.T) {
 	_, _, path := startServer(t)
 	served := slices.Collect(maps.Keys(NewServer(&fakeInstance{}, Options{}).routes()))
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -12,39 +12,40 @@
 	"example.org/micaline/internal/document"
 )
 
+// maxHold is the longest hold of a backend or level, and the longest evacuation of a site.
 const maxHold = 24 * time.Hour
 
-// Identity says which process answers.
+// Identity identifies the process that serves the control interface, and its configuration.
 type Identity struct {
 	Name     string  `json:"name"`
-	Epoch    string  `json:"epoch"` // of the process: no other has had it
+	Epoch    string  `json:"epoch"` // unique to the process
 	Uptime   float64 `json:"uptime_s"`
-	Revision uint64  `json:"revision"` // of the document in force
+	Revision uint64  `json:"revision"` // revision of the document in force
 	Hash     string  `json:"hash"`
-	// Mixed are parts that are in force of another document, as a change has left them that could neither be applied whole
-	// nor taken back.
+	// Mixed lists the parts that a different document governs, because a change could neither be
+	// fully applied nor fully reverted.
 	Mixed   []string `json:"mixed,omitempty"`
-	Fence   uint64   `json:"fence"` // the highest number of a manager that has spoken
+	Fence   uint64   `json:"fence"` // highest fencing token that a manager has sent
 	Pending string   `json:"pending,omitempty"`
 	Taking  bool     `json:"taking"`
 
 	Labels        map[string]string `json:"labels,omitempty"`
-	Configuration string            `json:"configuration,omitempty"` // hash of the platform's, as the process has read it last
+	Configuration string            `json:"configuration,omitempty"` // hash of the platform configuration that was read last
 }
 
-// Server is the control interface of one process.
+// Server serves the control interface of one process.
 type Server struct {
 	service *service
 	options Options
 	http    *api.Server
 }
 
-// Options say what an interface shows of its process beside the instance's own.
+// Options configure the server, beside what the instance itself reports.
 type Options struct {
-	Epoch         string // names the process: no other has had it
+	Epoch         string // unique to the process
 	Labels        map[string]string
-	Configuration func() string // hash of the platform's
-	Access        api.Door      // who may come in
+	Configuration func() string // returns the hash of the platform configuration
+	Access        api.Door      // listeners and access control
 }
 
 // NewServer returns a server that is not serving yet.
@@ -63,7 +64,8 @@
 	return s
 }
 
-// routes are all that the interface answers to. openapi.yaml describes them, and a test holds the two together.
+// routes returns the handlers by route pattern. openapi.yaml describes them, and a test compares the
+// two.
 func (s *Server) routes() map[string]http.HandlerFunc {
 	handle := func(respond func(r *http.Request) (any, error)) http.HandlerFunc {
 		return api.Handler(document.MaxSize+4096, s.service.problem, respond)
@@ -104,13 +106,13 @@
 
 func serveOpenAPI(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/yaml")
-	w.Write(openapi) // a client that does not take it is gone
+	w.Write(openapi) // an error means that the client has disconnected
 }
 
-// Serve serves at a listener until Close. It closes the listener.
+// Serve accepts connections on a listener until Close is called, and closes the listener.
 func (s *Server) Serve(l net.Listener) error { return s.http.Serve(l) }
 
-// Close ends all service.
+// Close stops the server and its timer.
 func (s *Server) Close() error {
 	s.service.close()
 	return s.http.Close()
@@ -126,12 +128,12 @@
 	return s.identify(state), nil
 }
 
-// identify says which process this is. The service's mutex is held.
-func (s *Server) identify(st *State) *Identity {
+// identify returns the identity of the process. The caller holds the service's mutex.
+func (s *Server) identify(state *State) *Identity {
 	machine := s.service.stateMachine
 	id := &Identity{
 		Name: s.service.instance.Name(), Epoch: machine.Epoch(), Uptime: s.service.now().Seconds(), Revision: machine.Revision(),
-		Hash: machine.Current().Hash, Fence: machine.Fence(), Pending: machine.Pending(), Taking: st.Taking, Labels: s.options.Labels, Mixed: machine.Mixed(),
+		Hash: machine.Current().Hash, Fence: machine.Fence(), Pending: machine.Pending(), Taking: state.Taking, Labels: s.options.Labels, Mixed: machine.Mixed(),
 	}
 	if s.options.Configuration != nil {
 		id.Configuration = s.options.Configuration()
@@ -139,13 +141,14 @@
 	return id
 }
 
-// Summary is what a manager asks for, again and again.
+// Summary is what a manager polls regularly.
 type Summary struct {
 	Identity
 	Held    int           `json:"held"`
 	Service RequestCounts `json:"service"`
 }
 
+// viewState returns a handler that answers with a part of the state.
 func (s *Server) viewState(part func(*State) any) func(*http.Request) (any, error) {
 	return func(r *http.Request) (any, error) {
 		state, err := s.service.instance.State(r.Context())
@@ -166,7 +169,8 @@
 	return &Summary{*s.identify(state), state.Held, state.Service}, nil
 }
 
-// hear takes in that a manager has spoken, and answers with the summary: whoever was the manager before is refused from then on.
+// observeFence records a manager's fencing token and answers with the summary. Lower tokens are
+// refused from then on, which fences off the previous manager.
 func (s *Server) observeFence(r *http.Request) (any, error) {
 	var body struct {
 		Fence uint64 `json:"fence"`
@@ -180,7 +184,7 @@
 	return s.summary(r)
 }
 
-// Versioned is a document and its revision.
+// VersionedDocument is a settings document with its revision and hash.
 type VersionedDocument struct {
 	Revision uint64             `json:"revision"`
 	Hash     string             `json:"hash"`
@@ -209,7 +213,7 @@
 		return nil, err
 	}
 	if !(body.Confirm >= 0 && body.Confirm <= 3600) {
-		return nil, &api.Problem{Status: 422, Title: "the change can't be used", Detail: fmt.Sprintf("%v is not between 0 and 3600", body.Confirm), Field: "confirm_s"}
+		return nil, &api.Problem{Status: 422, Title: "invalid change", Detail: fmt.Sprintf("%v is not between 0 and 3600", body.Confirm), Field: "confirm_s"}
 	}
 	d, err := document.Parse(body.Document)
 	if err != nil {
@@ -228,6 +232,7 @@
 	return s.service.commit(r.Context(), r.PathValue("id"), body.Fence)
 }
 
+// withFence returns a handler that reads a fencing token and applies an operation on a change with it.
 func (s *Server) withFence(apply func(id string, fence uint64) (*Change, error)) func(*http.Request) (any, error) {
 	return func(r *http.Request) (any, error) {
 		var body struct {
@@ -240,10 +245,10 @@
 	}
 }
 
-// Holding is how long a backend is held out.
+// BackendHold tells for how long a backend is excluded from traffic.
 type BackendHold struct {
 	Backend string  `json:"backend"`
-	For     float64 `json:"for_s"` // 0: it is let in
+	For     float64 `json:"for_s"` // seconds; 0: the hold has ended
 }
 
 func (s *Server) holdBackend(r *http.Request) (any, error) {
@@ -256,7 +261,7 @@
 			return nil, err
 		}
 		if hold.For = body.For; !(hold.For > 0 && hold.For <= maxHold.Seconds()) {
-			return nil, &api.Problem{Status: 422, Title: "the hold can't be used", Detail: fmt.Sprintf("%v is not between 0 and %v", hold.For, maxHold.Seconds()), Field: "for_s"}
+			return nil, &api.Problem{Status: 422, Title: "invalid hold", Detail: fmt.Sprintf("%v is not between 0 and %v", hold.For, maxHold.Seconds()), Field: "for_s"}
 		}
 	}
 	return s.runOnce(r, fmt.Sprintf("hold %q %v", hold.Backend, hold.For), func() (any, error) {
@@ -268,7 +273,8 @@
 	})
 }
 
-// once makes a change that has no document under the id that the request has.
+// runOnce applies a change that has no document once for each idempotency key: a retry gets the first
+// result.
 func (s *Server) runOnce(r *http.Request, description string, apply func() (any, error)) (any, error) {
 	id, err := api.Key(r)
 	if err != nil {
@@ -277,7 +283,7 @@
 	return s.service.runOnce(id, description, apply)
 }
 
-// Taking says whether requests are taken.
+// Admission tells whether requests are accepted.
 type Admission struct {
 	Taking bool `json:"taking"`
 }
@@ -290,7 +296,7 @@
 		return nil, err
 	}
 	if body.Taking == nil {
-		return nil, &api.Problem{Status: 422, Title: "the switch can't be used", Detail: "missing", Field: "taking"}
+		return nil, &api.Problem{Status: 422, Title: "invalid switch", Detail: "missing", Field: "taking"}
 	}
 	return s.runOnce(r, fmt.Sprintf("taking %v", *body.Taking), func() (any, error) {
 		s.service.instance.SetAccepting(*body.Taking)
@@ -298,7 +304,7 @@
 	})
 }
 
-// reload has the process read the platform's configuration again.
+// reload has the process reread the platform configuration.
 func (s *Server) reload(r *http.Request) (any, error) {
 	state, err := s.service.instance.State(r.Context())
 	if err != nil {
@@ -306,7 +312,7 @@
 	}
 	return s.runOnce(r, "reload", func() (any, error) {
 		if err := s.service.instance.Reload(r.Context()); err != nil {
-			return nil, &api.Problem{Status: 422, Title: "the configuration can't be used, and the old one stays", Detail: err.Error()}
+			return nil, &api.Problem{Status: 422, Title: "the configuration is invalid; the previous one stays in force", Detail: err.Error()}
 		}
 		return s.identify(state), nil
 	})
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -1,5 +1,7 @@
-// Package control is the control interface of an instance: what operators and managers see of it, and how they change
-// it, over HTTP on a listener of its own. What becomes of a change package change decides; this package carries out.
+// Package control is the control interface of an instance: an HTTP API on a separate listener through
+// which operators and managers read its state and change its settings. Package change holds the state
+// machine of a change (prepare, commit, confirm or abort). This package serves the requests and carries
+// out the actions that the state machine returns. Client is the client side.
 package control
 
 import (
@@ -15,157 +17,160 @@
 	"example.org/micaline/internal/settings"
 )
 
-// Instance is what is shown and changed: a running agent.
+// Instance is the running agent that the interface shows and changes.
 type Instance interface {
-	// Name is the instance's, the same after a restart.
+	// Name returns the instance's name, which is the same after a restart.
 	Name() string
-	// Base are the settings that the platform has configured.
+	// Base returns the settings that the platform has configured.
 	Base() *settings.Settings
-	// Look returns the present state.
+	// State returns the current state.
 	State(ctx context.Context) (*State, error)
 	// Apply puts a part of a document in force.
 	Apply(ctx context.Context, part string, d *document.Document) error
-	// Hold keeps a backend out for so long, or lets it in again if that is 0. It says whether the backend is known.
+	// Hold excludes a backend from traffic for d, or ends the hold if d is 0. It reports whether the
+	// backend is known.
 	Hold(ctx context.Context, backend string, d time.Duration) (known bool, err error)
-	// Level returns the level of service; nil where there are none.
+	// Level returns the status of the levels of reduced service, or nil if none are configured.
 	Level(ctx context.Context) (*Level, error)
-	// HoldLevel keeps a level for so long, or lets the figures decide again if that is 0. It returns nil where there are none.
+	// HoldLevel pins a level for d, or returns to automatic selection if d is 0. It returns nil if no
+	// levels are configured.
 	HoldLevel(ctx context.Context, name string, d time.Duration, reason string) (*Level, error)
-	// Sites returns what is the matter with each site; nil where they are not watched.
+	// Sites returns the state of the sites, or nil if they are not monitored.
 	Sites(ctx context.Context) (*Sites, error)
-	// TakeOut has a site taken out by hand for so long, or let in again if that is 0. It returns nil where sites are not watched.
+	// EvacuateSite evacuates a site for d, or ends its evacuation if d is 0. It returns nil if sites are
+	// not monitored.
 	EvacuateSite(ctx context.Context, name string, d time.Duration, force bool, reason string) (*Sites, error)
-	// SetTaking says whether requests are taken.
+	// SetAccepting sets whether requests are accepted.
 	SetAccepting(on bool)
-	// Reload reads the platform's configuration again.
+	// Reload rereads the platform configuration.
 	Reload(ctx context.Context) error
 }
 
-// State is what an instance looks like.
+// State is the state of an instance.
 type State struct {
 	Taking   bool           `json:"taking"`
-	Pressure float64        `json:"pressure"` // share of the usual requests that is shed
+	Pressure float64        `json:"pressure"` // share of the usual load that is shed
 	Own      AgentDelay     `json:"own"`
 	Backends []Backend      `json:"backends"`
-	Requests []Request      `json:"requests"` // open, the oldest first
-	Held     int            `json:"held"`     // open, all of them
-	Service  RequestCounts  `json:"service"`  // since the process began
+	Requests []Request      `json:"requests"` // in flight, oldest first; may be truncated
+	Held     int            `json:"held"`     // number of all requests in flight
+	Service  RequestCounts  `json:"service"`  // since the process started
 	Causes   []FailureCause `json:"causes"`
-	Classes  []Class        `json:"classes"` // as they are decided by now
+	Classes  []Class        `json:"classes"` // with the settings in force
 	Accounts []Account      `json:"accounts"`
 }
 
-// Own is what the agent itself is late with.
+// AgentDelay measures the delay that the agent itself causes.
 type AgentDelay struct {
-	Late  float64 `json:"late_s"`  // of late, on the mean
-	Part  float64 `json:"part"`    // of the soonest aim
-	Worst float64 `json:"worst_s"` // since the process began
-	Times int64   `json:"times"`   // that it was late by more than can be told from nothing
+	Late  float64 `json:"late_s"`  // recent mean, in seconds
+	Part  float64 `json:"part"`    // recent mean as a fraction of the lowest target latency
+	Worst float64 `json:"worst_s"` // since the process started
+	Times int64   `json:"times"`   // number of delays above the measurement noise
 }
 
-// Class is a class of requests.
+// Class is a request class, with its settings in force (times in seconds).
 type Class struct {
 	Name     string  `json:"name"`
 	Effect   string  `json:"effect"`
 	Aim      float64 `json:"aim_s"`
 	Deadline float64 `json:"deadline_s"`
 	Worth    float64 `json:"worth"`
-	Open     int     `json:"open"`
+	Open     int     `json:"open"` // requests in flight
 }
 
-// Account is an account that requests are counted to.
+// Account is a tenant whose requests are counted.
 type Account struct {
 	Name    string  `json:"name"`
-	Portion float64 `json:"portion"`
-	Open    int     `json:"open"`
+	Portion float64 `json:"portion"` // its share of the capacity
+	Open    int     `json:"open"`    // requests in flight
 }
 
-// Backend is one backend as the decision module sees it.
+// Backend is the state of one backend in the decision module.
 type Backend struct {
 	Name      string     `json:"name"`
 	Addr      string     `json:"addr"`
-	Phase     string     `json:"phase"`             // as discovery tells it
-	Held      float64    `json:"held_s,omitempty"`  // for how long it is still held out,
-	HeldBy    string     `json:"held_by,omitempty"` // and through what
+	Phase     string     `json:"phase"`             // state that discovery reports
+	Held      float64    `json:"held_s,omitempty"`  // remaining seconds of a hold
+	HeldBy    string     `json:"held_by,omitempty"` // what holds it
 	Speed     float64    `json:"speed"`
 	Warmth    float64    `json:"warmth"`
 	InFlight  int        `json:"in_flight"`
-	Silent    int        `json:"silent"`
+	Silent    int        `json:"silent"` // overdue attempts
 	Load      float64    `json:"load"`
 	ReportAge *float64   `json:"report_age_s,omitempty"`
-	Full      float64    `json:"full_s,omitempty"` // that it is still passed by for want of room
+	Full      float64    `json:"full_s,omitempty"` // remaining seconds in which it is avoided because it is full
 	Ejected   []Ejection `json:"ejected,omitempty"`
 }
 
-// Ejection is a class that a backend is ejected from.
+// Ejection is the ejection of a backend for one class.
 type Ejection struct {
 	Class string  `json:"class"`
-	For   float64 `json:"for_s"`
-	Times int     `json:"times"`
+	For   float64 `json:"for_s"` // remaining seconds
+	Times int     `json:"times"` // consecutive ejections
 }
 
-// Request is one that is open.
+// Request is a request in flight.
 type Request struct {
 	Call     string  `json:"call"`
 	Class    string  `json:"class"`
 	Account  string  `json:"account,omitempty"`
 	Age      float64 `json:"age_s"`
-	Left     float64 `json:"left_s"`
+	Left     float64 `json:"left_s"` // until its deadline
 	Attempts int     `json:"attempts"`
-	Out      int     `json:"out"`
+	Out      int     `json:"out"` // attempts in flight
 }
 
-// Service counts requests by how they ended.
+// RequestCounts counts requests by their outcome.
 type RequestCounts struct {
 	Requests int64 `json:"requests"`
-	InAim    int64 `json:"in_aim"`
+	InAim    int64 `json:"in_aim"` // served within the target latency
 	Served   int64 `json:"served"`
 	Refused  int64 `json:"refused"`
 	Failed   int64 `json:"failed"`
-	Left     int64 `json:"left"` // by their clients
+	Left     int64 `json:"left"` // abandoned by their clients
 }
 
-// Cause is why requests were refused or failed.
+// FailureCause counts the requests of a class that were refused or failed for one reason.
 type FailureCause struct {
-	Answer string `json:"answer"` // refused or failed
+	Answer string `json:"answer"` // "refused" or "failed"
 	Class  string `json:"class"`
 	Cause  string `json:"cause"`
 	Count  int64  `json:"count"`
 }
 
-// Change is what an instance says of a change.
+// Change is the status of a change on an instance.
 type Change struct {
 	ID       string   `json:"id"`
 	Epoch    string   `json:"epoch"`
-	Outcome  string   `json:"outcome"` // none while it is under way
-	Parts    []string `json:"parts,omitempty"`
-	Revision uint64   `json:"revision"`
+	Outcome  string   `json:"outcome"`         // "none" while the change is in progress
+	Parts    []string `json:"parts,omitempty"` // that are applied
+	Revision uint64   `json:"revision"`        // of the document in force afterwards
 	Reason   string   `json:"reason,omitempty"`
-	Pending  string   `json:"pending,omitempty"` // the change that is under way, perhaps another
+	Pending  string   `json:"pending,omitempty"` // id of the change in progress, which may be another one
 }
 
-// Proposal is a change that is to be prepared.
+// Proposal is a change to prepare.
 type Proposal struct {
-	Base     uint64             `json:"base"`
-	Fence    uint64             `json:"fence"`
-	Confirm  float64            `json:"confirm_s,omitempty"`
+	Base     uint64             `json:"base"`                // revision that the change is based on
+	Fence    uint64             `json:"fence"`               // fencing token of the manager
+	Confirm  float64            `json:"confirm_s,omitempty"` // seconds to confirm it before it is reverted; 0: no confirmation
 	Document *document.Document `json:"document"`
 }
 
-// applyTimeout is how long a part may take to be applied.
+// applyTimeout is the timeout for applying one part.
 const applyTimeout = 5 * time.Second
 
-// service keeps the change machine of one process, and carries out what it wants.
+// service owns the change state machine of one process and carries out its actions.
 type service struct {
 	instance Instance
 	started  time.Time
 
 	mu           sync.Mutex
-	results      change.Once // what became of changes without a document
+	results      change.Once // results of changes without a document, by idempotency key
 	stateMachine *change.Instance
-	documents    map[string]*document.Document // by hash: the one in force, and the one under way
+	documents    map[string]*document.Document // by hash: the one in force and the one of the change in progress
 	timer        *time.Timer
-	changeEnded  chan struct{} // closed when a change has ended, and made anew
+	changeEnded  chan struct{} // closed and replaced when a change ends or awaits confirmation
 }
 
 func newService(instance Instance, epoch string) *service {
@@ -179,7 +184,7 @@
 
 func (s *service) now() time.Duration { return time.Since(s.started) }
 
-// close stops what would still happen by itself.
+// close stops the timer of the state machine.
 func (s *service) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +193,7 @@
 	}
 }
 
-// prepare takes a change in.
+// prepare validates a change and stores it for its commit.
 func (s *service) prepare(id string, p *Proposal) (*Change, error) {
 	if err := p.Document.Check(s.instance.Base()); err != nil {
 		return nil, err
@@ -204,13 +209,14 @@
 	return s.changeStatus(id), nil
 }
 
-// keep holds a document that may come in force, and drops those that can't any more. The mutex is held.
+// retainDocument stores a document that may come into force, and drops those that no longer can. The
+// caller holds the mutex.
 func (s *service) retainDocument(d *document.Document) {
 	current := s.documents[s.stateMachine.Current().Hash]
 	s.documents = map[string]*document.Document{current.Hash(): current, d.Hash(): d}
 }
 
-// commit applies what is prepared and waits until it has ended, or the context has.
+// commit applies a prepared change and waits until the change or the context ends.
 func (s *service) commit(ctx context.Context, id string, fence uint64) (*Change, error) {
 	s.mu.Lock()
 	actions, err := s.stateMachine.Commit(s.now(), fence, id)
@@ -227,7 +233,7 @@
 		select {
 		case <-ended:
 		case <-ctx.Done():
-			return status, nil // it goes on: the answer says that it is under way
+			return status, nil // the change continues, and the status reports it as in progress
 		}
 		s.mu.Lock()
 	}
@@ -235,8 +241,8 @@
 	return nil, err
 }
 
-// carryOut does what the machine wants, one thing after the other. What is asked of the instance is not done under
-// the mutex: others may look meanwhile.
+// runActions carries out the actions of the state machine one at a time. It calls the instance without
+// the mutex, so that other requests are served meanwhile.
 func (s *service) runActions(actions []change.Action) {
 	for len(actions) > 0 {
 		action := actions[0]
@@ -244,7 +250,7 @@
 		d := s.documents[s.stateMachine.Wanted(action).Hash]
 		s.mu.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), applyTimeout)
-		err := errors.New("its document is gone")
+		err := errors.New("the document of the change is missing")
 		if d != nil {
 			err = s.instance.Apply(ctx, action.Part, d)
 		}
@@ -258,14 +264,15 @@
 	}
 }
 
-// wake tells those that wait that a change has ended, or waits for its confirmation. The mutex is held.
+// notifyWaiters wakes the waiting commits when a change has ended or awaits its confirmation. The caller
+// holds the mutex.
 func (s *service) notifyWaiters() {
 	close(s.changeEnded)
 	s.changeEnded = make(chan struct{})
 	s.armTimer()
 }
 
-// arm sets the timer for what the machine does by itself. The mutex is held.
+// armTimer sets the timer for the next timeout of the state machine. The caller holds the mutex.
 func (s *service) armTimer() {
 	due, ok := s.stateMachine.Due()
 	if !ok {
@@ -284,7 +291,8 @@
 	})
 }
 
-// do makes a change that has no document, once under its id, and one after the other.
+// runOnce applies a change that has no document. It applies each id once, and one change at a time; a
+// retry gets the first result.
 func (s *service) runOnce(id, description string, apply func() (any, error)) (any, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -323,7 +331,7 @@
 	return s.changeStatus(id), nil
 }
 
-// change is what is known of a change. The mutex is held.
+// changeStatus returns the status of a change. The caller holds the mutex.
 func (s *service) changeStatus(id string) *Change {
 	c := &Change{ID: id, Epoch: s.stateMachine.Epoch(), Outcome: change.None.String(), Revision: s.stateMachine.Revision(), Pending: s.stateMachine.Pending()}
 	if r, ok := s.stateMachine.Result(id); ok {
@@ -332,20 +340,21 @@
 	return c
 }
 
-// inForce is the document in force and its revision.
+// current returns the document in force and its revision.
 func (s *service) current() (*document.Document, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.documents[s.stateMachine.Current().Hash], s.stateMachine.Revision()
 }
 
-// problem turns an error into what the client is told, and under which epoch.
+// problem converts an error to the answer for the client, with the epoch of the process.
 func (s *service) problem(err error) *api.Problem {
 	p := *problemFor(err)
-	p.Epoch = s.stateMachine.Epoch() // which never changes
+	p.Epoch = s.stateMachine.Epoch() // needs no mutex, since the epoch never changes
 	return &p
 }
 
+// problemFor maps an error to an HTTP status and problem text.
 func problemFor(err error) *api.Problem {
 	var f *document.FieldError
 	var p *api.Problem
@@ -353,7 +362,7 @@
 	case errors.As(err, &p):
 		return p
 	case errors.As(err, &f):
-		return &api.Problem{Status: 422, Title: "the document can't be used", Detail: f.Reason, Field: f.Field}
+		return &api.Problem{Status: 422, Title: "invalid document", Detail: f.Reason, Field: f.Field}
 	case errors.Is(err, change.ErrStale), errors.Is(err, change.ErrBusy), errors.Is(err, change.ErrNotPrepared), errors.Is(err, change.ErrIDInUse):
 		return &api.Problem{Status: 409, Title: "the change can't be made now", Detail: err.Error()}
 	case errors.Is(err, change.ErrFenced):
--- a/internal/control/site.go
+++ b/internal/control/site.go
@@ -10,53 +10,53 @@
 	"example.org/micaline/internal/site"
 )
 
-// Sites is what an instance makes of its sites.
+// Sites is an instance's view of its sites.
 type Sites struct {
 	Sites   []Site       `json:"sites"`
-	Plans   []SitePlan   `json:"plans"`   // of the loss of each
-	History []SiteChange `json:"history"` // the newest first
+	Plans   []SitePlan   `json:"plans"`   // impact of losing each site
+	History []SiteChange `json:"history"` // newest first
 }
 
-// Site is one of them.
+// Site is the state of one site.
 type Site struct {
 	Name    string  `json:"name"`
 	State   string  `json:"state"`
-	For     float64 `json:"for_s"`
-	Servers int     `json:"servers"` // that the list has as ready
-	Used    int     `json:"used"`    // of these
-	Load    float64 `json:"load"`    // requests in work there, on the mean
-	Room    float64 `json:"room"`    // and those that fit
-	Retry   float64 `json:"retry_s,omitempty"`
-	Out     float64 `json:"out_s,omitempty"` // that it is still taken out by hand
-	Times   int     `json:"times"`           // that it was lost of late
-	Pacer   string  `json:"pacer,omitempty"` // what the agent that paces it for all says, while that is followed
+	For     float64 `json:"for_s"`             // seconds in this state
+	Servers int     `json:"servers"`           // servers that discovery reports as ready
+	Used    int     `json:"used"`              // ready servers that get requests
+	Load    float64 `json:"load"`              // mean number of requests in flight
+	Room    float64 `json:"room"`              // number of requests that fit
+	Retry   float64 `json:"retry_s,omitempty"` // seconds until the next probe
+	Out     float64 `json:"out_s,omitempty"`   // remaining seconds of a manual evacuation
+	Times   int     `json:"times"`             // number of recent losses
+	Pacer   string  `json:"pacer,omitempty"`   // reported by the agent that paces its recovery, if followed
 }
 
-// SitePlan is what the loss of a site would mean, or means.
+// SitePlan is the impact that the loss of a site would have, or has.
 type SitePlan struct {
 	Lose    string        `json:"lose"`
-	Share   float64       `json:"share"`           // of the work, that it carries
-	After   *float64      `json:"after,omitempty"` // part of their room that the others would be used to; none where there is no other
-	Refused float64       `json:"refused"`         // share of the work
+	Share   float64       `json:"share"`           // share of the load that the site carries
+	After   *float64      `json:"after,omitempty"` // utilization of the other sites; absent if there are none
+	Refused float64       `json:"refused"`         // share of the load that would be refused
 	Moves   []SiteMove    `json:"moves"`
-	First   []SiteRefusal `json:"first"` // what is refused, the first first
+	First   []SiteRefusal `json:"first"` // what would be refused, in this order
 }
 
-// SiteMove is a part of the work that would go to another site.
+// SiteMove is the part of the load that would move to another site.
 type SiteMove struct {
 	To    string  `json:"to"`
 	Share float64 `json:"share"`
-	After float64 `json:"after"` // part of its room that it would be used to
+	After float64 `json:"after"` // utilization of that site
 }
 
-// SiteRefusal is a part of the work that is refused where not all of it fits.
+// SiteRefusal is a kind of load that is refused if the remaining capacity is too small.
 type SiteRefusal struct {
 	What  string  `json:"what"`
-	Share float64 `json:"share"` // of the work
-	Part  float64 `json:"part"`  // of this that would be refused
+	Share float64 `json:"share"` // of the load
+	Part  float64 `json:"part"`  // fraction of this kind that would be refused
 }
 
-// SiteChange is a change of a site's state.
+// SiteChange records a change of a site's state.
 type SiteChange struct {
 	At   time.Time `json:"at"`
 	Site string    `json:"site"`
@@ -65,7 +65,7 @@
 	Why  string    `json:"why"`
 }
 
-var errSitesNotWatched = &api.Problem{Status: 404, Title: "sites are not watched", Detail: "the operators' file does not say so, or there is only one"}
+var errSitesNotWatched = &api.Problem{Status: 404, Title: "sites are not monitored", Detail: "the operators' file does not enable it, or there is only one site"}
 
 func (s *Server) sites(r *http.Request) (any, error) {
 	v, err := s.service.instance.Sites(r.Context())
@@ -75,7 +75,7 @@
 	return v, err
 }
 
-// takeOut takes a site out by hand, or lets it in again.
+// evacuateSite evacuates a site, or ends its evacuation on DELETE.
 func (s *Server) evacuateSite(r *http.Request) (any, error) {
 	var body struct {
 		For   float64 `json:"for_s"`
@@ -84,7 +84,7 @@
 	}
 	name := r.PathValue("site")
 	invalid := func(status int, field, format string, args ...any) error {
-		return &api.Problem{Status: status, Title: "the site can't be taken out", Detail: fmt.Sprintf(format, args...), Field: field}
+		return &api.Problem{Status: status, Title: "the site can't be evacuated", Detail: fmt.Sprintf(format, args...), Field: field}
 	}
 	if r.Method == http.MethodPut {
 		if err := api.Body(r, &body); err != nil {
@@ -94,14 +94,14 @@
 		case !(body.For > 0 && body.For <= maxHold.Seconds()):
 			return nil, invalid(422, "for_s", "%v is not between 0 and %v", body.For, maxHold.Seconds())
 		case body.Why == "" || len(body.Why) > maxReasonBytes:
-			return nil, invalid(422, "why", "it has %d bytes, and 1 to %d are wanted", len(body.Why), maxReasonBytes)
+			return nil, invalid(422, "why", "the reason has %d bytes; it must have 1 to %d", len(body.Why), maxReasonBytes)
 		}
 	}
 	return s.runOnce(r, fmt.Sprintf("site %q %v %v", name, body.For, body.Force), func() (any, error) {
 		v, err := s.service.instance.EvacuateSite(r.Context(), name, time.Duration(body.For*float64(time.Second)), body.Force, body.Why)
 		switch {
 		case errors.Is(err, site.ErrInsufficientCapacity):
-			return nil, invalid(409, "site", "%v; force it to have it all the same", err)
+			return nil, invalid(409, "site", "%v; set force to evacuate it anyway", err)
 		case errors.Is(err, site.ErrUnknownSite):
 			return nil, invalid(404, "site", "%v", err)
 		case err == nil && v == nil:
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -14,38 +14,39 @@
 
 const (
 	watchInterval     = time.Second
-	heartbeatInterval = 10 * time.Second // without a change
-	maxEventBytes     = 8 << 20          // bytes
+	heartbeatInterval = 10 * time.Second // interval of events while nothing changes
+	maxEventBytes     = 8 << 20
 )
 
-// Event is what has changed since the one before. The first has everything; one with nothing tells that the instance
-// lives. Loads, ages and what is in flight change all the time and by themselves make no event.
+// Event contains what has changed since the previous event. The first event has everything. An event
+// without changes is a heartbeat. Loads, ages and requests in flight change constantly, so a change of
+// only these causes no event.
 type Event struct {
-	At       float64        `json:"at_s"` // since the process began
+	At       float64        `json:"at_s"` // since the process started
 	Identity *Identity      `json:"identity,omitempty"`
 	Backends []Backend      `json:"backends,omitempty"`
-	Gone     []string       `json:"gone,omitempty"` // backends
+	Gone     []string       `json:"gone,omitempty"` // names of removed backends
 	Causes   []FailureCause `json:"causes,omitempty"`
 	Service  *RequestCounts `json:"service,omitempty"`
 	Held     *int           `json:"held,omitempty"`
 }
 
-// shown is what a watcher has been told.
+// sentState is what a watcher has been sent.
 type sentState struct {
-	identity string // as JSON, without what changes all the time
-	backends map[string]string
-	causes   map[FailureCause]int64 // without their counts
+	identity string                 // as JSON, without the uptime
+	backends map[string]string      // watch keys by name
+	causes   map[FailureCause]int64 // counts by cause; Count is 0 in the keys
 	service  RequestCounts
 	held     int
-	sent     bool
+	sent     bool // whether any event has been built
 }
 
-// event returns what a watcher is to be told, and whether that is anything.
+// next returns the next event for the watcher, and whether it contains a change.
 func (w *sentState) next(identity *Identity, state *State) (*Event, bool) {
 	event := &Event{At: identity.Uptime}
 	stable := *identity
 	stable.Uptime = 0
-	text, _ := json.Marshal(&stable) // of strings and numbers
+	text, _ := json.Marshal(&stable) // can't fail: it has only strings and numbers
 	if string(text) != w.identity {
 		w.identity, event.Identity = string(text), identity
 	}
@@ -85,7 +86,7 @@
 	return event, event.Identity != nil || event.Backends != nil || event.Gone != nil || event.Causes != nil || event.Service != nil || event.Held != nil
 }
 
-// standing is what of a backend is worth telling when it changes.
+// watchKey encodes those properties of a backend whose change causes an event.
 func (b *Backend) watchKey() string {
 	var ejected []string
 	for _, e := range b.Ejected {
@@ -95,7 +96,7 @@
 	return string(text)
 }
 
-// watch writes what changes, a line each, until the client goes.
+// watch streams events, one JSON object per line, until the client disconnects.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	controller := http.NewResponseController(w)
@@ -116,7 +117,7 @@
 		s.service.mu.Unlock()
 		if e, changed := sent.next(identity, state); changed || time.Since(lastSent) >= heartbeatInterval {
 			lastSent = time.Now()
-			// Danger: who reads no more must not hold the connection for good.
+			// The deadline keeps a client that stops reading from occupying the connection forever.
 			controller.SetWriteDeadline(lastSent.Add(api.AnswerTimeout))
 			if encoder.Encode(e) != nil || controller.Flush() != nil {
 				return
@@ -130,19 +131,19 @@
 	}
 }
 
-// alarm calls a function unless it is put off again and again.
+// watchdog calls a function once it has not been reset for the timeout.
 type watchdog struct {
 	timer   *time.Timer
 	timeout time.Duration
 	fired   atomic.Bool
 }
 
-func newWatchdog(wait time.Duration, f func()) *watchdog {
-	a := &watchdog{timeout: wait}
-	a.timer = time.AfterFunc(wait, func() { a.fired.Store(true); f() })
-	return a
+func newWatchdog(timeout time.Duration, onTimeout func()) *watchdog {
+	w := &watchdog{timeout: timeout}
+	w.timer = time.AfterFunc(timeout, func() { w.fired.Store(true); onTimeout() })
+	return w
 }
 
-func (a *watchdog) reset()        { a.timer.Reset(a.timeout) }
-func (a *watchdog) stop()         { a.timer.Stop() }
-func (a *watchdog) expired() bool { return a.fired.Load() }
+func (w *watchdog) reset()        { w.timer.Reset(w.timeout) }
+func (w *watchdog) stop()         { w.timer.Stop() }
+func (w *watchdog) expired() bool { return w.fired.Load() }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the command `micaline ctl`: it shows instances and changes them over their control interfaces, and gives
-// orders for fleets to a manager.
+// Package ctl implements the command `micaline ctl`. It shows and changes instances through their
+// control interfaces, and sends orders for a whole fleet to a manager.
 package ctl
 
 import (
@@ -23,16 +23,16 @@
 	"example.org/micaline/internal/inventory"
 )
 
-// The exit codes beside 0.
+// The exit codes other than 0.
 const (
-	ExitFailed  = 1 // who was asked could not be, or has failed
-	ExitUsage   = 2 // unusable flags, arguments or files
-	ExitRefused = 4 // it refuses, and nothing has changed
-	ExitPartial = 5 // done in part: on some instances, or in some parts
-	ExitUnknown = 6 // something was sent, and what became of it is not known
+	ExitFailed  = 1 // the instance or manager could not be reached, or failed
+	ExitUsage   = 2 // invalid flags, arguments or files
+	ExitRefused = 4 // the request was refused, and nothing has changed
+	ExitPartial = 5 // done in part: on some instances, or for some parts of a change
+	ExitUnknown = 6 // a request was sent, and its outcome is unknown
 )
 
-// atOnce is how many instances are asked at a time.
+// maxConcurrentQueries limits how many instances are queried at a time.
 const maxConcurrentQueries = 64
 
 type options struct {
@@ -46,7 +46,7 @@
 	credentials api.Credentials
 }
 
-// Command returns the command.
+// Command returns the `ctl` command with its subcommands.
 func Command() *cobra.Command {
 	o := &options{}
 	root := &cobra.Command{
@@ -83,13 +83,14 @@
 	return root
 }
 
-// must is for what can only go wrong in this file.
+// must panics on an error that only a mistake in this package can cause.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
+// exactArgs requires a number of arguments and reports others as a usage error.
 func exactArgs(count int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != count {
@@ -103,13 +104,13 @@
 	return &exit.Error{Code: ExitUsage, Err: fmt.Errorf(format, args...)}
 }
 
-// check looks at the flags that all commands have.
+// validate checks the flags that all commands have, and makes the paths of the credentials absolute.
 func (o *options) validate() error {
 	if o.output != "table" && o.output != "json" {
 		return usageError("--output %q is neither table nor json", o.output)
 	}
 	if o.timeout <= 0 {
-		return usageError("--timeout %v is not above 0", o.timeout)
+		return usageError("--timeout %v must be above 0", o.timeout)
 	}
 	if err := makePathsAbsolute(&o.credentials); err != nil {
 		return usageError("%v", err)
@@ -120,7 +121,8 @@
 	return nil
 }
 
-// absolute has the files of credentials named from the root: an operator's are named from where they are.
+// makePathsAbsolute resolves the paths of the credentials against the working directory, because
+// api.Credentials requires absolute paths.
 func makePathsAbsolute(c *api.Credentials) error {
 	for _, p := range []*string{&c.CA, &c.Certificate, &c.Key, &c.TokenFile} {
 		if *p == "" {
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// address reads the name of an interface.
+// parseAddress parses the address of a control interface: a socket path or NAME@HOST:PORT.
 func parseAddress(flag, text string) (api.Address, error) {
 	a := api.Address{Name: "instance", Unix: text}
 	if name, hostPort, ok := strings.Cut(text, "@"); ok {
@@ -149,13 +151,14 @@
 	return a, nil
 }
 
-// target is an instance that a command is for.
+// target is an instance that a command applies to.
 type target struct {
 	name   string
 	client *control.Client
 }
 
-// targets are the instances that the flags name. One is alone if no fleet is meant.
+// targets returns the instances that the flags select. single is true if --instance names one instance
+// rather than --fleet a fleet.
 func (o *options) targets() (found []target, single bool, err error) {
 	if err := o.validate(); err != nil {
 		return nil, false, err
@@ -192,12 +195,12 @@
 		}
 	}
 	if len(found) == 0 {
-		return nil, false, usageError("--select %q chooses none of the %d instances", o.selector, len(f.Instance))
+		return nil, false, usageError("--select %q matches none of the %d instances", o.selector, len(f.Instance))
 	}
 	return found, false, nil
 }
 
-// completeNames completes names of instances.
+// completeNames completes instance names and labels for --select.
 func (o *options) completeNames(_ *cobra.Command, _ []string, _ string) ([]string, cobra.ShellCompDirective) {
 	f, err := inventory.Load(o.fleet)
 	if err != nil {
@@ -213,7 +216,7 @@
 	return names, cobra.ShellCompDirectiveNoFileComp
 }
 
-// said is what came of asking an instance.
+// result is the result of querying an instance.
 type result[T any] struct {
 	Instance string `json:"instance"`
 	Value    *T     `json:"value,omitempty"`
@@ -222,7 +225,7 @@
 	err error
 }
 
-// each asks instances, so many at once.
+// queryAll queries the targets concurrently and returns the results in their order.
 func queryAll[T any](ctx context.Context, o *options, targets []target, query func(context.Context, *control.Client) (*T, error)) []result[T] {
 	all := make([]result[T], len(targets))
 	slots := make(chan struct{}, maxConcurrentQueries)
@@ -244,7 +247,7 @@
 	return all
 }
 
-// code gives an error its exit code.
+// withExitCode adds an exit code to an error that has none.
 func withExitCode(err error) error {
 	var known *exit.Error
 	var p *api.Problem
@@ -257,7 +260,7 @@
 	return &exit.Error{Code: ExitFailed, Err: err}
 }
 
-// verdict is the exit code of all of them together.
+// overallError combines the results of all instances to an error with an exit code, or nil.
 func overallError[T any](all []result[T]) error {
 	codes, succeeded := map[int]int{}, 0
 	for _, s := range all {
@@ -272,16 +275,16 @@
 	case succeeded == len(all):
 		return nil
 	case codes[ExitUnknown] > 0:
-		return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("of %d of %d instances it is not known", codes[ExitUnknown], len(all))}
+		return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("the outcome is unknown on %d of %d instances", codes[ExitUnknown], len(all))}
 	case succeeded > 0 || codes[ExitPartial] > 0:
-		return &exit.Error{Code: ExitPartial, Err: fmt.Errorf("%d of %d instances did not", len(all)-succeeded, len(all))}
+		return &exit.Error{Code: ExitPartial, Err: fmt.Errorf("%d of %d instances failed or refused", len(all)-succeeded, len(all))}
 	case codes[ExitRefused] == len(all):
-		return &exit.Error{Code: ExitRefused, Err: errors.New("all refuse")}
+		return &exit.Error{Code: ExitRefused, Err: errors.New("all instances refused")}
 	}
-	return &exit.Error{Code: ExitFailed, Err: errors.New("none could be asked")}
+	return &exit.Error{Code: ExitFailed, Err: errors.New("no instance could be queried")}
 }
 
-// print writes a value as JSON, or as the table that a function makes of it.
+// print writes a value as JSON, or as the table that a function writes, depending on --output.
 func (o *options) print(out io.Writer, v any, table func(w io.Writer)) error {
 	if o.output == "json" {
 		enc := json.NewEncoder(out)
@@ -293,16 +296,16 @@
 	return w.Flush()
 }
 
-// view is how a value of an instance is shown.
+// view defines how a value of an instance is queried and shown.
 type view[T any] struct {
 	query     func(context.Context, *control.Client) (*T, error)
-	header    string                     // of the table
-	rows      func(v *T) (rows []string) // with tabs between their columns
-	printOne  func(w io.Writer, v *T)    // of an instance alone, if that is another
-	jsonValue func(v *T) any             // what programs get; nil for the value
+	header    string                     // of the table, with tabs between columns
+	rows      func(v *T) (rows []string) // with tabs between columns
+	printOne  func(w io.Writer, v *T)    // optional: replaces the table for a single instance
+	jsonValue func(v *T) any             // optional: what --output json prints instead of the value
 }
 
-// show asks the instances that the flags name and prints what they say.
+// showCommand returns a command function that queries the selected instances and prints the results.
 func showCommand[T any](o *options, v view[T]) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, _ []string) error {
 		targets, single, err := o.targets()
@@ -313,8 +316,8 @@
 	}
 }
 
-// tell prints what instances have said.
-func printResults[T any](o *options, out io.Writer, found []result[T], single bool, v view[T]) error {
+// printResults prints the results of the instances and returns their overall error.
+func printResults[T any](o *options, out io.Writer, all []result[T], single bool, v view[T]) error {
 	jsonValue := func(s *T) any {
 		if v.jsonValue != nil {
 			return v.jsonValue(s)
@@ -322,22 +325,22 @@
 		return s
 	}
 	if single {
-		if found[0].err != nil {
-			return found[0].err
+		if all[0].err != nil {
+			return all[0].err
 		}
-		return o.print(out, jsonValue(found[0].Value), func(w io.Writer) {
+		return o.print(out, jsonValue(all[0].Value), func(w io.Writer) {
 			if v.printOne != nil {
-				v.printOne(w, found[0].Value)
+				v.printOne(w, all[0].Value)
 				return
 			}
 			fmt.Fprintln(w, v.header)
-			for _, row := range v.rows(found[0].Value) {
+			for _, row := range v.rows(all[0].Value) {
 				fmt.Fprintln(w, row)
 			}
 		})
 	}
-	results := make([]result[any], len(found))
-	for i, s := range found {
+	results := make([]result[any], len(all))
+	for i, s := range all {
 		results[i] = result[any]{Instance: s.Instance, Error: s.Error}
 		if s.Value != nil {
 			shown := jsonValue(s.Value)
@@ -346,7 +349,7 @@
 	}
 	if err := o.print(out, results, func(w io.Writer) {
 		fmt.Fprintf(w, "INSTANCE\t%s\n", v.header)
-		for _, s := range found {
+		for _, s := range all {
 			if s.err != nil {
 				fmt.Fprintf(w, "%s\t%s\n", s.Instance, s.Error)
 				continue
@@ -358,5 +361,5 @@
 	}); err != nil {
 		return err
 	}
-	return overallError(found)
+	return overallError(all)
 }
--- a/internal/ctl/duty.go
+++ b/internal/ctl/duty.go
@@ -14,7 +14,7 @@
 	"example.org/micaline/internal/duty"
 )
 
-// addDuty adds the commands about a group of managers and the duties that it grants.
+// addDutyCommands adds the commands for a group of managers and the duties (leases) that it grants.
 func (o *options) addDutyCommands(root *cobra.Command) {
 	groupCommand := &cobra.Command{Use: "group", Short: "Show the group of managers, and remove members"}
 	dutyCommand := &cobra.Command{Use: "duty", Short: "Show who holds which duty, and have it move"}
@@ -108,8 +108,9 @@
 	must(revoke.MarkFlagRequired("why"))
 }
 
-// anyOf asks one manager after the other until one does it or refuses it. One that can't be reached, knows no lead or sends
-// elsewhere does neither.
+// tryManagers calls one manager after the other until one succeeds or refuses. It moves on from a manager
+// that can't be reached, knows no leader or redirects to another one (421). The timeout is spread
+// over the remaining managers.
 func tryManagers(ctx context.Context, timeout time.Duration, callers []*api.Caller, call func(ctx context.Context, c *duty.Client) error) (err error) {
 	for i, caller := range callers {
 		attemptCtx, cancel := context.WithTimeout(ctx, timeout/time.Duration(len(callers)-i))
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -16,10 +16,10 @@
 	"example.org/micaline/internal/manage"
 )
 
-// askEvery is how often a rollout that is waited for is asked about.
+// reportPollInterval is the interval for polling the report of a rollout.
 const reportPollInterval = 500 * time.Millisecond
 
-// addFleet adds the commands that go to a manager.
+// addFleetCommands adds the commands that a manager executes.
 func (o *options) addFleetCommands(root *cobra.Command) {
 	add := func(c *cobra.Command, argCount int, run func(ctx context.Context, m *manage.Client, c *cobra.Command, args []string) error) *cobra.Command {
 		c.Args = exactArgs(argCount)
@@ -133,7 +133,8 @@
 	root.AddCommand(report)
 }
 
-// callers are callers of the managers that the flags name: one, or those of a group with commas between them.
+// managerCallers returns the callers of the managers in --manager: one, or those of a group separated
+// by commas.
 func (o *options) managerCallers() (all []*api.Caller, err error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -155,7 +156,8 @@
 	return all, nil
 }
 
-// managed is a client of the manager that the flags name; of those of a group, of the one that manages.
+// managerClient returns a client of the manager in --manager. Of a group, it chooses the first that
+// answers the status request, which is the active one.
 func (o *options) managerClient(ctx context.Context) (*manage.Client, error) {
 	all, err := o.managerCallers()
 	if err != nil {
@@ -170,10 +172,10 @@
 			return m, nil
 		}
 	}
-	return manage.NewClient(all[len(all)-1]), nil // who says what is the matter
+	return manage.NewClient(all[len(all)-1]), nil // not tried here: if it is not active either, its own answer is the error
 }
 
-// completeRollouts completes ids of rollouts.
+// completeRollouts completes rollout ids.
 func (o *options) completeRollouts(c *cobra.Command, _ []string, _ string) (ids []string, _ cobra.ShellCompDirective) {
 	m, err := o.managerClient(c.Context())
 	if err != nil {
@@ -188,7 +190,7 @@
 	return ids, cobra.ShellCompDirectiveNoFileComp
 }
 
-// limitFlags are a rollout's waves and stop conditions.
+// limitFlags are the flags for a rollout's waves and stop conditions.
 type limitFlags struct {
 	manage.Limits
 	bake, patience time.Duration
@@ -209,7 +211,7 @@
 	f.Float64Var(&l.MayFail, "may-fail", l.MayFail, "share of a wave's instances that may not apply it")
 }
 
-// order is what the flags and a file say.
+// buildOrder returns the rollout order that the flags and a document file define.
 func (o *options) buildOrder(c *cobra.Command, file string, l *limitFlags) (*manage.Order, error) {
 	d, err := readDocument(c.InOrStdin(), file)
 	if err != nil {
@@ -309,7 +311,7 @@
 	})
 }
 
-// follow gives an order and, where it is waited for, says how far it is until it is over.
+// follow sends an order. If wait is set, it prints the progress of the rollout until its end.
 func (o *options) follow(ctx context.Context, m *manage.Client, c *cobra.Command, id string, wait bool, send func(context.Context) (*manage.Report, error)) error {
 	callOnce := func(call func(context.Context) (*manage.Report, error)) (*manage.Report, error) {
 		ctx, cancel := context.WithTimeout(ctx, o.timeout)
@@ -332,7 +334,7 @@
 		select {
 		case <-time.After(reportPollInterval):
 		case <-ctx.Done():
-			return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("%s goes on; `micaline ctl report %s` tells how", id, id)}
+			return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("rollout %s continues; see `micaline ctl report %s`", id, id)}
 		}
 		update, err := callOnce(func(ctx context.Context) (*manage.Report, error) { return m.Report(ctx, id) })
 		var p *api.Problem
@@ -341,22 +343,22 @@
 			r, silentSince = update, time.Time{}
 		case errors.As(err, &p) && p.Status < 500:
 			return err
-		case silentSince.IsZero(): // it may be being replaced
+		case silentSince.IsZero(): // the manager may be failing over
 			silentSince = time.Now()
 		case time.Since(silentSince) > time.Minute:
-			return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("the manager has fallen silent: %w", err)}
+			return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("the manager has not answered for a minute: %w", err)}
 		}
 	}
 	if err := o.printReport(c.OutOrStdout(), r); err != nil || !wait {
 		return err
 	}
 	if s := r.Summary; c.Name() == manage.RollbackOrder && r.Status == "rolled back" && s.Applied+s.Partly+s.Unknown == 0 {
-		return nil // which is what was wanted
+		return nil // the rollback is complete, as ordered
 	}
 	return rolloutError(r)
 }
 
-// progress is how far a rollout is, in a line.
+// progress describes the progress of a rollout in one line.
 func progress(r *manage.Report) string {
 	text := fmt.Sprintf("%s, wave %d of %d, %s", r.Status, r.Wave, r.Waves, countsByState(r))
 	if r.Baking {
@@ -368,7 +370,7 @@
 	return text
 }
 
-// counts are the instances by what is known of them.
+// countsByState lists the number of instances in each state.
 func countsByState(r *manage.Report) string {
 	var words []string
 	for _, n := range []struct {
@@ -413,7 +415,7 @@
 	})
 }
 
-// ended is a rollout's exit code.
+// rolloutError returns the result of a rollout as an error with an exit code, or nil.
 func rolloutError(r *manage.Report) error {
 	s := r.Summary
 	all := s.Applied + s.Unchanged + s.Partly + s.Unknown + s.Waiting + s.Back + s.Ended
@@ -421,11 +423,11 @@
 	case !r.Over():
 		return nil
 	case s.Unknown > 0:
-		return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("%s: of %d instances it is not known whether they have it", r.Status, s.Unknown)}
+		return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("%s: it is not known whether %d instances have the document", r.Status, s.Unknown)}
 	case s.Applied == all:
 		return nil
 	case s.Applied+s.Partly == 0:
-		return &exit.Error{Code: ExitRefused, Err: fmt.Errorf("%s: no instance has it: %s", r.Status, r.Reason)}
+		return &exit.Error{Code: ExitRefused, Err: fmt.Errorf("%s: no instance has the document: %s", r.Status, r.Reason)}
 	}
-	return &exit.Error{Code: ExitPartial, Err: fmt.Errorf("%s: %d of %d instances have it. %s", r.Status, s.Applied, all, r.Reason)}
+	return &exit.Error{Code: ExitPartial, Err: fmt.Errorf("%s: %d of %d instances have the document. %s", r.Status, s.Applied, all, r.Reason)}
 }
--- a/internal/ctl/level.go
+++ b/internal/ctl/level.go
@@ -13,10 +13,10 @@
 	"example.org/micaline/internal/control"
 )
 
-// changer adds a command that changes something at once.
+// addChangeFunc adds a command that makes an immediate change on the selected instances.
 type addChangeFunc = func(use, short string, args int, run func(ctx context.Context, c *control.Client, id string, args []string) (string, error)) *cobra.Command
 
-// addLevel adds the commands about levels of reduced service.
+// addLevelCommands adds the commands for levels of reduced service.
 func (o *options) addLevelCommands(root *cobra.Command, addChange addChangeFunc) {
 	root.AddCommand(&cobra.Command{
 		Use: "level", Short: "Show the level of reduced service, why it is so, and what it has turned away", Args: exactArgs(0),
@@ -44,7 +44,7 @@
 	must(hold.MarkFlagRequired("why"))
 	hold.PreRunE = func(*cobra.Command, []string) error {
 		if duration <= 0 {
-			return usageError("--for %v is not above 0", duration)
+			return usageError("--for %v must be above 0", duration)
 		}
 		return nil
 	}
@@ -55,11 +55,12 @@
 		})
 }
 
+// toDuration converts seconds to a duration, rounded for display.
 func toDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second)).Round(100 * time.Millisecond)
 }
 
-// oneLevel shows one instance's level with its past.
+// printLevel prints the level of one instance with its history.
 func printLevel(w io.Writer, l *control.Level) {
 	fmt.Fprintf(w, "%s for %v, of %s; kept for %v at least\n", l.Level, toDuration(l.For), strings.Join(l.Levels, " < "), toDuration(l.Dwell))
 	if l.Held > 0 {
--- a/internal/ctl/set.go
+++ b/internal/ctl/set.go
@@ -17,10 +17,10 @@
 	"example.org/micaline/internal/exit"
 )
 
-// addChanges adds the commands that change.
+// addChangeCommands adds the commands that change instances.
 func (o *options) addChangeCommands(root *cobra.Command) {
 	var id string
-	// change adds a command that changes something at once.
+	// addChange adds a command that makes an immediate change on the selected instances.
 	addChange := func(use, short string, argCount int, run func(ctx context.Context, c *control.Client, id string, args []string) (string, error)) *cobra.Command {
 		cmd := &cobra.Command{Use: use, Short: short, Args: exactArgs(argCount), RunE: func(c *cobra.Command, args []string) error {
 			targets, single, err := o.targets()
@@ -51,7 +51,7 @@
 	hold.Flags().DurationVar(&duration, "for", duration, "for how long")
 	hold.PreRunE = func(*cobra.Command, []string) error {
 		if duration <= 0 {
-			return usageError("--for %v is not above 0", duration)
+			return usageError("--for %v must be above 0", duration)
 		}
 		return nil
 	}
@@ -83,7 +83,7 @@
 	o.addSetCommand(root)
 }
 
-// completeBackends completes names of backends.
+// completeBackends completes backend names, as the first selected instance knows them.
 func (o *options) completeBackends(c *cobra.Command, _ []string, _ string) (names []string, _ cobra.ShellCompDirective) {
 	targets, _, err := o.targets()
 	if err != nil {
@@ -99,7 +99,7 @@
 	return names, cobra.ShellCompDirectiveNoFileComp
 }
 
-// addSet adds the command that changes the settings document.
+// addSetCommand adds the command that puts a settings document in force.
 func (o *options) addSetCommand(root *cobra.Command) {
 	var dryRun bool
 	var id string
@@ -146,7 +146,7 @@
 	root.AddCommand(command)
 }
 
-// differences are the rows of what differs.
+// differenceRows returns table rows for the differences of two documents.
 func differenceRows(diff *[]document.Difference) (rows []string) {
 	for _, f := range *diff {
 		rows = append(rows, fmt.Sprintf("%s\t%s\t-> %s", f.Field, orConfigured(f.From), orConfigured(f.To)))
@@ -161,6 +161,7 @@
 	return v
 }
 
+// readDocument reads a settings document from a file, or from in if the name is "-".
 func readDocument(in io.Reader, name string) (*document.Document, error) {
 	if name != "-" {
 		f, err := os.Open(name)
@@ -177,7 +178,8 @@
 	return document.Parse(text)
 }
 
-// set puts a document in force on one instance.
+// applyDocument puts a document in force on one instance: it prepares, commits and, if confirm is above
+// 0, confirms the change.
 func applyDocument(ctx context.Context, c *control.Client, d *document.Document, id string, confirm time.Duration) (*control.Change, error) {
 	identity, err := c.Identity(ctx)
 	if err != nil {
@@ -202,9 +204,9 @@
 	case "applied":
 		return r, nil
 	case "partly":
-		return nil, &exit.Error{Code: ExitPartial, Err: fmt.Errorf("only %v is applied: %s", r.Parts, r.Reason)}
+		return nil, &exit.Error{Code: ExitPartial, Err: fmt.Errorf("only the parts %v are applied: %s", r.Parts, r.Reason)}
 	case "none":
-		return nil, &exit.Error{Code: ExitUnknown, Err: errors.New("it is still being applied")}
+		return nil, &exit.Error{Code: ExitUnknown, Err: errors.New("the change is still being applied")}
 	}
 	return nil, &exit.Error{Code: ExitRefused, Err: errors.New(r.Reason)}
 }
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -18,7 +18,7 @@
 	"example.org/micaline/internal/exit"
 )
 
-// Shown is what `ctl show` prints as JSON.
+// ShowOutput is the JSON output of `ctl show`.
 type ShowOutput struct {
 	control.Identity
 	Pressure float64               `json:"pressure"`
@@ -29,7 +29,7 @@
 	Accounts []control.Account     `json:"accounts"`
 }
 
-// addShown adds the commands that show.
+// addShowCommands adds the commands that show the state of instances.
 func (o *options) addShowCommands(root *cobra.Command) {
 	add := func(use, short string, run func(*cobra.Command, []string) error) {
 		root.AddCommand(&cobra.Command{Use: use, Short: short, Args: exactArgs(0), RunE: run})
@@ -95,11 +95,11 @@
 		},
 		header: "REVISION\tHASH\tDOCUMENT",
 		rows: func(v *control.VersionedDocument) []string {
-			text, _ := json.Marshal(v.Document) // which came as JSON
+			text, _ := json.Marshal(v.Document) // can't fail: the document was decoded from JSON
 			return []string{fmt.Sprintf("%d\t%s\t%s", v.Revision, v.Hash, text)}
 		},
 		printOne: func(w io.Writer, v *control.VersionedDocument) {
-			text, _ := json.MarshalIndent(v.Document, "", "  ") // which came as JSON
+			text, _ := json.MarshalIndent(v.Document, "", "  ") // can't fail: the document was decoded from JSON
 			fmt.Fprintf(w, "revision %d, %s\n%s\n", v.Revision, v.Hash, text)
 		},
 	}))
@@ -121,7 +121,7 @@
 	return strings.Join(terms, ",")
 }
 
-// one is an instance alone.
+// printInstance prints the state of a single instance.
 func printInstance(w io.Writer, s *ShowOutput) {
 	fmt.Fprintf(w, "name\t%s\nlabels\t%s\nepoch\t%s, for %v\n", s.Name, formatLabels(s.Labels), s.Epoch, uptime(&s.Identity))
 	fmt.Fprintf(w, "document\trevision %d, %s\nconfiguration\t%s\n", s.Revision, s.Hash, s.Configuration)
@@ -143,10 +143,11 @@
 	}
 }
 
-// mostSpan is a hold that nobody means as a span: a year.
+// maxHoldSpan is the longest hold that is shown with its remaining time. A longer one has no
+// intended end.
 const maxHoldSpan = 365 * 24 * time.Hour
 
-// whyOut says why a backend gets nothing, or not from all classes.
+// exclusionReasons lists why a backend gets no requests, or none of some classes.
 func exclusionReasons(b *control.Backend) string {
 	var reasons []string
 	switch held := toDuration(b.Held); {
@@ -167,16 +168,17 @@
 	return strings.Join(reasons, ", ")
 }
 
-// Watched is a line of `ctl watch` as JSON.
+// WatchLine is a line of the JSON output of `ctl watch`.
 type WatchLine struct {
 	Instance string         `json:"instance"`
 	Event    *control.Event `json:"event,omitempty"`
 	Error    string         `json:"error,omitempty"`
 }
 
-const watchRetryDelay = 2 * time.Second // after an instance has fallen silent
+const watchRetryDelay = 2 * time.Second // after a watch stream has failed
 
-// watch follows the instances until the context ends. One that falls silent is told, and tried again.
+// watch prints the events of the instances until the context ends. If a stream fails, it prints the
+// error once and reconnects until it succeeds.
 func (o *options) watch(c *cobra.Command, _ []string) error {
 	targets, _, err := o.targets()
 	if err != nil {
@@ -208,12 +210,12 @@
 					return write(WatchLine{Instance: t.name, Event: e})
 				})
 				var e *exit.Error
-				if errors.As(withExitCode(err), &e) && e.Code == ExitRefused { // it won't be otherwise next time
+				if errors.As(withExitCode(err), &e) && e.Code == ExitRefused { // a retry would be refused too
 					failed <- e
 					return
 				}
 				if ctx.Err() == nil && err.Error() != lastError {
-					lastError = err.Error() // once, however often it is tried
+					lastError = err.Error() // printed once for all failed attempts in a row
 					if write(WatchLine{Instance: t.name, Error: lastError}) != nil {
 						return
 					}
@@ -230,7 +232,7 @@
 	return <-failed
 }
 
-// lines are what people read of an event.
+// lines returns the event as readable text.
 func (w *WatchLine) lines() (lines []string) {
 	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	if w.Error != "" {
--- a/internal/ctl/site.go
+++ b/internal/ctl/site.go
@@ -13,7 +13,7 @@
 	"example.org/micaline/internal/control"
 )
 
-// addSite adds the commands about sites.
+// addSiteCommands adds the commands for sites.
 func (o *options) addSiteCommands(root *cobra.Command, addChange addChangeFunc) {
 	siteCommand := &cobra.Command{Use: "site", Short: "Show sites, ask what the loss of one would mean, and take one out by hand"}
 	root.AddCommand(siteCommand)
@@ -64,6 +64,7 @@
 	plan.Flags().StringVar(&lose, "lose", "", "the site that would be lost (default each)")
 	siteCommand.AddCommand(plan)
 
+	// moveToSite makes a command of root a subcommand of `site`.
 	moveToSite := func(cmd *cobra.Command) *cobra.Command {
 		root.RemoveCommand(cmd)
 		siteCommand.AddCommand(cmd)
@@ -81,7 +82,7 @@
 	must(evacuate.MarkFlagRequired("why"))
 	evacuate.PreRunE = func(*cobra.Command, []string) error {
 		if duration <= 0 {
-			return usageError("--for %v is not above 0", duration)
+			return usageError("--for %v must be above 0", duration)
 		}
 		return nil
 	}
@@ -102,7 +103,7 @@
 	return s.State
 }
 
-// plans are those that are asked for.
+// selectPlans returns the plan for the loss of one site, or all plans if lose is empty.
 func selectPlans(s *control.Sites, lose string) (selected []control.SitePlan) {
 	for _, p := range s.Plans {
 		if lose == "" || p.Lose == lose {
@@ -119,7 +120,7 @@
 	return fmt.Sprintf("%.0f%%", 100**v)
 }
 
-// onePlan shows one instance's plans in full.
+// printPlans prints the plans of one instance in full.
 func printPlans(w io.Writer, plans []control.SitePlan) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, p := range plans {
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -1,5 +1,6 @@
-// Package document is the settings document: what operators may change on an instance while it serves. What it leaves
-// out is as the platform has configured it. It has no I/O.
+// Package document defines the settings document, which holds what operators may change on a running
+// instance. Fields that it leaves out keep the value that the platform has configured. The package
+// does no I/O.
 package document
 
 import (
@@ -20,44 +21,45 @@
 	"example.org/micaline/policy"
 )
 
-// MaxSize is how many bytes a document may have.
+// MaxSize is the maximum size of a document in bytes.
 const MaxSize = 64 << 10
 
 // The parts of a document, in the order in which they are applied.
 const (
-	PartService   = "service"   // how much is taken, and where discovery is
-	PartSites     = "sites"     // which are taken out by hand
-	PartDecisions = "decisions" // what the decision module goes by
+	PartService   = "service"   // concurrency limit and address of discovery
+	PartSites     = "sites"     // sites that are evacuated
+	PartDecisions = "decisions" // settings of the decision module
 )
 
-// Parts are all of them.
+// Parts lists all parts in the order in which they are applied.
 var Parts = []string{PartService, PartSites, PartDecisions}
 
-// Document is the settings that an operator wants. Absent fields are nil.
+// Document contains the settings that an operator wants. Absent fields are nil.
 type Document struct {
 	Service   ServicePart              `json:"service,omitzero"`
-	Sites     map[string]EvacuatedSite `json:"sites,omitempty"` // taken out, by name
+	Sites     map[string]EvacuatedSite `json:"sites,omitempty"` // evacuated sites by name
 	Decisions DecisionsPart            `json:"decisions,omitzero"`
 }
 
-// Site is one that is taken out by hand, until a time by the instance's clock: one that begins anew and is brought to the
-// document again takes it out for what is left of that.
+// EvacuatedSite is a site that is evacuated until a time on the instance's clock. The end is a point in
+// time rather than a duration, so that a restarted instance that gets the document again evacuates the
+// site only for the remaining time.
 type EvacuatedSite struct {
 	Until time.Time `json:"out_until"`
 	Why   string    `json:"why"`
 	Force bool      `json:"though_the_others_cannot_carry_it,omitempty"`
 }
 
-// mostWhy is how long a reason may be, in bytes.
+// maxReasonBytes is the maximum length of a reason.
 const maxReasonBytes = 200
 
-// ServicePart is how much is taken, and where discovery is.
+// ServicePart contains the concurrency limit and the address of discovery.
 type ServicePart struct {
-	Requests  *int    `json:"requests,omitempty"`  // held at once at most
+	Requests  *int    `json:"requests,omitempty"`  // maximum number in flight
 	Discovery *string `json:"discovery,omitempty"` // host and port
 }
 
-// DecisionsPart is what the decision module goes by.
+// DecisionsPart contains the settings of the decision module.
 type DecisionsPart struct {
 	MaxAttempts  *int               `json:"max_attempts,omitempty"`
 	SecondCopies *bool              `json:"second_copies,omitempty"`
@@ -66,18 +68,20 @@
 	Accounts     map[string]Account `json:"accounts,omitempty"`
 }
 
-// Class is what may be changed of a class. Its effect is the application's and can't be.
+// Class contains the settings of a request class that may be changed. The effect of a class depends on
+// the application and can't be changed here.
 type Class struct {
-	AimMS *float64 `json:"aim_ms,omitempty"`
+	AimMS *float64 `json:"aim_ms,omitempty"` // target latency in milliseconds
 	Worth *float64 `json:"worth,omitempty"`
 }
 
-// Account is what may be changed of an account.
+// Account contains the settings of a tenant that may be changed.
 type Account struct {
 	Portion *float64 `json:"portion,omitempty"`
 }
 
-// FieldError is what is wrong with a document, and where.
+// FieldError reports an invalid field of a document. Field is its path; it is empty if the document as
+// a whole is invalid.
 type FieldError struct {
 	Field  string
 	Reason string
@@ -94,10 +98,11 @@
 	return &FieldError{field, fmt.Sprintf(format, args...)}
 }
 
-// Parse reads a document. Its error is a *FieldError. Whether an instance can use the document, Check says.
+// Parse parses a document. Its error is a *FieldError. It does not validate the values: Check does this
+// for the configuration of an instance.
 func Parse(text []byte) (*Document, error) {
 	if len(text) > MaxSize {
-		return nil, invalidField("", "the document has %d bytes, and %d are allowed", len(text), MaxSize)
+		return nil, invalidField("", "the document has %d bytes; the limit is %d", len(text), MaxSize)
 	}
 	var d Document
 	dec := json.NewDecoder(bytes.NewReader(text))
@@ -105,7 +110,7 @@
 	if err := dec.Decode(&d); err != nil {
 		var typeErr *json.UnmarshalTypeError
 		if errors.As(err, &typeErr) {
-			return nil, invalidField(typeErr.Field, "a %s is no %s", typeErr.Value, typeErr.Type)
+			return nil, invalidField(typeErr.Field, "got a %s, want a %s", typeErr.Value, typeErr.Type)
 		}
 		if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 			return nil, invalidField(strings.Trim(name, `"`), "there is no such field")
@@ -113,19 +118,20 @@
 		return nil, invalidField("", "the document can't be read: %v", err)
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return nil, invalidField("", "there is more behind the document")
+		return nil, invalidField("", "unexpected data after the document")
 	}
 	return &d, nil
 }
 
-// Hash names the document: two that say the same have the same.
+// Hash returns a hash of the document's content. Documents with equal content have equal hashes.
 func (d *Document) Hash() string {
-	text, _ := json.Marshal(d) // of numbers that Parse has read, with sorted keys
+	text, _ := json.Marshal(d) // can't fail on values that Parse has read; map keys are sorted
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:8])
 }
 
-// Check says whether an instance that was configured so can use the document whole. Its error is a *FieldError.
+// Check validates the whole document against the platform settings of an instance. Its error is a
+// *FieldError.
 func (d *Document) Check(base *settings.Settings) error {
 	if r := d.Service.Requests; r != nil && (*r < 1 || *r > 1<<20) {
 		return invalidField("service.requests", "%d is not between 1 and %d", *r, 1<<20)
@@ -142,7 +148,7 @@
 		case s.Until.IsZero():
 			return invalidField(field+".out_until", "missing")
 		case s.Why == "" || len(s.Why) > maxReasonBytes:
-			return invalidField(field+".why", "it has %d bytes, and 1 to %d are wanted", len(s.Why), maxReasonBytes)
+			return invalidField(field+".why", "the reason has %d bytes; it must have 1 to %d", len(s.Why), maxReasonBytes)
 		}
 	}
 	if n := d.Decisions.MaxAttempts; n != nil && (*n < 1 || *n > 100) {
@@ -166,7 +172,7 @@
 			return invalidField("decisions.accounts."+name, "the instance has no such account")
 		}
 		if p := d.Decisions.Accounts[name].Portion; p != nil && !(*p >= 0 && *p <= 1) {
-			return invalidField("decisions.accounts."+name+".portion", "%v is no share", *p)
+			return invalidField("decisions.accounts."+name+".portion", "%v is not between 0 and 1", *p)
 		}
 	}
 	if _, err := policy.New(d.PolicySettings(base), 0); err != nil {
@@ -175,7 +181,8 @@
 	return nil
 }
 
-// Module is what the decision module is to go by: the document's word over the platform's.
+// PolicySettings returns the settings of the decision module: the platform settings, overridden by
+// those of the document. It does not modify base.
 func (d *Document) PolicySettings(base *settings.Settings) policy.Settings {
 	s := base.Module
 	if v := d.Decisions.MaxAttempts; v != nil {
@@ -206,14 +213,14 @@
 	return s
 }
 
-// Difference is one field in which two documents differ; an absent one is "".
+// Difference is a field in which two documents differ. The value of an absent field is "".
 type Difference struct {
 	Field string `json:"field"`
 	From  string `json:"from"`
 	To    string `json:"to"`
 }
 
-// Diff returns the fields in which another document differs, in order.
+// Diff returns the fields in which another document differs, sorted by path.
 func (d *Document) Diff(other *Document) (differences []Difference) {
 	a, b := d.flatten(), other.flatten()
 	names := map[string]bool{}
@@ -231,11 +238,11 @@
 	return differences
 }
 
-// fields are the values that the document has, by the paths of their fields.
+// flatten returns the values of the document by the paths of their fields.
 func (d *Document) flatten() map[string]string {
 	text, _ := json.Marshal(d)
 	var tree map[string]any
-	json.Unmarshal(text, &tree) // which was made just now
+	json.Unmarshal(text, &tree) // can't fail on the output of Marshal
 	values := map[string]string{}
 	var visit func(path string, v any)
 	visit = func(path string, v any) {
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -19,7 +19,7 @@
 	return &s
 }
 
-// What can't be read, or not used by the instance, is told with its field.
+// Parse and Check report the path of the invalid field.
 func TestErrorsNameTheField(t *testing.T) {
 	for _, c := range []struct{ text, field string }{
 		{`{`, ""}, {``, ""}, {`{} {}`, ""}, {`[]`, ""},
@@ -50,7 +50,7 @@
 	}
 }
 
-// The document's word goes over the platform's, and the platform's settings stay as they are.
+// The document overrides the platform settings without modifying them.
 func TestModule(t *testing.T) {
 	b := baseSettings(t)
 	d, err := Parse([]byte(`{"decisions":{"max_attempts":5,"probes":true,"classes":{"close":{"aim_ms":700,"worth":9}},"accounts":{"acme":{"portion":0.1}}}}`))
