--- a/internal/ctl/duty.go
+++ b/internal/ctl/duty.go
@@ -17,7 +17,7 @@
 // addDutyCommands adds the commands for a group of managers and the duties (leases) that it grants.
 func (o *options) addDutyCommands(root *cobra.Command) {
 	groupCommand := &cobra.Command{Use: "group", Short: "Show the group of managers, and remove members"}
-	dutyCommand := &cobra.Command{Use: "duty", Short: "Show who holds which duty, and have it move"}
+	dutyCommand := &cobra.Command{Use: "duty", Short: "Show which manager holds each duty, and move duties"}
 	root.AddCommand(groupCommand, dutyCommand)
 	add := func(parent *cobra.Command, use, short string, argCount int, run func(ctx context.Context, c *duty.Client, w io.Writer, args []string) error) *cobra.Command {
 		c := &cobra.Command{Use: use, Short: short, Args: exactArgs(argCount)}
@@ -65,7 +65,7 @@
 			}
 		})
 	}
-	add(groupCommand, "show", "Show the members, who leads, and who can't be a member", 0,
+	add(groupCommand, "show", "Show the members, the leader, and managers that can't be members", 0,
 		func(ctx context.Context, c *duty.Client, w io.Writer, _ []string) error {
 			g, err := c.Group(ctx)
 			return showGroup(w, g, err)
@@ -75,12 +75,12 @@
 			g, err := c.Remove(ctx, args[0])
 			return showGroup(w, g, err)
 		})
-	add(dutyCommand, "list", "Show who holds which duty, until when, and why it last moved", 0,
+	add(dutyCommand, "list", "Show the holder of each duty, until when it holds it, and why the duty last moved", 0,
 		func(ctx context.Context, c *duty.Client, w io.Writer, _ []string) error {
 			d, err := c.Duties(ctx)
 			return showDuties(w, d, err)
 		})
-	add(dutyCommand, "history", "Show how the duties have moved, the newest first", 0,
+	add(dutyCommand, "history", "Show how the duties have moved, newest first", 0,
 		func(ctx context.Context, c *duty.Client, w io.Writer, _ []string) error {
 			d, err := c.Duties(ctx)
 			if err != nil {
@@ -93,18 +93,18 @@
 				}
 			})
 		})
-	add(dutyCommand, "hand DUTY MEMBER", "Have the holder end what it does and a member go on", 2,
+	add(dutyCommand, "hand DUTY MEMBER", "Move a duty to a member once the holder has finished its work", 2,
 		func(ctx context.Context, c *duty.Client, w io.Writer, args []string) error {
 			d, err := c.Hand(ctx, args[0], args[1])
 			return showDuties(w, d, err)
 		})
 	reason := ""
-	revoke := add(dutyCommand, "revoke DUTY", "Have a duty renewed no more: free once its holder's time is over", 1,
+	revoke := add(dutyCommand, "revoke DUTY", "Stop renewing a duty's lease: the duty is free once the lease has expired", 1,
 		func(ctx context.Context, c *duty.Client, w io.Writer, args []string) error {
 			d, err := c.Revoke(ctx, args[0], reason)
 			return showDuties(w, d, err)
 		})
-	revoke.Flags().StringVar(&reason, "why", "", "the reason, which the history keeps")
+	revoke.Flags().StringVar(&reason, "why", "", "the reason, which is recorded in the history")
 	must(revoke.MarkFlagRequired("why"))
 }
 
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -36,11 +36,11 @@
 	root.AddCommand(&cobra.Command{
 		Use: "instances", Short: "List the instances: those a manager knows, or those of the fleet file", Args: exactArgs(0), RunE: o.listInstances,
 	})
-	add(&cobra.Command{Use: "manager", Short: "Show what the manager says of itself"}, 0,
+	add(&cobra.Command{Use: "manager", Short: "Show the status of the manager"}, 0,
 		func(ctx context.Context, m *manage.Client, c *cobra.Command, _ []string) error {
 			return o.showStatus(ctx, c.OutOrStdout(), m.Status)
 		})
-	add(&cobra.Command{Use: "takeover", Short: "Give the manager a number above all others', which the instances then refuse"}, 0,
+	add(&cobra.Command{Use: "takeover", Short: "Give the manager the highest fencing number, so that the instances refuse all other managers"}, 0,
 		func(ctx context.Context, m *manage.Client, c *cobra.Command, _ []string) error {
 			return o.showStatus(ctx, c.OutOrStdout(), m.TakeOver)
 		})
@@ -53,7 +53,7 @@
 	limits.addFlags(plan)
 	var id string
 	var dryRun, detach bool
-	apply := add(&cobra.Command{Use: "apply FILE", Short: "Bring a settings document to the instances, in waves"}, 1,
+	apply := add(&cobra.Command{Use: "apply FILE", Short: "Roll out a settings document to the instances, in waves"}, 1,
 		func(ctx context.Context, m *manage.Client, c *cobra.Command, args []string) error {
 			if dryRun {
 				return o.showPlan(ctx, m, c, args[0], &limits)
@@ -68,9 +68,11 @@
 			return o.follow(ctx, m, c, id, !detach, func(ctx context.Context) (*manage.Report, error) { return m.Begin(ctx, id, order) })
 		})
 	limits.addFlags(apply)
-	apply.Flags().StringVar(&id, "id", "", "id of the rollout; the same order again under it begins nothing (default by the time)")
-	apply.Flags().BoolVar(&dryRun, "dry-run", false, "as plan")
-	addNoWait := func(c *cobra.Command) { c.Flags().BoolVar(&detach, "no-wait", false, "do not wait for its end") }
+	apply.Flags().StringVar(&id, "id", "", "id of the rollout; a repeated order with the same id starts nothing (default from the time)")
+	apply.Flags().BoolVar(&dryRun, "dry-run", false, "show the plan, and change nothing")
+	addNoWait := func(c *cobra.Command) {
+		c.Flags().BoolVar(&detach, "no-wait", false, "do not wait for the end of the rollout")
+	}
 	addNoWait(apply)
 
 	addOrder := func(order, short string) *cobra.Command {
@@ -88,12 +90,12 @@
 		c.ValidArgsFunction = o.completeRollouts
 		return c
 	}
-	addOrder(manage.AbortOrder, "Halt a rollout, and leave what is applied")
-	addOrder(manage.ResumeOrder, "Go on with a rollout that is halted or superseded")
-	addOrder(manage.RollbackOrder, "Take back what a rollout has applied")
+	addOrder(manage.AbortOrder, "Halt a rollout, and leave applied changes in place")
+	addOrder(manage.ResumeOrder, "Resume a rollout that is halted or superseded")
+	addOrder(manage.RollbackOrder, "Revert the changes that a rollout has applied")
 
 	report := &cobra.Command{
-		Use: "report [ID]", Short: "Show who got what of a rollout; without ID, all rollouts",
+		Use: "report [ID]", Short: "Show the result of a rollout on each instance; without ID, all rollouts",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) > 1 {
 				return usageError("%s takes 1 argument at most, and was given %d", c.CommandPath(), len(args))
@@ -203,12 +205,12 @@
 	f.IntVar(&l.Canaries, "canaries", l.Canaries, "instances of the first wave")
 	f.Float64Var(&l.Growth, "growth", l.Growth, "each further wave is so many times larger")
 	f.DurationVar(&l.bake, "bake", seconds(l.Bake), "how long a wave is watched before the next")
-	f.Float64Var(&l.MoreRefused, "more-refused", l.MoreRefused, "share of requests that may be refused more than before")
-	f.Float64Var(&l.MoreFailed, "more-failed", l.MoreFailed, "share of requests that may fail more than before")
-	f.Float64Var(&l.LessInAim, "less-in-aim", l.LessInAim, "share of requests that may be served in aim less than before")
-	f.Float64Var(&l.Least, "least", l.Least, "requests that it takes to judge a wave")
+	f.Float64Var(&l.MoreRefused, "more-refused", l.MoreRefused, "maximum increase of the share of refused requests")
+	f.Float64Var(&l.MoreFailed, "more-failed", l.MoreFailed, "maximum increase of the share of failed requests")
+	f.Float64Var(&l.LessInAim, "less-in-aim", l.LessInAim, "maximum decrease of the share of requests served within the target latency")
+	f.Float64Var(&l.Least, "least", l.Least, "minimum number of requests for judging a wave")
 	f.DurationVar(&l.patience, "patience", seconds(l.Patience), "how long a wave with fewer requests is watched")
-	f.Float64Var(&l.MayFail, "may-fail", l.MayFail, "share of a wave's instances that may not apply it")
+	f.Float64Var(&l.MayFail, "may-fail", l.MayFail, "maximum share of a wave's instances that may fail to apply the document")
 }
 
 // buildOrder returns the rollout order that the flags and a document file define.
--- a/internal/ctl/level.go
+++ b/internal/ctl/level.go
@@ -19,7 +19,7 @@
 // addLevelCommands adds the commands for levels of reduced service.
 func (o *options) addLevelCommands(root *cobra.Command, addChange addChangeFunc) {
 	root.AddCommand(&cobra.Command{
-		Use: "level", Short: "Show the level of reduced service, why it is so, and what it has turned away", Args: exactArgs(0),
+		Use: "level", Short: "Show the level of reduced service, its reason, and the requests that it has refused", Args: exactArgs(0),
 		RunE: showCommand(o, view[control.Level]{
 			query:  func(ctx context.Context, c *control.Client) (*control.Level, error) { return c.Level(ctx) },
 			header: "LEVEL\tFOR\tHELD\tTURNED AWAY\tFIGURES",
@@ -34,13 +34,13 @@
 		}),
 	})
 	duration, reason := 10*time.Minute, ""
-	hold := addChange("hold-level LEVEL", "Keep a level of service by hand for a while, whatever the figures say", 1,
+	hold := addChange("hold-level LEVEL", "Hold a level of reduced service for a while, regardless of the measurements", 1,
 		func(ctx context.Context, c *control.Client, id string, args []string) (string, error) {
 			l, err := c.HoldLevel(ctx, id, args[0], duration.Seconds(), reason)
 			return fmt.Sprintf("level %s, held for %v", l.Level, toDuration(l.Held)), err
 		})
 	hold.Flags().DurationVar(&duration, "for", duration, "for how long")
-	hold.Flags().StringVar(&reason, "why", "", "the reason, which the history keeps")
+	hold.Flags().StringVar(&reason, "why", "", "the reason, which is recorded in the history")
 	must(hold.MarkFlagRequired("why"))
 	hold.PreRunE = func(*cobra.Command, []string) error {
 		if duration <= 0 {
@@ -48,7 +48,7 @@
 		}
 		return nil
 	}
-	addChange("release-level", "Let the figures decide on the level again", 0,
+	addChange("release-level", "Return to automatic selection of the level", 0,
 		func(ctx context.Context, c *control.Client, id string, _ []string) (string, error) {
 			l, err := c.HoldLevel(ctx, id, "", 0, "")
 			return fmt.Sprintf("level %s, by its figures", l.Level), err
--- a/internal/ctl/set.go
+++ b/internal/ctl/set.go
@@ -38,7 +38,7 @@
 				header: "NOW", rows: func(v *string) []string { return []string{*v} }, printOne: func(w io.Writer, v *string) { fmt.Fprintln(w, *v) },
 			})
 		}}
-		cmd.Flags().StringVar(&id, "id", "", "id of the change; the same id again has the first result (default a new one)")
+		cmd.Flags().StringVar(&id, "id", "", "id of the change; a repeat with the same id gets the first result (default a new one)")
 		root.AddCommand(cmd)
 		return cmd
 	}
@@ -56,7 +56,7 @@
 		return nil
 	}
 	hold.ValidArgsFunction = o.completeBackends
-	release := addChange("release BACKEND", "Let a backend in again that is held out; one that drains gets nothing all the same", 1,
+	release := addChange("release BACKEND", "End the hold of a backend; a draining backend still gets no requests", 1,
 		func(ctx context.Context, c *control.Client, id string, args []string) (string, error) {
 			h, err := c.Hold(ctx, id, args[0], 0)
 			return fmt.Sprintf("%s is not held out", h.Backend), err
@@ -71,8 +71,8 @@
 			return "requests are refused", err
 		}
 	}
-	addChange("drain", "Stop taking requests: they are refused, and told when to come back", 0, setAccepting(false))
-	addChange("undrain", "Take requests again", 0, setAccepting(true))
+	addChange("drain", "Stop accepting requests: they are refused with a time to retry after", 0, setAccepting(false))
+	addChange("undrain", "Accept requests again", 0, setAccepting(true))
 	addChange("reload", "Read the platform's configuration again, as SIGHUP does", 0,
 		func(ctx context.Context, c *control.Client, id string, _ []string) (string, error) {
 			v, err := c.Reload(ctx, id)
@@ -140,9 +140,9 @@
 			})
 		},
 	}
-	command.Flags().BoolVar(&dryRun, "dry-run", false, "show what would differ, and change nothing")
-	command.Flags().StringVar(&id, "id", "", "id of the change; the same id again has the first result (default a new one)")
-	command.Flags().DurationVar(&confirm, "confirm", 0, "have the instance take the change back unless it can be confirmed within this")
+	command.Flags().BoolVar(&dryRun, "dry-run", false, "show the differences, and change nothing")
+	command.Flags().StringVar(&id, "id", "", "id of the change; a repeat with the same id gets the first result (default a new one)")
+	command.Flags().DurationVar(&confirm, "confirm", 0, "have the instance revert the change unless it is confirmed within this time")
 	root.AddCommand(command)
 }
 
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -34,7 +34,7 @@
 	add := func(use, short string, run func(*cobra.Command, []string) error) {
 		root.AddCommand(&cobra.Command{Use: use, Short: short, Args: exactArgs(0), RunE: run})
 	}
-	add("show", "Show which process answers, and how it serves", showCommand(o, view[ShowOutput]{
+	add("show", "Show the process, its configuration and its request counts", showCommand(o, view[ShowOutput]{
 		query: func(ctx context.Context, c *control.Client) (*ShowOutput, error) {
 			id, err := c.Identity(ctx)
 			if err != nil {
@@ -103,7 +103,7 @@
 			fmt.Fprintf(w, "revision %d, %s\n%s\n", v.Revision, v.Hash, text)
 		},
 	}))
-	root.AddCommand(&cobra.Command{Use: "watch", Short: "Show what changes, until it is ended", Args: exactArgs(0), RunE: o.watch})
+	root.AddCommand(&cobra.Command{Use: "watch", Short: "Show changes as they happen, until interrupted", Args: exactArgs(0), RunE: o.watch})
 }
 
 func uptime(id *control.Identity) time.Duration {
--- a/internal/ctl/site.go
+++ b/internal/ctl/site.go
@@ -15,11 +15,11 @@
 
 // addSiteCommands adds the commands for sites.
 func (o *options) addSiteCommands(root *cobra.Command, addChange addChangeFunc) {
-	siteCommand := &cobra.Command{Use: "site", Short: "Show sites, ask what the loss of one would mean, and take one out by hand"}
+	siteCommand := &cobra.Command{Use: "site", Short: "Show sites and the impact of losing one, and evacuate a site"}
 	root.AddCommand(siteCommand)
 	query := func(ctx context.Context, c *control.Client) (*control.Sites, error) { return c.Sites(ctx) }
 	siteCommand.AddCommand(&cobra.Command{
-		Use: "list", Short: "Show the sites and what is the matter with each", Args: exactArgs(0),
+		Use: "list", Short: "Show the sites and the state of each", Args: exactArgs(0),
 		RunE: showCommand(o, view[control.Sites]{
 			query: query, jsonValue: func(s *control.Sites) any { return s.Sites },
 			header: "SITE\tSTATE\tFOR\tSERVERS\tUSED\tLOAD\tROOM\tLOST\tPACER SAYS",
@@ -31,7 +31,7 @@
 			},
 		}),
 	}, &cobra.Command{
-		Use: "show", Short: "Show what has become of the sites, and why", Args: exactArgs(0),
+		Use: "show", Short: "Show the state changes of the sites, and why they happened", Args: exactArgs(0),
 		RunE: showCommand(o, view[control.Sites]{
 			query: query, header: "AT\tSITE\tFROM\tTO\tWHY",
 			rows: func(s *control.Sites) (rows []string) {
@@ -44,7 +44,7 @@
 	})
 	lose := ""
 	plan := &cobra.Command{
-		Use: "plan", Short: "Show what the loss of a site would move, where to, and what would be refused", Args: exactArgs(0),
+		Use: "plan", Short: "Show what load the loss of a site would move, where to, and what would be refused", Args: exactArgs(0),
 		RunE: showCommand(o, view[control.Sites]{
 			query: query, jsonValue: func(s *control.Sites) any { return selectPlans(s, lose) },
 			header: "LOSE\tCARRIES\tOTHERS USED TO\tREFUSED\tMOVES",
@@ -71,14 +71,14 @@
 		return cmd
 	}
 	duration, reason, force := 10*time.Minute, "", false
-	evacuate := moveToSite(addChange("evacuate SITE", "Take a site out for a while, a server at a time; nothing that is under way is cut", 1,
+	evacuate := moveToSite(addChange("evacuate SITE", "Evacuate a site for a while, one server at a time, without interrupting requests in flight", 1,
 		func(ctx context.Context, c *control.Client, id string, args []string) (string, error) {
 			_, err := c.EvacuateSite(ctx, id, args[0], duration.Seconds(), force, reason)
 			return fmt.Sprintf("site %s is taken out for %v", args[0], duration), err
 		}))
 	evacuate.Flags().DurationVar(&duration, "for", duration, "for how long")
-	evacuate.Flags().StringVar(&reason, "why", "", "the reason, which the history keeps")
-	evacuate.Flags().BoolVar(&force, "though-the-others-cannot-carry-it", false, "also where the others could not carry the load")
+	evacuate.Flags().StringVar(&reason, "why", "", "the reason, which is recorded in the history")
+	evacuate.Flags().BoolVar(&force, "though-the-others-cannot-carry-it", false, "evacuate even if the other sites could not carry the load")
 	must(evacuate.MarkFlagRequired("why"))
 	evacuate.PreRunE = func(*cobra.Command, []string) error {
 		if duration <= 0 {
@@ -86,7 +86,7 @@
 		}
 		return nil
 	}
-	moveToSite(addChange("return SITE", "Let a site in again that is taken out, in steps; one that is lost is asked at once", 1,
+	moveToSite(addChange("return SITE", "End a site's evacuation, in steps; a lost site is probed at once", 1,
 		func(ctx context.Context, c *control.Client, id string, args []string) (string, error) {
 			_, err := c.EvacuateSite(ctx, id, args[0], 0, false, "")
 			return fmt.Sprintf("site %s returns", args[0]), err
