--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -171,12 +171,12 @@
 		return err
 	}
 	defer resp.Body.Close()
-	silence := newWatchdog(3*heartbeatInterval, cancel)
-	defer silence.stop()
+	heartbeatTimer := newWatchdog(3*heartbeatInterval, cancel)
+	defer heartbeatTimer.stop()
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
-		silence.reset()
+		heartbeatTimer.reset()
 		var e Event
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
 			return fmt.Errorf("invalid event from the instance: %w", err)
@@ -186,7 +186,7 @@
 		}
 	}
 	switch {
-	case silence.expired():
+	case heartbeatTimer.expired():
 		return errInstanceSilent
 	case lines.Err() != nil:
 		return fmt.Errorf("reading the watch stream: %w", lines.Err())
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -39,9 +39,9 @@
 func (f *fakeInstance) State(context.Context) (*State, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	st := f.state
-	st.Taking = f.accepting
-	return &st, nil
+	state := f.state
+	state.Taking = f.accepting
+	return &state, nil
 }
 
 // updateState changes the state that the instance reports.
@@ -284,7 +284,7 @@
 	badConfirm.Confirm = -1
 	prepare := func(id string, p *Proposal) error { _, err := client.Prepare(ctx, id, p); return err }
 	for _, row := range []struct {
-		what   string
+		name   string
 		err    error
 		status int
 		field  string
@@ -310,7 +310,7 @@
 			continue
 		}
 		if !errors.As(row.err, &p) || p.Status != row.status || p.Field != row.field {
-			t.Errorf("%s: %v", row.what, row.err)
+			t.Errorf("%s: %v", row.name, row.err)
 		}
 	}
 	if len(instance.applied) > 0 {
@@ -321,7 +321,7 @@
 // Bodies that are too large, not JSON, or have unknown fields are refused, and so are unknown paths and methods.
 func TestBadBodies(t *testing.T) {
 	instance, _, path := startServer(t)
-	for what, r := range map[string]struct {
+	for name, request := range map[string]struct {
 		method, path, body string
 		status             int
 	}{
@@ -334,23 +334,23 @@
 		"unknown path":  {"GET", "nothing", "", 404},
 		"method":        {"DELETE", "changes/x", "", 405},
 	} {
-		req, err := http.NewRequestWithContext(t.Context(), r.method, "http://instance/v1/"+r.path, strings.NewReader(r.body))
+		req, err := http.NewRequestWithContext(t.Context(), request.method, "http://instance/v1/"+request.path, strings.NewReader(request.body))
 		if err != nil {
 			t.Fatal(err)
 		}
 		req.Header.Set(api.IdempotencyKey, "x")
 		resp, err := apitest.Raw(path).Do(req)
 		if err != nil {
-			if r.status == 413 {
+			if request.status == 413 {
 				continue // the server closed the connection while the client was still sending
 			}
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: %v", name, err)
 			continue
 		}
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
-		if resp.StatusCode != r.status {
-			t.Errorf("%s: %s", what, resp.Status)
+		if resp.StatusCode != request.status {
+			t.Errorf("%s: %s", name, resp.Status)
 		}
 	}
 	if len(instance.applied) > 0 || !instance.accepting {
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -375,15 +375,15 @@
 // countsByState lists the number of instances in each state.
 func countsByState(r *manage.Report) string {
 	var words []string
-	for _, n := range []struct {
-		n    int
-		what string
+	for _, entry := range []struct {
+		count int
+		state string
 	}{
 		{r.Summary.Applied, "applied"}, {r.Summary.Unchanged, "unchanged"}, {r.Summary.Partly, "partly"}, {r.Summary.Unknown, "unknown"},
 		{r.Summary.Back, "taken back"}, {r.Summary.Ended, "ended"}, {r.Summary.Waiting, "waiting"},
 	} {
-		if n.n > 0 {
-			words = append(words, fmt.Sprintf("%d %s", n.n, n.what))
+		if entry.count > 0 {
+			words = append(words, fmt.Sprintf("%d %s", entry.count, entry.state))
 		}
 	}
 	return strings.Join(words, ", ")
