--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -318,7 +318,8 @@
 	}
 }
 
-// Bodies that are too large, not JSON, or have unknown fields are refused, and so are unknown paths and methods.
+// Bodies that are too large, not JSON, or have unknown fields are refused, and so are unknown paths and
+// methods.
 func TestBadBodies(t *testing.T) {
 	instance, _, path := startServer(t)
 	for name, request := range map[string]struct {
