--- a/internal/ctl/duty.go
+++ b/internal/ctl/duty.go
@@ -95,7 +95,7 @@
 		})
 	add(dutyCommand, "hand DUTY MEMBER", "Move a duty to a member once the holder has finished its work", 2,
 		func(ctx context.Context, c *duty.Client, w io.Writer, args []string) error {
-			d, err := c.Hand(ctx, args[0], args[1])
+			d, err := c.HandOver(ctx, args[0], args[1])
 			return showDuties(w, d, err)
 		})
 	reason := ""
