--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -65,7 +65,7 @@
 			if id == "" {
 				id = "r" + time.Now().UTC().Format("20060102-150405.000")
 			}
-			return o.follow(ctx, m, c, id, !detach, func(ctx context.Context) (*manage.Report, error) { return m.Begin(ctx, id, order) })
+			return o.follow(ctx, m, c, id, !detach, func(ctx context.Context) (*manage.Report, error) { return m.StartRollout(ctx, id, order) })
 		})
 	limits.addFlags(apply)
 	apply.Flags().StringVar(&id, "id", "", "id of the rollout; a repeated order with the same id starts nothing (default from the time)")
@@ -80,19 +80,19 @@
 		c := add(&cobra.Command{Use: order + " ID", Short: short}, 1,
 			func(ctx context.Context, m *manage.Client, c *cobra.Command, args []string) error {
 				return o.follow(ctx, m, c, args[0], !detach, func(ctx context.Context) (*manage.Report, error) {
-					return m.Tell(ctx, args[0], order, leaveFailed)
+					return m.ControlRollout(ctx, args[0], order, leaveFailed)
 				})
 			})
-		if order == manage.ResumeOrder {
+		if order == manage.ResumeAction {
 			c.Flags().BoolVar(&leaveFailed, "leave", false, "go on without those that did not apply the change")
 		}
 		addNoWait(c)
 		c.ValidArgsFunction = o.completeRollouts
 		return c
 	}
-	addOrder(manage.AbortOrder, "Halt a rollout, and leave applied changes in place")
-	addOrder(manage.ResumeOrder, "Resume a rollout that is halted or superseded")
-	addOrder(manage.RollbackOrder, "Revert the changes that a rollout has applied")
+	addOrder(manage.AbortAction, "Halt a rollout, and leave applied changes in place")
+	addOrder(manage.ResumeAction, "Resume a rollout that is halted or superseded")
+	addOrder(manage.RollbackAction, "Revert the changes that a rollout has applied")
 
 	report := &cobra.Command{
 		Use: "report [ID]", Short: "Show the result of a rollout on each instance; without ID, all rollouts",
@@ -330,7 +330,7 @@
 			lastProgress = current
 			fmt.Fprintf(c.ErrOrStderr(), "%s: %s\n", id, current)
 		}
-		if r.Over() {
+		if r.Stopped() {
 			break
 		}
 		select {
@@ -354,7 +354,7 @@
 	if err := o.printReport(c.OutOrStdout(), r); err != nil || !wait {
 		return err
 	}
-	if s := r.Summary; c.Name() == manage.RollbackOrder && r.Status == "rolled back" && s.Applied+s.Partly+s.Unknown == 0 {
+	if s := r.Summary; c.Name() == manage.RollbackAction && r.Status == "rolled back" && s.Applied+s.Partly+s.Unknown == 0 {
 		return nil // the rollback is complete, as ordered
 	}
 	return rolloutError(r)
@@ -422,7 +422,7 @@
 	s := r.Summary
 	all := s.Applied + s.Unchanged + s.Partly + s.Unknown + s.Waiting + s.Back + s.Ended
 	switch {
-	case !r.Over():
+	case !r.Stopped():
 		return nil
 	case s.Unknown > 0:
 		return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("%s: it is not known whether %d instances have the document", r.Status, s.Unknown)}
