--- a/cmd/micaline-manage/main_test.go
+++ b/cmd/micaline-manage/main_test.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	server := control.NewServer(&fakeInstance{name: name, base: base}, control.Options{Epoch: name + "-e1", Door: door})
+	server := control.NewServer(&fakeInstance{name: name, base: base}, control.Options{Epoch: name + "-e1", Access: door})
 	go server.Serve(l[0])
 	s.t.Cleanup(func() { server.Close() })
 	return l[0].Addr().String()
@@ -136,7 +136,7 @@
 	case errors.As(err, &exitErr):
 		code = exitErr.Code
 	case err != nil:
-		code = ctl.Usage
+		code = ctl.ExitUsage
 	}
 	if code != wantCode {
 		s.t.Fatalf("ctl %v: exit code %d, want %d: %v\n%s", args, code, wantCode, err, out.String())
@@ -244,17 +244,17 @@
 		t.Errorf("report:\n%s", out)
 	}
 	bad := s.writeFile("bad.json", `{"decisions":{"classes":{"other":{"worth":1}}}}`)
-	if out := ctlManager(ctl.Refused, append([]string{"apply", bad, "--id", "bad"}, rolloutFlags...)...); !strings.Contains(out, "decisions.classes.other") || !strings.Contains(out, "rolled back") {
+	if out := ctlManager(ctl.ExitRefused, append([]string{"apply", bad, "--id", "bad"}, rolloutFlags...)...); !strings.Contains(out, "decisions.classes.other") || !strings.Contains(out, "rolled back") {
 		t.Errorf("bad:\n%s", out)
 	}
 	if out := ctlManager(0, "rollback", "first"); !strings.Contains(out, "7 taken back") {
 		t.Errorf("rollback:\n%s", out)
 	}
-	ctlManager(ctl.Refused, "resume", "nothing")
-	ctlManager(ctl.Refused, "abort", "first")
+	ctlManager(ctl.ExitRefused, "resume", "nothing")
+	ctlManager(ctl.ExitRefused, "abort", "first")
 	ctlManager(0, "takeover")
-	ctlManager(ctl.Usage, "apply", filepath.Join(dir, "none.json"))
-	if out := ctlManager(ctl.Refused, "apply", doc, "--canaries", "0"); !strings.Contains(out, "limits.canaries") {
+	ctlManager(ctl.ExitUsage, "apply", filepath.Join(dir, "none.json"))
+	if out := ctlManager(ctl.ExitRefused, "apply", doc, "--canaries", "0"); !strings.Contains(out, "limits.canaries") {
 		t.Errorf("no canaries:\n%s", out)
 	}
 
@@ -273,7 +273,7 @@
 	if out := ctlFleet(0, "hold", "b1", "--select", "zone=b"); strings.Count(out, "held out") != 3 {
 		t.Errorf("hold:\n%s", out)
 	}
-	if out := ctlFleet(ctl.Refused, "hold", "nobody"); strings.Count(out, "no such backend") != 6 {
+	if out := ctlFleet(ctl.ExitRefused, "hold", "nobody"); strings.Count(out, "no such backend") != 6 {
 		t.Errorf("hold of an unknown backend:\n%s", out)
 	}
 	if out := ctlFleet(0, "set", doc, "--dry-run", "--select", "zone=a"); strings.Count(out, "max_attempts") != 3 {
@@ -285,24 +285,24 @@
 			t.Errorf("%v: %+v, error %v", args, results, err)
 		}
 	}
-	ctlFleet(ctl.Usage, "show", "--select", "zone=z")
-	ctlFleet(ctl.Usage, "show", "--select", "[")
-	ctlFleet(ctl.Usage, "show", "--output", "xml")
+	ctlFleet(ctl.ExitUsage, "show", "--select", "zone=z")
+	ctlFleet(ctl.ExitUsage, "show", "--select", "[")
+	ctlFleet(ctl.ExitUsage, "show", "--output", "xml")
 	// The output names an instance that is unreachable, and the exit code reports partial success.
 	s.writeFile("fleet.toml", "%s[[instance]]\nname = \"gone\"\naddr = \"127.0.0.1:1\"\n", fleet.String())
-	if out := ctlFleet(ctl.Partly, "show"); !strings.Contains(out, "gone") || !strings.Contains(out, "1 of 7 instances") {
+	if out := ctlFleet(ctl.ExitPartial, "show"); !strings.Contains(out, "gone") || !strings.Contains(out, "1 of 7 instances") {
 		t.Errorf("one instance unreachable:\n%s", out)
 	}
 	// One instance over TLS, with credentials given by flags and without.
 	address := "i7@" + strings.Fields(ctlManager(0, "instances", "--select", "i7"))[11]
 	s.runCtl(0, "show", "--instance", address, "--ca", s.ca.CA, "--token-file", token)
-	if out := s.runCtl(ctl.Refused, "show", "--instance", address, "--ca", s.ca.CA); !strings.Contains(out, "token") {
+	if out := s.runCtl(ctl.ExitRefused, "show", "--instance", address, "--ca", s.ca.CA); !strings.Contains(out, "token") {
 		t.Errorf("without a token: %s", out)
 	}
-	s.runCtl(ctl.Failed, "show", "--instance", address)
-	s.runCtl(ctl.Usage, "show", "--instance", "a b@127.0.0.1:1")
-	s.runCtl(ctl.Usage, "show")
-	s.runCtl(ctl.Usage, "plan", doc)
+	s.runCtl(ctl.ExitFailed, "show", "--instance", address)
+	s.runCtl(ctl.ExitUsage, "show", "--instance", "a b@127.0.0.1:1")
+	s.runCtl(ctl.ExitUsage, "show")
+	s.runCtl(ctl.ExitUsage, "plan", doc)
 }
 
 // TestBadFiles checks that the manager exits with an error that names the line and field of an
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -51,7 +51,7 @@
 
 // SetTaking sets whether requests are accepted. Otherwise they are refused with a Retry-After
 // header.
-func (a *Agent) SetTaking(on bool) {
+func (a *Agent) SetAccepting(on bool) {
 	a.server.refuseAll.Store(!on)
 	a.log.Info("operators", "taking", on)
 }
@@ -59,12 +59,12 @@
 // Apply applies one part of an operators' document.
 func (a *Agent) Apply(ctx context.Context, part string, d *document.Document) error {
 	switch part {
-	case document.Service:
+	case document.PartService:
 		return a.applyService(ctx, &d.Service)
-	case document.Sites:
+	case document.PartSites:
 		return a.applySites(ctx, d.Sites)
-	case document.Decisions:
-		return a.applyDecisions(ctx, d.Module(&a.cfg.Settings))
+	case document.PartDecisions:
+		return a.applyDecisions(ctx, d.PolicySettings(&a.cfg.Settings))
 	}
 	return fmt.Errorf("unknown document part %q", part)
 }
@@ -131,7 +131,7 @@
 var effectNames = [...]string{policy.Pure: "pure", policy.Keyed: "token", policy.SideEffect: "side_effect"}
 
 // Look returns the current state for operators.
-func (a *Agent) Look(ctx context.Context) (*control.State, error) {
+func (a *Agent) State(ctx context.Context) (*control.State, error) {
 	var state *control.State
 	err := a.loop.runInLoop(ctx, func() { state = a.state() })
 	return state, err
@@ -141,12 +141,12 @@
 func (a *Agent) state() *control.State {
 	l := a.loop
 	now := l.clock.now()
-	state := &control.State{Taking: !a.server.refuseAll.Load(), Held: len(l.requests), Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}}
-	state.Service = control.Service{
+	state := &control.State{Taking: !a.server.refuseAll.Load(), Held: len(l.requests), Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.FailureCause{}}
+	state.Service = control.RequestCounts{
 		Requests: l.counts.requests, InAim: l.counts.inAim, Served: l.counts.served, Refused: l.counts.refused, Failed: l.counts.failed, Left: l.counts.clientGone,
 	}
 	delay, shareUsed := l.lagMonitor.stats()
-	state.Own = control.Own{Late: roundForDisplay(delay.MeanDelay.Seconds()), Part: roundForDisplay(shareUsed), Worst: roundForDisplay(delay.MaxDelay.Seconds()), Times: delay.LateTicks}
+	state.Own = control.AgentDelay{Late: roundForDisplay(delay.MeanDelay.Seconds()), Part: roundForDisplay(shareUsed), Worst: roundForDisplay(delay.MaxDelay.Seconds()), Times: delay.LateTicks}
 	if decider, ok := l.current.Decider.(observableDecider); ok {
 		state.Pressure = decider.Pressure()
 		for _, view := range decider.View(now) {
@@ -184,9 +184,9 @@
 		if key.refused {
 			ending = "refused"
 		}
-		state.Causes = append(state.Causes, control.Cause{Answer: ending, Class: l.settings.Classes[key.class], Cause: key.reason, Count: count})
+		state.Causes = append(state.Causes, control.FailureCause{Answer: ending, Class: l.settings.Classes[key.class], Cause: key.reason, Count: count})
 	}
-	slices.SortFunc(state.Causes, func(x, y control.Cause) int {
+	slices.SortFunc(state.Causes, func(x, y control.FailureCause) int {
 		return cmp.Or(cmp.Compare(x.Answer, y.Answer), cmp.Compare(x.Class, y.Class), cmp.Compare(x.Cause, y.Cause))
 	})
 	return state
--- a/internal/agent/control_test.go
+++ b/internal/agent/control_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	s, err := a.agent.Look(ctx)
+	s, err := a.agent.State(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,7 +189,7 @@
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused {
 		t.Errorf("above the limit of concurrent requests: answered %d", status)
 	}
-	a.agent.SetTaking(false)
+	a.agent.SetAccepting(false)
 	close(proceed)
 	if status := receive(t, "answer", firstStatus); status != http.StatusOK {
 		t.Errorf("the request accepted before was answered %d", status)
@@ -200,7 +200,7 @@
 	if s := controlState(t, a); s.Service.Refused != 2 || s.Service.Requests != 3 || len(s.Causes) != 1 || s.Causes[0].Count != 2 {
 		t.Errorf("counted %+v, causes %+v", s.Service, s.Causes)
 	}
-	a.agent.SetTaking(true)
+	a.agent.SetAccepting(true)
 	a.serveRequests(t, 3)
 	newServer := newScriptedDiscovery(t, listJSON(1, true, memberJSON("z", b.Addr, "Ready", 0)))
 	a.applyDocument(t, `{"service":{"discovery":"`+newServer.Addr+`"}}`)
@@ -226,10 +226,10 @@
 	a.do(t, a.request("unsafe", "15000m"))
 	a.serveRequests(t, 2)
 	s := controlState(t, a)
-	if want := (control.Service{Requests: 3, InAim: 2, Served: 2, Failed: 1}); s.Service != want {
+	if want := (control.RequestCounts{Requests: 3, InAim: 2, Served: 2, Failed: 1}); s.Service != want {
 		t.Errorf("counted %+v", s.Service)
 	}
-	if want := []control.Cause{{Answer: "failed", Class: "unsafe", Cause: "reset", Count: 1}}; !slices.Equal(s.Causes, want) {
+	if want := []control.FailureCause{{Answer: "failed", Class: "unsafe", Cause: "reset", Count: 1}}; !slices.Equal(s.Causes, want) {
 		t.Errorf("causes %+v", s.Causes)
 	}
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the command `micaline ctl`: it shows instances and changes them over their control interfaces, and gives
-// orders for fleets to a manager.
+// Package ctl implements the command `micaline ctl`. It shows and changes instances through their
+// control interfaces, and sends orders for a whole fleet to a manager.
 package ctl
 
 import (
@@ -23,17 +23,17 @@
 	"example.org/micaline/internal/inventory"
 )
 
-// The exit codes beside 0.
+// The exit codes other than 0.
 const (
-	Failed  = 1 // who was asked could not be, or has failed
-	Usage   = 2 // unusable flags, arguments or files
-	Refused = 4 // it refuses, and nothing has changed
-	Partly  = 5 // done in part: on some instances, or in some parts
-	Unknown = 6 // something was sent, and what became of it is not known
+	ExitFailed  = 1 // the instance or manager could not be reached, or failed
+	ExitUsage   = 2 // invalid flags, arguments or files
+	ExitRefused = 4 // the request was refused, and nothing has changed
+	ExitPartial = 5 // done in part: on some instances, or for some parts of a change
+	ExitUnknown = 6 // a request was sent, and its outcome is unknown
 )
 
-// atOnce is how many instances are asked at a time.
-const atOnce = 64
+// maxConcurrentQueries limits how many instances are queried at a time.
+const maxConcurrentQueries = 64
 
 type options struct {
 	instance string
@@ -46,7 +46,7 @@
 	credentials api.Credentials
 }
 
-// Command returns the command.
+// Command returns the `ctl` command with its subcommands.
 func Command() *cobra.Command {
 	o := &options{}
 	root := &cobra.Command{
@@ -61,143 +61,146 @@
 			"part, 6 what became of it is not known.",
 	}
 	env := os.Getenv
-	f := root.PersistentFlags()
-	f.StringVarP(&o.instance, "instance", "i", env("MICALINE_INSTANCE"), "one instance (or $MICALINE_INSTANCE)")
-	f.StringVarP(&o.fleet, "fleet", "f", env("MICALINE_FLEET"), "fleet file with many instances (or $MICALINE_FLEET)")
-	f.StringVarP(&o.selector, "select", "s", "", "which instances of the fleet, all if it is empty")
-	f.StringVarP(&o.manager, "manager", "m", env("MICALINE_MANAGER"), "the manager, or those of a group with commas (or $MICALINE_MANAGER)")
-	f.StringVar(&o.credentials.CA, "ca", env("MICALINE_CA"), "PEM file of those that sign servers' certificates (or $MICALINE_CA)")
-	f.StringVar(&o.credentials.TokenFile, "token-file", env("MICALINE_TOKEN_FILE"), "file with a token (or $MICALINE_TOKEN_FILE)")
-	f.StringVar(&o.credentials.Certificate, "certificate", env("MICALINE_CERTIFICATE"), "PEM file of a certificate to come with (or $MICALINE_CERTIFICATE)")
-	f.StringVar(&o.credentials.Key, "key", env("MICALINE_KEY"), "PEM file of its key (or $MICALINE_KEY)")
-	f.StringVarP(&o.output, "output", "o", "table", "table, or json for programs")
-	f.DurationVar(&o.timeout, "timeout", 10*time.Second, "how long an answer is waited for")
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &exit.Error{Code: Usage, Err: err} })
+	flags := root.PersistentFlags()
+	flags.StringVarP(&o.instance, "instance", "i", env("MICALINE_INSTANCE"), "one instance (or $MICALINE_INSTANCE)")
+	flags.StringVarP(&o.fleet, "fleet", "f", env("MICALINE_FLEET"), "fleet file with many instances (or $MICALINE_FLEET)")
+	flags.StringVarP(&o.selector, "select", "s", "", "selector of instances of the fleet (default all)")
+	flags.StringVarP(&o.manager, "manager", "m", env("MICALINE_MANAGER"), "the manager, or the members of a group separated by commas (or $MICALINE_MANAGER)")
+	flags.StringVar(&o.credentials.CA, "ca", env("MICALINE_CA"), "PEM file of the CAs that sign server certificates (or $MICALINE_CA)")
+	flags.StringVar(&o.credentials.TokenFile, "token-file", env("MICALINE_TOKEN_FILE"), "file with a token (or $MICALINE_TOKEN_FILE)")
+	flags.StringVar(&o.credentials.Certificate, "certificate", env("MICALINE_CERTIFICATE"), "PEM file of the client certificate (or $MICALINE_CERTIFICATE)")
+	flags.StringVar(&o.credentials.Key, "key", env("MICALINE_KEY"), "PEM file of the client key (or $MICALINE_KEY)")
+	flags.StringVarP(&o.output, "output", "o", "table", "table, or json for programs")
+	flags.DurationVar(&o.timeout, "timeout", 10*time.Second, "timeout of a request")
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &exit.Error{Code: ExitUsage, Err: err} })
 	must(root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json"}, cobra.ShellCompDirectiveNoFileComp)))
 	must(root.RegisterFlagCompletionFunc("select", o.completeNames))
 
-	o.addShown(root)
-	o.addChanges(root)
-	o.addFleet(root)
-	o.addDuty(root)
+	o.addShowCommands(root)
+	o.addChangeCommands(root)
+	o.addFleetCommands(root)
+	o.addDutyCommands(root)
 	return root
 }
 
-// must is for what can only go wrong in this file.
+// must panics on an error that only a mistake in this package can cause.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-func exactly(n int) cobra.PositionalArgs {
+// exactArgs requires a number of arguments and reports others as a usage error.
+func exactArgs(count int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
-		if len(args) != n {
-			return &exit.Error{Code: Usage, Err: fmt.Errorf("%s takes %d arguments, and was given %d", c.CommandPath(), n, len(args))}
+		if len(args) != count {
+			return &exit.Error{Code: ExitUsage, Err: fmt.Errorf("%s takes %d arguments, and was given %d", c.CommandPath(), count, len(args))}
 		}
 		return nil
 	}
 }
 
-func usage(format string, args ...any) error {
-	return &exit.Error{Code: Usage, Err: fmt.Errorf(format, args...)}
+func usageError(format string, args ...any) error {
+	return &exit.Error{Code: ExitUsage, Err: fmt.Errorf(format, args...)}
 }
 
-// check looks at the flags that all commands have.
-func (o *options) check() error {
+// validate checks the flags that all commands have, and makes the paths of the credentials absolute.
+func (o *options) validate() error {
 	if o.output != "table" && o.output != "json" {
-		return usage("--output %q is neither table nor json", o.output)
+		return usageError("--output %q is neither table nor json", o.output)
 	}
 	if o.timeout <= 0 {
-		return usage("--timeout %v is not above 0", o.timeout)
+		return usageError("--timeout %v must be above 0", o.timeout)
 	}
-	if err := absolute(&o.credentials); err != nil {
-		return usage("%v", err)
+	if err := makePathsAbsolute(&o.credentials); err != nil {
+		return usageError("%v", err)
 	}
 	if err := o.credentials.Check(); err != nil {
-		return usage("%v", err)
+		return usageError("%v", err)
 	}
 	return nil
 }
 
-// absolute has the files of credentials named from the root: an operator's are named from where they are.
-func absolute(c *api.Credentials) error {
+// makePathsAbsolute resolves the paths of the credentials against the working directory, because
+// api.Credentials requires absolute paths.
+func makePathsAbsolute(c *api.Credentials) error {
 	for _, p := range []*string{&c.CA, &c.Certificate, &c.Key, &c.TokenFile} {
 		if *p == "" {
 			continue
 		}
-		full, err := filepath.Abs(*p)
+		path, err := filepath.Abs(*p)
 		if err != nil {
 			return err
 		}
-		*p = full
+		*p = path
 	}
 	return nil
 }
 
-// address reads the name of an interface.
-func address(flag, text string) (api.Address, error) {
+// parseAddress parses the address of a control interface: a socket path or NAME@HOST:PORT.
+func parseAddress(flag, text string) (api.Address, error) {
 	a := api.Address{Name: "instance", Unix: text}
-	if name, at, ok := strings.Cut(text, "@"); ok {
-		a = api.Address{Name: name, Addr: at}
-	} else if full, err := filepath.Abs(text); err == nil {
-		a.Unix = full
+	if name, hostPort, ok := strings.Cut(text, "@"); ok {
+		a = api.Address{Name: name, Addr: hostPort}
+	} else if path, err := filepath.Abs(text); err == nil {
+		a.Unix = path
 	}
 	if err := a.Check(); err != nil {
-		return a, usage("--%s %q: %v", flag, text, err)
+		return a, usageError("--%s %q: %v", flag, text, err)
 	}
 	return a, nil
 }
 
-// target is an instance that a command is for.
+// target is an instance that a command applies to.
 type target struct {
 	name   string
 	client *control.Client
 }
 
-// targets are the instances that the flags name. One is alone if no fleet is meant.
-func (o *options) targets() (all []target, alone bool, err error) {
-	if err := o.check(); err != nil {
+// targets returns the instances that the flags select. single is true if --instance names one instance
+// rather than --fleet a fleet.
+func (o *options) targets() (found []target, single bool, err error) {
+	if err := o.validate(); err != nil {
 		return nil, false, err
 	}
 	if o.instance != "" && (o.fleet == "" || o.selector == "") {
-		a, err := address("instance", o.instance)
+		a, err := parseAddress("instance", o.instance)
 		if err != nil {
 			return nil, false, err
 		}
 		d, err := api.NewDialer(o.credentials)
 		if err != nil {
-			return nil, false, usage("%v", err)
+			return nil, false, usageError("%v", err)
 		}
 		return []target{{a.Name, control.NewClient(d.At(a))}}, true, nil
 	}
 	if o.fleet == "" {
-		return nil, false, usage("--instance or --fleet is missing")
+		return nil, false, usageError("--instance or --fleet is missing")
 	}
 	s, err := inventory.ParseSelector(o.selector)
 	if err != nil {
-		return nil, false, usage("--select: %v", err)
+		return nil, false, usageError("--select: %v", err)
 	}
 	f, err := inventory.Load(o.fleet)
 	if err != nil {
-		return nil, false, usage("%v", err)
+		return nil, false, usageError("%v", err)
 	}
 	d, err := api.NewDialer(f.Access)
 	if err != nil {
-		return nil, false, usage("%s: access.%v", o.fleet, err)
+		return nil, false, usageError("%s: access.%v", o.fleet, err)
 	}
 	for _, in := range f.Instance {
 		if s.Match(in.Name, in.Labels) {
-			all = append(all, target{in.Name, control.NewClient(d.At(in.Address()))})
+			found = append(found, target{in.Name, control.NewClient(d.At(in.Address()))})
 		}
 	}
-	if len(all) == 0 {
-		return nil, false, usage("--select %q chooses none of the %d instances", o.selector, len(f.Instance))
+	if len(found) == 0 {
+		return nil, false, usageError("--select %q matches none of the %d instances", o.selector, len(f.Instance))
 	}
-	return all, false, nil
+	return found, false, nil
 }
 
-// completeNames completes names of instances.
+// completeNames completes instance names and labels for --select.
 func (o *options) completeNames(_ *cobra.Command, _ []string, _ string) ([]string, cobra.ShellCompDirective) {
 	f, err := inventory.Load(o.fleet)
 	if err != nil {
@@ -213,8 +216,8 @@
 	return names, cobra.ShellCompDirectiveNoFileComp
 }
 
-// said is what came of asking an instance.
-type said[T any] struct {
+// result is the result of querying an instance.
+type result[T any] struct {
 	Instance string `json:"instance"`
 	Value    *T     `json:"value,omitempty"`
 	Error    string `json:"error,omitempty"`
@@ -222,66 +225,66 @@
 	err error
 }
 
-// each asks instances, so many at once.
-func each[T any](ctx context.Context, o *options, targets []target, f func(context.Context, *control.Client) (*T, error)) []said[T] {
-	all := make([]said[T], len(targets))
-	room := make(chan struct{}, atOnce)
-	var asking sync.WaitGroup
+// queryAll queries the targets concurrently and returns the results in their order.
+func queryAll[T any](ctx context.Context, o *options, targets []target, query func(context.Context, *control.Client) (*T, error)) []result[T] {
+	all := make([]result[T], len(targets))
+	slots := make(chan struct{}, maxConcurrentQueries)
+	var queries sync.WaitGroup
 	for i, t := range targets {
-		asking.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
+		queries.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			ctx, cancel := context.WithTimeout(ctx, o.timeout)
 			defer cancel()
-			v, err := f(ctx, t.client)
-			all[i] = said[T]{Instance: t.name, Value: v, err: code(err)}
+			v, err := query(ctx, t.client)
+			all[i] = result[T]{Instance: t.name, Value: v, err: withExitCode(err)}
 			if err != nil {
 				all[i].Value, all[i].Error = nil, err.Error()
 			}
 		})
 	}
-	asking.Wait()
+	queries.Wait()
 	return all
 }
 
-// code gives an error its exit code.
-func code(err error) error {
+// withExitCode adds an exit code to an error that has none.
+func withExitCode(err error) error {
 	var known *exit.Error
 	var p *api.Problem
 	switch {
 	case err == nil || errors.As(err, &known):
 		return err
 	case errors.As(err, &p) && p.Status < 500:
-		return &exit.Error{Code: Refused, Err: err}
+		return &exit.Error{Code: ExitRefused, Err: err}
 	}
-	return &exit.Error{Code: Failed, Err: err}
+	return &exit.Error{Code: ExitFailed, Err: err}
 }
 
-// verdict is the exit code of all of them together.
-func verdict[T any](all []said[T]) error {
-	codes, well := map[int]int{}, 0
+// overallError combines the results of all instances to an error with an exit code, or nil.
+func overallError[T any](all []result[T]) error {
+	codes, succeeded := map[int]int{}, 0
 	for _, s := range all {
 		var e *exit.Error
 		if errors.As(s.err, &e) {
 			codes[e.Code]++
 		} else {
-			well++
+			succeeded++
 		}
 	}
 	switch {
-	case well == len(all):
+	case succeeded == len(all):
 		return nil
-	case codes[Unknown] > 0:
-		return &exit.Error{Code: Unknown, Err: fmt.Errorf("of %d of %d instances it is not known", codes[Unknown], len(all))}
-	case well > 0 || codes[Partly] > 0:
-		return &exit.Error{Code: Partly, Err: fmt.Errorf("%d of %d instances did not", len(all)-well, len(all))}
-	case codes[Refused] == len(all):
-		return &exit.Error{Code: Refused, Err: errors.New("all refuse")}
+	case codes[ExitUnknown] > 0:
+		return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("the outcome is unknown on %d of %d instances", codes[ExitUnknown], len(all))}
+	case succeeded > 0 || codes[ExitPartial] > 0:
+		return &exit.Error{Code: ExitPartial, Err: fmt.Errorf("%d of %d instances failed or refused", len(all)-succeeded, len(all))}
+	case codes[ExitRefused] == len(all):
+		return &exit.Error{Code: ExitRefused, Err: errors.New("all instances refused")}
 	}
-	return &exit.Error{Code: Failed, Err: errors.New("none could be asked")}
+	return &exit.Error{Code: ExitFailed, Err: errors.New("no instance could be queried")}
 }
 
-// print writes a value as JSON, or as the table that a function makes of it.
+// print writes a value as JSON, or as the table that a function writes, depending on --output.
 func (o *options) print(out io.Writer, v any, table func(w io.Writer)) error {
 	if o.output == "json" {
 		enc := json.NewEncoder(out)
@@ -293,59 +296,59 @@
 	return w.Flush()
 }
 
-// view is how a value of an instance is shown.
+// view defines how a value of an instance is queried and shown.
 type view[T any] struct {
-	ask  func(context.Context, *control.Client) (*T, error)
-	head string                     // of the table
-	rows func(v *T) (rows []string) // with tabs between their columns
-	one  func(w io.Writer, v *T)    // of an instance alone, if that is another
-	json func(v *T) any             // what programs get; nil for the value
+	query     func(context.Context, *control.Client) (*T, error)
+	header    string                     // of the table, with tabs between columns
+	rows      func(v *T) (rows []string) // with tabs between columns
+	printOne  func(w io.Writer, v *T)    // optional: replaces the table for a single instance
+	jsonValue func(v *T) any             // optional: what --output json prints instead of the value
 }
 
-// show asks the instances that the flags name and prints what they say.
-func show[T any](o *options, v view[T]) func(*cobra.Command, []string) error {
+// showCommand returns a command function that queries the selected instances and prints the results.
+func showCommand[T any](o *options, v view[T]) func(*cobra.Command, []string) error {
 	return func(c *cobra.Command, _ []string) error {
-		targets, alone, err := o.targets()
+		targets, single, err := o.targets()
 		if err != nil {
 			return err
 		}
-		return tell(o, c.OutOrStdout(), each(c.Context(), o, targets, v.ask), alone, v)
+		return printResults(o, c.OutOrStdout(), queryAll(c.Context(), o, targets, v.query), single, v)
 	}
 }
 
-// tell prints what instances have said.
-func tell[T any](o *options, out io.Writer, all []said[T], alone bool, v view[T]) error {
-	value := func(s *T) any {
-		if v.json != nil {
-			return v.json(s)
+// printResults prints the results of the instances and returns their overall error.
+func printResults[T any](o *options, out io.Writer, all []result[T], single bool, v view[T]) error {
+	jsonValue := func(s *T) any {
+		if v.jsonValue != nil {
+			return v.jsonValue(s)
 		}
 		return s
 	}
-	if alone {
+	if single {
 		if all[0].err != nil {
 			return all[0].err
 		}
-		return o.print(out, value(all[0].Value), func(w io.Writer) {
-			if v.one != nil {
-				v.one(w, all[0].Value)
+		return o.print(out, jsonValue(all[0].Value), func(w io.Writer) {
+			if v.printOne != nil {
+				v.printOne(w, all[0].Value)
 				return
 			}
-			fmt.Fprintln(w, v.head)
+			fmt.Fprintln(w, v.header)
 			for _, row := range v.rows(all[0].Value) {
 				fmt.Fprintln(w, row)
 			}
 		})
 	}
-	many := make([]said[any], len(all))
+	results := make([]result[any], len(all))
 	for i, s := range all {
-		many[i] = said[any]{Instance: s.Instance, Error: s.Error}
+		results[i] = result[any]{Instance: s.Instance, Error: s.Error}
 		if s.Value != nil {
-			shown := value(s.Value)
-			many[i].Value = &shown
+			shown := jsonValue(s.Value)
+			results[i].Value = &shown
 		}
 	}
-	if err := o.print(out, many, func(w io.Writer) {
-		fmt.Fprintf(w, "INSTANCE\t%s\n", v.head)
+	if err := o.print(out, results, func(w io.Writer) {
+		fmt.Fprintf(w, "INSTANCE\t%s\n", v.header)
 		for _, s := range all {
 			if s.err != nil {
 				fmt.Fprintf(w, "%s\t%s\n", s.Instance, s.Error)
@@ -358,5 +361,5 @@
 	}); err != nil {
 		return err
 	}
-	return verdict(all)
+	return overallError(all)
 }
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -16,137 +16,140 @@
 	"example.org/micaline/internal/manage"
 )
 
-// askEvery is how often a rollout that is waited for is asked about.
-const askEvery = 500 * time.Millisecond
+// reportPollInterval is the interval for polling the report of a rollout.
+const reportPollInterval = 500 * time.Millisecond
 
-// addFleet adds the commands that go to a manager.
-func (o *options) addFleet(root *cobra.Command) {
-	add := func(c *cobra.Command, args int, run func(ctx context.Context, m *manage.Client, c *cobra.Command, words []string) error) *cobra.Command {
-		c.Args = exactly(args)
-		c.RunE = func(c *cobra.Command, words []string) error {
-			m, err := o.managed(c.Context())
+// addFleetCommands adds the commands that a manager executes.
+func (o *options) addFleetCommands(root *cobra.Command) {
+	add := func(c *cobra.Command, argCount int, run func(ctx context.Context, m *manage.Client, c *cobra.Command, args []string) error) *cobra.Command {
+		c.Args = exactArgs(argCount)
+		c.RunE = func(c *cobra.Command, args []string) error {
+			m, err := o.managerClient(c.Context())
 			if err != nil {
 				return err
 			}
-			return code(run(c.Context(), m, c, words))
+			return withExitCode(run(c.Context(), m, c, args))
 		}
 		root.AddCommand(c)
 		return c
 	}
 	root.AddCommand(&cobra.Command{
-		Use: "instances", Short: "List the instances: those a manager knows, or those of the fleet file", Args: exactly(0), RunE: o.instances,
+		Use: "instances", Short: "List the instances: those a manager knows, or those of the fleet file", Args: exactArgs(0), RunE: o.listInstances,
 	})
-	add(&cobra.Command{Use: "manager", Short: "Show what the manager says of itself"}, 0,
+	add(&cobra.Command{Use: "manager", Short: "Show the status of the manager"}, 0,
 		func(ctx context.Context, m *manage.Client, c *cobra.Command, _ []string) error {
-			return o.status(ctx, c.OutOrStdout(), m.Status)
+			return o.showStatus(ctx, c.OutOrStdout(), m.Status)
 		})
-	add(&cobra.Command{Use: "takeover", Short: "Give the manager a number above all others', which the instances then refuse"}, 0,
+	add(&cobra.Command{Use: "takeover", Short: "Give the manager the highest fencing number, so that the instances refuse all other managers"}, 0,
 		func(ctx context.Context, m *manage.Client, c *cobra.Command, _ []string) error {
-			return o.status(ctx, c.OutOrStdout(), m.TakeOver)
+			return o.showStatus(ctx, c.OutOrStdout(), m.TakeOver)
 		})
 
 	var limits limitFlags
 	plan := add(&cobra.Command{Use: "plan FILE", Short: "Show what a settings document would change on each instance, and in which waves"}, 1,
-		func(ctx context.Context, m *manage.Client, c *cobra.Command, words []string) error {
-			return o.plan(ctx, m, c, words[0], &limits)
+		func(ctx context.Context, m *manage.Client, c *cobra.Command, args []string) error {
+			return o.showPlan(ctx, m, c, args[0], &limits)
 		})
-	limits.add(plan)
+	limits.addFlags(plan)
 	var id string
-	var dry, later bool
-	apply := add(&cobra.Command{Use: "apply FILE", Short: "Bring a settings document to the instances, in waves"}, 1,
-		func(ctx context.Context, m *manage.Client, c *cobra.Command, words []string) error {
-			if dry {
-				return o.plan(ctx, m, c, words[0], &limits)
+	var dryRun, detach bool
+	apply := add(&cobra.Command{Use: "apply FILE", Short: "Roll out a settings document to the instances, in waves"}, 1,
+		func(ctx context.Context, m *manage.Client, c *cobra.Command, args []string) error {
+			if dryRun {
+				return o.showPlan(ctx, m, c, args[0], &limits)
 			}
-			order, err := o.order(c, words[0], &limits)
+			order, err := o.buildOrder(c, args[0], &limits)
 			if err != nil {
 				return err
 			}
 			if id == "" {
 				id = "r" + time.Now().UTC().Format("20060102-150405.000")
 			}
-			return o.follow(ctx, m, c, id, !later, func(ctx context.Context) (*manage.Report, error) { return m.StartRollout(ctx, id, order) })
+			return o.follow(ctx, m, c, id, !detach, func(ctx context.Context) (*manage.Report, error) { return m.StartRollout(ctx, id, order) })
 		})
-	limits.add(apply)
-	apply.Flags().StringVar(&id, "id", "", "id of the rollout; the same order again under it begins nothing (default by the time)")
-	apply.Flags().BoolVar(&dry, "dry-run", false, "as plan")
-	noWait := func(c *cobra.Command) { c.Flags().BoolVar(&later, "no-wait", false, "do not wait for its end") }
-	noWait(apply)
+	limits.addFlags(apply)
+	apply.Flags().StringVar(&id, "id", "", "id of the rollout; a repeated order with the same id starts nothing (default from the time)")
+	apply.Flags().BoolVar(&dryRun, "dry-run", false, "show the plan, and change nothing")
+	addNoWait := func(c *cobra.Command) {
+		c.Flags().BoolVar(&detach, "no-wait", false, "do not wait for the end of the rollout")
+	}
+	addNoWait(apply)
 
-	tell := func(word, short string) *cobra.Command {
-		var leave bool
-		c := add(&cobra.Command{Use: word + " ID", Short: short}, 1,
-			func(ctx context.Context, m *manage.Client, c *cobra.Command, words []string) error {
-				return o.follow(ctx, m, c, words[0], !later, func(ctx context.Context) (*manage.Report, error) {
-					return m.ControlRollout(ctx, words[0], word, leave)
+	addOrder := func(order, short string) *cobra.Command {
+		var leaveFailed bool
+		c := add(&cobra.Command{Use: order + " ID", Short: short}, 1,
+			func(ctx context.Context, m *manage.Client, c *cobra.Command, args []string) error {
+				return o.follow(ctx, m, c, args[0], !detach, func(ctx context.Context) (*manage.Report, error) {
+					return m.ControlRollout(ctx, args[0], order, leaveFailed)
 				})
 			})
-		if word == manage.ResumeAction {
-			c.Flags().BoolVar(&leave, "leave", false, "go on without those that did not apply the change")
+		if order == manage.ResumeAction {
+			c.Flags().BoolVar(&leaveFailed, "leave", false, "go on without those that did not apply the change")
 		}
-		noWait(c)
+		addNoWait(c)
 		c.ValidArgsFunction = o.completeRollouts
 		return c
 	}
-	tell(manage.AbortAction, "Halt a rollout, and leave what is applied")
-	tell(manage.ResumeAction, "Go on with a rollout that is halted or superseded")
-	tell(manage.RollbackAction, "Take back what a rollout has applied")
+	addOrder(manage.AbortAction, "Halt a rollout, and leave applied changes in place")
+	addOrder(manage.ResumeAction, "Resume a rollout that is halted or superseded")
+	addOrder(manage.RollbackAction, "Revert the changes that a rollout has applied")
 
 	report := &cobra.Command{
-		Use: "report [ID]", Short: "Show who got what of a rollout; without ID, all rollouts",
+		Use: "report [ID]", Short: "Show the result of a rollout on each instance; without ID, all rollouts",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) > 1 {
-				return usage("%s takes 1 argument at most, and was given %d", c.CommandPath(), len(args))
+				return usageError("%s takes 1 argument at most, and was given %d", c.CommandPath(), len(args))
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, words []string) error {
-			m, err := o.managed(c.Context())
+		RunE: func(c *cobra.Command, args []string) error {
+			m, err := o.managerClient(c.Context())
 			if err != nil {
 				return err
 			}
 			ctx, cancel := context.WithTimeout(c.Context(), o.timeout)
 			defer cancel()
-			if len(words) == 0 {
+			if len(args) == 0 {
 				all, err := m.Reports(ctx)
 				if err != nil {
-					return code(err)
+					return withExitCode(err)
 				}
 				return o.print(c.OutOrStdout(), all, func(w io.Writer) {
 					fmt.Fprintln(w, "ID\tSTATUS\tWAVE\tDOCUMENT\tINSTANCES\tREASON")
 					for _, r := range all {
-						fmt.Fprintf(w, "%s\t%s\t%d of %d\t%s\t%s\t%s\n", r.ID, r.Status, r.Wave, r.Waves, r.Document, counts(r), r.Reason)
+						fmt.Fprintf(w, "%s\t%s\t%d of %d\t%s\t%s\t%s\n", r.ID, r.Status, r.Wave, r.Waves, r.Document, countsByState(r), r.Reason)
 					}
 				})
 			}
-			r, err := m.Report(ctx, words[0])
+			r, err := m.Report(ctx, args[0])
 			if err != nil {
-				return code(err)
+				return withExitCode(err)
 			}
-			if err := o.report(c.OutOrStdout(), r); err != nil {
+			if err := o.printReport(c.OutOrStdout(), r); err != nil {
 				return err
 			}
-			return ended(r)
+			return rolloutError(r)
 		},
 	}
 	report.ValidArgsFunction = o.completeRollouts
 	root.AddCommand(report)
 }
 
-// callers are callers of the managers that the flags name: one, or those of a group with commas between them.
-func (o *options) callers() (all []*api.Caller, err error) {
-	if err := o.check(); err != nil {
+// managerCallers returns the callers of the managers in --manager: one, or those of a group separated
+// by commas.
+func (o *options) managerCallers() (all []*api.Caller, err error) {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
 	if o.manager == "" {
-		return nil, usage("--manager is missing")
+		return nil, usageError("--manager is missing")
 	}
 	d, err := api.NewDialer(o.credentials)
 	if err != nil {
-		return nil, usage("%v", err)
+		return nil, usageError("%v", err)
 	}
 	for text := range strings.SplitSeq(o.manager, ",") {
-		a, err := address("manager", text)
+		a, err := parseAddress("manager", text)
 		if err != nil {
 			return nil, err
 		}
@@ -155,27 +158,28 @@
 	return all, nil
 }
 
-// managed is a client of the manager that the flags name; of those of a group, of the one that manages.
-func (o *options) managed(ctx context.Context) (*manage.Client, error) {
-	all, err := o.callers()
+// managerClient returns a client of the manager in --manager. Of a group, it chooses the first that
+// answers the status request, which is the active one.
+func (o *options) managerClient(ctx context.Context) (*manage.Client, error) {
+	all, err := o.managerCallers()
 	if err != nil {
 		return nil, err
 	}
-	for _, at := range all[:len(all)-1] {
-		m := manage.NewClient(at)
-		within, cancel := context.WithTimeout(ctx, o.timeout/time.Duration(len(all)))
-		_, err := m.Status(within)
+	for _, caller := range all[:len(all)-1] {
+		m := manage.NewClient(caller)
+		attemptCtx, cancel := context.WithTimeout(ctx, o.timeout/time.Duration(len(all)))
+		_, err := m.Status(attemptCtx)
 		cancel()
 		if err == nil {
 			return m, nil
 		}
 	}
-	return manage.NewClient(all[len(all)-1]), nil // who says what is the matter
+	return manage.NewClient(all[len(all)-1]), nil // not tried here: if it is not active either, its own answer is the error
 }
 
-// completeRollouts completes ids of rollouts.
+// completeRollouts completes rollout ids.
 func (o *options) completeRollouts(c *cobra.Command, _ []string, _ string) (ids []string, _ cobra.ShellCompDirective) {
-	m, err := o.managed(c.Context())
+	m, err := o.managerClient(c.Context())
 	if err != nil {
 		return nil, cobra.ShellCompDirectiveNoFileComp
 	}
@@ -188,49 +192,49 @@
 	return ids, cobra.ShellCompDirectiveNoFileComp
 }
 
-// limitFlags are a rollout's waves and stop conditions.
+// limitFlags are the flags for a rollout's waves and stop conditions.
 type limitFlags struct {
 	manage.Limits
 	bake, patience time.Duration
 }
 
-func (l *limitFlags) add(c *cobra.Command) {
+func (l *limitFlags) addFlags(c *cobra.Command) {
 	l.Limits = *manage.DefaultLimits()
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	f := c.Flags()
 	f.IntVar(&l.Canaries, "canaries", l.Canaries, "instances of the first wave")
 	f.Float64Var(&l.Growth, "growth", l.Growth, "each further wave is so many times larger")
 	f.DurationVar(&l.bake, "bake", seconds(l.Bake), "how long a wave is watched before the next")
-	f.Float64Var(&l.MoreRefused, "more-refused", l.MoreRefused, "share of requests that may be refused more than before")
-	f.Float64Var(&l.MoreFailed, "more-failed", l.MoreFailed, "share of requests that may fail more than before")
-	f.Float64Var(&l.LessInAim, "less-in-aim", l.LessInAim, "share of requests that may be served in aim less than before")
-	f.Float64Var(&l.Least, "least", l.Least, "requests that it takes to judge a wave")
+	f.Float64Var(&l.MoreRefused, "more-refused", l.MoreRefused, "maximum increase of the share of refused requests")
+	f.Float64Var(&l.MoreFailed, "more-failed", l.MoreFailed, "maximum increase of the share of failed requests")
+	f.Float64Var(&l.LessInAim, "less-in-aim", l.LessInAim, "maximum decrease of the share of requests served within the target latency")
+	f.Float64Var(&l.Least, "least", l.Least, "minimum number of requests for judging a wave")
 	f.DurationVar(&l.patience, "patience", seconds(l.Patience), "how long a wave with fewer requests is watched")
-	f.Float64Var(&l.MayFail, "may-fail", l.MayFail, "share of a wave's instances that may not apply it")
+	f.Float64Var(&l.MayFail, "may-fail", l.MayFail, "maximum share of a wave's instances that may fail to apply the document")
 }
 
-// order is what the flags and a file say.
-func (o *options) order(c *cobra.Command, file string, l *limitFlags) (*manage.Order, error) {
-	d, err := read(c.InOrStdin(), file)
+// buildOrder returns the rollout order that the flags and a document file define.
+func (o *options) buildOrder(c *cobra.Command, file string, l *limitFlags) (*manage.Order, error) {
+	d, err := readDocument(c.InOrStdin(), file)
 	if err != nil {
-		return nil, &exit.Error{Code: Usage, Err: err}
+		return nil, &exit.Error{Code: ExitUsage, Err: err}
 	}
 	limits := l.Limits
 	limits.Bake, limits.Patience = l.bake.Seconds(), l.patience.Seconds()
 	return &manage.Order{Document: d, Select: o.selector, Limits: &limits}, nil
 }
 
-func (o *options) instances(c *cobra.Command, words []string) error {
+func (o *options) listInstances(c *cobra.Command, args []string) error {
 	if o.manager == "" {
-		return show(o, view[control.Summary]{
-			ask:  func(ctx context.Context, c *control.Client) (*control.Summary, error) { return c.Summary(ctx, 0) },
-			head: "EPOCH\tUP\tDOCUMENT\tLABELS",
+		return showCommand(o, view[control.Summary]{
+			query:  func(ctx context.Context, c *control.Client) (*control.Summary, error) { return c.Summary(ctx, 0) },
+			header: "EPOCH\tUP\tDOCUMENT\tLABELS",
 			rows: func(s *control.Summary) []string {
-				return []string{fmt.Sprintf("%s\t%v\t%d %s\t%s", s.Epoch, uptime(&s.Identity), s.Revision, s.Hash, labels(s.Labels))}
+				return []string{fmt.Sprintf("%s\t%v\t%d %s\t%s", s.Epoch, uptime(&s.Identity), s.Revision, s.Hash, formatLabels(s.Labels))}
 			},
-		})(c, words)
+		})(c, args)
 	}
-	m, err := o.managed(c.Context())
+	m, err := o.managerClient(c.Context())
 	if err != nil {
 		return err
 	}
@@ -238,7 +242,7 @@
 	defer cancel()
 	all, err := m.Instances(ctx, o.selector)
 	if err != nil {
-		return code(err)
+		return withExitCode(err)
 	}
 	return o.print(c.OutOrStdout(), all, func(w io.Writer) {
 		fmt.Fprintln(w, "NAME\tADDRESS\tSTATE\tSEEN\tEPOCH\tDOCUMENT\tWANTED\tLABELS\tROLLOUT\tREASON")
@@ -248,22 +252,22 @@
 				seen = fmt.Sprintf("%.0f s", i.Seen)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d %s\t%s\t%s\t%s\t%s\n",
-				i.Name, i.Address, i.State, seen, dash(i.Epoch), i.Revision, i.Hash, dash(i.Wanted), labels(i.Labels), dash(i.Rollout), i.Reason)
+				i.Name, i.Address, i.State, seen, orDash(i.Epoch), i.Revision, i.Hash, orDash(i.Wanted), formatLabels(i.Labels), orDash(i.Rollout), i.Reason)
 		}
 	})
 }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-func (o *options) status(ctx context.Context, out io.Writer, ask func(context.Context) (*manage.Status, error)) error {
+func (o *options) showStatus(ctx context.Context, out io.Writer, call func(context.Context) (*manage.Status, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
-	s, err := ask(ctx)
+	s, err := call(ctx)
 	if err != nil {
 		return err
 	}
@@ -279,8 +283,8 @@
 	})
 }
 
-func (o *options) plan(ctx context.Context, m *manage.Client, c *cobra.Command, file string, l *limitFlags) error {
-	order, err := o.order(c, file, l)
+func (o *options) showPlan(ctx context.Context, m *manage.Client, c *cobra.Command, file string, l *limitFlags) error {
+	order, err := o.buildOrder(c, file, l)
 	if err != nil {
 		return err
 	}
@@ -301,7 +305,7 @@
 				fmt.Fprintf(w, "%s\t%d\t%d\tnothing differs\n", i.Name, i.Wave, i.Revision)
 			}
 			if i.Reason == "" {
-				for _, row := range differences(&i.Changes) {
+				for _, row := range differenceRows(&i.Changes) {
 					fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", i.Name, i.Wave, i.Revision, row)
 				}
 			}
@@ -309,56 +313,56 @@
 	})
 }
 
-// follow gives an order and, where it is waited for, says how far it is until it is over.
-func (o *options) follow(ctx context.Context, m *manage.Client, c *cobra.Command, id string, wait bool, give func(context.Context) (*manage.Report, error)) error {
-	once := func(ask func(context.Context) (*manage.Report, error)) (*manage.Report, error) {
+// follow sends an order. If wait is set, it prints the progress of the rollout until its end.
+func (o *options) follow(ctx context.Context, m *manage.Client, c *cobra.Command, id string, wait bool, send func(context.Context) (*manage.Report, error)) error {
+	callOnce := func(call func(context.Context) (*manage.Report, error)) (*manage.Report, error) {
 		ctx, cancel := context.WithTimeout(ctx, o.timeout)
 		defer cancel()
-		return ask(ctx)
+		return call(ctx)
 	}
-	r, err := once(give)
+	r, err := callOnce(send)
 	if err != nil {
 		return err
 	}
-	last, silent := "", time.Time{}
+	lastProgress, silentSince := "", time.Time{}
 	for wait {
-		if now := progress(r); now != last {
-			last = now
-			fmt.Fprintf(c.ErrOrStderr(), "%s: %s\n", id, now)
+		if current := progress(r); current != lastProgress {
+			lastProgress = current
+			fmt.Fprintf(c.ErrOrStderr(), "%s: %s\n", id, current)
 		}
 		if r.Stopped() {
 			break
 		}
 		select {
-		case <-time.After(askEvery):
+		case <-time.After(reportPollInterval):
 		case <-ctx.Done():
-			return &exit.Error{Code: Unknown, Err: fmt.Errorf("%s goes on; `micaline ctl report %s` tells how", id, id)}
+			return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("rollout %s continues; see `micaline ctl report %s`", id, id)}
 		}
-		next, err := once(func(ctx context.Context) (*manage.Report, error) { return m.Report(ctx, id) })
+		update, err := callOnce(func(ctx context.Context) (*manage.Report, error) { return m.Report(ctx, id) })
 		var p *api.Problem
 		switch {
 		case err == nil:
-			r, silent = next, time.Time{}
+			r, silentSince = update, time.Time{}
 		case errors.As(err, &p) && p.Status < 500:
 			return err
-		case silent.IsZero(): // it may be being replaced
-			silent = time.Now()
-		case time.Since(silent) > time.Minute:
-			return &exit.Error{Code: Unknown, Err: fmt.Errorf("the manager has fallen silent: %w", err)}
+		case silentSince.IsZero(): // the manager may be failing over
+			silentSince = time.Now()
+		case time.Since(silentSince) > time.Minute:
+			return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("the manager has not answered for a minute: %w", err)}
 		}
 	}
-	if err := o.report(c.OutOrStdout(), r); err != nil || !wait {
+	if err := o.printReport(c.OutOrStdout(), r); err != nil || !wait {
 		return err
 	}
 	if s := r.Summary; c.Name() == manage.RollbackAction && r.Status == "rolled back" && s.Applied+s.Partly+s.Unknown == 0 {
-		return nil // which is what was wanted
+		return nil // the rollback is complete, as ordered
 	}
-	return ended(r)
+	return rolloutError(r)
 }
 
-// progress is how far a rollout is, in a line.
+// progress describes the progress of a rollout in one line.
 func progress(r *manage.Report) string {
-	text := fmt.Sprintf("%s, wave %d of %d, %s", r.Status, r.Wave, r.Waves, counts(r))
+	text := fmt.Sprintf("%s, wave %d of %d, %s", r.Status, r.Wave, r.Waves, countsByState(r))
 	if r.Baking {
 		text += ", watched"
 	}
@@ -368,24 +372,24 @@
 	return text
 }
 
-// counts are the instances by what is known of them.
-func counts(r *manage.Report) string {
+// countsByState lists the number of instances in each state.
+func countsByState(r *manage.Report) string {
 	var words []string
-	for _, n := range []struct {
-		n    int
-		what string
+	for _, entry := range []struct {
+		count int
+		state string
 	}{
 		{r.Summary.Applied, "applied"}, {r.Summary.Unchanged, "unchanged"}, {r.Summary.Partly, "partly"}, {r.Summary.Unknown, "unknown"},
 		{r.Summary.Back, "taken back"}, {r.Summary.Ended, "ended"}, {r.Summary.Waiting, "waiting"},
 	} {
-		if n.n > 0 {
-			words = append(words, fmt.Sprintf("%d %s", n.n, n.what))
+		if entry.count > 0 {
+			words = append(words, fmt.Sprintf("%d %s", entry.count, entry.state))
 		}
 	}
 	return strings.Join(words, ", ")
 }
 
-func (o *options) report(out io.Writer, r *manage.Report) error {
+func (o *options) printReport(out io.Writer, r *manage.Report) error {
 	return o.print(out, r, func(w io.Writer) {
 		fmt.Fprintf(w, "%s: %s, document %s, %.1f s\n", r.ID, progress(r), r.Document, r.Took)
 		fmt.Fprintln(w, "INSTANCE\tWAVE\tGOT IT\tEPOCH\tREVISION\tTAKEN BACK\tNOW\tREASON")
@@ -408,24 +412,24 @@
 			if g.Left {
 				reason = "left out: " + reason
 			}
-			fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d\t%s\t%s\t%s\n", g.Name, g.Wave, state, dash(g.Epoch), g.Revision, dash(g.Back), now, reason)
+			fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d\t%s\t%s\t%s\n", g.Name, g.Wave, state, orDash(g.Epoch), g.Revision, orDash(g.Back), now, reason)
 		}
 	})
 }
 
-// ended is a rollout's exit code.
-func ended(r *manage.Report) error {
+// rolloutError returns the result of a rollout as an error with an exit code, or nil.
+func rolloutError(r *manage.Report) error {
 	s := r.Summary
 	all := s.Applied + s.Unchanged + s.Partly + s.Unknown + s.Waiting + s.Back + s.Ended
 	switch {
 	case !r.Stopped():
 		return nil
 	case s.Unknown > 0:
-		return &exit.Error{Code: Unknown, Err: fmt.Errorf("%s: of %d instances it is not known whether they have it", r.Status, s.Unknown)}
+		return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("%s: it is not known whether %d instances have the document", r.Status, s.Unknown)}
 	case s.Applied == all:
 		return nil
 	case s.Applied+s.Partly == 0:
-		return &exit.Error{Code: Refused, Err: fmt.Errorf("%s: no instance has it: %s", r.Status, r.Reason)}
+		return &exit.Error{Code: ExitRefused, Err: fmt.Errorf("%s: no instance has the document: %s", r.Status, r.Reason)}
 	}
-	return &exit.Error{Code: Partly, Err: fmt.Errorf("%s: %d of %d instances have it. %s", r.Status, s.Applied, all, r.Reason)}
+	return &exit.Error{Code: ExitPartial, Err: fmt.Errorf("%s: %d of %d instances have the document. %s", r.Status, s.Applied, all, r.Reason)}
 }
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -8,7 +8,7 @@
 	"example.org/micaline/internal/settings"
 )
 
-func base(t *testing.T) *settings.Settings {
+func baseSettings(t *testing.T) *settings.Settings {
 	t.Helper()
 	s, err := settings.Parse([]byte(`{"categories":[{"name":"close","aim":600,"deadline":2500,"credit":2,"effect":"side_effect"},
 		{"name":"status","aim":500,"deadline":1000,"credit":5,"effect":"pure"}],"accounts":[{"name":"acme","portion":0.7}],
@@ -19,7 +19,7 @@
 	return &s
 }
 
-// What can't be read, or not used by the instance, is told with its field.
+// Parse and Check report the path of the invalid field.
 func TestErrorsNameTheField(t *testing.T) {
 	for _, c := range []struct{ text, field string }{
 		{`{`, ""}, {``, ""}, {`{} {}`, ""}, {`[]`, ""},
@@ -41,18 +41,18 @@
 	} {
 		d, err := Parse([]byte(c.text))
 		if err == nil {
-			err = d.Check(base(t))
+			err = d.Check(baseSettings(t))
 		}
 		var f *FieldError
-		if !errors.As(err, &f) || f.Field != c.field || f.What == "" {
+		if !errors.As(err, &f) || f.Field != c.field || f.Reason == "" {
 			t.Errorf("%.60s: %v, want field %q", c.text, err, c.field)
 		}
 	}
 }
 
-// The document's word goes over the platform's, and the platform's settings stay as they are.
+// The document overrides the platform settings without modifying them.
 func TestModule(t *testing.T) {
-	b := base(t)
+	b := baseSettings(t)
 	d, err := Parse([]byte(`{"decisions":{"max_attempts":5,"probes":true,"classes":{"close":{"aim_ms":700,"worth":9}},"accounts":{"acme":{"portion":0.1}}}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	if err := d.Check(b); err != nil {
 		t.Fatal(err)
 	}
-	m := d.Module(b)
+	m := d.PolicySettings(b)
 	if m.MaxAttempts != 5 || !m.Probes || m.Classes[0].Aim.Milliseconds() != 700 || m.Classes[0].Worth != 9 ||
 		m.Classes[1].Worth != 5 || m.Tenants[0].Portion != 0.1 {
 		t.Errorf("got %+v", m)
@@ -103,8 +103,8 @@
 		if err != nil {
 			return
 		}
-		again, err := Parse([]byte(`{}`))
-		if err != nil || len(d.Diff(d)) > 0 || d.Hash() == again.Hash() && len(d.Diff(again)) > 0 {
+		empty, err := Parse([]byte(`{}`))
+		if err != nil || len(d.Diff(d)) > 0 || d.Hash() == empty.Hash() && len(d.Diff(empty)) > 0 {
 			t.Errorf("%s: error %v", text, err)
 		}
 	})
--- a/internal/manage/hard_test.go
+++ b/internal/manage/hard_test.go
@@ -97,9 +97,9 @@
 func TestWorseServiceIsTakenBack(t *testing.T) {
 	withFleet(t, 9, func(t *testing.T, fleet *testFleet) {
 		for _, instance := range fleet.instances {
-			served := func(up time.Duration) control.Service {
+			served := func(up time.Duration) control.RequestCounts {
 				n := int64(up.Seconds() * 100)
-				s := control.Service{Requests: n, InAim: n, Served: n}
+				s := control.RequestCounts{Requests: n, InAim: n, Served: n}
 				fleet.mu.Lock()
 				defer fleet.mu.Unlock()
 				if has := instance.applied[instance.process.epoch]["decisions"]; has != "" && has != emptyHash {
--- a/internal/manage/instances.go
+++ b/internal/manage/instances.go
@@ -16,20 +16,20 @@
 
 // InstanceReport describes an instance as the manager knows it.
 type InstanceReport struct {
-	Name     string            `json:"name"`
-	Address  string            `json:"address"`
-	Labels   map[string]string `json:"labels,omitempty"`
-	State    string            `json:"state"` // one of the State constants
-	Reason   string            `json:"reason,omitempty"`
-	Epoch    string            `json:"epoch,omitempty"`
-	Revision uint64            `json:"revision"`
-	Hash     string            `json:"hash,omitempty"`
-	Wanted   string            `json:"wanted,omitempty"`
-	Rollout  string            `json:"rollout,omitempty"` // ID of the rollout that is changing the instance
-	Seen     float64           `json:"seen_s"`            // seconds since its last answer; -1 if there was none
-	Taking   bool              `json:"taking"`
-	Held     int               `json:"held"`
-	Service  control.Service   `json:"service"`
+	Name     string                `json:"name"`
+	Address  string                `json:"address"`
+	Labels   map[string]string     `json:"labels,omitempty"`
+	State    string                `json:"state"` // one of the State constants
+	Reason   string                `json:"reason,omitempty"`
+	Epoch    string                `json:"epoch,omitempty"`
+	Revision uint64                `json:"revision"`
+	Hash     string                `json:"hash,omitempty"`
+	Wanted   string                `json:"wanted,omitempty"`
+	Rollout  string                `json:"rollout,omitempty"` // ID of the rollout that is changing the instance
+	Seen     float64               `json:"seen_s"`            // seconds since its last answer; -1 if there was none
+	Taking   bool                  `json:"taking"`
+	Held     int                   `json:"held"`
+	Service  control.RequestCounts `json:"service"`
 }
 
 func (m *Manager) instanceReport(instance *managedInstance, t time.Duration) InstanceReport {
--- a/internal/manage/kill_test.go
+++ b/internal/manage/kill_test.go
@@ -57,7 +57,7 @@
 	server        *control.Server
 	process       *process
 	applied       map[string]map[string]string // hash of the applied document, by epoch and part
-	serviceCounts func(time.Duration) control.Service
+	serviceCounts func(time.Duration) control.RequestCounts
 }
 
 // process is one process of an instance.
@@ -75,8 +75,8 @@
 func (p *process) Name() string             { return p.instance.name }
 func (p *process) Base() *settings.Settings { return p.instance.fleet.base }
 
-func (p *process) Look(context.Context) (*control.State, error) {
-	s := &control.State{Taking: true, Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}, Classes: []control.Class{}, Accounts: []control.Account{}}
+func (p *process) State(context.Context) (*control.State, error) {
+	s := &control.State{Taking: true, Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.FailureCause{}, Classes: []control.Class{}, Accounts: []control.Account{}}
 	p.instance.fleet.mu.Lock()
 	f := p.instance.serviceCounts
 	p.instance.fleet.mu.Unlock()
@@ -98,7 +98,7 @@
 		p.mu.Unlock()
 		return errors.New("dead")
 	}
-	if stuck && (part == document.Decisions || d.Hash() == emptyHash) {
+	if stuck && (part == document.PartDecisions || d.Hash() == emptyHash) {
 		p.mu.Unlock()
 		return errors.New("stuck")
 	}
@@ -115,7 +115,7 @@
 }
 
 func (p *process) Hold(context.Context, string, time.Duration) (bool, error) { return true, nil }
-func (p *process) SetTaking(bool)                                            {}
+func (p *process) SetAccepting(bool)                                         {}
 func (p *process) Reload(context.Context) error                              { return nil }
 
 var emptyHash = (&document.Document{}).Hash()
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -143,7 +143,7 @@
 	case errors.As(err, &problem):
 		return problem
 	case errors.As(err, &fieldErr):
-		return &api.Problem{Status: 422, Title: "the document can't be used", Detail: fieldErr.What, Field: fieldErr.Field}
+		return &api.Problem{Status: 422, Title: "the document can't be used", Detail: fieldErr.Reason, Field: fieldErr.Field}
 	}
 	return &api.Problem{Status: 503, Title: "the manager did not answer", Detail: err.Error()}
 }
