--- a/internal/manage/instances.go
+++ b/internal/manage/instances.go
@@ -50,8 +50,8 @@
 		r.State = Free
 	case r.Wanted == r.Hash && len(p.look.Mixed) == 0:
 		r.State = AsWanted
-	case p.keeper.Refusal() != "":
-		r.State, r.Reason = Refuses, p.keeper.Refusal()
+	case p.keeper.FailureReason() != "":
+		r.State, r.Reason = Refuses, p.keeper.FailureReason()
 	default:
 		r.State = Differs
 	}
