--- a/internal/change/instance.go
+++ b/internal/change/instance.go
@@ -17,12 +17,12 @@
 
 // The reasons for which an instance refuses what it is asked. They are told apart with errors.Is.
 var (
-	ErrStaleRevision       = errors.New("the revision that it is based on is not the present one")
-	ErrFenced      = errors.New("a newer manager has spoken")
-	ErrBusy        = errors.New("another change is under way")
-	ErrNotPrepared = errors.New("it is not prepared, or no longer")
-	ErrIDInUse     = errors.New("its id stands for another change")
-	ErrNoID        = errors.New("it has no id")
+	ErrStaleRevision = errors.New("the revision that it is based on is not the present one")
+	ErrFenced        = errors.New("a newer manager has spoken")
+	ErrBusy          = errors.New("another change is under way")
+	ErrNotPrepared   = errors.New("it is not prepared, or no longer")
+	ErrIDInUse       = errors.New("its id stands for another change")
+	ErrNoID          = errors.New("it has no id")
 )
 
 // Outcome is what became of a change on an instance.
@@ -30,11 +30,11 @@
 
 // The outcomes.
 const (
-	None      Outcome = iota // nothing yet
-	Applied                  // all parts
-	Unchanged                // none
-	PartlyApplied                   // some: Result.Parts
-	Reverted                // all were, and then none: it was not confirmed in time
+	None          Outcome = iota // nothing yet
+	Applied                      // all parts
+	Unchanged                    // none
+	PartlyApplied                // some: Result.Parts
+	Reverted                     // all were, and then none: it was not confirmed in time
 )
 
 var outcomeNames = [...]string{None: "none", Applied: "applied", Unchanged: "unchanged", PartlyApplied: "partly", Reverted: "taken back"}
@@ -84,7 +84,7 @@
 const (
 	// mostResults is how many changes' results an instance remembers. Danger: one that is forgotten could be
 	// committed again.
-	mostResults = 1024
+	maxResults = 1024
 	// PrepareFor is how long what is prepared waits for its commit.
 	PrepareTimeout = time.Minute
 )
@@ -107,26 +107,26 @@
 	current  Document
 	fence    uint64
 
-	phase   phase
-	id      string
-	by      uint64 // its manager's number
-	next    Document
-	confirm time.Duration // it must be confirmed within this after it is applied; 0 for need not
-	expires time.Duration
-	at      int  // parts applied
-	whole   bool // all were applied, so that it is taken back and not merely undone
-	stuck   bool // a part could not be reverted
-	mixed   []string
-	reason  string // why it is not applied
-
-	results map[string]Result
-	order   []string // of results, the oldest first
-	hashes  map[string]string
+	phase          phase
+	id             string
+	managerFence   uint64 // its manager's number
+	next           Document
+	confirmTimeout time.Duration // it must be confirmed within this after it is applied; 0 for need not
+	deadline       time.Duration
+	appliedCount   int  // parts applied
+	fullyApplied   bool // all were applied, so that it is taken back and not merely undone
+	revertFailed   bool // a part could not be reverted
+	mixedParts     []string
+	reason         string // why it is not applied
+
+	results        map[string]Result
+	resultOrder    []string // of results, the oldest first
+	documentHashes map[string]string
 }
 
 // NewInstance returns the machine of a process that has started with a document.
 func NewInstance(epoch string, revision uint64, d Document) *Instance {
-	return &Instance{epoch: epoch, revision: revision, current: d, results: map[string]Result{}, hashes: map[string]string{}}
+	return &Instance{epoch: epoch, revision: revision, current: d, results: map[string]Result{}, documentHashes: map[string]string{}}
 }
 
 // Epoch is the process's name, which no other process has had.
@@ -140,7 +140,7 @@
 
 // Mixed are the parts that are in force of another document than Current, as a change has left them that could neither be
 // applied whole nor taken back.
-func (i *Instance) MixedParts() []string { return i.mixed }
+func (i *Instance) MixedParts() []string { return i.mixedParts }
 
 // Fence is the highest number of a manager that has spoken.
 func (i *Instance) Fence() uint64 { return i.fence }
@@ -164,17 +164,17 @@
 
 // Wanted is the document whose part an action puts in force.
 func (i *Instance) DocumentFor(a Action) Document {
-	if (a.Kind == ApplyPart) != i.whole {
+	if (a.Kind == ApplyPart) != i.fullyApplied {
 		return i.next // also what a change that was whole goes back to
 	}
 	return i.current
 }
 
 // Hear takes in that a manager has spoken, which those before it can do no more.
-func (i *Instance) ObserveFence(fence uint64) error { return i.hear(fence) }
+func (i *Instance) ObserveFence(fence uint64) error { return i.observeFence(fence) }
 
 // hear takes in that a manager has spoken.
-func (i *Instance) hear(fence uint64) error {
+func (i *Instance) observeFence(fence uint64) error {
 	if fence < i.fence {
 		return fmt.Errorf("%w: its number is %d, and %d has been heard", ErrFenced, fence, i.fence)
 	}
@@ -183,27 +183,27 @@
 }
 
 // Prepare takes a change in, whose document the caller has checked whole. It applies nothing.
-func (i *Instance) Prepare(now time.Duration, fence uint64, id string, base uint64, d Document, confirm time.Duration) error {
+func (i *Instance) Prepare(now time.Duration, fence uint64, id string, base uint64, d Document, confirmTimeout time.Duration) error {
 	if id == "" {
 		return ErrNoID
 	}
-	if hash, known := i.hashes[id]; known && hash != d.Hash {
+	if hash, known := i.documentHashes[id]; known && hash != d.Hash {
 		return ErrIDInUse
 	}
 	if _, known := i.results[id]; known {
 		return nil // a repeat gets the first result, which Result tells
 	}
-	if err := i.hear(fence); err != nil {
+	if err := i.observeFence(fence); err != nil {
 		return err
 	}
 	i.expire(now)
 	switch {
 	case i.phase != idle && i.id == id:
 		if i.phase == prepared {
-			i.expires = now + PrepareTimeout
+			i.deadline = now + PrepareTimeout
 		}
 		return nil
-	case i.phase == prepared && i.by < fence: // its manager can commit it no more
+	case i.phase == prepared && i.managerFence < fence: // its manager can commit it no more
 	case i.phase != idle:
 		return fmt.Errorf("%w: %s", ErrBusy, i.id)
 	}
@@ -211,18 +211,18 @@
 		return fmt.Errorf("%w: it is based on %d, and %d is in force", ErrStaleRevision, base, i.revision)
 	}
 	if i.phase == prepared {
-		i.settle(Unchanged, "superseded by "+id)
+		i.finish(Unchanged, "superseded by "+id)
 	}
-	i.phase, i.id, i.by, i.next, i.confirm = prepared, id, fence, d, confirm
-	i.expires, i.at, i.whole, i.stuck, i.reason = now+PrepareTimeout, 0, false, false, ""
-	i.hashes[id] = d.Hash
+	i.phase, i.id, i.managerFence, i.next, i.confirmTimeout = prepared, id, fence, d, confirmTimeout
+	i.deadline, i.appliedCount, i.fullyApplied, i.revertFailed, i.reason = now+PrepareTimeout, 0, false, false, ""
+	i.documentHashes[id] = d.Hash
 	return nil
 }
 
 // expire drops what was prepared and not committed in time.
 func (i *Instance) expire(now time.Duration) {
-	if i.phase == prepared && now >= i.expires {
-		i.settle(Unchanged, "not committed in time")
+	if i.phase == prepared && now >= i.deadline {
+		i.finish(Unchanged, "not committed in time")
 	}
 }
 
@@ -231,7 +231,7 @@
 	if _, known := i.results[id]; known {
 		return nil, nil
 	}
-	if err := i.hear(fence); err != nil {
+	if err := i.observeFence(fence); err != nil {
 		return nil, err
 	}
 	i.expire(now)
@@ -242,7 +242,7 @@
 		return nil, nil
 	}
 	i.phase = applying
-	return i.step(now), nil
+	return i.advance(now), nil
 }
 
 // Abort ends a change that is not committed, for good: a commit of it that comes later is refused. A change that is
@@ -254,7 +254,7 @@
 	if id == "" {
 		return Result{}, ErrNoID
 	}
-	if err := i.hear(fence); err != nil {
+	if err := i.observeFence(fence); err != nil {
 		return Result{}, err
 	}
 	i.expire(now)
@@ -265,9 +265,9 @@
 		return Result{}, fmt.Errorf("%w: it is being applied", ErrBusy)
 	}
 	if i.phase == prepared && i.id == id {
-		i.settle(Unchanged, "aborted")
+		i.finish(Unchanged, "aborted")
 	} else {
-		i.remember(Result{ID: id, Outcome: Unchanged, Revision: i.revision, Reason: "aborted"})
+		i.recordResult(Result{ID: id, Outcome: Unchanged, Revision: i.revision, Reason: "aborted"})
 	}
 	return i.results[id], nil
 }
@@ -277,29 +277,29 @@
 	if r, known := i.results[id]; known && r.Outcome == Applied {
 		return nil
 	}
-	if err := i.hear(fence); err != nil {
+	if err := i.observeFence(fence); err != nil {
 		return err
 	}
-	if i.phase != confirming || i.id != id || now >= i.expires {
+	if i.phase != confirming || i.id != id || now >= i.deadline {
 		return ErrNotPrepared
 	}
-	i.settle(Applied, "")
+	i.finish(Applied, "")
 	return nil
 }
 
 // Tick takes in that time has passed, and returns what is to be done about it.
 func (i *Instance) Tick(now time.Duration) []Action {
 	i.expire(now)
-	if i.phase == confirming && now >= i.expires {
+	if i.phase == confirming && now >= i.deadline {
 		i.phase, i.reason = reverting, "not confirmed in time"
-		return i.step(now)
+		return i.advance(now)
 	}
 	return nil
 }
 
 // Due is when Tick has something to do, if ok.
 func (i *Instance) NextDeadline() (at time.Duration, ok bool) {
-	return i.expires, i.phase == prepared || i.phase == confirming
+	return i.deadline, i.phase == prepared || i.phase == confirming
 }
 
 // Done takes in how an action ended, and returns what is to be done next.
@@ -311,86 +311,86 @@
 	case i.phase == applying && err != nil:
 		i.phase, i.reason = reverting, fmt.Sprintf("part %s: %v", a.Part, err)
 	case i.phase == applying:
-		i.at++
+		i.appliedCount++
 	case err != nil:
-		i.stuck = true
+		i.revertFailed = true
 		i.reason += fmt.Sprintf("; part %s can't be taken back: %v", a.Part, err)
 	default:
-		i.at--
+		i.appliedCount--
 	}
-	return i.step(now)
+	return i.advance(now)
 }
 
 // step goes on with the change under way.
-func (i *Instance) step(now time.Duration) []Action {
+func (i *Instance) advance(now time.Duration) []Action {
 	switch {
-	case i.phase == applying && i.at < len(i.next.Parts):
-		return []Action{{ApplyPart, i.id, i.next.Parts[i.at]}}
+	case i.phase == applying && i.appliedCount < len(i.next.Parts):
+		return []Action{{ApplyPart, i.id, i.next.Parts[i.appliedCount]}}
 	case i.phase == applying:
 		i.revision++
-		i.whole = true
+		i.fullyApplied = true
 		i.current, i.next = i.next, i.current
-		if i.confirm > 0 {
-			i.phase, i.expires = confirming, now+i.confirm
+		if i.confirmTimeout > 0 {
+			i.phase, i.deadline = confirming, now+i.confirmTimeout
 			return nil
 		}
-		i.settle(Applied, "")
-	case i.stuck:
-		i.settle(PartlyApplied, i.reason)
-	case i.at > 0:
-		return []Action{{RevertPart, i.id, i.parts()[i.at-1]}}
-	case i.whole:
+		i.finish(Applied, "")
+	case i.revertFailed:
+		i.finish(PartlyApplied, i.reason)
+	case i.appliedCount > 0:
+		return []Action{{RevertPart, i.id, i.changeParts()[i.appliedCount-1]}}
+	case i.fullyApplied:
 		i.current = i.next
 		i.revision++ // others may have read the revision between
-		i.settle(Reverted, i.reason)
+		i.finish(Reverted, i.reason)
 	default:
-		i.settle(Unchanged, i.reason)
+		i.finish(Unchanged, i.reason)
 	}
 	return nil
 }
 
 // parts are those of the change under way.
-func (i *Instance) parts() []string {
-	if i.whole {
+func (i *Instance) changeParts() []string {
+	if i.fullyApplied {
 		return i.current.Parts
 	}
 	return i.next.Parts
 }
 
 // settle ends the change under way.
-func (i *Instance) settle(o Outcome, reason string) {
+func (i *Instance) finish(o Outcome, reason string) {
 	r := Result{ID: i.id, Outcome: o, Revision: i.revision, Reason: reason}
 	if o == Applied || o == PartlyApplied {
-		r.Parts = slices.Clone(i.parts()[:i.at])
+		r.Parts = slices.Clone(i.changeParts()[:i.appliedCount])
 	}
 	switch o {
 	case Applied, Reverted:
-		i.mixed = nil // all parts were applied since
+		i.mixedParts = nil // all parts were applied since
 	case PartlyApplied:
-		i.mixed = r.Parts
+		i.mixedParts = r.Parts
 	}
 	i.phase = idle
-	i.remember(r)
+	i.recordResult(r)
 }
 
-func (i *Instance) remember(r Result) {
-	if len(i.order) >= mostResults {
-		delete(i.results, i.order[0])
-		delete(i.hashes, i.order[0])
-		i.order = i.order[1:]
+func (i *Instance) recordResult(r Result) {
+	if len(i.resultOrder) >= maxResults {
+		delete(i.results, i.resultOrder[0])
+		delete(i.documentHashes, i.resultOrder[0])
+		i.resultOrder = i.resultOrder[1:]
 	}
 	i.results[r.ID] = r
-	i.order = append(i.order, r.ID)
+	i.resultOrder = append(i.resultOrder, r.ID)
 }
 
 // Clone returns an instance that goes its own way from here.
 func (i *Instance) Clone() *Instance {
 	c := *i
-	c.results, c.hashes, c.order = maps.Clone(i.results), maps.Clone(i.hashes), slices.Clone(i.order)
+	c.results, c.documentHashes, c.resultOrder = maps.Clone(i.results), maps.Clone(i.documentHashes), slices.Clone(i.resultOrder)
 	return &c
 }
 
 // Describe is the whole state in words, the same for equal states.
 func (i *Instance) Describe() string {
-	return fmt.Sprint(i.epoch, i.revision, i.current.Hash, i.fence, i.phase, i.id, i.by, i.at, i.whole, i.stuck, i.reason, i.mixed, i.results)
+	return fmt.Sprint(i.epoch, i.revision, i.current.Hash, i.fence, i.phase, i.id, i.managerFence, i.appliedCount, i.fullyApplied, i.revertFailed, i.reason, i.mixedParts, i.results)
 }
--- a/internal/change/manager.go
+++ b/internal/change/manager.go
@@ -14,7 +14,7 @@
 	Preparing               // a prepare has been sent and not answered
 	Prepared                // the instance has it and has applied nothing
 	Committing              // a commit has been sent and not answered
-	Resolving                // nothing is known of a commit, and an abort or a question has been sent
+	Resolving               // nothing is known of a commit, and an abort or a question has been sent
 	Done                    // the instance has said so
 	NotDone                 // the instance has said so, or its process has ended without it
 	PartlyDone              // the instance has said which parts
@@ -44,11 +44,11 @@
 
 // Fences: a manager's number is higher than all that were heard before it. Its low bits are drawn, so that two managers
 // that start at once and have heard the same are not taken for one.
-const fenceBits = 20
+const fenceRandomBits = 20
 
 // NextFence returns the number of a manager that starts, where the highest so far is known.
-func NextFence(highest uint64, drawn uint32) uint64 {
-	return (highest>>fenceBits+1)<<fenceBits | uint64(drawn)&(1<<fenceBits-1)
+func NextFence(highest uint64, random uint32) uint64 {
+	return (highest>>fenceRandomBits+1)<<fenceRandomBits | uint64(random)&(1<<fenceRandomBits-1)
 }
 
 // Final says whether the manager sends nothing more for a change in this state by itself.
@@ -123,13 +123,13 @@
 	case Preparing:
 		t.State = Planned // preparing twice does nothing
 	case Committing, Resolving:
-		t.unknown("the manager ended before an answer came")
+		t.markUnanswered("the manager ended before an answer came")
 	}
 }
 
 // unknown ends a request of which nothing came back.
-func (t *Target) unknown(why string) {
-	t.Reason = why
+func (t *Target) markUnanswered(reason string) {
+	t.Reason = reason
 	if t.Sent {
 		t.State = Unknown
 	} else {
@@ -138,13 +138,13 @@
 }
 
 // Silent takes in that a request was not answered in time, or its connection ended.
-func (t *Target) RecordNoAnswer(why string) {
+func (t *Target) RecordNoAnswer(reason string) {
 	switch t.State {
 	case Preparing:
 		t.Loose = true
-		t.unknown(why)
+		t.markUnanswered(reason)
 	case Prepared, Committing, Resolving:
-		t.unknown(why)
+		t.markUnanswered(reason)
 	}
 }
 
@@ -153,12 +153,12 @@
 	if t.State == Done || t.State == PartlyDone || t.State == Superseded {
 		return // it has been said, and does not become untrue by what is said later
 	}
-	before := t.Epoch
+	previousEpoch := t.Epoch
 	t.Epoch = a.Epoch
-	if before != "" && before != a.Epoch {
+	if previousEpoch != "" && previousEpoch != a.Epoch {
 		// Another process: what the one before had of the change went with it.
 		t.State, t.Sent, t.Parts = NotDone, false, nil
-		t.Reason = fmt.Sprintf("process %s has ended, and %s has nothing of it", before, a.Epoch)
+		t.Reason = fmt.Sprintf("process %s has ended, and %s has nothing of it", previousEpoch, a.Epoch)
 		if a.Result.Outcome == None {
 			return
 		}
@@ -190,7 +190,7 @@
 		// Not prepared any more, in this epoch, and no result: it was not applied and can't be.
 		t.State, t.Sent, t.Reason = NotDone, false, a.Err.Error()
 	case a.Err != nil:
-		t.unknown(a.Err.Error())
+		t.markUnanswered(a.Err.Error())
 	case t.State == Preparing:
 		t.State = Prepared
 	}
--- a/internal/change/wave.go
+++ b/internal/change/wave.go
@@ -44,19 +44,19 @@
 
 // The verdicts.
 const (
-	KeepWatching  Verdict = iota
-	NextWave         // or, after the last, the end
+	KeepWatching Verdict = iota
+	NextWave             // or, after the last, the end
 	RollBack             // and roll back: the change is bad, or instances refuse it
-	Halt             // and leave what is applied: too many instances can't be reached
+	Halt                 // and leave what is applied: too many instances can't be reached
 )
 
 // Waves returns how many of n instances each wave holds.
 func (l *Limits) WaveSizes(n int) (sizes []int) {
 	size := float64(max(1, l.Canaries))
 	for n > 0 {
-		k := min(n, int(size))
-		sizes = append(sizes, k)
-		n -= k
+		waveSize := min(n, int(size))
+		sizes = append(sizes, waveSize)
+		n -= waveSize
 		size *= max(1, l.Growth)
 	}
 	return sizes
@@ -64,41 +64,41 @@
 
 // Counted is how the instances of a wave ended.
 type WaveOutcome struct {
-	Total     int
+	Total   int
 	Refused int // they can't use the change, have it in part only, or have died of it
 	Lost    int // else not applied: silent, cut off, restarted meanwhile
 }
 
 // Judge looks at a wave: how its instances ended, what they served in the time before the change and since it, and for
 // how long that is. Danger: an instance that says nothing must not hold the wave up; it counts as one that is lost.
-func (l *Limits) Evaluate(ended WaveOutcome, before, since RequestCounts, watched time.Duration) (Verdict, string) {
-	may := l.MayFail * float64(ended.Total)
+func (l *Limits) Evaluate(outcome WaveOutcome, before, since RequestCounts, watched time.Duration) (Verdict, string) {
+	allowedFailures := l.MayFail * float64(outcome.Total)
 	switch {
-	case ended.Total == 0:
+	case outcome.Total == 0:
 		return NextWave, "" // all of it was left out
-	case float64(ended.Refused) > may:
-		return RollBack, fmt.Sprintf("%d of %d instances refuse it", ended.Refused, ended.Total)
-	case float64(ended.Refused+ended.Lost) > may:
-		return Halt, fmt.Sprintf("%d of %d instances are lost", ended.Refused+ended.Lost, ended.Total)
+	case float64(outcome.Refused) > allowedFailures:
+		return RollBack, fmt.Sprintf("%d of %d instances refuse it", outcome.Refused, outcome.Total)
+	case float64(outcome.Refused+outcome.Lost) > allowedFailures:
+		return Halt, fmt.Sprintf("%d of %d instances are lost", outcome.Refused+outcome.Lost, outcome.Total)
 	}
 	if since.Requests >= l.Least && since.Requests > 0 {
 		// A request counts when it comes and its answer when that goes, so that a short time may have more answers than requests.
-		share := func(s RequestCounts, v float64) float64 { return min(1, max(0, v/max(1, s.Requests))) }
+		share := func(s RequestCounts, count float64) float64 { return min(1, max(0, count/max(1, s.Requests))) }
 		for _, c := range []struct {
-			what  string
-			worse float64
-			may   float64
+			category string
+			increase float64
+			allowed  float64
 		}{
 			{"refused", share(since, since.Refused) - share(before, before.Refused), l.MoreRefused},
 			{"failed", share(since, since.Failed) - share(before, before.Failed), l.MoreFailed},
 			{"served in aim", share(before, before.InAim) - share(since, since.InAim), l.LessInAim},
 		} {
 			// Where nothing was asked before there is nothing to compare with, and what is asked is judged by itself.
-			if c.what == "served in aim" && before.Requests < l.Least {
+			if c.category == "served in aim" && before.Requests < l.Least {
 				continue
 			}
-			if c.worse > c.may {
-				return RollBack, fmt.Sprintf("the share %s is worse by %.1f%%, and %.1f%% is allowed", c.what, 100*c.worse, 100*c.may)
+			if c.increase > c.allowed {
+				return RollBack, fmt.Sprintf("the share %s is worse by %.1f%%, and %.1f%% is allowed", c.category, 100*c.increase, 100*c.allowed)
 			}
 		}
 	}
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -95,9 +95,9 @@
 	documents  map[string]*document.Document
 	wanted     map[string]string
 
-	records []journal.Record // to be written
-	sends   []rollout.OutgoingRequest   // and then sent
-	failure error            // why the journal can't be written
+	records []journal.Record          // to be written
+	sends   []rollout.OutgoingRequest // and then sent
+	failure error                     // why the journal can't be written
 	retry   time.Duration
 	acks    []func(error) // to those who have given orders, once the records are written
 	damaged []string      // what of the journal could not be read
--- a/internal/rollout/explore_test.go
+++ b/internal/rollout/explore_test.go
@@ -19,73 +19,75 @@
 // arrives never, which no property can tell from late. One party dies at any point, and managers give up at any point.
 // A manager that dies between its journal and its sending is one whose sending is lost, and one that dies between
 // an answer and its journal is one to which the answer is lost, so that neither needs steps of its own.
-type world struct {
-	machines [2]machine
-	managers [2]manager
-	flying   []message
-	crashes  int
-	alone    bool // the second manager never begins
-	planted  string
+type system struct {
+	instances     [2]instanceModel
+	managers      [2]managerModel
+	inFlight      []message
+	crashesLeft   int
+	singleManager bool // the second manager never begins
+	injectedBug   string
 }
 
-type machine struct {
+type instanceModel struct {
 	*change.Instance
-	epochs  int
-	applied map[string]bool // epoch and change: it was applied, and not taken back by itself
+	restarts int
+	applied  map[string]bool // epoch and change: it was applied, and not taken back by itself
 }
 
-type manager struct {
+type managerModel struct {
 	*Rollout
-	asked [2]int // the request that is open at each, 0 for none: an answer comes on its request's connection
-	last  int
-	looks int // that may still happen
-	now   time.Duration
+	openRequest      [2]int // the request that is open at each, 0 for none: an answer comes on its request's connection
+	lastNumber       int
+	observationsLeft int // that may still happen
+	now              time.Duration
 }
 
 type message struct {
-	answer   bool
+	isAnswer bool
 	manager  int
 	instance int
-	send     OutgoingRequest
+	request  OutgoingRequest
 	number   int
-	a        change.Answer
+	payload  change.Answer
 }
 
-func doc(hash string) change.Document { return change.Document{Hash: hash, Parts: []string{"whole"}} }
+func documentOf(hash string) change.Document {
+	return change.Document{Hash: hash, Parts: []string{"whole"}}
+}
 
 // newWorld has two managers, or one that is alone, each of which looks at an instance so many times.
-func newWorld(alone bool, looks int) *world {
-	w := &world{crashes: 1, alone: alone}
-	for i := range w.machines {
-		w.machines[i] = machine{Instance: change.NewInstance("e0", 0, doc("old")), applied: map[string]bool{}}
+func newSystem(singleManager bool, observations int) *system {
+	w := &system{crashesLeft: 1, singleManager: singleManager}
+	for i := range w.instances {
+		w.instances[i] = instanceModel{Instance: change.NewInstance("e0", 0, documentOf("old")), applied: map[string]bool{}}
 	}
 	for g := range w.managers {
-		var all []PlannedInstance
-		for i := range w.machines {
-			all = append(all, PlannedInstance{fmt.Sprint(i), Observation{Epoch: "e0", Hash: "old"}})
+		var planned []PlannedInstance
+		for i := range w.instances {
+			planned = append(planned, PlannedInstance{fmt.Sprint(i), Observation{Epoch: "e0", Hash: "old"}})
 		}
-		w.managers[g] = manager{Rollout: New(1, fmt.Sprintf("r%d", g), fmt.Sprintf("d%d", g), change.Limits{Canaries: 1, Growth: 1}, all), looks: looks, now: 2}
+		w.managers[g] = managerModel{Rollout: New(1, fmt.Sprintf("r%d", g), fmt.Sprintf("d%d", g), change.Limits{Canaries: 1, Growth: 1}, planned), observationsLeft: observations, now: 2}
 		w.managers[g].MarkSaved()
 	}
 	return w
 }
 
-func (w *world) clone() *world {
-	c := &world{flying: slices.Clone(w.flying), crashes: w.crashes, alone: w.alone, planted: w.planted}
-	for i := range w.machines {
-		m := &w.machines[i]
-		c.machines[i] = machine{m.Clone(), m.epochs, maps.Clone(m.applied)}
+func (w *system) clone() *system {
+	c := &system{inFlight: slices.Clone(w.inFlight), crashesLeft: w.crashesLeft, singleManager: w.singleManager, injectedBug: w.injectedBug}
+	for i := range w.instances {
+		m := &w.instances[i]
+		c.instances[i] = instanceModel{m.Clone(), m.restarts, maps.Clone(m.applied)}
 	}
 	for g := range w.managers {
 		m := &w.managers[g]
-		c.managers[g] = manager{m.copy(), m.asked, m.last, m.looks, m.now}
+		c.managers[g] = managerModel{m.clone(), m.openRequest, m.lastNumber, m.observationsLeft, m.now}
 	}
 	return c
 }
 
 // copy is the rollout as it is, with what is only in its memory.
-func (r *Rollout) copy() *Rollout {
-	c := &Rollout{Header: r.Header, goneOn: r.goneOn, byName: map[string]*Member{}, changed: map[*Member]struct{}{}}
+func (r *Rollout) clone() *Rollout {
+	c := &Rollout{Header: r.Header, firstAdvance: r.firstAdvance, byName: map[string]*Member{}, unsavedMembers: map[*Member]struct{}{}}
 	for _, m := range r.members {
 		n := *m
 		c.members = append(c.members, &n)
@@ -94,136 +96,136 @@
 	return c
 }
 
-var seed = maphash.MakeSeed()
+var hashSeed = maphash.MakeSeed()
 
 // key is the state in canonical form, as a hash: what is on its way has no order.
-func (w *world) key() uint64 {
+func (w *system) stateHash() uint64 {
 	var b strings.Builder
-	fmt.Fprint(&b, w.crashes)
-	for i := range w.machines {
-		m := &w.machines[i]
+	fmt.Fprint(&b, w.crashesLeft)
+	for i := range w.instances {
+		m := &w.instances[i]
 		fmt.Fprint(&b, m.Describe(), m.applied)
 	}
 	for g := range w.managers {
 		m := &w.managers[g]
-		fmt.Fprint(&b, m.Wave, m.Status, m.looks, m.now, m.Baking)
+		fmt.Fprint(&b, m.Wave, m.Status, m.observationsLeft, m.now, m.Baking)
 		for i, x := range m.members {
-			fmt.Fprint(&b, x.Epoch, x.Base, x.Target, x.Try, x.restored, x.Backing, x.Back, x.seen.Epoch, x.seenAt, m.asked[i] > 0)
+			fmt.Fprint(&b, x.Epoch, x.Base, x.Target, x.Try, x.commitUnresolved, x.Backing, x.Back, x.observed.Epoch, x.observedAt, m.openRequest[i] > 0)
 		}
 	}
-	flying := make([]string, len(w.flying))
-	for i, f := range w.flying {
-		flying[i] = fmt.Sprint(f.answer, f.manager, f.instance, f.send.Request, f.send.ID, w.managers[f.manager].asked[f.instance] == f.number, f.a)
+	messages := make([]string, len(w.inFlight))
+	for i, f := range w.inFlight {
+		messages[i] = fmt.Sprint(f.isAnswer, f.manager, f.instance, f.request.Request, f.request.ID, w.managers[f.manager].openRequest[f.instance] == f.number, f.payload)
 	}
-	slices.Sort(flying)
-	fmt.Fprint(&b, flying)
-	return maphash.String(seed, b.String())
+	slices.Sort(messages)
+	fmt.Fprint(&b, messages)
+	return maphash.String(hashSeed, b.String())
 }
 
-type step struct {
-	what string
-	do   func(w *world) error
+type transition struct {
+	description string
+	apply       func(w *system) error
 }
 
-func (w *world) steps() (steps []step) {
-	add := func(do func(w *world) error, format string, args ...any) {
-		steps = append(steps, step{fmt.Sprintf(format, args...), do})
+func (w *system) transitions() (transitions []transition) {
+	add := func(apply func(w *system) error, format string, args ...any) {
+		transitions = append(transitions, transition{fmt.Sprintf(format, args...), apply})
 	}
-	for k, f := range w.flying {
-		add(func(w *world) error {
-			w.flying = slices.Delete(w.flying, k, k+1)
+	for k, f := range w.inFlight {
+		add(func(w *system) error {
+			w.inFlight = slices.Delete(w.inFlight, k, k+1)
 			return w.deliver(f)
 		}, "%s", f)
 	}
-	if w.crashes > 0 {
-		for i := range w.machines {
-			add(func(w *world) error {
-				w.crashes--
-				m := &w.machines[i]
-				m.epochs++
-				m.Instance = change.NewInstance(fmt.Sprintf("e%d", m.epochs), 0, doc("old"))
+	if w.crashesLeft > 0 {
+		for i := range w.instances {
+			add(func(w *system) error {
+				w.crashesLeft--
+				m := &w.instances[i]
+				m.restarts++
+				m.Instance = change.NewInstance(fmt.Sprintf("e%d", m.restarts), 0, documentOf("old"))
 				return nil
 			}, "instance %d dies and is back", i)
 		}
 	}
 	for g := range w.managers {
-		if w.alone && g > 0 {
+		if w.singleManager && g > 0 {
 			break
 		}
 		m := &w.managers[g]
-		if w.crashes > 0 {
-			add(func(w *world) error {
-				w.crashes--
+		if w.crashesLeft > 0 {
+			add(func(w *system) error {
+				w.crashesLeft--
 				m := &w.managers[g]
 				var members []Member
 				for _, x := range m.members {
 					n := *x
-					n.asked, n.seen = false, Observation{}
+					n.requestOpen, n.observed = false, Observation{}
 					members = append(members, n)
 				}
-				m.Rollout, m.asked = Restore(m.Header, members), [2]int{}
+				m.Rollout, m.openRequest = Restore(m.Header, members), [2]int{}
 				// What was on its way to it is lost with its connections.
-				w.flying = slices.DeleteFunc(w.flying, func(f message) bool { return f.answer && f.manager == g })
-				return w.goOn(g)
+				w.inFlight = slices.DeleteFunc(w.inFlight, func(f message) bool { return f.isAnswer && f.manager == g })
+				return w.advanceManager(g)
 			}, "manager %d dies and is back", g)
 		}
-		for i := range w.machines {
-			if m.asked[i] > 0 {
-				add(func(w *world) error {
+		for i := range w.instances {
+			if m.openRequest[i] > 0 {
+				add(func(w *system) error {
 					m := &w.managers[g]
-					m.asked[i] = 0
+					m.openRequest[i] = 0
 					m.RecordNoAnswer(fmt.Sprint(i), "no answer")
-					if t := m.members[i].current(); w.planted == "takes silence for a no" && t.State == change.Unknown {
+					if t := m.members[i].activeTarget(); w.injectedBug == "takes silence for a no" && t.State == change.Unknown {
 						t.State = change.NotDone
 					}
-					return w.goOn(g)
+					return w.advanceManager(g)
 				}, "manager %d gives up on instance %d", g, i)
-			} else if m.looks > 0 && m.Status != Superseded {
-				add(func(w *world) error {
+			} else if m.observationsLeft > 0 && m.Status != Superseded {
+				add(func(w *system) error {
 					m := &w.managers[g]
-					m.looks--
-					x := &w.machines[i]
+					m.observationsLeft--
+					x := &w.instances[i]
 					for _, s := range m.Observe(m.now, fmt.Sprint(i), Observation{Epoch: x.Epoch(), Revision: x.Revision(), Hash: x.Current().Hash}) {
-						w.post(g, s)
+						w.sendRequest(g, s)
 					}
-					return w.goOn(g)
+					return w.advanceManager(g)
 				}, "manager %d looks at instance %d", g, i)
 			}
 		}
 		if m.Baking > 0 && m.now == 2 {
-			add(func(w *world) error {
-				w.managers[g].now += 2 * unseen
-				return w.goOn(g)
+			add(func(w *system) error {
+				w.managers[g].now += 2 * unobservedTimeout
+				return w.advanceManager(g)
 			}, "manager %d has watched for long", g)
 		}
-		if m.last == 0 {
-			add(func(w *world) error { return w.goOn(g) }, "manager %d begins", g)
+		if m.lastNumber == 0 {
+			add(func(w *system) error { return w.advanceManager(g) }, "manager %d begins", g)
 		}
 	}
-	return steps
+	return transitions
 }
 
 func (f message) String() string {
-	if f.answer {
-		return fmt.Sprintf("instance %d answers manager %d: epoch %s, outcome %s, error %v", f.instance, f.manager, f.a.Epoch, f.a.Result.Outcome, f.a.Err)
+	if f.isAnswer {
+		return fmt.Sprintf("instance %d answers manager %d: epoch %s, outcome %s, error %v", f.instance, f.manager, f.payload.Epoch, f.payload.Result.Outcome, f.payload.Err)
 	}
-	return fmt.Sprintf("request %d of manager %d for %s comes to instance %d", f.send.Request, f.manager, f.send.ID, f.instance)
+	return fmt.Sprintf("request %d of manager %d for %s comes to instance %d", f.request.Request, f.manager, f.request.ID, f.instance)
 }
 
 // post has a request on its way.
-func (w *world) post(g int, s OutgoingRequest) {
+func (w *system) sendRequest(g int, s OutgoingRequest) {
 	m := &w.managers[g]
 	i := int(s.Instance[0] - '0')
-	m.last++
-	m.asked[i] = m.last
-	w.flying = append(w.flying, message{manager: g, instance: i, send: s, number: m.last})
+	m.lastNumber++
+	m.openRequest[i] = m.lastNumber
+	w.inFlight = append(w.inFlight, message{manager: g, instance: i, request: s, number: m.lastNumber})
 }
 
 // goOn has a manager do what it does by itself.
-func (w *world) goOn(g int) error {
+func (w *system) advanceManager(g int) error {
 	m := &w.managers[g]
 	for {
-		if w.planted == "does not wait for the wave before" && m.Wave == 0 && m.members[0].Target.State == change.Committing {
+		if w.injectedBug == "does not wait for the wave before" && m.Wave == 0 && m.members[0].Target.State == change.Committing {
 			m.Wave = 1
 		}
 		status, wave := m.Status, m.Wave
@@ -231,7 +233,7 @@
 			if s.Request == change.RequestCommit && s.Instance == "1" && !m.members[1].Backing && m.members[0].Target.State != change.Done {
 				return fmt.Errorf("manager %d commits its second wave, and of its first it knows that it is %s", g, m.members[0].Target.State)
 			}
-			w.post(g, s)
+			w.sendRequest(g, s)
 		}
 		m.MarkSaved()
 		if status == m.Status && wave == m.Wave {
@@ -241,56 +243,56 @@
 }
 
 // deliver hands a message to whom it is for.
-func (w *world) deliver(f message) error {
-	mgr, m := &w.managers[f.manager], &w.machines[f.instance]
-	if f.answer {
-		if mgr.asked[f.instance] != f.number {
+func (w *system) deliver(f message) error {
+	mgr, m := &w.managers[f.manager], &w.instances[f.instance]
+	if f.isAnswer {
+		if mgr.openRequest[f.instance] != f.number {
 			return nil
 		}
-		mgr.asked[f.instance] = 0
-		mgr.RecordAnswer(mgr.now, fmt.Sprint(f.instance), f.a)
-		return w.goOn(f.manager)
+		mgr.openRequest[f.instance] = 0
+		mgr.RecordAnswer(mgr.now, fmt.Sprint(f.instance), f.payload)
+		return w.advanceManager(f.manager)
 	}
 	fence := uint64(f.manager + 1)
 	a := change.Answer{Epoch: m.Epoch()}
-	switch f.send.Request {
+	switch f.request.Request {
 	case change.RequestPrepare:
-		a.Err = m.Prepare(0, fence, f.send.ID, f.send.Base, doc(f.send.Document), 0)
+		a.Err = m.Prepare(0, fence, f.request.ID, f.request.Base, documentOf(f.request.Document), 0)
 	case change.RequestCommit:
-		var todo []change.Action
-		todo, a.Err = m.Commit(0, fence, f.send.ID)
-		for len(todo) > 0 {
-			todo = m.ActionDone(0, todo[0], nil)
+		var actions []change.Action
+		actions, a.Err = m.Commit(0, fence, f.request.ID)
+		for len(actions) > 0 {
+			actions = m.ActionDone(0, actions[0], nil)
 		}
 	case change.RequestAbort:
-		a.Result, a.Err = m.Abort(0, fence, f.send.ID)
+		a.Result, a.Err = m.Abort(0, fence, f.request.ID)
 	}
-	if r, ok := m.Result(f.send.ID); ok {
+	if r, ok := m.Result(f.request.ID); ok {
 		a.Result = r
-		m.applied[m.Epoch()+"/"+f.send.ID] = r.Outcome == change.Applied
+		m.applied[m.Epoch()+"/"+f.request.ID] = r.Outcome == change.Applied
 	}
 	a.Fenced = errors.Is(a.Err, change.ErrFenced)
-	f.answer, f.a = true, a
-	w.flying = append(w.flying, f)
+	f.isAnswer, f.payload = true, a
+	w.inFlight = append(w.inFlight, f)
 	return nil
 }
 
 // check is what must hold in every state.
-func (w *world) check() error {
+func (w *system) checkInvariants() error {
 	for g := range w.managers {
 		mgr := &w.managers[g]
 		for i, x := range mgr.members {
-			m := &w.machines[i]
-			for _, of := range []struct {
+			m := &w.instances[i]
+			for _, tracked := range []struct {
 				id string
 				t  *change.Target
-			}{{mgr.id(x), &x.Target}, {mgr.backID(x), &x.Back}} {
-				applied := m.applied[of.t.Epoch+"/"+of.id]
-				if of.t.State == change.Done && !applied {
-					return fmt.Errorf("manager %d says that instance %d has applied %s in %s, and it has not", g, i, of.id, of.t.Epoch)
+			}{{mgr.changeID(x), &x.Target}, {mgr.revertID(x), &x.Back}} {
+				applied := m.applied[tracked.t.Epoch+"/"+tracked.id]
+				if tracked.t.State == change.Done && !applied {
+					return fmt.Errorf("manager %d says that instance %d has applied %s in %s, and it has not", g, i, tracked.id, tracked.t.Epoch)
 				}
-				if of.t.State == change.NotDone && applied {
-					return fmt.Errorf("manager %d says that instance %d is unchanged by %s in %s, and it has applied it", g, i, of.id, of.t.Epoch)
+				if tracked.t.State == change.NotDone && applied {
+					return fmt.Errorf("manager %d says that instance %d is unchanged by %s in %s, and it has applied it", g, i, tracked.id, tracked.t.Epoch)
 				}
 			}
 			if x.Back.State == change.Done && x.Back.Epoch == m.Epoch() && m.Current().Hash == mgr.Document {
@@ -303,50 +305,50 @@
 
 // explore goes through all that can happen, the shortest stories first, or so many states of it. Its error tells the
 // shortest that breaks a property.
-func explore(first *world, most int) (states, left int, ends map[string]int, err error) {
+func explore(initial *system, maxStates int) (states, unexplored int, statusCounts map[string]int, err error) {
 	type node struct {
-		from int
-		what string
+		previous    int
+		description string
 	}
-	type job struct {
-		w  *world
-		at int
+	type queuedState struct {
+		system *system
+		node   int
 	}
 	var nodes []node
-	queue := []job{{first, -1}}
-	seen := map[uint64]struct{}{first.key(): {}}
-	ends = map[string]int{}
-	for len(queue) > 0 && len(seen) < most {
-		j := queue[0]
+	queue := []queuedState{{initial, -1}}
+	seen := map[uint64]struct{}{initial.stateHash(): {}}
+	statusCounts = map[string]int{}
+	for len(queue) > 0 && len(seen) < maxStates {
+		queued := queue[0]
 		queue = queue[1:]
-		for _, s := range j.w.steps() {
-			next := j.w.clone()
-			err := s.do(next)
+		for _, s := range queued.system.transitions() {
+			next := queued.system.clone()
+			err := s.apply(next)
 			if err == nil {
-				err = next.check()
+				err = next.checkInvariants()
 			}
 			if err != nil {
-				story := []string{s.what}
-				for at := j.at; at >= 0; at = nodes[at].from {
-					story = append(story, nodes[at].what)
+				trace := []string{s.description}
+				for at := queued.node; at >= 0; at = nodes[at].previous {
+					trace = append(trace, nodes[at].description)
 				}
-				slices.Reverse(story)
-				return len(seen), len(queue), ends, fmt.Errorf("%w\n\t%s", err, strings.Join(story, "\n\t"))
+				slices.Reverse(trace)
+				return len(seen), len(queue), statusCounts, fmt.Errorf("%w\n\t%s", err, strings.Join(trace, "\n\t"))
 			}
-			key := next.key()
+			key := next.stateHash()
 			if _, known := seen[key]; known {
 				continue
 			}
 			seen[key] = struct{}{}
-			nodes = append(nodes, node{j.at, s.what})
-			queue = append(queue, job{next, len(nodes) - 1})
-			ends[next.managers[0].Status.String()+", "+next.managers[1].Status.String()]++
+			nodes = append(nodes, node{queued.node, s.description})
+			queue = append(queue, queuedState{next, len(nodes) - 1})
+			statusCounts[next.managers[0].Status.String()+", "+next.managers[1].Status.String()]++
 		}
 	}
-	return len(seen), len(queue), ends, nil
+	return len(seen), len(queue), statusCounts, nil
 }
 
-var looksFlag = flag.Int("looks", 1, "so often each of two managers looks at an instance; with 2 there are 2.9 million states")
+var observationsFlag = flag.Int("looks", 1, "so often each of two managers looks at an instance; with 2 there are 2.9 million states")
 
 // Whatever happens, and whoever dies, no manager says of an instance what is not so, and none brings a document
 // further than its first wave before that has it.
@@ -354,17 +356,17 @@
 	if testing.Short() {
 		t.Skip("some hundred thousand states")
 	}
-	for what, w := range map[string]*world{"two managers": newWorld(false, *looksFlag), "one manager": newWorld(true, 4)} {
-		t.Run(what, func(t *testing.T) {
+	for name, w := range map[string]*system{"two managers": newSystem(false, *observationsFlag), "one manager": newSystem(true, 4)} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, left, ends, err := explore(w, 10_000_000)
+			states, unexplored, statusCounts, err := explore(w, 10_000_000)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if left > 0 {
-				t.Errorf("%d states are not followed", left)
+			if unexplored > 0 {
+				t.Errorf("%d states are not followed", unexplored)
 			}
-			t.Logf("%d states; by status of the managers %v", states, ends)
+			t.Logf("%d states; by status of the managers %v", states, statusCounts)
 		})
 	}
 }
@@ -372,8 +374,8 @@
 // The explorer finds what is planted.
 func TestExplorerFindsBugs(t *testing.T) {
 	for _, bug := range []string{"takes silence for a no", "does not wait for the wave before"} {
-		w := newWorld(false, 1)
-		w.planted = bug
+		w := newSystem(false, 1)
+		w.injectedBug = bug
 		if _, _, _, err := explore(w, 10_000_000); err == nil {
 			t.Errorf("%s: not found", bug)
 		} else {
--- a/internal/rollout/keep.go
+++ b/internal/rollout/keep.go
@@ -8,91 +8,91 @@
 )
 
 const (
-	firstAgain = time.Second // after an instance that could not be brought to what is wanted
-	lastAgain  = 5 * time.Minute
+	minRetryDelay = time.Second // after an instance that could not be brought to what is wanted
+	maxRetryDelay = 5 * time.Minute
 )
 
 // Keeper brings one instance to the document that is wanted of it, whenever it shows another: after its process has
 // begun anew, with nothing applied, or after somebody has set another by hand.
 type Reconciler struct {
-	Name   string
+	Name    string
 	Desired string // hash; "" for none
 
-	target change.Target
-	doc    string // that it is being brought to
-	epoch  string
-	base   uint64
-	try    int
-	active bool
-	asked  bool
-	due    time.Duration
-	wait   time.Duration
+	target      change.Target
+	document    string // that it is being brought to
+	epoch       string
+	base        uint64
+	attempt     int
+	inProgress  bool
+	requestOpen bool
+	retryAt     time.Duration
+	retryDelay  time.Duration
 }
 
 // Look takes in what the instance shows, and returns what is to be sent. Nothing is while others change the instance.
 func (k *Reconciler) Observe(now time.Duration, l Observation, busy bool) (OutgoingRequest, bool) {
 	switch {
-	case k.asked:
+	case k.requestOpen:
 		return OutgoingRequest{}, false
 	case l.Hash == k.Desired && !l.Mixed || k.Desired == "" || busy:
-		k.active, k.wait, k.due = false, 0, 0
+		k.inProgress, k.retryDelay, k.retryAt = false, 0, 0
 		return OutgoingRequest{}, false
 	case l.Epoch != k.epoch: // there was nothing wrong with this one
-		k.wait, k.due = 0, 0
+		k.retryDelay, k.retryAt = 0, 0
 	}
-	if now < k.due {
+	if now < k.retryAt {
 		return OutgoingRequest{}, false
 	}
-	k.target, k.active, k.doc, k.epoch, k.base = change.Target{}, true, k.Desired, l.Epoch, l.Revision
-	k.try++
-	return k.next()
+	k.target, k.inProgress, k.document, k.epoch, k.base = change.Target{}, true, k.Desired, l.Epoch, l.Revision
+	k.attempt++
+	return k.nextRequest()
 }
 
-func (k *Reconciler) next() (OutgoingRequest, bool) {
+func (k *Reconciler) nextRequest() (OutgoingRequest, bool) {
 	q := k.target.NextRequest(true)
 	if q == change.NoRequest {
 		return OutgoingRequest{}, false
 	}
-	k.asked = true
-	return OutgoingRequest{Instance: k.Name, Request: q, ID: fmt.Sprintf("keep/%s/%s/%d", k.doc, k.epoch, k.try), Document: k.doc, Base: k.base, FromReconciler: true}, true
+	k.requestOpen = true
+	return OutgoingRequest{Instance: k.Name, Request: q, ID: fmt.Sprintf("keep/%s/%s/%d", k.document, k.epoch, k.attempt), Document: k.document, Base: k.base, FromReconciler: true}, true
 }
 
 // Answered takes in the instance's answer, and returns what is to be sent next. Danger: the wanted document may be
 // another by now, and a commit would bring the old one.
 func (k *Reconciler) RecordAnswer(now time.Duration, busy bool, a change.Answer) (OutgoingRequest, bool) {
-	k.asked = false
-	if !k.active {
+	k.requestOpen = false
+	if !k.inProgress {
 		return OutgoingRequest{}, false
 	}
 	k.target.RecordAnswer(a)
 	switch {
 	case k.target.State == change.Done:
-		k.active, k.wait = false, 0
+		k.inProgress, k.retryDelay = false, 0
 	case k.target.State.Final():
-		k.later(now)
-	case k.Desired != k.doc || busy:
-		k.active = false // what is prepared expires
+		k.scheduleRetry(now)
+	case k.Desired != k.document || busy:
+		k.inProgress = false // what is prepared expires
 	default:
-		return k.next()
+		return k.nextRequest()
 	}
 	return OutgoingRequest{}, false
 }
 
 // Silent takes in that the instance did not answer. What became of a commit its next look shows.
 func (k *Reconciler) RecordNoAnswer(now time.Duration) {
-	k.asked = false
-	k.later(now)
+	k.requestOpen = false
+	k.scheduleRetry(now)
 }
 
-func (k *Reconciler) later(now time.Duration) {
-	k.active = false
-	k.wait = min(max(firstAgain, 2*k.wait), lastAgain)
-	k.due = now + k.wait
+func (k *Reconciler) scheduleRetry(now time.Duration) {
+	k.inProgress = false
+	k.retryDelay = min(max(minRetryDelay, 2*k.retryDelay), maxRetryDelay)
+	k.retryAt = now + k.retryDelay
 }
 
 // Refusal is why the instance is not as is wanted, "" if nothing is known against it.
 func (k *Reconciler) FailureReason() string {
-	if k.wait == 0 {
+	if k.retryDelay == 0 {
 		return ""
 	}
 	return k.target.Reason
@@ -110,8 +110,8 @@
 }
 
 const (
-	windowSamples = 7
-	windowStep    = 5 * time.Second // between samples: half a minute is remembered
+	maxSamples     = 7
+	sampleInterval = 5 * time.Second // between samples: half a minute is remembered
 )
 
 // Add takes in an instance's counts, and returns what it has served since the oldest that are remembered.
@@ -119,8 +119,8 @@
 	if epoch != w.epoch {
 		w.epoch, w.samples = epoch, nil
 	}
-	if n := len(w.samples); n == 0 || now-w.samples[n-1].at >= windowStep {
-		if n == windowSamples {
+	if n := len(w.samples); n == 0 || now-w.samples[n-1].at >= sampleInterval {
+		if n == maxSamples {
 			copy(w.samples, w.samples[1:])
 			w.samples = w.samples[:n-1]
 		}
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -14,36 +14,36 @@
 	if r.Status != Running && r.Status != RollingBack {
 		return ErrNotRunning
 	}
-	r.Status, r.Reason, r.Ended, r.header = Halted, "aborted by an operator", now, true
+	r.Status, r.Reason, r.Ended, r.headerUnsaved = Halted, "aborted by an operator", now, true
 	return nil
 }
 
 // Resume goes on with a halted rollout, or one that was superseded, if this manager has a newer number now; one that was being
 // taken back goes on with that. Those of the present wave that did not apply the change are tried again, or left out.
-func (r *Rollout) Resume(now time.Duration, leave bool) error {
+func (r *Rollout) Resume(now time.Duration, exclude bool) error {
 	if r.Status != Halted && r.Status != Superseded {
 		return ErrNotHalted
 	}
 	if slices.ContainsFunc(r.members, func(m *Member) bool { return m.Backing }) {
 		// What was halted is the taking back. To bring out what some have given back would tell them as having it.
 		r.Reason = ""
-		r.rollback()
+		r.beginRollback()
 		return nil
 	}
 	for _, m := range r.members {
 		t := &m.Target
-		died := t.State == change.Done && m.seen.Epoch != "" && m.seen.Epoch != t.Epoch
-		silent := t.State == change.Done && (m.seenAt < r.Baking || m.seen.Epoch == "")
+		processEnded := t.State == change.Done && m.observed.Epoch != "" && m.observed.Epoch != t.Epoch
+		unobserved := t.State == change.Done && (m.observedAt < r.Baking || m.observed.Epoch == "")
 		switch {
-		case m.asked || m.Wave > r.Wave || t.State == change.Planned || t.State == change.Done && !died && !silent:
-		case leave:
+		case m.requestOpen || m.Wave > r.Wave || t.State == change.Planned || t.State == change.Done && !processEnded && !unobserved:
+		case exclude:
 			m.Left = true
-			r.note(m)
-		case t.State == change.NotDone || t.State == change.Superseded || died:
-			r.tryAgain(m)
+			r.markUnsaved(m)
+		case t.State == change.NotDone || t.State == change.Superseded || processEnded:
+			r.retry(m)
 		}
 	}
-	r.Status, r.Reason, r.Ended, r.Since, r.Baking, r.header = Running, "", 0, now, 0, true
+	r.Status, r.Reason, r.Ended, r.Since, r.Baking, r.headerUnsaved = Running, "", 0, now, 0, true
 	return nil
 }
 
@@ -54,12 +54,12 @@
 	}
 	for _, m := range r.members {
 		// A taking back that failed is tried again under another id.
-		if m.Backing && !m.asked && m.Back.State.Final() && m.Back.State != change.Done && m.Back.State != change.Unknown {
+		if m.Backing && !m.requestOpen && m.Back.State.Final() && m.Back.State != change.Done && m.Back.State != change.Unknown {
 			m.Back, m.BackTry = change.Target{}, m.BackTry+1
-			r.note(m)
+			r.markUnsaved(m)
 		}
 	}
 	r.Reason = "rolled back by an operator"
-	r.rollback()
+	r.beginRollback()
 	return nil
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -51,12 +51,12 @@
 
 // stragglers is how long a wave's commits wait for instances that have not prepared yet. One that is slower is
 // committed when it has.
-const stragglers = 2 * time.Second
+const stragglerTimeout = 2 * time.Second
 
 // unseen is how much longer than its watch a wave waits for instances that have applied the change and then not shown
 // themselves, and how long a manager that goes on from a journal waits for those that its predecessor had asked to apply
 // it. After that they are lost.
-const unseen = 10 * time.Second
+const unobservedTimeout = 10 * time.Second
 
 // Header is what a rollout's record in the journal says of it as a whole.
 type Header struct {
@@ -92,12 +92,12 @@
 	Before change.RequestCounts `json:"before"`
 	Mark   change.RequestCounts `json:"mark"`
 
-	asked bool // a request is out
+	requestOpen bool // a request is out
 	// restored says that a commit was under way when the manager before this one ended, and that the instance has not
 	// said yet what became of it.
-	restored bool
-	seen     Observation
-	seenAt   time.Duration
+	commitUnresolved bool
+	observed         Observation
+	observedAt       time.Duration
 }
 
 // Look is what an instance shows of itself.
@@ -105,83 +105,83 @@
 	Epoch    string
 	Revision uint64
 	Hash     string
-	Mixed    bool           // not all of it is of that document
+	Mixed    bool                 // not all of it is of that document
 	Served   change.RequestCounts // since the process began
 	Recent   change.RequestCounts // in the time before now, as far as a comparison goes back
 }
 
 // Send is what the caller is to ask of an instance. What comes of it, it tells with Answered or Silent.
 type OutgoingRequest struct {
-	Instance string
-	Request  change.Request
-	ID       string // of the change
-	Document string // hash, of AskPrepare
-	Base     uint64 // of AskPrepare
-	FromReconciler    bool   // it is a Keeper's
+	Instance       string
+	Request        change.Request
+	ID             string // of the change
+	Document       string // hash, of AskPrepare
+	Base           uint64 // of AskPrepare
+	FromReconciler bool   // it is a Keeper's
 }
 
 // Rollout is one rollout.
 type Rollout struct {
 	Header
-	members []*Member // in the order of their waves
-	byName  map[string]*Member
-	changed map[*Member]struct{}
-	header  bool // has changed
+	members        []*Member // in the order of their waves
+	byName         map[string]*Member
+	unsavedMembers map[*Member]struct{}
+	headerUnsaved  bool // has changed
 
-	goneOn time.Duration // when a rollout that was restored first went on; 0 before
+	firstAdvance time.Duration // when a rollout that was restored first went on; 0 before
 }
 
 // Planned is an instance that a rollout is for.
 type PlannedInstance struct {
-	Name string
+	Name        string
 	Observation Observation
 }
 
 // The reasons for which an operator's word can't be done.
 var (
-	ErrNotRunning = errors.New("it is not running")
-	ErrNotHalted  = errors.New("it is not halted")
-	ErrAlreadyRolledBack       = errors.New("it is over")
+	ErrNotRunning        = errors.New("it is not running")
+	ErrNotHalted         = errors.New("it is not halted")
+	ErrAlreadyRolledBack = errors.New("it is over")
 )
 
 // New plans a rollout. The instances are taken in the order given.
 func New(now time.Duration, id, document string, limits change.Limits, instances []PlannedInstance) *Rollout {
 	sizes := limits.WaveSizes(len(instances))
-	r := &Rollout{Header: Header{ID: id, Document: document, Limits: limits, Waves: len(sizes), Begun: now, Since: now}, byName: map[string]*Member{}, changed: map[*Member]struct{}{}, header: true}
+	r := &Rollout{Header: Header{ID: id, Document: document, Limits: limits, Waves: len(sizes), Begun: now, Since: now}, byName: map[string]*Member{}, unsavedMembers: map[*Member]struct{}{}, headerUnsaved: true}
 	wave := 0
 	for i, p := range instances {
 		for left := sizes[wave]; left == 0; left = sizes[wave] {
 			wave++
 		}
 		sizes[wave]--
-		m := &Member{Name: p.Name, Wave: wave, Was: p.Observation.Hash, Epoch: p.Observation.Epoch, Base: p.Observation.Revision, seen: p.Observation}
+		m := &Member{Name: p.Name, Wave: wave, Was: p.Observation.Hash, Epoch: p.Observation.Epoch, Base: p.Observation.Revision, observed: p.Observation}
 		r.members = append(r.members, m)
 		r.byName[m.Name] = m
-		r.changed[r.members[i]] = struct{}{}
+		r.unsavedMembers[r.members[i]] = struct{}{}
 	}
 	return r
 }
 
 // LeaveOut notes an instance that the rollout is for and goes on without, as it could not be asked when it began.
-func (r *Rollout) Exclude(name, why string) {
-	m := &Member{Name: name, Wave: max(0, r.Waves-1), Left: true, Target: change.Target{State: change.NotDone, Reason: why}}
+func (r *Rollout) Exclude(name, reason string) {
+	m := &Member{Name: name, Wave: max(0, r.Waves-1), Left: true, Target: change.Target{State: change.NotDone, Reason: reason}}
 	r.members = append(r.members, m)
 	r.byName[name] = m
-	r.changed[m] = struct{}{}
+	r.unsavedMembers[m] = struct{}{}
 }
 
 // Restore returns a rollout as a journal has it, after its manager has ended at any point: what it had sent may have
 // been answered, or may yet arrive.
 func Restore(h Header, members []Member) *Rollout {
-	r := &Rollout{Header: h, byName: map[string]*Member{}, changed: map[*Member]struct{}{}}
+	r := &Rollout{Header: h, byName: map[string]*Member{}, unsavedMembers: map[*Member]struct{}{}}
 	for i := range members {
 		m := &members[i]
-		before, back := m.Target.State, m.Back.State
+		previousState, previousBackState := m.Target.State, m.Back.State
 		m.Target.Resume()
 		m.Back.Resume()
-		m.restored = m.Target.State == change.Unknown
-		if m.Target.State != before || m.Back.State != back {
-			r.changed[m] = struct{}{}
+		m.commitUnresolved = m.Target.State == change.Unknown
+		if m.Target.State != previousState || m.Back.State != previousBackState {
+			r.unsavedMembers[m] = struct{}{}
 		}
 		r.members = append(r.members, m)
 		r.byName[m.Name] = m
@@ -192,11 +192,11 @@
 
 // Changed returns what must be in the journal before anything is sent: the header, nil if it is as it was, and members.
 func (r *Rollout) Unsaved() (h *Header, members []*Member) {
-	if r.header {
+	if r.headerUnsaved {
 		h = &r.Header
 	}
 	for _, m := range r.members {
-		if _, ok := r.changed[m]; ok {
+		if _, ok := r.unsavedMembers[m]; ok {
 			members = append(members, m)
 		}
 	}
@@ -205,8 +205,8 @@
 
 // Written takes in that what Changed returned is in the journal.
 func (r *Rollout) MarkSaved() {
-	r.header = false
-	clear(r.changed)
+	r.headerUnsaved = false
+	clear(r.unsavedMembers)
 }
 
 // Members are all instances, in the order of their waves.
@@ -218,145 +218,145 @@
 // Busy says whether the rollout still has to do with an instance, so that nothing else may change it.
 func (r *Rollout) Busy(name string) bool {
 	m := r.byName[name]
-	return m != nil && (!r.Status.Finished() || m.asked)
+	return m != nil && (!r.Status.Finished() || m.requestOpen)
 }
 
 // Waiting says whether requests are out.
 func (r *Rollout) HasOpenRequests() bool {
-	return slices.ContainsFunc(r.members, func(m *Member) bool { return m.asked })
+	return slices.ContainsFunc(r.members, func(m *Member) bool { return m.requestOpen })
 }
 
-func (r *Rollout) note(m *Member) { r.changed[m] = struct{}{} }
+func (r *Rollout) markUnsaved(m *Member) { r.unsavedMembers[m] = struct{}{} }
 
 // id is the change's on an instance. One that is begun anew is another: what was aborted stays so.
-func (r *Rollout) id(m *Member) string { return fmt.Sprintf("%s/%d", r.ID, m.Try) }
+func (r *Rollout) changeID(m *Member) string { return fmt.Sprintf("%s/%d", r.ID, m.Try) }
 
 // tryAgain has a change that an instance has not applied begin anew, from the instance as it was last seen.
-func (r *Rollout) tryAgain(m *Member) {
+func (r *Rollout) retry(m *Member) {
 	if !m.Target.Loose {
 		m.Try++ // what may still be prepared there is the same again
 	}
 	m.Target, m.Left = change.Target{}, false
-	if m.seen.Epoch != "" {
-		m.Epoch, m.Base = m.seen.Epoch, m.seen.Revision
+	if m.observed.Epoch != "" {
+		m.Epoch, m.Base = m.observed.Epoch, m.observed.Revision
 	}
-	r.note(m)
+	r.markUnsaved(m)
 }
 
-func (r *Rollout) backID(m *Member) string { return fmt.Sprintf("%s/back/%d", r.ID, m.BackTry) }
+func (r *Rollout) revertID(m *Member) string { return fmt.Sprintf("%s/back/%d", r.ID, m.BackTry) }
 
 // send has a request go out, if there is one.
-func (r *Rollout) send(out []OutgoingRequest, m *Member, q change.Request, back bool) []OutgoingRequest {
-	if q == change.NoRequest {
-		return out
+func (r *Rollout) appendRequest(requests []OutgoingRequest, m *Member, request change.Request, revert bool) []OutgoingRequest {
+	if request == change.NoRequest {
+		return requests
 	}
-	m.asked = true
-	r.note(m)
-	s := OutgoingRequest{Instance: m.Name, Request: q, ID: r.id(m), Document: r.Document, Base: m.Base}
-	if back {
-		s.ID, s.Document = r.backID(m), m.Was
+	m.requestOpen = true
+	r.markUnsaved(m)
+	s := OutgoingRequest{Instance: m.Name, Request: request, ID: r.changeID(m), Document: r.Document, Base: m.Base}
+	if revert {
+		s.ID, s.Document = r.revertID(m), m.Was
 	}
-	return append(out, s)
+	return append(requests, s)
 }
 
 // Next goes on as far as it can, and returns what is to be sent, after Changed is written.
-func (r *Rollout) Advance(now time.Duration) (out []OutgoingRequest) {
-	if r.goneOn == 0 {
-		r.goneOn = now
+func (r *Rollout) Advance(now time.Duration) (requests []OutgoingRequest) {
+	if r.firstAdvance == 0 {
+		r.firstAdvance = now
 	}
 	switch r.Status {
 	case Running:
-		out = r.run(now)
+		requests = r.advanceWave(now)
 		if r.Status == RollingBack { // just now
-			out = append(out, r.back(now)...)
+			requests = append(requests, r.advanceRollback(now)...)
 		}
 	case RollingBack:
-		out = r.back(now)
+		requests = r.advanceRollback(now)
 	case Halted:
 		// What is prepared and shall not be committed ends.
 		for _, m := range r.members {
-			if !m.asked && m.Target.State == change.Prepared {
-				out = r.send(out, m, m.Target.Resolve(), false)
+			if !m.requestOpen && m.Target.State == change.Prepared {
+				requests = r.appendRequest(requests, m, m.Target.Resolve(), false)
 			}
 		}
 	}
-	return out
+	return requests
 }
 
 // present are the members of the present wave that are not left out.
-func (r *Rollout) present() (all []*Member) {
+func (r *Rollout) currentWave() (members []*Member) {
 	for _, m := range r.members {
 		if m.Wave == r.Wave && !m.Left {
-			all = append(all, m)
+			members = append(members, m)
 		}
 	}
-	return all
+	return members
 }
 
 // run goes on with the present wave.
-func (r *Rollout) run(now time.Duration) (out []OutgoingRequest) {
-	wave := r.present()
-	ended, open := r.count(now, wave)
-	waits := false
+func (r *Rollout) advanceWave(now time.Duration) (requests []OutgoingRequest) {
+	wave := r.currentWave()
+	ended, open := r.countOutcomes(now, wave)
+	preparing := false
 	for _, m := range wave {
-		waits = waits || m.Target.State == change.Planned || m.Target.State == change.Preparing
+		preparing = preparing || m.Target.State == change.Planned || m.Target.State == change.Preparing
 	}
 	// Before anything is committed: a document that instances refuse is not brought to the others.
-	if v, why := r.Limits.Evaluate(ended, change.RequestCounts{}, change.RequestCounts{}, 0); v == change.RollBack || v == change.Halt && open == 0 {
-		r.stop(now, v, why)
+	if v, reason := r.Limits.Evaluate(ended, change.RequestCounts{}, change.RequestCounts{}, 0); v == change.RollBack || v == change.Halt && open == 0 {
+		r.haltOrRollBack(now, v, reason)
 		return nil
 	}
-	commit := !waits || now-r.Since >= stragglers
+	commit := !preparing || now-r.Since >= stragglerTimeout
 	for _, m := range wave {
-		if m.asked {
+		if m.requestOpen {
 			continue
 		}
 		q := m.Target.NextRequest(commit)
 		if q == change.RequestCommit {
-			m.Before, m.Mark = m.seen.Recent, m.seen.Served
+			m.Before, m.Mark = m.observed.Recent, m.observed.Served
 		}
-		out = r.send(out, m, q, false)
+		requests = r.appendRequest(requests, m, q, false)
 	}
-	if open > 0 || len(out) > 0 {
-		return out
+	if open > 0 || len(requests) > 0 {
+		return requests
 	}
 	if r.Baking == 0 {
-		r.Baking, r.header = now, true
+		r.Baking, r.headerUnsaved = now, true
 	}
-	if lost := r.unwatched(wave); lost > 0 {
-		if now-r.Baking < r.Limits.Bake+unseen {
+	if lost := r.countUnobserved(wave); lost > 0 {
+		if now-r.Baking < r.Limits.Bake+unobservedTimeout {
 			return nil
 		}
 		ended.Lost += lost
 	}
-	before, since := r.served(wave)
-	switch v, why := r.Limits.Evaluate(ended, before, since, now-r.Baking); v {
+	before, since := r.requestCounts(wave)
+	switch v, reason := r.Limits.Evaluate(ended, before, since, now-r.Baking); v {
 	case change.RollBack, change.Halt:
-		r.stop(now, v, why)
+		r.haltOrRollBack(now, v, reason)
 	case change.NextWave:
-		r.header = true
+		r.headerUnsaved = true
 		if r.Wave+1 < r.Waves {
 			r.Wave, r.Since, r.Baking = r.Wave+1, now, 0
-			return r.run(now)
+			return r.advanceWave(now)
 		}
 		r.Status, r.Ended = Completed, now
 	}
-	return out
+	return requests
 }
 
 // count says how the instances of a wave ended, and how many have not. One whose commit was under way when the manager
 // before this one ended is asked first: that a manager has ended is no failure of the instance.
-func (r *Rollout) count(now time.Duration, wave []*Member) (c change.WaveOutcome, open int) {
+func (r *Rollout) countOutcomes(now time.Duration, wave []*Member) (c change.WaveOutcome, open int) {
 	c.Total = len(wave)
 	for _, m := range wave {
 		t := &m.Target
 		switch {
-		case t.State == change.Done && m.seen.Epoch != "" && m.seen.Epoch != t.Epoch && r.Baking > 0:
+		case t.State == change.Done && m.observed.Epoch != "" && m.observed.Epoch != t.Epoch && r.Baking > 0:
 			c.Refused++ // the process that applied it has ended, while it was watched
 		case t.State == change.Done:
 		case t.State == change.PartlyDone || t.State == change.NotDone && t.Refused:
 			c.Refused++
-		case t.State == change.Unknown && m.restored && now-r.goneOn < unseen:
+		case t.State == change.Unknown && m.commitUnresolved && now-r.firstAdvance < unobservedTimeout:
 			open++
 		case t.State.Final():
 			c.Lost++
@@ -368,9 +368,9 @@
 }
 
 // unwatched counts those that have applied the change and have not been seen since all had.
-func (r *Rollout) unwatched(wave []*Member) (n int) {
+func (r *Rollout) countUnobserved(wave []*Member) (n int) {
 	for _, m := range wave {
-		if m.Target.State == change.Done && (m.seenAt < r.Baking || m.seen.Epoch == "") {
+		if m.Target.State == change.Done && (m.observedAt < r.Baking || m.observed.Epoch == "") {
 			n++
 		}
 	}
@@ -378,71 +378,71 @@
 }
 
 // served sums up what a wave's instances served before the change and since.
-func (r *Rollout) served(wave []*Member) (before, since change.RequestCounts) {
+func (r *Rollout) requestCounts(wave []*Member) (before, since change.RequestCounts) {
 	for _, m := range wave {
-		if m.Target.State != change.Done || m.seen.Epoch != m.Target.Epoch {
+		if m.Target.State != change.Done || m.observed.Epoch != m.Target.Epoch {
 			continue
 		}
 		before.Add(m.Before)
-		since.Add(m.seen.Served.Sub(m.Mark))
+		since.Add(m.observed.Served.Sub(m.Mark))
 	}
 	return before, since
 }
 
 // stop ends the bringing out.
-func (r *Rollout) stop(now time.Duration, v change.Verdict, why string) {
-	r.header, r.Reason = true, fmt.Sprintf("wave %d: %s", r.Wave+1, why)
+func (r *Rollout) haltOrRollBack(now time.Duration, v change.Verdict, reason string) {
+	r.headerUnsaved, r.Reason = true, fmt.Sprintf("wave %d: %s", r.Wave+1, reason)
 	if v == change.Halt {
 		r.Status, r.Ended = Halted, now
 		return
 	}
-	r.rollback()
+	r.beginRollback()
 }
 
 // rollback begins to take back. Whoever was never sent a commit has nothing to be taken back.
-func (r *Rollout) rollback() {
-	r.Status, r.Ended, r.header = RollingBack, 0, true
+func (r *Rollout) beginRollback() {
+	r.Status, r.Ended, r.headerUnsaved = RollingBack, 0, true
 }
 
 // back goes on with taking back.
-func (r *Rollout) back(now time.Duration) (out []OutgoingRequest) {
+func (r *Rollout) advanceRollback(now time.Duration) (requests []OutgoingRequest) {
 	open := 0
 	for _, m := range r.members {
-		if m.asked {
+		if m.requestOpen {
 			open++
 			continue
 		}
 		t := &m.Target
 		switch {
 		case t.State == change.Prepared:
-			out = r.send(out, m, t.Resolve(), false)
+			requests = r.appendRequest(requests, m, t.Resolve(), false)
 		case !m.Backing && (t.State == change.Done || t.State == change.PartlyDone):
 			if m.Ended {
 				continue
 			}
 			base := t.Revision
-			if m.seen.Epoch != "" && m.seen.Epoch != t.Epoch { // the process that had it is gone, and with it the change
-				if m.seen.Hash != r.Document && !m.seen.Mixed { // nor was it brought there again
+			if m.observed.Epoch != "" && m.observed.Epoch != t.Epoch { // the process that had it is gone, and with it the change
+				if m.observed.Hash != r.Document && !m.observed.Mixed { // nor was it brought there again
 					m.Ended = true
-					r.note(m)
+					r.markUnsaved(m)
 					continue
 				}
-				base = m.seen.Revision
+				base = m.observed.Revision
 			}
 			m.Backing, m.Base = true, base
 			fallthrough
 		case m.Backing:
-			out = r.send(out, m, m.Back.NextRequest(true), true)
+			requests = r.appendRequest(requests, m, m.Back.NextRequest(true), true)
 		}
 	}
-	if open == 0 && len(out) == 0 {
-		r.Status, r.Ended, r.header = RolledBack, now, true
+	if open == 0 && len(requests) == 0 {
+		r.Status, r.Ended, r.headerUnsaved = RolledBack, now, true
 	}
-	return out
+	return requests
 }
 
 // current is the change on an instance that requests are about now.
-func (m *Member) current() *change.Target {
+func (m *Member) activeTarget() *change.Target {
 	if m.Backing {
 		return &m.Back
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -15,27 +15,27 @@
 var limits = change.Limits{Canaries: 1, Growth: 2, Bake: 10 * time.Second, MoreRefused: 0.02, MoreFailed: 0.01, LessInAim: 0.05, Least: 100, Patience: time.Minute, MayFail: 0.2}
 
 // bench plays instances that answer at once, the way that their names say.
-type bench struct {
-	t   *testing.T
-	r   *Rollout
-	now time.Duration
-	how map[string]func(OutgoingRequest) (change.Answer, bool) // false: silent
-	log []string
+type harness struct {
+	t         *testing.T
+	r         *Rollout
+	now       time.Duration
+	responses map[string]func(OutgoingRequest) (change.Answer, bool) // false: silent
+	sent      []string
 }
 
-func names(n int) (all []PlannedInstance) {
+func plannedInstances(n int) (planned []PlannedInstance) {
 	for i := range n {
-		all = append(all, PlannedInstance{fmt.Sprintf("i%d", i), Observation{Epoch: "e0", Revision: 3, Hash: "old"}})
+		planned = append(planned, PlannedInstance{fmt.Sprintf("i%d", i), Observation{Epoch: "e0", Revision: 3, Hash: "old"}})
 	}
-	return all
+	return planned
 }
 
-func newBench(t *testing.T, n int) *bench {
-	return &bench{t: t, now: time.Hour, r: New(time.Hour, "r", "new", limits, names(n)), how: map[string]func(OutgoingRequest) (change.Answer, bool){}}
+func newHarness(t *testing.T, n int) *harness {
+	return &harness{t: t, now: time.Hour, r: New(time.Hour, "r", "new", limits, plannedInstances(n)), responses: map[string]func(OutgoingRequest) (change.Answer, bool){}}
 }
 
 // well is what an instance does that does as it is told.
-func well(s OutgoingRequest) (change.Answer, bool) {
+func accepts(s OutgoingRequest) (change.Answer, bool) {
 	a := change.Answer{Epoch: "e0"}
 	if s.Request == change.RequestCommit {
 		a.Result = change.Result{ID: s.ID, Outcome: change.Applied, Revision: 4}
@@ -53,26 +53,26 @@
 func silent(OutgoingRequest) (change.Answer, bool) { return change.Answer{}, false }
 
 // step goes on until nothing is to be sent.
-func (b *bench) step() {
+func (b *harness) advanceUntilIdle() {
 	for range 1000 {
-		out := b.r.Advance(b.now)
+		requests := b.r.Advance(b.now)
 		b.r.MarkSaved()
-		if len(out) == 0 {
+		if len(requests) == 0 {
 			return
 		}
-		b.carryOut(out)
+		b.deliver(requests)
 	}
 	b.t.Fatal("it never rests")
 }
 
-func (b *bench) carryOut(out []OutgoingRequest) {
-	for _, s := range out {
-		b.log = append(b.log, fmt.Sprintf("%s %s", []string{"", "prepare", "commit", "abort"}[s.Request], s.Instance))
-		how := b.how[s.Instance]
-		if how == nil {
-			how = well
+func (b *harness) deliver(requests []OutgoingRequest) {
+	for _, s := range requests {
+		b.sent = append(b.sent, fmt.Sprintf("%s %s", []string{"", "prepare", "commit", "abort"}[s.Request], s.Instance))
+		respond := b.responses[s.Instance]
+		if respond == nil {
+			respond = accepts
 		}
-		if a, ok := how(s); ok {
+		if a, ok := respond(s); ok {
 			b.r.RecordAnswer(b.now, s.Instance, a)
 		} else {
 			b.r.RecordNoAnswer(s.Instance, "timeout")
@@ -81,44 +81,44 @@
 }
 
 // serve has all instances show that they have served so many more.
-func (b *bench) serve(d time.Duration, s change.RequestCounts) {
+func (b *harness) serveRequests(d time.Duration, s change.RequestCounts) {
 	b.now += d
 	for _, m := range b.r.Members() {
-		l := m.seen
+		l := m.observed
 		l.Served.Add(s)
-		b.look(m.Name, l)
+		b.observe(m.Name, l)
 	}
-	b.step()
+	b.advanceUntilIdle()
 }
 
-func (b *bench) look(name string, l Observation) {
-	out := b.r.Observe(b.now, name, l)
+func (b *harness) observe(name string, l Observation) {
+	requests := b.r.Observe(b.now, name, l)
 	b.r.MarkSaved()
-	b.carryOut(out)
+	b.deliver(requests)
 }
 
-var fine = change.RequestCounts{Requests: 1000, InAim: 1000}
+var healthyCounts = change.RequestCounts{Requests: 1000, InAim: 1000}
 
-func (b *bench) want(status Status, wave int, s Summary) {
+func (b *harness) expect(status Status, wave int, s Summary) {
 	b.t.Helper()
 	if b.r.Status != status || b.r.Wave != wave || b.r.Summary() != s {
-		b.t.Fatalf("%s, wave %d, %+v, reason %q; want %s, wave %d, %+v\n%s", b.r.Status, b.r.Wave, b.r.Summary(), b.r.Reason, status, wave, s, strings.Join(b.log, "\n"))
+		b.t.Fatalf("%s, wave %d, %+v, reason %q; want %s, wave %d, %+v\n%s", b.r.Status, b.r.Wave, b.r.Summary(), b.r.Reason, status, wave, s, strings.Join(b.sent, "\n"))
 	}
 }
 
 // Waves of 1, 2 and 4 instances follow one another, each after the one before was watched.
 func TestWaves(t *testing.T) {
-	b := newBench(t, 7)
-	b.step()
-	b.want(Running, 0, Summary{Applied: 1, Waiting: 6})
-	b.serve(9*time.Second, fine)
-	b.want(Running, 0, Summary{Applied: 1, Waiting: 6})
-	b.serve(2*time.Second, fine)
-	b.want(Running, 1, Summary{Applied: 3, Waiting: 4})
-	b.serve(11*time.Second, fine)
-	b.want(Running, 2, Summary{Applied: 7})
-	b.serve(11*time.Second, fine)
-	b.want(Completed, 2, Summary{Applied: 7})
+	b := newHarness(t, 7)
+	b.advanceUntilIdle()
+	b.expect(Running, 0, Summary{Applied: 1, Waiting: 6})
+	b.serveRequests(9*time.Second, healthyCounts)
+	b.expect(Running, 0, Summary{Applied: 1, Waiting: 6})
+	b.serveRequests(2*time.Second, healthyCounts)
+	b.expect(Running, 1, Summary{Applied: 3, Waiting: 4})
+	b.serveRequests(11*time.Second, healthyCounts)
+	b.expect(Running, 2, Summary{Applied: 7})
+	b.serveRequests(11*time.Second, healthyCounts)
+	b.expect(Completed, 2, Summary{Applied: 7})
 	if b.r.Busy("i0") || !b.r.Status.Finished() {
 		t.Error("it still has to do with i0")
 	}
@@ -127,52 +127,52 @@
 // A document that instances refuse stops at the canary, where nothing was applied; one that makes service worse is taken
 // back from all that have it.
 func TestStops(t *testing.T) {
-	b := newBench(t, 7)
-	b.how["i0"] = refuses
-	b.step()
-	b.want(RolledBack, 0, Summary{Unchanged: 1, Waiting: 6})
-	if slices.ContainsFunc(b.log, func(s string) bool { return strings.HasPrefix(s, "commit") }) {
-		t.Errorf("did %v", b.log)
+	b := newHarness(t, 7)
+	b.responses["i0"] = refuses
+	b.advanceUntilIdle()
+	b.expect(RolledBack, 0, Summary{Unchanged: 1, Waiting: 6})
+	if slices.ContainsFunc(b.sent, func(s string) bool { return strings.HasPrefix(s, "commit") }) {
+		t.Errorf("did %v", b.sent)
 	}
 
-	b = newBench(t, 7)
-	b.serve(0, fine)
-	b.serve(11*time.Second, fine)
-	b.want(Running, 1, Summary{Applied: 3, Waiting: 4})
-	b.serve(time.Second, change.RequestCounts{Requests: 1000, InAim: 900, Failed: 100})
-	b.want(RolledBack, 1, Summary{Back: 3, Waiting: 4})
+	b = newHarness(t, 7)
+	b.serveRequests(0, healthyCounts)
+	b.serveRequests(11*time.Second, healthyCounts)
+	b.expect(Running, 1, Summary{Applied: 3, Waiting: 4})
+	b.serveRequests(time.Second, change.RequestCounts{Requests: 1000, InAim: 900, Failed: 100})
+	b.expect(RolledBack, 1, Summary{Back: 3, Waiting: 4})
 	if !strings.Contains(b.r.Reason, "failed") {
 		t.Errorf("because %q", b.r.Reason)
 	}
 
 	// One of four in the second wave can't use it: before anybody there has it, the first is taken back.
-	b = newBench(t, 7)
-	b.how["i2"] = refuses
-	b.step()
-	b.serve(11*time.Second, fine)
-	b.want(RolledBack, 1, Summary{Back: 1, Unchanged: 2, Waiting: 4})
+	b = newHarness(t, 7)
+	b.responses["i2"] = refuses
+	b.advanceUntilIdle()
+	b.serveRequests(11*time.Second, healthyCounts)
+	b.expect(RolledBack, 1, Summary{Back: 1, Unchanged: 2, Waiting: 4})
 }
 
 // A process that ends after the change, while it is watched, has died of it as far as anybody knows.
 func TestDiesOfIt(t *testing.T) {
-	b := newBench(t, 3)
-	b.step()
-	b.look("i0", Observation{Epoch: "e1"})
-	b.step()
-	b.want(RolledBack, 0, Summary{Ended: 1, Waiting: 2})
+	b := newHarness(t, 3)
+	b.advanceUntilIdle()
+	b.observe("i0", Observation{Epoch: "e1"})
+	b.advanceUntilIdle()
+	b.expect(RolledBack, 0, Summary{Ended: 1, Waiting: 2})
 }
 
 // A process that has begun anew since the plan can't use what it was based on, which says nothing against the document.
 func TestBegunAnewBeforeItsTurn(t *testing.T) {
-	b := newBench(t, 1)
-	b.how["i0"] = func(OutgoingRequest) (change.Answer, bool) {
+	b := newHarness(t, 1)
+	b.responses["i0"] = func(OutgoingRequest) (change.Answer, bool) {
 		return change.Answer{Epoch: "e1", Err: change.ErrStaleRevision}, true
 	}
-	b.step()
-	b.want(Halted, 0, Summary{Unchanged: 1})
-	b.look("i0", Observation{Epoch: "e1", Hash: "none"})
-	b.how["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
-		a, _ := well(s)
+	b.advanceUntilIdle()
+	b.expect(Halted, 0, Summary{Unchanged: 1})
+	b.observe("i0", Observation{Epoch: "e1", Hash: "none"})
+	b.responses["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
+		a, _ := accepts(s)
 		a.Epoch = "e1"
 		if s.Request == change.RequestPrepare && s.Base != 0 {
 			t.Errorf("based on %d", s.Base)
@@ -182,35 +182,35 @@
 	if err := b.r.Resume(b.now, false); err != nil {
 		t.Fatal(err)
 	}
-	b.step()
-	b.want(Running, 0, Summary{Applied: 1})
+	b.advanceUntilIdle()
+	b.expect(Running, 0, Summary{Applied: 1})
 }
 
 // Too many that can't be reached halt the rollout and leave what is applied. It is resumed with those tried again, or
 // without them.
 func TestHaltAndResume(t *testing.T) {
-	for _, leave := range []bool{false, true} {
-		b := newBench(t, 3)
-		b.how["i1"] = silent
-		b.step()
-		b.serve(11*time.Second, fine)
-		b.now += stragglers
-		b.step()
-		b.want(Halted, 1, Summary{Applied: 2, Unchanged: 1})
-		if !leave {
-			delete(b.how, "i1")
+	for _, exclude := range []bool{false, true} {
+		b := newHarness(t, 3)
+		b.responses["i1"] = silent
+		b.advanceUntilIdle()
+		b.serveRequests(11*time.Second, healthyCounts)
+		b.now += stragglerTimeout
+		b.advanceUntilIdle()
+		b.expect(Halted, 1, Summary{Applied: 2, Unchanged: 1})
+		if !exclude {
+			delete(b.responses, "i1")
 		}
-		if err := b.r.Resume(b.now, leave); err != nil {
+		if err := b.r.Resume(b.now, exclude); err != nil {
 			t.Fatal(err)
 		}
-		b.step()
-		b.serve(11*time.Second, fine)
-		if leave {
-			b.want(Completed, 1, Summary{Applied: 2, Unchanged: 1})
+		b.advanceUntilIdle()
+		b.serveRequests(11*time.Second, healthyCounts)
+		if exclude {
+			b.expect(Completed, 1, Summary{Applied: 2, Unchanged: 1})
 		} else {
-			b.want(Completed, 1, Summary{Applied: 3})
+			b.expect(Completed, 1, Summary{Applied: 3})
 		}
-		if err := b.r.Resume(b.now, leave); err != ErrNotHalted {
+		if err := b.r.Resume(b.now, exclude); err != ErrNotHalted {
 			t.Errorf("resumed again: %v", err)
 		}
 	}
@@ -218,29 +218,29 @@
 
 // A slow instance holds the others up for the time of stragglers and no longer.
 func TestStraggler(t *testing.T) {
-	b := newBench(t, 3)
-	b.step()
-	b.serve(0, fine)
+	b := newHarness(t, 3)
+	b.advanceUntilIdle()
+	b.serveRequests(0, healthyCounts)
 	b.now += 11 * time.Second
-	var kept []OutgoingRequest
+	var withheld []OutgoingRequest
 	for range 10 {
-		out := b.r.Advance(b.now)
-		for _, s := range out {
+		requests := b.r.Advance(b.now)
+		for _, s := range requests {
 			if s.Instance == "i1" {
-				kept = append(kept, s)
+				withheld = append(withheld, s)
 				continue
 			}
-			b.carryOut([]OutgoingRequest{s})
+			b.deliver([]OutgoingRequest{s})
 		}
-		if len(out) == 0 {
-			b.now += stragglers
+		if len(requests) == 0 {
+			b.now += stragglerTimeout
 		}
 	}
-	if len(kept) != 1 || b.r.Member("i2").Target.State != change.Done {
-		t.Fatalf("kept %v, i2 is %s", kept, b.r.Member("i2").Target.State)
+	if len(withheld) != 1 || b.r.Member("i2").Target.State != change.Done {
+		t.Fatalf("kept %v, i2 is %s", withheld, b.r.Member("i2").Target.State)
 	}
-	b.carryOut(kept)
-	b.step()
+	b.deliver(withheld)
+	b.advanceUntilIdle()
 	if s := b.r.Member("i1").Target.State; s != change.Done {
 		t.Errorf("the slow one is %s", s)
 	}
@@ -249,25 +249,25 @@
 // A commit that was not answered is unknown, until the instance is seen again and says what became of it.
 func TestUnknown(t *testing.T) {
 	for _, applied := range []bool{true, false} {
-		b := newBench(t, 3)
-		b.how["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
-			a, _ := well(s)
+		b := newHarness(t, 3)
+		b.responses["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
+			a, _ := accepts(s)
 			return a, s.Request != change.RequestCommit
 		}
-		b.step()
-		b.want(Halted, 0, Summary{Unknown: 1, Waiting: 2})
-		b.how["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
-			a, _ := well(s)
+		b.advanceUntilIdle()
+		b.expect(Halted, 0, Summary{Unknown: 1, Waiting: 2})
+		b.responses["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
+			a, _ := accepts(s)
 			if applied {
 				a.Result = change.Result{Outcome: change.Applied, Revision: 4}
 			}
 			return a, true
 		}
-		b.look("i0", Observation{Epoch: "e0"})
+		b.observe("i0", Observation{Epoch: "e0"})
 		if applied {
-			b.want(Halted, 0, Summary{Applied: 1, Waiting: 2})
+			b.expect(Halted, 0, Summary{Applied: 1, Waiting: 2})
 		} else {
-			b.want(Halted, 0, Summary{Unchanged: 1, Waiting: 2})
+			b.expect(Halted, 0, Summary{Unchanged: 1, Waiting: 2})
 		}
 	}
 }
@@ -275,24 +275,24 @@
 // Whatever a manager had sent, one that starts again from its journal claims nothing that it was not told, and goes on: that
 // a manager has died is no instance's failure.
 func TestRestoreAtEachStep(t *testing.T) {
-	for kill := 0; ; kill++ {
-		b := newBench(t, 3)
+	for restartPoint := 0; ; restartPoint++ {
+		b := newHarness(t, 3)
 		var journal struct {
-			h Header
-			m map[string]string
+			header  Header
+			members map[string]string
 		}
-		journal.m = map[string]string{}
+		journal.members = map[string]string{}
 		write := func() {
 			h, members := b.r.Unsaved()
 			if h != nil {
-				journal.h = *h
+				journal.header = *h
 			}
 			for _, m := range members {
 				text, err := json.Marshal(m)
 				if err != nil {
 					t.Fatal(err)
 				}
-				journal.m[m.Name] = string(text)
+				journal.members[m.Name] = string(text)
 			}
 			b.r.MarkSaved()
 		}
@@ -300,53 +300,53 @@
 			var members []Member
 			for _, name := range []string{"i0", "i1", "i2"} {
 				var m Member
-				if err := json.Unmarshal([]byte(journal.m[name]), &m); err != nil {
+				if err := json.Unmarshal([]byte(journal.members[name]), &m); err != nil {
 					t.Fatal(err)
 				}
 				members = append(members, m)
 			}
-			b.r = Restore(journal.h, members)
+			b.r = Restore(journal.header, members)
 		}
 		write()
-		applied, steps, killed := map[string]bool{}, 0, false
-		at := func() bool { // the manager dies here
-			steps++
-			if steps == kill+1 {
-				killed = true
+		applied, restartPoints, restarted := map[string]bool{}, 0, false
+		restartHere := func() bool { // the manager dies here
+			restartPoints++
+			if restartPoints == restartPoint+1 {
+				restarted = true
 				restore()
 				return true
 			}
 			return false
 		}
 		for range 200 {
-			out := b.r.Advance(b.now)
-			if at() {
+			requests := b.r.Advance(b.now)
+			if restartHere() {
 				continue
 			}
 			write()
-			if at() {
+			if restartHere() {
 				continue
 			}
-			for _, s := range out {
-				a, _ := well(s)
+			for _, s := range requests {
+				a, _ := accepts(s)
 				if applied[s.Instance] {
 					a.Result = change.Result{Outcome: change.Applied, Revision: 4}
 				} else if s.Request == change.RequestCommit {
 					applied[s.Instance] = true
 				}
-				if at() {
+				if restartHere() {
 					break
 				}
 				b.r.RecordAnswer(b.now, s.Instance, a)
 			}
 			b.now += time.Second
 			for _, m := range b.r.Members() {
-				l := m.seen
+				l := m.observed
 				l.Epoch = "e0"
-				l.Served.Add(fine)
+				l.Served.Add(healthyCounts)
 				for _, s := range b.r.Observe(b.now, m.Name, l) {
 					write()
-					a, _ := well(s)
+					a, _ := accepts(s)
 					if applied[s.Instance] {
 						a.Result = change.Result{Outcome: change.Applied, Revision: 4}
 					}
@@ -354,20 +354,20 @@
 				}
 			}
 			if b.r.Status == Halted {
-				t.Fatalf("killed at step %d: halted, %s, though no instance has failed", kill, b.r.Reason)
+				t.Fatalf("killed at step %d: halted, %s, though no instance has failed", restartPoint, b.r.Reason)
 			}
 		}
 		for _, m := range b.r.Members() {
 			if (m.Target.State == change.Done) != applied[m.Name] {
-				t.Errorf("killed at step %d: %s is told as %s, and that it is applied is %v", kill, m.Name, m.Target.State, applied[m.Name])
+				t.Errorf("killed at step %d: %s is told as %s, and that it is applied is %v", restartPoint, m.Name, m.Target.State, applied[m.Name])
 			}
 		}
 		if b.r.Status != Completed {
-			t.Errorf("killed at step %d: %s, %s", kill, b.r.Status, b.r.Reason)
+			t.Errorf("killed at step %d: %s, %s", restartPoint, b.r.Status, b.r.Reason)
 		}
-		if !killed {
-			if kill < 10 {
-				t.Errorf("only %d steps", kill)
+		if !restarted {
+			if restartPoint < 10 {
+				t.Errorf("only %d steps", restartPoint)
 			}
 			return
 		}
@@ -376,40 +376,40 @@
 
 // A newer manager ends all of it, and what was said stays said.
 func TestSuperseded(t *testing.T) {
-	b := newBench(t, 3)
-	b.step()
-	b.how["i1"] = func(OutgoingRequest) (change.Answer, bool) {
+	b := newHarness(t, 3)
+	b.advanceUntilIdle()
+	b.responses["i1"] = func(OutgoingRequest) (change.Answer, bool) {
 		return change.Answer{Epoch: "e0", Err: change.ErrFenced, Fenced: true}, true
 	}
-	b.serve(11*time.Second, fine)
-	b.serve(11*time.Second, fine)
+	b.serveRequests(11*time.Second, healthyCounts)
+	b.serveRequests(11*time.Second, healthyCounts)
 	if b.r.Status != Superseded || b.r.Member("i0").Target.State != change.Done || b.r.Member("i1").Target.State != change.Superseded {
 		t.Errorf("%s, %+v", b.r.Status, b.r.Summary())
 	}
-	sent := len(b.log)
-	b.serve(11*time.Second, fine)
-	if len(b.log) > sent {
-		t.Errorf("sent %v", b.log[sent:])
+	sentBefore := len(b.sent)
+	b.serveRequests(11*time.Second, healthyCounts)
+	if len(b.sent) > sentBefore {
+		t.Errorf("sent %v", b.sent[sentBefore:])
 	}
 }
 
 // An abort ends what is prepared and leaves what is applied.
 func TestAbort(t *testing.T) {
-	b := newBench(t, 3)
-	b.step()
+	b := newHarness(t, 3)
+	b.advanceUntilIdle()
 	if err := b.r.Abort(b.now); err != nil {
 		t.Fatal(err)
 	}
-	b.step()
-	b.want(Halted, 0, Summary{Applied: 1, Waiting: 2})
+	b.advanceUntilIdle()
+	b.expect(Halted, 0, Summary{Applied: 1, Waiting: 2})
 	if err := b.r.Abort(b.now); err != ErrNotRunning {
 		t.Errorf("aborted again: %v", err)
 	}
 	if err := b.r.Rollback(b.now); err != nil {
 		t.Fatal(err)
 	}
-	b.step()
-	b.want(RolledBack, 0, Summary{Back: 1, Waiting: 2})
+	b.advanceUntilIdle()
+	b.expect(RolledBack, 0, Summary{Back: 1, Waiting: 2})
 	if err := b.r.Rollback(b.now); err != ErrAlreadyRolledBack {
 		t.Errorf("rolled back again: %v", err)
 	}
@@ -417,21 +417,21 @@
 
 // A taking back that was halted is what goes on when it is resumed.
 func TestResumedTakingBack(t *testing.T) {
-	b := newBench(t, 1)
-	b.step()
+	b := newHarness(t, 1)
+	b.advanceUntilIdle()
 	if err := b.r.Rollback(b.now); err != nil {
 		t.Fatal(err)
 	}
-	b.carryOut(b.r.Advance(b.now)) // it is prepared
+	b.deliver(b.r.Advance(b.now)) // it is prepared
 	if err := b.r.Abort(b.now); err != nil {
 		t.Fatal(err)
 	}
-	b.step()
+	b.advanceUntilIdle()
 	if err := b.r.Resume(b.now, false); err != nil {
 		t.Fatal(err)
 	}
-	b.step()
-	b.want(RolledBack, 0, Summary{Back: 1})
+	b.advanceUntilIdle()
+	b.expect(RolledBack, 0, Summary{Back: 1})
 }
 
 // The keeper brings back an instance that has begun anew, waits longer after each refusal, and leaves alone what a
@@ -445,11 +445,11 @@
 		t.Error("nothing is sent to one that has parts of another document")
 	}
 	k = Reconciler{Name: "i0", Desired: "new"}
-	lost := Observation{Epoch: "e1", Hash: "old"}
-	if _, ok := k.Observe(0, lost, true); ok {
+	outdated := Observation{Epoch: "e1", Hash: "old"}
+	if _, ok := k.Observe(0, outdated, true); ok {
 		t.Error("something is sent to one that a rollout has in hand")
 	}
-	s, ok := k.Observe(0, lost, false)
+	s, ok := k.Observe(0, outdated, false)
 	if !ok || s.Request != change.RequestPrepare || s.Document != "new" {
 		t.Fatalf("sent %+v, %v", s, ok)
 	}
@@ -459,27 +459,27 @@
 	if _, ok = k.RecordAnswer(0, false, change.Answer{Epoch: "e1", Result: change.Result{Outcome: change.Applied}}); ok || k.FailureReason() != "" {
 		t.Error("it does not rest")
 	}
-	waits := []time.Duration{}
+	delays := []time.Duration{}
 	now := time.Duration(0)
 	for range 12 {
-		if _, ok = k.Observe(now, lost, false); !ok {
-			t.Fatalf("nothing is tried after %v", waits)
+		if _, ok = k.Observe(now, outdated, false); !ok {
+			t.Fatalf("nothing is tried after %v", delays)
 		}
 		k.RecordAnswer(now, false, change.Answer{Epoch: "e1", Err: errors.New("no")})
 		if k.FailureReason() != "no" {
 			t.Errorf("refused because %q", k.FailureReason())
 		}
-		if _, ok = k.Observe(k.due-1, lost, false); ok {
+		if _, ok = k.Observe(k.retryAt-1, outdated, false); ok {
 			t.Error("tried too soon")
 		}
-		waits = append(waits, k.due-now)
-		now = k.due
+		delays = append(delays, k.retryAt-now)
+		now = k.retryAt
 	}
-	if waits[0] != firstAgain || waits[11] != lastAgain || !slices.IsSorted(waits) {
-		t.Errorf("waits %v", waits)
+	if delays[0] != minRetryDelay || delays[11] != maxRetryDelay || !slices.IsSorted(delays) {
+		t.Errorf("waits %v", delays)
 	}
 	// What is wanted changes between prepare and commit: nothing is committed.
-	k.Observe(now, lost, false)
+	k.Observe(now, outdated, false)
 	k.Desired = "newer"
 	if s, ok = k.RecordAnswer(now, false, change.Answer{Epoch: "e1"}); ok {
 		t.Errorf("sent %+v", s)
@@ -496,7 +496,7 @@
 			t.Errorf("the last half minute served %v", got.Requests)
 		}
 	}
-	if len(w.samples) > windowSamples {
+	if len(w.samples) > maxSamples {
 		t.Errorf("%d samples", len(w.samples))
 	}
 	if got := w.Add(100*time.Second, "e1", change.RequestCounts{Requests: 5}); got.Requests != 0 {
