--- a/internal/change/instance.go
+++ b/internal/change/instance.go
@@ -1,10 +1,11 @@
-// Package change decides what becomes of changes to settings: on an instance, which prepares and commits them, and at a
-// manager, which must know who got what. It has no I/O, no clock and no goroutines: callers hand it what happens, with
-// the time, and carry out what it returns.
+// Package change implements two-phase configuration changes. Instance is the state machine of an instance, which
+// prepares and commits changes. Target is the state machine of a manager, which tracks the outcome of one change on
+// one instance. The package has no I/O, no clock and no goroutines: callers pass in events with their times and carry
+// out the actions and requests that are returned.
 //
-// A change has an id, and repeats of it get the first result. It names the revision that it is based on, and the
-// fencing number of its manager. It is prepared, which applies nothing, and committed, part by part. See
-// docs/design/control.md.
+// A change has an id, and repeated requests with that id get the first result. A change names the revision that it is
+// based on and the fencing token of its manager. Preparing a change applies nothing; committing it applies its
+// document part by part. See docs/design/control.md.
 package change
 
 import (
@@ -15,92 +16,92 @@
 	"time"
 )
 
-// The reasons for which an instance refuses what it is asked. They are told apart with errors.Is.
+// Errors with which an instance refuses a request. Use errors.Is to tell them apart.
 var (
-	ErrStaleRevision = errors.New("the revision that it is based on is not the present one")
+	ErrStaleRevision = errors.New("the change is not based on the current revision")
 	ErrFenced        = errors.New("a newer manager has spoken")
 	ErrBusy          = errors.New("another change is under way")
-	ErrNotPrepared   = errors.New("it is not prepared, or no longer")
-	ErrIDInUse       = errors.New("its id stands for another change")
-	ErrNoID          = errors.New("it has no id")
+	ErrNotPrepared   = errors.New("the change is not prepared or has expired")
+	ErrIDInUse       = errors.New("the id belongs to another change")
+	ErrNoID          = errors.New("the change has no id")
 )
 
-// Outcome is what became of a change on an instance.
+// Outcome is the final result of a change on an instance.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a change.
 const (
-	None          Outcome = iota // nothing yet
-	Applied                      // all parts
-	Unchanged                    // none
-	PartlyApplied                // some: Result.Parts
-	Reverted                     // all were, and then none: it was not confirmed in time
+	None          Outcome = iota // the change has not ended
+	Applied                      // all parts are applied
+	Unchanged                    // no part is applied
+	PartlyApplied                // only Result.Parts are applied
+	Reverted                     // all parts were applied, then reverted because no confirmation came in time
 )
 
 var outcomeNames = [...]string{None: "none", Applied: "applied", Unchanged: "unchanged", PartlyApplied: "partly", Reverted: "taken back"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// ParseOutcome reads an outcome's name.
+// ParseOutcome returns the outcome with the given name.
 func ParseOutcome(name string) (Outcome, error) {
 	i := slices.Index(outcomeNames[:], name)
 	if i < 0 {
-		return None, fmt.Errorf("there is no outcome %q", name)
+		return None, fmt.Errorf("invalid outcome %q", name)
 	}
 	return Outcome(i), nil
 }
 
-// Result is what an instance says of a change, the same however often it is asked.
+// Result is how a change ended on an instance. An instance reports the same result for every repeated request.
 type Result struct {
 	ID       string
 	Outcome  Outcome
-	Parts    []string // that are applied
-	Revision uint64   // of the document in force afterwards
-	Reason   string   // why it is not applied
+	Parts    []string // the parts that are applied
+	Revision uint64   // revision of the document in force after the change
+	Reason   string   // why the change is not applied
 }
 
-// Document is what changes. The machine knows it by its hash and its parts only.
+// Document identifies a configuration document by its hash and parts. This package never reads the content.
 type Document struct {
 	Hash  string
 	Parts []string // in the order in which they are applied
 }
 
-// Action is what the instance is to do.
+// Action is work that the caller has to carry out. The caller reports the end of each action with Instance.ActionDone.
 type Action struct {
 	Kind ActionKind
 	ID   string
 	Part string
 }
 
-// ActionKind tells what an Action is.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The actions. Each is answered by Instance.Done.
+// The kinds of actions.
 const (
 	ApplyPart  ActionKind = iota // apply a part of the change
-	RevertPart                   // bring a part back to what it was
+	RevertPart                   // restore the previous content of a part
 )
 
 const (
-	// mostResults is how many changes' results an instance remembers. Danger: one that is forgotten could be
-	// committed again.
+	// maxResults is the number of changes whose results an instance remembers. A change whose result has been
+	// dropped could be committed again.
 	maxResults = 1024
-	// PrepareFor is how long what is prepared waits for its commit.
+	// PrepareTimeout is how long a prepared change waits for its commit before it expires.
 	PrepareTimeout = time.Minute
 )
 
-// phase is how far the change under way is.
+// phase is the progress of the change that is under way.
 type phase uint8
 
 const (
 	idle       phase = iota
-	prepared         // until expires
-	applying         // part by part
-	reverting        // the same backwards, after a part that failed, or unconfirmed
-	confirming       // applied, until confirmed or expired
+	prepared         // waits for a commit until the deadline
+	applying         // parts are applied one by one
+	reverting        // parts are reverted in reverse order after a failure or a missing confirmation
+	confirming       // applied, waits for a confirmation until the deadline
 )
 
-// Instance is the side of one process of an instance.
+// Instance is the state machine of changes in one process of an instance. It is not safe for concurrent use.
 type Instance struct {
 	epoch    string
 	revision uint64
@@ -109,49 +110,49 @@
 
 	phase          phase
 	id             string
-	managerFence   uint64 // its manager's number
-	next           Document
-	confirmTimeout time.Duration // it must be confirmed within this after it is applied; 0 for need not
-	deadline       time.Duration
-	appliedCount   int  // parts applied
-	fullyApplied   bool // all were applied, so that it is taken back and not merely undone
-	revertFailed   bool // a part could not be reverted
-	mixedParts     []string
-	reason         string // why it is not applied
+	managerFence   uint64        // fencing token of the manager that prepared the change
+	next           Document      // document of the change; the previous document once the change is fully applied
+	confirmTimeout time.Duration // time for the confirmation after the change is applied; 0 if none is needed
+	deadline       time.Duration // when the prepared or confirming phase expires
+	appliedCount   int           // number of parts that are applied
+	fullyApplied   bool          // all parts were applied, so reverting them restores the previous document
+	revertFailed   bool          // a part could not be reverted
+	mixedParts     []string      // see MixedParts
+	reason         string        // why the change is not applied
 
 	results        map[string]Result
-	resultOrder    []string // of results, the oldest first
-	documentHashes map[string]string
+	resultOrder    []string          // ids of results, the oldest first
+	documentHashes map[string]string // hash of the document of each change, by id
 }
 
-// NewInstance returns the machine of a process that has started with a document.
+// NewInstance returns the state machine of a process that started with document d at the given revision.
 func NewInstance(epoch string, revision uint64, d Document) *Instance {
 	return &Instance{epoch: epoch, revision: revision, current: d, results: map[string]Result{}, documentHashes: map[string]string{}}
 }
 
-// Epoch is the process's name, which no other process has had.
+// Epoch returns the identifier of the process, which is unique among all processes of the instance.
 func (i *Instance) Epoch() string { return i.epoch }
 
-// Revision is that of the document in force.
+// Revision returns the revision of the document in force.
 func (i *Instance) Revision() uint64 { return i.revision }
 
-// Current is the document in force.
+// Current returns the document in force.
 func (i *Instance) Current() Document { return i.current }
 
-// Mixed are the parts that are in force of another document than Current, as a change has left them that could neither be
-// applied whole nor taken back.
+// MixedParts returns the parts in force that do not belong to the Current document. They are left by a change that
+// could neither be fully applied nor fully reverted.
 func (i *Instance) MixedParts() []string { return i.mixedParts }
 
-// Fence is the highest number of a manager that has spoken.
+// Fence returns the highest fencing token that a manager has sent.
 func (i *Instance) Fence() uint64 { return i.fence }
 
-// Result returns what became of a change, if the instance remembers it.
+// Result returns the result of a change, if the change has ended and the instance remembers it.
 func (i *Instance) Result(id string) (Result, bool) {
 	r, ok := i.results[id]
 	return r, ok
 }
 
-// Pending is the id of the change that is under way, "" if none is.
+// Pending returns the id of the change that is under way, "" if there is none.
 func (i *Instance) Pending() string {
 	if i.phase == idle {
 		return ""
@@ -159,21 +160,21 @@
 	return i.id
 }
 
-// Confirming says that a change is applied and waits for its confirmation.
+// Confirming reports whether the change is applied and waits for its confirmation.
 func (i *Instance) Confirming(id string) bool { return i.phase == confirming && i.id == id }
 
-// Wanted is the document whose part an action puts in force.
+// DocumentFor returns the document from which the action takes the content of its part.
 func (i *Instance) DocumentFor(a Action) Document {
 	if (a.Kind == ApplyPart) != i.fullyApplied {
-		return i.next // also what a change that was whole goes back to
+		return i.next // a fully applied change is reverted to the previous document, which is in next
 	}
 	return i.current
 }
 
-// Hear takes in that a manager has spoken, which those before it can do no more.
+// ObserveFence records the fencing token of a manager. It returns ErrFenced if a higher token was seen before.
 func (i *Instance) ObserveFence(fence uint64) error { return i.observeFence(fence) }
 
-// hear takes in that a manager has spoken.
+// observeFence implements ObserveFence.
 func (i *Instance) observeFence(fence uint64) error {
 	if fence < i.fence {
 		return fmt.Errorf("%w: its number is %d, and %d has been heard", ErrFenced, fence, i.fence)
@@ -182,7 +183,8 @@
 	return nil
 }
 
-// Prepare takes a change in, whose document the caller has checked whole. It applies nothing.
+// Prepare accepts a change without applying any of it. The caller must have validated the whole document. The change
+// expires if it is not committed within PrepareTimeout. A prepared change of an older manager is superseded.
 func (i *Instance) Prepare(now time.Duration, fence uint64, id string, base uint64, d Document, confirmTimeout time.Duration) error {
 	if id == "" {
 		return ErrNoID
@@ -191,7 +193,7 @@
 		return ErrIDInUse
 	}
 	if _, known := i.results[id]; known {
-		return nil // a repeat gets the first result, which Result tells
+		return nil // a repeated request gets the first result, which Result returns
 	}
 	if err := i.observeFence(fence); err != nil {
 		return err
@@ -203,12 +205,12 @@
 			i.deadline = now + PrepareTimeout
 		}
 		return nil
-	case i.phase == prepared && i.managerFence < fence: // its manager can commit it no more
+	case i.phase == prepared && i.managerFence < fence: // the older manager can no longer commit its change
 	case i.phase != idle:
 		return fmt.Errorf("%w: %s", ErrBusy, i.id)
 	}
 	if base != i.revision {
-		return fmt.Errorf("%w: it is based on %d, and %d is in force", ErrStaleRevision, base, i.revision)
+		return fmt.Errorf("%w: it is based on revision %d, and revision %d is in force", ErrStaleRevision, base, i.revision)
 	}
 	if i.phase == prepared {
 		i.finish(Unchanged, "superseded by "+id)
@@ -219,14 +221,15 @@
 	return nil
 }
 
-// expire drops what was prepared and not committed in time.
+// expire ends a prepared change that was not committed before its deadline.
 func (i *Instance) expire(now time.Duration) {
 	if i.phase == prepared && now >= i.deadline {
 		i.finish(Unchanged, "not committed in time")
 	}
 }
 
-// Commit begins to apply what is prepared. A repeat changes nothing: the result comes with Done, or has come.
+// Commit starts to apply the prepared change and returns the first action. A repeated request has no effect; Result
+// returns the result once ActionDone has reported the last action.
 func (i *Instance) Commit(now time.Duration, fence uint64, id string) ([]Action, error) {
 	if _, known := i.results[id]; known {
 		return nil, nil
@@ -245,8 +248,8 @@
 	return i.advance(now), nil
 }
 
-// Abort ends a change that is not committed, for good: a commit of it that comes later is refused. A change that is
-// under way or has ended stays as it is. It returns what is known of the change.
+// Abort permanently ends a change that is not committed: a later commit of it applies nothing. If the change has ended,
+// Abort returns its result. If the change is committed and has not ended, it goes on and Abort returns ErrBusy.
 func (i *Instance) Abort(now time.Duration, fence uint64, id string) (Result, error) {
 	if r, known := i.results[id]; known {
 		return r, nil
@@ -272,7 +275,7 @@
 	return i.results[id], nil
 }
 
-// Confirm keeps a change that has to be confirmed.
+// Confirm makes an applied change permanent. It returns ErrNotPrepared if the change does not wait for a confirmation.
 func (i *Instance) Confirm(now time.Duration, fence uint64, id string) error {
 	if r, known := i.results[id]; known && r.Outcome == Applied {
 		return nil
@@ -287,7 +290,7 @@
 	return nil
 }
 
-// Tick takes in that time has passed, and returns what is to be done about it.
+// Tick ends phases whose deadline has passed and returns the actions that follow.
 func (i *Instance) Tick(now time.Duration) []Action {
 	i.expire(now)
 	if i.phase == confirming && now >= i.deadline {
@@ -297,12 +300,12 @@
 	return nil
 }
 
-// Due is when Tick has something to do, if ok.
+// NextDeadline returns when Tick has to be called next. ok is false if there is no deadline.
 func (i *Instance) NextDeadline() (at time.Duration, ok bool) {
 	return i.deadline, i.phase == prepared || i.phase == confirming
 }
 
-// Done takes in how an action ended, and returns what is to be done next.
+// ActionDone records the end of an action, with err if it failed, and returns the next actions.
 func (i *Instance) ActionDone(now time.Duration, a Action, err error) []Action {
 	if a.ID != i.id || i.phase != applying && i.phase != reverting {
 		return nil
@@ -314,14 +317,14 @@
 		i.appliedCount++
 	case err != nil:
 		i.revertFailed = true
-		i.reason += fmt.Sprintf("; part %s can't be taken back: %v", a.Part, err)
+		i.reason += fmt.Sprintf("; part %s cannot be reverted: %v", a.Part, err)
 	default:
 		i.appliedCount--
 	}
 	return i.advance(now)
 }
 
-// step goes on with the change under way.
+// advance returns the next action of the change under way, or ends the change if there is none.
 func (i *Instance) advance(now time.Duration) []Action {
 	switch {
 	case i.phase == applying && i.appliedCount < len(i.next.Parts):
@@ -341,7 +344,7 @@
 		return []Action{{RevertPart, i.id, i.changeParts()[i.appliedCount-1]}}
 	case i.fullyApplied:
 		i.current = i.next
-		i.revision++ // others may have read the revision between
+		i.revision++ // clients may have read the revision of the reverted change
 		i.finish(Reverted, i.reason)
 	default:
 		i.finish(Unchanged, i.reason)
@@ -349,7 +352,7 @@
 	return nil
 }
 
-// parts are those of the change under way.
+// changeParts returns the parts of the change under way.
 func (i *Instance) changeParts() []string {
 	if i.fullyApplied {
 		return i.current.Parts
@@ -357,7 +360,7 @@
 	return i.next.Parts
 }
 
-// settle ends the change under way.
+// finish ends the change under way and records its result.
 func (i *Instance) finish(o Outcome, reason string) {
 	r := Result{ID: i.id, Outcome: o, Revision: i.revision, Reason: reason}
 	if o == Applied || o == PartlyApplied {
@@ -365,7 +368,7 @@
 	}
 	switch o {
 	case Applied, Reverted:
-		i.mixedParts = nil // all parts were applied since
+		i.mixedParts = nil // all parts have been applied since the mix arose
 	case PartlyApplied:
 		i.mixedParts = r.Parts
 	}
@@ -373,6 +376,7 @@
 	i.recordResult(r)
 }
 
+// recordResult stores a result and drops the oldest one if maxResults are stored.
 func (i *Instance) recordResult(r Result) {
 	if len(i.resultOrder) >= maxResults {
 		delete(i.results, i.resultOrder[0])
@@ -383,14 +387,14 @@
 	i.resultOrder = append(i.resultOrder, r.ID)
 }
 
-// Clone returns an instance that goes its own way from here.
+// Clone returns an independent copy of the state machine.
 func (i *Instance) Clone() *Instance {
 	c := *i
 	c.results, c.documentHashes, c.resultOrder = maps.Clone(i.results), maps.Clone(i.documentHashes), slices.Clone(i.resultOrder)
 	return &c
 }
 
-// Describe is the whole state in words, the same for equal states.
+// Describe returns the state as text for comparisons in tests. Equal states have equal texts.
 func (i *Instance) Describe() string {
 	return fmt.Sprint(i.epoch, i.revision, i.current.Hash, i.fence, i.phase, i.id, i.managerFence, i.appliedCount, i.fullyApplied, i.revertFailed, i.reason, i.mixedParts, i.results)
 }
--- a/internal/change/manager.go
+++ b/internal/change/manager.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// State is what a manager knows of a change on one instance.
+// State is what a manager knows about a change on one instance.
 type State uint8
 
-// The states.
+// The states of a change on one instance.
 const (
 	Planned    State = iota // nothing has been sent
 	Preparing               // a prepare has been sent and not answered
-	Prepared                // the instance has it and has applied nothing
+	Prepared                // the instance has accepted the change and applied nothing
 	Committing              // a commit has been sent and not answered
-	Resolving               // nothing is known of a commit, and an abort or a question has been sent
-	Done                    // the instance has said so
-	NotDone                 // the instance has said so, or its process has ended without it
-	PartlyDone              // the instance has said which parts
-	Unknown                 // a commit may have been applied, and may yet be
-	Superseded              // a newer manager has spoken to the instance
+	Resolving               // the outcome is unknown, and an abort has been sent to find it out
+	Done                    // the instance has reported that all parts are applied
+	NotDone                 // the instance has reported that nothing is applied, or its process ended before a commit
+	PartlyDone              // the instance has reported which parts are applied
+	Unknown                 // a commit may have been applied or may still be applied
+	Superseded              // a newer manager has sent a request to the instance
 )
 
 var stateNames = [...]string{
@@ -29,37 +29,37 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// MarshalText writes the state's name.
+// MarshalText returns the name of the state.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads a state's name.
+// UnmarshalText sets the state from its name.
 func (s *State) UnmarshalText(text []byte) error {
 	i := slices.Index(stateNames[:], string(text))
 	if i < 0 {
-		return fmt.Errorf("there is no state %q", text)
+		return fmt.Errorf("invalid state %q", text)
 	}
 	*s = State(i)
 	return nil
 }
 
-// Fences: a manager's number is higher than all that were heard before it. Its low bits are drawn, so that two managers
-// that start at once and have heard the same are not taken for one.
+// fenceRandomBits is the number of low bits of a fencing token that are random. They keep the tokens of two managers
+// apart that start at the same time and have seen the same highest token.
 const fenceRandomBits = 20
 
-// NextFence returns the number of a manager that starts, where the highest so far is known.
+// NextFence returns a fencing token for a new manager. It is higher than highest, the highest token seen so far.
 func NextFence(highest uint64, random uint32) uint64 {
 	return (highest>>fenceRandomBits+1)<<fenceRandomBits | uint64(random)&(1<<fenceRandomBits-1)
 }
 
-// Final says whether the manager sends nothing more for a change in this state by itself.
+// Final reports whether a manager sends no further request in this state on its own.
 func (s State) Final() bool {
 	return s == Done || s == NotDone || s == PartlyDone || s == Unknown || s == Superseded
 }
 
-// Request is what a manager asks of an instance next.
+// Request is a request of a manager to an instance.
 type Request uint8
 
-// The requests.
+// The kinds of requests.
 const (
 	NoRequest Request = iota
 	RequestPrepare
@@ -67,28 +67,29 @@
 	RequestAbort
 )
 
-// Target is a manager's knowledge of one change on one instance. Its fields are what its journal holds: a manager that
-// starts again goes on from them, and Resume tells it what it can no longer be sure of.
+// Target is the state machine of a manager for one change on one instance. The manager stores it in its journal. After
+// a restart it restores the target and calls Resume, which marks the states that are no longer certain.
 type Target struct {
 	State    State    `json:"state"`
-	Epoch    string   `json:"epoch,omitempty"`    // of the process that the state is about, as it has said; "" if none has spoken yet
-	Sent     bool     `json:"sent,omitempty"`     // a commit has been sent to that epoch
-	Parts    []string `json:"parts,omitempty"`    // that are applied, if PartlyDone
-	Revision uint64   `json:"revision,omitempty"` // in force afterwards, as that epoch has said
-	Loose    bool     `json:"loose,omitempty"`    // it is not done, and may be prepared there, where it keeps others out until it is settled or expires
-	Refused  bool     `json:"refused,omitempty"`  // it is not done because the instance can't or won't
+	Epoch    string   `json:"epoch,omitempty"`    // reported by the process that State refers to; "" before the first answer
+	Sent     bool     `json:"sent,omitempty"`     // a commit has been sent to the process with that epoch
+	Parts    []string `json:"parts,omitempty"`    // applied parts, if Done or PartlyDone
+	Revision uint64   `json:"revision,omitempty"` // revision in force after the change, reported by that process
+	Loose    bool     `json:"loose,omitempty"`    // NotDone, but possibly still prepared on the instance, where it blocks other changes until it is resolved or expires
+	Refused  bool     `json:"refused,omitempty"`  // NotDone because the instance rejected the change or failed to apply it
 	Reason   string   `json:"reason,omitempty"`
 }
 
-// Answer is what an instance has answered to a request.
+// Answer is the answer of an instance to a request.
 type Answer struct {
 	Epoch  string
-	Result Result // of the change; None while there is none
-	Err    error  // it refuses: one of this package's errors, or why the document can't be used
-	Fenced bool   // the refusal is ErrFenced
+	Result Result // result of the change; its Outcome is None before the change ends
+	Err    error  // why the instance refuses the request: an error of this package, or a fault of the document
+	Fenced bool   // Err is ErrFenced
 }
 
-// Next is what to ask of the instance now. The caller notes in its journal that the state has changed before it sends.
+// NextRequest returns the next request to the instance. It sends a commit only if commit is set. The caller must
+// write the new state to its journal before it sends the request.
 func (t *Target) NextRequest(commit bool) Request {
 	switch {
 	case t.State == Planned:
@@ -101,8 +102,8 @@
 	return NoRequest
 }
 
-// Settle is what to ask of an instance of which too little is known: an abort, which is answered by what became of the
-// change, and after which it can no longer be applied if it was not.
+// Resolve returns the request that finds out an unknown state. This is an abort: the answer contains the result of
+// the change, and a change that was not applied can no longer be applied afterwards.
 func (t *Target) Resolve() Request {
 	switch t.State {
 	case Preparing, Prepared, Committing, Resolving, Unknown:
@@ -117,27 +118,28 @@
 	return NoRequest
 }
 
-// Resume takes in that the manager has started again: what it had sent may have been answered, or may yet arrive.
+// Resume updates the state after a restart of the manager. Requests sent before the restart may have been answered or
+// may still arrive.
 func (t *Target) Resume() {
 	switch t.State {
 	case Preparing:
-		t.State = Planned // preparing twice does nothing
+		t.State = Planned // a repeated prepare has no effect
 	case Committing, Resolving:
-		t.markUnanswered("the manager ended before an answer came")
+		t.markUnanswered("the manager stopped before it received an answer")
 	}
 }
 
-// unknown ends a request of which nothing came back.
+// markUnanswered records that a request got no usable answer. The outcome is unknown only if a commit was sent.
 func (t *Target) markUnanswered(reason string) {
 	t.Reason = reason
 	if t.Sent {
 		t.State = Unknown
 	} else {
-		t.State = NotDone // nothing that was sent changes anything
+		t.State = NotDone // requests other than a commit change nothing
 	}
 }
 
-// Silent takes in that a request was not answered in time, or its connection ended.
+// RecordNoAnswer records that a request timed out or its connection ended.
 func (t *Target) RecordNoAnswer(reason string) {
 	switch t.State {
 	case Preparing:
@@ -148,15 +150,15 @@
 	}
 }
 
-// Answered takes in an instance's answer to a request, or to a question about the change.
+// RecordAnswer records the answer of an instance to a request.
 func (t *Target) RecordAnswer(a Answer) {
 	if t.State == Done || t.State == PartlyDone || t.State == Superseded {
-		return // it has been said, and does not become untrue by what is said later
+		return // these states are final; later answers cannot change them
 	}
 	previousEpoch := t.Epoch
 	t.Epoch = a.Epoch
 	if previousEpoch != "" && previousEpoch != a.Epoch {
-		// Another process: what the one before had of the change went with it.
+		// The instance has restarted. The change was lost with the previous process.
 		t.State, t.Sent, t.Parts = NotDone, false, nil
 		t.Reason = fmt.Sprintf("process %s has ended, and %s has nothing of it", previousEpoch, a.Epoch)
 		if a.Result.Outcome == None {
@@ -171,7 +173,8 @@
 		t.State, t.Parts, t.Revision, t.Reason = PartlyDone, slices.Clone(a.Result.Parts), a.Result.Revision, a.Result.Reason
 		return
 	case Unchanged, Reverted:
-		// An abort is the manager's own word; whatever else keeps an instance from it is the instance's.
+		// Unchanged after an abort is the manager's decision. After a commit, the instance failed to apply the change
+		// or reverted it.
 		t.Refused = t.State == Committing || a.Result.Outcome == Reverted
 		t.State, t.Revision, t.Reason = NotDone, a.Result.Revision, a.Result.Reason
 		return
@@ -179,7 +182,7 @@
 	switch {
 	case a.Fenced:
 		t.Reason = a.Err.Error()
-		if t.Sent { // a commit that was sent before the other manager spoke may have been applied
+		if t.Sent { // a commit that arrived before the request of the newer manager may have been applied
 			t.State = Unknown
 		} else {
 			t.State = Superseded
@@ -187,7 +190,7 @@
 	case a.Err != nil && t.State == Preparing:
 		t.State, t.Refused, t.Reason = NotDone, true, a.Err.Error()
 	case a.Err != nil && t.State == Committing:
-		// Not prepared any more, in this epoch, and no result: it was not applied and can't be.
+		// The same process refuses the commit and has no result, so the change was not applied and cannot be applied.
 		t.State, t.Sent, t.Reason = NotDone, false, a.Err.Error()
 	case a.Err != nil:
 		t.markUnanswered(a.Err.Error())
--- a/internal/change/once.go
+++ b/internal/change/once.go
@@ -1,11 +1,12 @@
 package change
 
-// Once remembers what became of changes that are made at once, so that a repeat under an id has the first result. The
-// zero value is ready. Changes that failed are not remembered: nothing was changed, and the same may be tried again.
+// Deduplicator remembers the results of changes that have a single phase, so that a repeated request with the same id
+// gets the first result. The zero value is ready for use. Callers do not record failed changes: those changed nothing
+// and may be retried.
 type Deduplicator struct {
 	recorded map[string]recordedChange
-	order    []string // of done, the oldest first
-	current  string   // what is being done
+	order    []string // ids of recorded, the oldest first
+	current  string   // content of the change that Begin has started
 }
 
 type recordedChange struct {
@@ -13,8 +14,8 @@
 	result  any
 }
 
-// Begin says whether a change was made before, and with which result. What is another change under the same id is
-// ErrIDInUse.
+// Begin starts a change. If the change was made before, known is true and result is its first result. It returns
+// ErrNoID for an empty id and ErrIDInUse if the id belongs to a change with other content.
 func (o *Deduplicator) Begin(id, content string) (result any, known bool, err error) {
 	if id == "" {
 		return nil, false, ErrNoID
@@ -27,7 +28,7 @@
 	return first.result, known, nil
 }
 
-// End takes in how the change ended that has begun last.
+// End records the result of the change that the last call of Begin has started.
 func (o *Deduplicator) End(id string, result any) {
 	if o.recorded == nil {
 		o.recorded = map[string]recordedChange{}
--- a/internal/change/wave.go
+++ b/internal/change/wave.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// Service is how well instances serve, summed up over some of them and some time.
+// RequestCounts counts the requests of some instances over some time by their result. InAim counts those that were
+// answered within their target latency.
 type RequestCounts struct {
 	Requests, InAim, Refused, Failed float64
 }
 
-// Add sums up.
+// Add adds o to s.
 func (s *RequestCounts) Add(o RequestCounts) {
 	s.Requests += o.Requests
 	s.InAim += o.InAim
@@ -18,39 +19,41 @@
 	s.Failed += o.Failed
 }
 
-// Less returns what was counted since an earlier count.
+// Sub returns the difference s - o. With an earlier count o, it is what was counted since then.
 func (s RequestCounts) Sub(o RequestCounts) RequestCounts {
 	return RequestCounts{s.Requests - o.Requests, s.InAim - o.InAim, s.Refused - o.Refused, s.Failed - o.Failed}
 }
 
-// Limits are the stop conditions of a rollout, and how its waves grow.
+// Limits holds the stop conditions of a rollout and the growth of its waves. Shares are between 0 and 1.
 type Limits struct {
-	Canaries int           `json:"canaries"` // instances of the first wave
-	Growth   float64       `json:"growth"`   // each further wave is so many times larger
-	Bake     time.Duration `json:"bake"`     // ns that a wave is watched before the next
-	// Shares that may be worse after a wave than before it, on the instances that it changed.
+	Canaries int           `json:"canaries"` // number of instances in the first wave
+	Growth   float64       `json:"growth"`   // size of each further wave as a multiple of the one before
+	Bake     time.Duration `json:"bake"`     // time in ns for which a wave is observed before the next one starts
+	// The largest allowed changes of the shares of requests on the changed instances, compared with the time
+	// before the change: more refused, more failed, fewer answered within their target latency.
 	MoreRefused float64 `json:"more_refused"`
 	MoreFailed  float64 `json:"more_failed"`
 	LessInAim   float64 `json:"less_in_aim"`
-	// Least is how many requests it takes to judge; with fewer the wave is watched on, up to Patience (ns).
+	// Least is the number of requests needed for an evaluation. With fewer, the wave is observed for up to
+	// Patience (ns).
 	Least    float64       `json:"least"`
 	Patience time.Duration `json:"patience"`
-	// MayFail is the share of a wave's instances that may end otherwise than applied.
+	// MayFail is the share of the instances of a wave on which the change may end without being applied.
 	MayFail float64 `json:"may_fail"`
 }
 
-// Verdict is what to do after a look at a wave.
+// Verdict is the result of the evaluation of a wave.
 type Verdict uint8
 
 // The verdicts.
 const (
-	KeepWatching Verdict = iota
-	NextWave             // or, after the last, the end
-	RollBack             // and roll back: the change is bad, or instances refuse it
-	Halt                 // and leave what is applied: too many instances can't be reached
+	KeepWatching Verdict = iota // observe the wave for longer
+	NextWave                    // start the next wave, or complete the rollout after the last one
+	RollBack                    // roll back: the change makes service worse, or too many instances refuse it
+	Halt                        // stop and keep what is applied: too many instances cannot be reached
 )
 
-// Waves returns how many of n instances each wave holds.
+// WaveSizes divides n instances into waves and returns the number of instances of each.
 func (l *Limits) WaveSizes(n int) (sizes []int) {
 	size := float64(max(1, l.Canaries))
 	for n > 0 {
@@ -62,27 +65,29 @@
 	return sizes
 }
 
-// Counted is how the instances of a wave ended.
+// WaveOutcome counts the instances of a wave by how the change ended on them.
 type WaveOutcome struct {
 	Total   int
-	Refused int // they can't use the change, have it in part only, or have died of it
-	Lost    int // else not applied: silent, cut off, restarted meanwhile
+	Refused int // rejected the change, applied it only partly, or their process ended after applying it
+	Lost    int // not applied for another reason: no answer, no connection, or a restart before the commit
 }
 
-// Judge looks at a wave: how its instances ended, what they served in the time before the change and since it, and for
-// how long that is. Danger: an instance that says nothing must not hold the wave up; it counts as one that is lost.
+// Evaluate decides how to go on after a wave. It gets the outcome on the instances of the wave, their request counts
+// before and since the change, and how long the wave has been observed. The returned text is the reason for the
+// verdict. Callers must count an instance that does not answer as lost, because it would otherwise block the wave.
 func (l *Limits) Evaluate(outcome WaveOutcome, before, since RequestCounts, watched time.Duration) (Verdict, string) {
 	allowedFailures := l.MayFail * float64(outcome.Total)
 	switch {
 	case outcome.Total == 0:
-		return NextWave, "" // all of it was left out
+		return NextWave, "" // all instances of the wave were excluded
 	case float64(outcome.Refused) > allowedFailures:
-		return RollBack, fmt.Sprintf("%d of %d instances refuse it", outcome.Refused, outcome.Total)
+		return RollBack, fmt.Sprintf("%d of %d instances refused or failed the change", outcome.Refused, outcome.Total)
 	case float64(outcome.Refused+outcome.Lost) > allowedFailures:
-		return Halt, fmt.Sprintf("%d of %d instances are lost", outcome.Refused+outcome.Lost, outcome.Total)
+		return Halt, fmt.Sprintf("%d of %d instances cannot be reached or failed the change", outcome.Refused+outcome.Lost, outcome.Total)
 	}
 	if since.Requests >= l.Least && since.Requests > 0 {
-		// A request counts when it comes and its answer when that goes, so that a short time may have more answers than requests.
+		// Requests are counted on arrival and results when they are sent, so a short time may have more results
+		// than requests. The share is therefore limited to 1.
 		share := func(s RequestCounts, count float64) float64 { return min(1, max(0, count/max(1, s.Requests))) }
 		for _, c := range []struct {
 			category string
@@ -91,14 +96,15 @@
 		}{
 			{"refused", share(since, since.Refused) - share(before, before.Refused), l.MoreRefused},
 			{"failed", share(since, since.Failed) - share(before, before.Failed), l.MoreFailed},
-			{"served in aim", share(before, before.InAim) - share(since, since.InAim), l.LessInAim},
+			{"answered within the target latency", share(before, before.InAim) - share(since, since.InAim), l.LessInAim},
 		} {
-			// Where nothing was asked before there is nothing to compare with, and what is asked is judged by itself.
-			if c.category == "served in aim" && before.Requests < l.Least {
+			// With too few requests before the change there is no latency to compare with. Refusals and failures are
+			// still compared.
+			if c.category == "answered within the target latency" && before.Requests < l.Least {
 				continue
 			}
 			if c.increase > c.allowed {
-				return RollBack, fmt.Sprintf("the share %s is worse by %.1f%%, and %.1f%% is allowed", c.category, 100*c.increase, 100*c.allowed)
+				return RollBack, fmt.Sprintf("the share of requests %s is worse by %.1f%%, and %.1f%% is allowed", c.category, 100*c.increase, 100*c.allowed)
 			}
 		}
 	}
@@ -106,7 +112,7 @@
 	case watched < l.Bake:
 		return KeepWatching, ""
 	case since.Requests < l.Least && watched < l.Patience:
-		return KeepWatching, "too few requests to judge"
+		return KeepWatching, "too few requests to evaluate"
 	}
 	return NextWave, ""
 }
