--- a/internal/rollout/answers.go
+++ b/internal/rollout/answers.go
@@ -6,22 +6,22 @@
 	"example.org/micaline/internal/change"
 )
 
-// What instances say to a rollout.
+// This file has the events of a rollout: answers, missing answers and observations of instances.
 
-// Answered takes in an instance's answer.
+// RecordAnswer records the answer of an instance to the open request.
 func (r *Rollout) RecordAnswer(now time.Duration, name string, a change.Answer) {
 	m := r.byName[name]
 	if m == nil || !m.requestOpen {
-		return // of a process of this manager that has ended
+		return // the answer is to a request of an earlier manager process
 	}
 	m.requestOpen = false
 	if m.observed.Epoch != a.Epoch {
-		m.observed = Observation{} // what was seen before is of another process
+		m.observed = Observation{} // the last observation was of another process
 	}
 	t := m.activeTarget()
 	t.RecordAnswer(a)
 	if t.Refused && !m.Backing && m.Epoch != a.Epoch {
-		t.Refused = false // it has begun anew since the change was planned, on which that was based
+		t.Refused = false // the instance has restarted, so the refusal may come from the base revision
 	}
 	r.markUnsaved(m)
 	if a.Fenced {
@@ -30,8 +30,8 @@
 	r.resolveRestored(m, a)
 }
 
-// settleRestored begins a change anew that the manager before this one had asked an instance to apply, and of which the
-// same process of the instance says now that it has not and never will.
+// resolveRestored retries a change whose commit was open when the previous manager process ended, if the same process
+// of the instance now reports that the change was not applied and never will be.
 func (r *Rollout) resolveRestored(m *Member, a change.Answer) {
 	if !m.commitUnresolved || m.Target.State == change.Unknown {
 		return
@@ -43,7 +43,7 @@
 	}
 }
 
-// Supersede ends all sending: another manager has the fleet.
+// Supersede ends the rollout in this manager, because a newer manager has taken over the fleet.
 func (r *Rollout) Supersede(now time.Duration, reason string) {
 	if r.Status.Finished() || r.Status == Superseded {
 		return
@@ -51,7 +51,7 @@
 	r.Status, r.Reason, r.Ended, r.headerUnsaved = Superseded, reason, now, true
 }
 
-// Silent takes in that a request was not answered in time, or its connection ended.
+// RecordNoAnswer records that the open request timed out or its connection ended.
 func (r *Rollout) RecordNoAnswer(name, reason string) {
 	m := r.byName[name]
 	if m == nil || !m.requestOpen {
@@ -62,8 +62,8 @@
 	r.markUnsaved(m)
 }
 
-// Looked takes in what an instance shows, and returns a question to it where what became of a commit is not known, or a
-// prepare may have been left there.
+// Observe records the state that an instance reports. It returns a request that resolves the change on the instance if
+// the outcome of a commit is unknown or a prepared change may be left there.
 func (r *Rollout) Observe(now time.Duration, name string, l Observation) (requests []OutgoingRequest) {
 	m := r.byName[name]
 	if m == nil {
@@ -74,7 +74,8 @@
 		return nil
 	}
 	if m.Target.State == change.Planned && m.Epoch != l.Epoch {
-		// Another process before its turn: it has nothing of what the one before had. It goes back to that all the same.
+		// The instance has restarted before its wave. The new process does not have the document of the previous one,
+		// but a rollback still restores that document.
 		m.Epoch, m.Base = l.Epoch, l.Revision
 		r.markUnsaved(m)
 	}
--- a/internal/rollout/keep.go
+++ b/internal/rollout/keep.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	minRetryDelay = time.Second // after an instance that could not be brought to what is wanted
+	// minRetryDelay and maxRetryDelay bound the exponential delay between failed attempts of a Reconciler.
+	minRetryDelay = time.Second
 	maxRetryDelay = 5 * time.Minute
 )
 
-// Keeper brings one instance to the document that is wanted of it, whenever it shows another: after its process has
-// begun anew, with nothing applied, or after somebody has set another by hand.
+// Reconciler brings one instance back to its desired document whenever the instance reports another one. This happens
+// after a restart, which loses applied changes, and after a manual change.
 type Reconciler struct {
 	Name    string
-	Desired string // hash; "" for none
+	Desired string // hash of the desired document; "" for none
 
 	target      change.Target
 	document    string // that it is being brought to
@@ -29,7 +30,8 @@
 	retryDelay  time.Duration
 }
 
-// Look takes in what the instance shows, and returns what is to be sent. Nothing is while others change the instance.
+// Observe records the state that the instance reports, and returns the request to send, if any. It sends nothing while
+// busy is set, which means that something else changes the instance.
 func (k *Reconciler) Observe(now time.Duration, l Observation, busy bool) (OutgoingRequest, bool) {
 	switch {
 	case k.requestOpen:
@@ -37,7 +39,7 @@
 	case l.Hash == k.Desired && !l.Mixed || k.Desired == "" || busy:
 		k.inProgress, k.retryDelay, k.retryAt = false, 0, 0
 		return OutgoingRequest{}, false
-	case l.Epoch != k.epoch: // there was nothing wrong with this one
+	case l.Epoch != k.epoch: // the delay was due to failures of another process
 		k.retryDelay, k.retryAt = 0, 0
 	}
 	if now < k.retryAt {
@@ -48,6 +50,7 @@
 	return k.nextRequest()
 }
 
+// nextRequest returns the next request of the current attempt, if any.
 func (k *Reconciler) nextRequest() (OutgoingRequest, bool) {
 	q := k.target.NextRequest(true)
 	if q == change.NoRequest {
@@ -57,8 +60,8 @@
 	return OutgoingRequest{Instance: k.Name, Request: q, ID: fmt.Sprintf("keep/%s/%s/%d", k.document, k.epoch, k.attempt), Document: k.document, Base: k.base, FromReconciler: true}, true
 }
 
-// Answered takes in the instance's answer, and returns what is to be sent next. Danger: the wanted document may be
-// another by now, and a commit would bring the old one.
+// RecordAnswer records the answer of the instance, and returns the next request, if any. It sends no commit if the
+// desired document has changed since the prepare, because the commit would apply the outdated document.
 func (k *Reconciler) RecordAnswer(now time.Duration, busy bool, a change.Answer) (OutgoingRequest, bool) {
 	k.requestOpen = false
 	if !k.inProgress {
@@ -71,26 +74,27 @@
 	case k.target.State.Final():
 		k.scheduleRetry(now)
 	case k.Desired != k.document || busy:
-		k.inProgress = false // what is prepared expires
+		k.inProgress = false // the prepared change expires
 	default:
 		return k.nextRequest()
 	}
 	return OutgoingRequest{}, false
 }
 
-// Silent takes in that the instance did not answer. What became of a commit its next look shows.
+// RecordNoAnswer records that the instance did not answer. Its next observation shows the outcome of a commit.
 func (k *Reconciler) RecordNoAnswer(now time.Duration) {
 	k.requestOpen = false
 	k.scheduleRetry(now)
 }
 
+// scheduleRetry ends the current attempt and doubles the delay before the next one.
 func (k *Reconciler) scheduleRetry(now time.Duration) {
 	k.inProgress = false
 	k.retryDelay = min(max(minRetryDelay, 2*k.retryDelay), maxRetryDelay)
 	k.retryAt = now + k.retryDelay
 }
 
-// Refusal is why the instance is not as is wanted, "" if nothing is known against it.
+// FailureReason returns why the last attempt failed, "" if it did not fail.
 func (k *Reconciler) FailureReason() string {
 	if k.retryDelay == 0 {
 		return ""
@@ -98,10 +102,10 @@
 	return k.target.Reason
 }
 
-// Window remembers what an instance has served lately, to compare with.
+// SlidingWindow keeps recent request counts of an instance. They are the baseline for the evaluation of a change.
 type SlidingWindow struct {
 	epoch   string
-	samples []sample // the oldest first
+	samples []sample // oldest first
 }
 
 type sample struct {
@@ -111,10 +115,11 @@
 
 const (
 	maxSamples     = 7
-	sampleInterval = 5 * time.Second // between samples: half a minute is remembered
+	sampleInterval = 5 * time.Second // time between samples; with maxSamples, the window covers half a minute
 )
 
-// Add takes in an instance's counts, and returns what it has served since the oldest that are remembered.
+// Add records the total counts of an instance, and returns the counts since the oldest sample. A new epoch empties the
+// window.
 func (w *SlidingWindow) Add(now time.Duration, epoch string, served change.RequestCounts) change.RequestCounts {
 	if epoch != w.epoch {
 		w.epoch, w.samples = epoch, nil
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -7,9 +7,9 @@
 	"example.org/micaline/internal/change"
 )
 
-// What operators order of a rollout.
+// This file has the orders of operators to a rollout.
 
-// Abort has the rollout halt. What is prepared ends, and what is applied stays.
+// Abort halts the rollout. Prepared changes are aborted, and applied changes stay.
 func (r *Rollout) Abort(now time.Duration) error {
 	if r.Status != Running && r.Status != RollingBack {
 		return ErrNotRunning
@@ -18,14 +18,15 @@
 	return nil
 }
 
-// Resume goes on with a halted rollout, or one that was superseded, if this manager has a newer number now; one that was being
-// taken back goes on with that. Those of the present wave that did not apply the change are tried again, or left out.
+// Resume continues a halted rollout, or a superseded one once this manager has a newer fencing token. A rollback that
+// was halted continues as a rollback. Otherwise the instances of the waves so far that did not apply the change are
+// retried, or excluded if exclude is set.
 func (r *Rollout) Resume(now time.Duration, exclude bool) error {
 	if r.Status != Halted && r.Status != Superseded {
 		return ErrNotHalted
 	}
 	if slices.ContainsFunc(r.members, func(m *Member) bool { return m.Backing }) {
-		// What was halted is the taking back. To bring out what some have given back would tell them as having it.
+		// A rollback was halted. Continuing the waves would count reverted instances as having the change.
 		r.Reason = ""
 		r.beginRollback()
 		return nil
@@ -47,13 +48,13 @@
 	return nil
 }
 
-// Rollback takes back what was applied.
+// Rollback starts to revert the change on all instances that have applied it.
 func (r *Rollout) Rollback(now time.Duration) error {
 	if r.Status == RolledBack || r.Status == RollingBack {
 		return ErrAlreadyRolledBack
 	}
 	for _, m := range r.members {
-		// A taking back that failed is tried again under another id.
+		// A revert that failed is retried with a new id.
 		if m.Backing && !m.requestOpen && m.Back.State.Final() && m.Back.State != change.Done && m.Back.State != change.Unknown {
 			m.Back, m.BackTry = change.Target{}, m.BackTry+1
 			r.markUnsaved(m)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,8 +1,12 @@
-// Package rollout decides how one settings document comes to many instances: in waves, the first of them small, watched
-// before the next, and rolled back or halted where the limits say so. It has no I/O, no clock and no goroutines: callers
-// tell it what happens, with the time, write down what Changed returns, and only then send what Next returned.
+// Package rollout implements the state machine of a rollout, which brings one configuration document to many instances.
+// A rollout goes in waves of growing size, starting with a few canaries. Each wave is observed before the next one
+// starts, and the rollout is rolled back or halted according to its limits. The package also has Reconciler, which
+// keeps a single instance at its desired document.
 //
-// What becomes of the change on one instance package change decides. See docs/design/control.md.
+// The package has no I/O, no clock and no goroutines. Callers pass in events with their times and call Advance. They
+// must write what Unsaved returns to the journal before they send the requests that Advance returned.
+//
+// Package change tracks the change on each instance. See docs/design/control.md.
 package rollout
 
 import (
@@ -14,17 +18,17 @@
 	"example.org/micaline/internal/change"
 )
 
-// Status is how far a rollout is.
+// Status is the progress of a rollout.
 type Status uint8
 
-// The statuses.
+// The statuses of a rollout.
 const (
-	Running     Status = iota
-	RollingBack        // what was applied is being taken back
-	Halted             // nothing more is sent until an operator resumes it or rolls it back
-	Completed          // all waves were brought out
-	RolledBack         // whoever could be reached is as before
-	Superseded         // a newer manager has spoken
+	Running     Status = iota // waves are started and observed
+	RollingBack               // the change is being reverted where it was applied
+	Halted                    // no change is started until an operator resumes the rollout or rolls it back
+	Completed                 // all waves have ended well
+	RolledBack                // all instances that could be reached have their previous document
+	Superseded                // a newer manager has taken over
 )
 
 var statusNames = [...]string{
@@ -33,118 +37,121 @@
 
 func (s Status) String() string { return statusNames[s] }
 
-// MarshalText writes the status's name.
+// MarshalText returns the name of the status.
 func (s Status) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads a status's name.
+// UnmarshalText sets the status from its name.
 func (s *Status) UnmarshalText(text []byte) error {
 	i := slices.Index(statusNames[:], string(text))
 	if i < 0 {
-		return fmt.Errorf("there is no status %q", text)
+		return fmt.Errorf("invalid rollout status %q", text)
 	}
 	*s = Status(i)
 	return nil
 }
 
-// Over says that the rollout does nothing more by itself and can't be resumed.
+// Finished reports whether the rollout has ended and cannot be resumed.
 func (s Status) Finished() bool { return s == Completed || s == RolledBack }
 
-// stragglers is how long a wave's commits wait for instances that have not prepared yet. One that is slower is
-// committed when it has.
+// stragglerTimeout is how long the commits of a wave wait for instances that have not prepared yet. A slower instance
+// is committed as soon as it has prepared.
 const stragglerTimeout = 2 * time.Second
 
-// unseen is how much longer than its watch a wave waits for instances that have applied the change and then not shown
-// themselves, and how long a manager that goes on from a journal waits for those that its predecessor had asked to apply
-// it. After that they are lost.
+// unobservedTimeout is how much longer than the bake time a wave waits for instances that have applied the change and
+// were not observed since. It is also how long a restored rollout waits for instances whose commit was open when the
+// previous manager process ended. After that time these instances count as lost.
 const unobservedTimeout = 10 * time.Second
 
-// Header is what a rollout's record in the journal says of it as a whole.
+// Header is the part of a rollout's journal record that is not about a single instance.
 type Header struct {
 	ID       string        `json:"id"`
-	Document string        `json:"document"` // its hash
+	Document string        `json:"document"` // hash of the document
 	Limits   change.Limits `json:"limits"`
 	Waves    int           `json:"waves"`
-	Wave     int           `json:"wave"` // the present one, from 0
+	Wave     int           `json:"wave"` // index of the current wave, from 0
 	Status   Status        `json:"status"`
 	Reason   string        `json:"reason,omitempty"`
-	Begun    time.Duration `json:"begun"`           // since 1970
-	Since    time.Duration `json:"since"`           // when the present wave began
-	Baking   time.Duration `json:"baking"`          // when all of the wave had ended; 0 while they have not
-	Ended    time.Duration `json:"ended,omitempty"` // when it was completed, rolled back or halted
+	Begun    time.Duration `json:"begun"`           // start of the rollout, as all times here in ns since 1970
+	Since    time.Duration `json:"since"`           // start of the current wave
+	Baking   time.Duration `json:"baking"`          // when the change had ended on all instances of the wave; 0 before
+	Ended    time.Duration `json:"ended,omitempty"` // when the rollout was completed, rolled back, halted or superseded
 }
 
-// Member is what the journal says of one instance.
+// Member is the state of a rollout on one instance. The exported fields are stored in the journal.
 type Member struct {
 	Name   string        `json:"name"`
 	Wave   int           `json:"wave"`
-	Try    int           `json:"try"`   // so many times it was begun anew
-	Was    string        `json:"was"`   // hash of the document before
-	Epoch  string        `json:"epoch"` // of the process that was seen last
-	Base   uint64        `json:"base"`  // revision that the change is based on, of that process
+	Try    int           `json:"try"`   // number of retries
+	Was    string        `json:"was"`   // hash of the previous document
+	Epoch  string        `json:"epoch"` // epoch of the process that the change was planned for
+	Base   uint64        `json:"base"`  // revision of that process that the change is based on
 	Target change.Target `json:"target"`
-	Left   bool          `json:"left,omitempty"` // an operator has gone on without it
-	// Back is the change that takes it back.
+	Left   bool          `json:"left,omitempty"` // excluded from the rollout
+	// Back is the change that restores the previous document. Backing says that it has been started, and BackTry
+	// counts its retries.
 	Back    change.Target `json:"back"`
 	Backing bool          `json:"backing,omitempty"`
 	BackTry int           `json:"back_try,omitempty"`
-	Ended   bool          `json:"ended,omitempty"` // the process that had applied it has ended, so that there is nothing to take back
-	// Before is what it served in the time before the change, Mark its counts when the change was committed.
+	Ended   bool          `json:"ended,omitempty"` // nothing to revert, because the process that had applied the change has ended
+	// Before has the request counts of a period before the change, Mark the counts of the process so far when the
+	// change was committed.
 	Before change.RequestCounts `json:"before"`
 	Mark   change.RequestCounts `json:"mark"`
 
-	requestOpen bool // a request is out
-	// restored says that a commit was under way when the manager before this one ended, and that the instance has not
-	// said yet what became of it.
+	requestOpen bool // a request has been sent and not answered
+	// commitUnresolved says that a commit was open when the previous manager process ended, and that the instance
+	// has not reported its outcome since.
 	commitUnresolved bool
 	observed         Observation
 	observedAt       time.Duration
 }
 
-// Look is what an instance shows of itself.
+// Observation is the state that an instance reports.
 type Observation struct {
 	Epoch    string
 	Revision uint64
 	Hash     string
-	Mixed    bool                 // not all of it is of that document
-	Served   change.RequestCounts // since the process began
-	Recent   change.RequestCounts // in the time before now, as far as a comparison goes back
+	Mixed    bool                 // some parts in force do not belong to the document with that hash
+	Served   change.RequestCounts // counts since the process started
+	Recent   change.RequestCounts // counts of the recent past, for the comparison; see SlidingWindow
 }
 
-// Send is what the caller is to ask of an instance. What comes of it, it tells with Answered or Silent.
+// OutgoingRequest is a request that the caller has to send to an instance. The caller reports the result with
+// RecordAnswer or RecordNoAnswer.
 type OutgoingRequest struct {
 	Instance       string
 	Request        change.Request
-	ID             string // of the change
-	Document       string // hash, of AskPrepare
-	Base           uint64 // of AskPrepare
-	FromReconciler bool   // it is a Keeper's
+	ID             string // id of the change
+	Document       string // hash of the document, for RequestPrepare
+	Base           uint64 // revision that the change is based on, for RequestPrepare
+	FromReconciler bool   // sent by a Reconciler, not by a Rollout
 }
 
-// Rollout is one rollout.
+// Rollout is the state machine of a rollout. It is not safe for concurrent use.
 type Rollout struct {
 	Header
 	members        []*Member // in the order of their waves
 	byName         map[string]*Member
-	unsavedMembers map[*Member]struct{}
-	headerUnsaved  bool // has changed
+	unsavedMembers map[*Member]struct{} // members that have changed since MarkSaved
+	headerUnsaved  bool                 // the header has changed since MarkSaved
 
-	firstAdvance time.Duration // when a rollout that was restored first went on; 0 before
+	firstAdvance time.Duration // time of the first call of Advance in this process; 0 before
 }
 
-// Planned is an instance that a rollout is for.
+// PlannedInstance is an instance that a rollout will change, with its last observation.
 type PlannedInstance struct {
 	Name        string
 	Observation Observation
 }
 
-// The reasons for which an operator's word can't be done.
+// Errors with which a rollout refuses an order of an operator.
 var (
-	ErrNotRunning        = errors.New("it is not running")
-	ErrNotHalted         = errors.New("it is not halted")
-	ErrAlreadyRolledBack = errors.New("it is over")
+	ErrNotRunning        = errors.New("the rollout is not running")
+	ErrNotHalted         = errors.New("the rollout is not halted")
+	ErrAlreadyRolledBack = errors.New("the rollout is already rolled back or rolling back")
 )
 
-// New plans a rollout. The instances are taken in the order given.
+// New plans a rollout. Instances are assigned to waves in the given order.
 func New(now time.Duration, id, document string, limits change.Limits, instances []PlannedInstance) *Rollout {
 	sizes := limits.WaveSizes(len(instances))
 	r := &Rollout{Header: Header{ID: id, Document: document, Limits: limits, Waves: len(sizes), Begun: now, Since: now}, byName: map[string]*Member{}, unsavedMembers: map[*Member]struct{}{}, headerUnsaved: true}
@@ -162,7 +169,7 @@
 	return r
 }
 
-// LeaveOut notes an instance that the rollout is for and goes on without, as it could not be asked when it began.
+// Exclude adds an instance that the rollout skips, because it could not be reached when the rollout was planned.
 func (r *Rollout) Exclude(name, reason string) {
 	m := &Member{Name: name, Wave: max(0, r.Waves-1), Left: true, Target: change.Target{State: change.NotDone, Reason: reason}}
 	r.members = append(r.members, m)
@@ -170,8 +177,8 @@
 	r.unsavedMembers[m] = struct{}{}
 }
 
-// Restore returns a rollout as a journal has it, after its manager has ended at any point: what it had sent may have
-// been answered, or may yet arrive.
+// Restore returns a rollout from its journal after the manager process has ended at any point. Requests that were sent
+// before may have been answered or may still arrive.
 func Restore(h Header, members []Member) *Rollout {
 	r := &Rollout{Header: h, byName: map[string]*Member{}, unsavedMembers: map[*Member]struct{}{}}
 	for i := range members {
@@ -190,7 +197,8 @@
 	return r
 }
 
-// Changed returns what must be in the journal before anything is sent: the header, nil if it is as it was, and members.
+// Unsaved returns the changes that must be in the journal before any request is sent: the header, or nil if it is
+// unchanged, and the changed members.
 func (r *Rollout) Unsaved() (h *Header, members []*Member) {
 	if r.headerUnsaved {
 		h = &r.Header
@@ -203,38 +211,38 @@
 	return h, members
 }
 
-// Written takes in that what Changed returned is in the journal.
+// MarkSaved records that the journal has the changes that Unsaved returned.
 func (r *Rollout) MarkSaved() {
 	r.headerUnsaved = false
 	clear(r.unsavedMembers)
 }
 
-// Members are all instances, in the order of their waves.
+// Members returns all instances in the order of their waves.
 func (r *Rollout) Members() []*Member { return r.members }
 
-// Member returns one instance, nil if it is not among them.
+// Member returns the instance with the given name, nil if there is none.
 func (r *Rollout) Member(name string) *Member { return r.byName[name] }
 
-// Busy says whether the rollout still has to do with an instance, so that nothing else may change it.
+// Busy reports whether the rollout may still change an instance, so that nothing else may change it.
 func (r *Rollout) Busy(name string) bool {
 	m := r.byName[name]
 	return m != nil && (!r.Status.Finished() || m.requestOpen)
 }
 
-// Waiting says whether requests are out.
+// HasOpenRequests reports whether any request is still unanswered.
 func (r *Rollout) HasOpenRequests() bool {
 	return slices.ContainsFunc(r.members, func(m *Member) bool { return m.requestOpen })
 }
 
 func (r *Rollout) markUnsaved(m *Member) { r.unsavedMembers[m] = struct{}{} }
 
-// id is the change's on an instance. One that is begun anew is another: what was aborted stays so.
+// changeID returns the id of the change on an instance. Each retry has a new id, because an aborted id stays aborted.
 func (r *Rollout) changeID(m *Member) string { return fmt.Sprintf("%s/%d", r.ID, m.Try) }
 
-// tryAgain has a change that an instance has not applied begin anew, from the instance as it was last seen.
+// retry starts a change again that an instance has not applied, based on the last observation of the instance.
 func (r *Rollout) retry(m *Member) {
 	if !m.Target.Loose {
-		m.Try++ // what may still be prepared there is the same again
+		m.Try++ // a loose change may still be prepared there, so its id is kept
 	}
 	m.Target, m.Left = change.Target{}, false
 	if m.observed.Epoch != "" {
@@ -243,9 +251,11 @@
 	r.markUnsaved(m)
 }
 
+// revertID returns the id of the change that restores the previous document of an instance.
 func (r *Rollout) revertID(m *Member) string { return fmt.Sprintf("%s/back/%d", r.ID, m.BackTry) }
 
-// send has a request go out, if there is one.
+// appendRequest appends a request to a member, if there is one, and marks it open. With revert set, the request is about
+// the change that restores the previous document.
 func (r *Rollout) appendRequest(requests []OutgoingRequest, m *Member, request change.Request, revert bool) []OutgoingRequest {
 	if request == change.NoRequest {
 		return requests
@@ -259,7 +269,8 @@
 	return append(requests, s)
 }
 
-// Next goes on as far as it can, and returns what is to be sent, after Changed is written.
+// Advance continues the rollout as far as possible. It returns the requests to send once the changes from Unsaved are
+// in the journal.
 func (r *Rollout) Advance(now time.Duration) (requests []OutgoingRequest) {
 	if r.firstAdvance == 0 {
 		r.firstAdvance = now
@@ -267,13 +278,13 @@
 	switch r.Status {
 	case Running:
 		requests = r.advanceWave(now)
-		if r.Status == RollingBack { // just now
+		if r.Status == RollingBack { // advanceWave has started the rollback
 			requests = append(requests, r.advanceRollback(now)...)
 		}
 	case RollingBack:
 		requests = r.advanceRollback(now)
 	case Halted:
-		// What is prepared and shall not be committed ends.
+		// Changes that are prepared are aborted, because they will not be committed.
 		for _, m := range r.members {
 			if !m.requestOpen && m.Target.State == change.Prepared {
 				requests = r.appendRequest(requests, m, m.Target.Resolve(), false)
@@ -283,7 +294,7 @@
 	return requests
 }
 
-// present are the members of the present wave that are not left out.
+// currentWave returns the members of the current wave that are not excluded.
 func (r *Rollout) currentWave() (members []*Member) {
 	for _, m := range r.members {
 		if m.Wave == r.Wave && !m.Left {
@@ -293,7 +304,7 @@
 	return members
 }
 
-// run goes on with the present wave.
+// advanceWave continues the current wave and starts the next one when it has ended well.
 func (r *Rollout) advanceWave(now time.Duration) (requests []OutgoingRequest) {
 	wave := r.currentWave()
 	ended, open := r.countOutcomes(now, wave)
@@ -301,7 +312,7 @@
 	for _, m := range wave {
 		preparing = preparing || m.Target.State == change.Planned || m.Target.State == change.Preparing
 	}
-	// Before anything is committed: a document that instances refuse is not brought to the others.
+	// Evaluate before anything is committed, so that a document that instances refuse does not reach the others.
 	if v, reason := r.Limits.Evaluate(ended, change.RequestCounts{}, change.RequestCounts{}, 0); v == change.RollBack || v == change.Halt && open == 0 {
 		r.haltOrRollBack(now, v, reason)
 		return nil
@@ -344,15 +355,16 @@
 	return requests
 }
 
-// count says how the instances of a wave ended, and how many have not. One whose commit was under way when the manager
-// before this one ended is asked first: that a manager has ended is no failure of the instance.
+// countOutcomes counts the instances of a wave by outcome, and those on which the change has not ended as open. An
+// instance whose commit was open when the previous manager process ended stays open for unobservedTimeout, because the
+// end of a manager is not a failure of the instance.
 func (r *Rollout) countOutcomes(now time.Duration, wave []*Member) (c change.WaveOutcome, open int) {
 	c.Total = len(wave)
 	for _, m := range wave {
 		t := &m.Target
 		switch {
 		case t.State == change.Done && m.observed.Epoch != "" && m.observed.Epoch != t.Epoch && r.Baking > 0:
-			c.Refused++ // the process that applied it has ended, while it was watched
+			c.Refused++ // the process that applied the change ended while the wave was observed
 		case t.State == change.Done:
 		case t.State == change.PartlyDone || t.State == change.NotDone && t.Refused:
 			c.Refused++
@@ -367,7 +379,7 @@
 	return c, open
 }
 
-// unwatched counts those that have applied the change and have not been seen since all had.
+// countUnobserved counts the members that have applied the change and were not observed since the bake time began.
 func (r *Rollout) countUnobserved(wave []*Member) (n int) {
 	for _, m := range wave {
 		if m.Target.State == change.Done && (m.observedAt < r.Baking || m.observed.Epoch == "") {
@@ -377,7 +389,7 @@
 	return n
 }
 
-// served sums up what a wave's instances served before the change and since.
+// requestCounts adds up the request counts of a wave's instances before and since the change.
 func (r *Rollout) requestCounts(wave []*Member) (before, since change.RequestCounts) {
 	for _, m := range wave {
 		if m.Target.State != change.Done || m.observed.Epoch != m.Target.Epoch {
@@ -389,7 +401,7 @@
 	return before, since
 }
 
-// stop ends the bringing out.
+// haltOrRollBack ends the waves according to the verdict.
 func (r *Rollout) haltOrRollBack(now time.Duration, v change.Verdict, reason string) {
 	r.headerUnsaved, r.Reason = true, fmt.Sprintf("wave %d: %s", r.Wave+1, reason)
 	if v == change.Halt {
@@ -399,12 +411,12 @@
 	r.beginRollback()
 }
 
-// rollback begins to take back. Whoever was never sent a commit has nothing to be taken back.
+// beginRollback starts the rollback. Instances that were never sent a commit have nothing to revert.
 func (r *Rollout) beginRollback() {
 	r.Status, r.Ended, r.headerUnsaved = RollingBack, 0, true
 }
 
-// back goes on with taking back.
+// advanceRollback continues the rollback.
 func (r *Rollout) advanceRollback(now time.Duration) (requests []OutgoingRequest) {
 	open := 0
 	for _, m := range r.members {
@@ -421,8 +433,8 @@
 				continue
 			}
 			base := t.Revision
-			if m.observed.Epoch != "" && m.observed.Epoch != t.Epoch { // the process that had it is gone, and with it the change
-				if m.observed.Hash != r.Document && !m.observed.Mixed { // nor was it brought there again
+			if m.observed.Epoch != "" && m.observed.Epoch != t.Epoch { // the change was lost with its process
+				if m.observed.Hash != r.Document && !m.observed.Mixed { // and it was not applied again
 					m.Ended = true
 					r.markUnsaved(m)
 					continue
@@ -441,7 +453,7 @@
 	return requests
 }
 
-// current is the change on an instance that requests are about now.
+// activeTarget returns the change that current requests to the instance are about.
 func (m *Member) activeTarget() *change.Target {
 	if m.Backing {
 		return &m.Back
@@ -449,18 +461,18 @@
 	return &m.Target
 }
 
-// Summary counts the instances by what is known of them.
+// Summary has the number of instances in each state.
 type Summary struct {
 	Applied   int `json:"applied"`
 	Unchanged int `json:"unchanged"`
 	Partly    int `json:"partly"`
 	Unknown   int `json:"unknown"`
-	Waiting   int `json:"waiting"` // their turn has not come, or they are being asked
-	Back      int `json:"taken_back"`
-	Ended     int `json:"ended"` // the process that had applied it has ended: there was nothing to take back
+	Waiting   int `json:"waiting"`    // their wave has not started, or they are still preparing
+	Back      int `json:"taken_back"` // the previous document was restored
+	Ended     int `json:"ended"`      // nothing to revert, because the process that had applied the change has ended
 }
 
-// Summary counts the instances.
+// Summary returns the number of instances in each state.
 func (r *Rollout) Summary() (s Summary) {
 	for _, m := range r.members {
 		switch t := m.Target.State; {
