--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -13,7 +13,8 @@
 	newDocument = Document{Hash: "new", Parts: []string{"service", "decisions"}}
 )
 
-// finish carries out what an instance wants, all well but the parts named.
+// runActions carries out the actions of an instance and those that follow. The actions named in
+// failing fail.
 func runActions(i *Instance, now time.Duration, actions []Action, failing ...string) (done []string) {
 	for len(actions) > 0 {
 		a := actions[0]
@@ -31,14 +32,14 @@
 	return done
 }
 
-// change prepares and commits.
+// prepareAndCommit prepares and commits newDocument and carries out the actions.
 func prepareAndCommit(t *testing.T, i *Instance, id string, confirmTimeout time.Duration, failing ...string) []string {
 	t.Helper()
 	if err := i.Prepare(0, 1, id, i.Revision(), newDocument, confirmTimeout); err != nil {
 		t.Fatal(err)
 	}
 	if i.Current().Hash != "old" || i.Revision() != 0 {
-		t.Error("preparing changes something")
+		t.Error("preparing changes the document or the revision")
 	}
 	actions, err := i.Commit(0, 1, id)
 	if err != nil {
@@ -64,15 +65,15 @@
 		done := prepareAndCommit(t, i, "x", 0, c.failing...)
 		r, ok := i.Result("x")
 		if fmt.Sprint(done) != c.actions || !ok || r.Outcome != c.outcome || fmt.Sprint(r.Parts) != c.parts || i.Current().Hash != c.hash || i.Pending() != "" {
-			t.Errorf("%v: did %v, result %+v, document %s", c.failing, done, r, i.Current().Hash)
+			t.Errorf("%v: actions %v, result %+v, document %s", c.failing, done, r, i.Current().Hash)
 		}
 		if fmt.Sprint(i.MixedParts()) != map[bool]string{true: c.parts, false: "[]"}[c.outcome == PartlyApplied] {
-			t.Errorf("%v: mixed %v", c.failing, i.MixedParts())
+			t.Errorf("%v: mixed parts %v", c.failing, i.MixedParts())
 		}
 		if c.outcome != Applied && r.Reason == "" {
 			t.Errorf("%v: no reason", c.failing)
 		}
-		// A repeat gets the first result and does nothing.
+		// A repeated request gets the first result and has no effect.
 		if err := i.Prepare(0, 1, "x", 0, newDocument, 0); err != nil {
 			t.Errorf("preparing it again: %v", err)
 		}
@@ -95,59 +96,61 @@
 	}{
 		{"no id", prepare(1, "", 7), ErrNoID},
 		{"a stale revision", prepare(1, "x", 6), ErrStaleRevision},
-		{"well", prepare(1, "x", 7), nil},
+		{"valid", prepare(1, "x", 7), nil},
 		{"the same again", prepare(1, "x", 7), nil},
-		{"another under the id", i.Prepare(0, 1, "x", 7, oldDocument, 0), ErrIDInUse},
-		{"another beside it", prepare(1, "y", 7), ErrBusy},
-		{"a newer manager's", prepare(2, "y", 7), nil},
-		{"the older manager's again", prepare(1, "z", 7), ErrFenced},
+		{"another document with the same id", i.Prepare(0, 1, "x", 7, oldDocument, 0), ErrIDInUse},
+		{"a second change", prepare(1, "y", 7), ErrBusy},
+		{"a newer manager's change", prepare(2, "y", 7), nil},
+		{"another change of the older manager", prepare(1, "z", 7), ErrFenced},
 	} {
 		if !errors.Is(c.err, c.want) {
 			t.Errorf("%s: %v", c.name, c.err)
 		}
 	}
 	if r, _ := i.Result("x"); r.Outcome != Unchanged {
-		t.Errorf("what was superseded ends as %+v", r)
+		t.Errorf("the superseded change ends as %+v", r)
 	}
 	if _, err := i.Commit(0, 2, "z"); !errors.Is(err, ErrNotPrepared) {
-		t.Errorf("committing what is not prepared: %v", err)
+		t.Errorf("committing a change that is not prepared: %v", err)
 	}
 	if _, err := i.Commit(0, 1, "y"); !errors.Is(err, ErrFenced) {
 		t.Errorf("the older manager commits: %v", err)
 	}
 }
 
-// What is prepared and not committed expires, and an abort that comes before its change ends that for good.
+// A prepared change that is not committed expires. An abort that arrives before the prepare of its
+// change ends the change permanently.
 func TestExpiryAndAbort(t *testing.T) {
 	i := NewInstance("e", 0, oldDocument)
 	i.Prepare(0, 1, "x", 0, newDocument, 0)
 	if at, ok := i.NextDeadline(); !ok || at != PrepareTimeout {
-		t.Errorf("due at %v, %v", at, ok)
+		t.Errorf("next deadline %v, %v", at, ok)
 	}
 	if _, err := i.Commit(PrepareTimeout, 1, "x"); !errors.Is(err, ErrNotPrepared) {
 		t.Errorf("committed too late: %v", err)
 	}
 	if r, err := i.Abort(0, 1, "y"); err != nil || r.Outcome != Unchanged {
-		t.Errorf("aborted before it came: %+v, error %v", r, err)
+		t.Errorf("aborted before the prepare: %+v, error %v", r, err)
 	}
 	if err := i.Prepare(0, 1, "y", 0, newDocument, 0); err != nil {
 		t.Error(err)
 	}
 	if actions, _ := i.Commit(0, 1, "y"); len(actions) > 0 || i.Pending() != "" {
-		t.Error("what was aborted is applied")
+		t.Error("the aborted change is applied")
 	}
 }
 
-// A change that cuts its own branch is taken back unless it is confirmed in time.
+// A change with a confirmation timeout is reverted unless it is confirmed in time. This guards
+// against changes that cut the connection over which they are confirmed.
 func TestConfirmation(t *testing.T) {
 	for _, confirmed := range []bool{true, false} {
 		i := NewInstance("e", 0, oldDocument)
 		prepareAndCommit(t, i, "x", time.Second)
 		if i.Current().Hash != "new" || i.Pending() != "x" {
-			t.Fatal("not in force while it waits")
+			t.Fatal("the change is not in force while it waits for the confirmation")
 		}
 		if err := i.Prepare(0, 1, "y", 1, newDocument, 0); !errors.Is(err, ErrBusy) {
-			t.Errorf("another beside it: %v", err)
+			t.Errorf("a second change: %v", err)
 		}
 		if confirmed {
 			if err := i.Confirm(time.Second/2, 1, "x"); err != nil {
@@ -158,9 +161,9 @@
 		r, _ := i.Result("x")
 		switch {
 		case confirmed && (r.Outcome != Applied || i.Current().Hash != "new" || len(done) > 0 || i.Revision() != 1):
-			t.Errorf("confirmed: %+v, did %v", r, done)
+			t.Errorf("confirmed: %+v, actions %v", r, done)
 		case !confirmed && (r.Outcome != Reverted || i.Current().Hash != "old" || fmt.Sprint(done) != "[revert decisions revert service]" || i.Revision() != 2):
-			t.Errorf("not confirmed: %+v, did %v, document %s, revision %d", r, done, i.Current().Hash, i.Revision())
+			t.Errorf("not confirmed: %+v, actions %v, document %s, revision %d", r, done, i.Current().Hash, i.Revision())
 		}
 		if err := i.Confirm(2*time.Second, 1, "x"); confirmed != (err == nil) {
 			t.Errorf("confirmed again: %v", err)
@@ -174,11 +177,11 @@
 		i.Abort(0, 1, fmt.Sprint(n))
 	}
 	if len(i.results) > maxResults || len(i.resultOrder) > maxResults {
-		t.Errorf("%d results are kept", len(i.results))
+		t.Errorf("%d results are stored", len(i.results))
 	}
 }
 
-// What a manager says of a commit that was not answered.
+// A commit that was not answered leaves the state unknown until a later answer reports the result.
 func TestSilence(t *testing.T) {
 	committing := func() *Target {
 		x := &Target{}
@@ -190,7 +193,7 @@
 		return x
 	}
 	x := committing()
-	x.RecordNoAnswer("cut off")
+	x.RecordNoAnswer("connection lost")
 	if x.State != Unknown || x.Resolve() != RequestAbort {
 		t.Errorf("state %s", x.State)
 	}
@@ -199,25 +202,25 @@
 		a     Answer
 		state State
 	}{
-		{"it was applied", Answer{Epoch: "e0", Result: Result{Outcome: Applied}}, Done},
-		{"in part", Answer{Epoch: "e0", Result: Result{Outcome: PartlyApplied, Parts: []string{"service"}}}, PartlyDone},
-		{"it never came", Answer{Epoch: "e0", Result: Result{Outcome: Unchanged}}, NotDone},
+		{"applied", Answer{Epoch: "e0", Result: Result{Outcome: Applied}}, Done},
+		{"partly applied", Answer{Epoch: "e0", Result: Result{Outcome: PartlyApplied, Parts: []string{"service"}}}, PartlyDone},
+		{"the commit never arrived", Answer{Epoch: "e0", Result: Result{Outcome: Unchanged}}, NotDone},
 		{"another process", Answer{Epoch: "e1", Result: Result{Outcome: Unchanged}}, NotDone},
 		{"a newer manager", Answer{Epoch: "e0", Err: ErrFenced, Fenced: true}, Unknown},
-		{"it is being applied", Answer{Epoch: "e0", Err: ErrBusy}, Unknown},
+		{"still being applied", Answer{Epoch: "e0", Err: ErrBusy}, Unknown},
 	} {
 		y := *x
 		if y.RecordAnswer(c.a); y.State != c.state {
 			t.Errorf("%s: %s", c.name, y.State)
 		}
 	}
-	// Before the commit silence is no doubt.
+	// Before a commit is sent, a missing answer leaves no doubt that nothing is applied.
 	y := &Target{}
 	y.NextRequest(false)
-	if y.RecordNoAnswer("cut off"); y.State != NotDone {
+	if y.RecordNoAnswer("connection lost"); y.State != NotDone {
 		t.Errorf("before the commit: %s", y.State)
 	}
-	// A manager that starts again does not know what it had sent.
+	// A manager that restarts does not know whether its commit arrived.
 	z := committing()
 	if z.Resume(); z.State != Unknown {
 		t.Errorf("after a restart: %s", z.State)
@@ -227,10 +230,10 @@
 func TestWaves(t *testing.T) {
 	l := Limits{Canaries: 2, Growth: 3, Bake: 10 * time.Second, MoreRefused: 0.02, MoreFailed: 0.01, LessInAim: 0.05, Least: 100, Patience: time.Minute, MayFail: 0.1}
 	if got := fmt.Sprint(l.WaveSizes(50)); got != "[2 6 18 24]" {
-		t.Errorf("waves of %s", got)
+		t.Errorf("wave sizes %s", got)
 	}
 	if got := l.WaveSizes(0); len(got) > 0 {
-		t.Errorf("waves of nobody: %v", got)
+		t.Errorf("wave sizes for no instances: %v", got)
 	}
 	appliedOf := func(applied, total int) WaveOutcome { return WaveOutcome{Total: total, Lost: total - applied} }
 	healthy := RequestCounts{Requests: 1000, InAim: 980, Refused: 10, Failed: 5}
@@ -241,35 +244,36 @@
 		watched time.Duration
 		verdict Verdict
 	}{
-		{"too early", appliedOf(10, 10), healthy, time.Second, KeepWatching},
-		{"well", appliedOf(10, 10), healthy, 10 * time.Second, NextWave},
-		{"one of ten is silent", appliedOf(9, 10), healthy, 10 * time.Second, NextWave},
-		{"two of ten are", appliedOf(8, 10), healthy, 0, Halt},
+		{"observed too briefly", appliedOf(10, 10), healthy, time.Second, KeepWatching},
+		{"healthy", appliedOf(10, 10), healthy, 10 * time.Second, NextWave},
+		{"one of ten is lost", appliedOf(9, 10), healthy, 10 * time.Second, NextWave},
+		{"two of ten are lost", appliedOf(8, 10), healthy, 0, Halt},
 		{"one refuses", WaveOutcome{Total: 10, Refused: 1}, healthy, 10 * time.Second, NextWave},
 		{"two refuse", WaveOutcome{Total: 10, Refused: 2}, healthy, 0, RollBack},
-		{"one refuses and one is silent", WaveOutcome{Total: 10, Refused: 1, Lost: 1}, healthy, 0, Halt},
+		{"one refuses and one is lost", WaveOutcome{Total: 10, Refused: 1, Lost: 1}, healthy, 0, Halt},
 		{"more refused", appliedOf(10, 10), RequestCounts{Requests: 1000, InAim: 965, Refused: 35}, time.Second, RollBack},
-		{"a little more", appliedOf(10, 10), RequestCounts{Requests: 1000, InAim: 970, Refused: 25}, 10 * time.Second, NextWave},
+		{"slightly more refused", appliedOf(10, 10), RequestCounts{Requests: 1000, InAim: 970, Refused: 25}, 10 * time.Second, NextWave},
 		{"more failed", appliedOf(10, 10), RequestCounts{Requests: 1000, InAim: 975, Failed: 20}, time.Second, RollBack},
-		{"later answers", appliedOf(10, 10), RequestCounts{Requests: 1000, InAim: 900}, time.Second, RollBack},
-		{"too few to judge", appliedOf(10, 10), RequestCounts{Requests: 10, Failed: 10}, 20 * time.Second, KeepWatching},
-		{"and for too long", appliedOf(10, 10), RequestCounts{Requests: 10, Failed: 10}, time.Minute, NextWave},
+		{"fewer within the target latency", appliedOf(10, 10), RequestCounts{Requests: 1000, InAim: 900}, time.Second, RollBack},
+		{"too few requests to evaluate", appliedOf(10, 10), RequestCounts{Requests: 10, Failed: 10}, 20 * time.Second, KeepWatching},
+		{"too few requests until Patience is over", appliedOf(10, 10), RequestCounts{Requests: 10, Failed: 10}, time.Minute, NextWave},
 	} {
 		if got, why := l.Evaluate(c.ended, healthy, c.since, c.watched); got != c.verdict || (got == RollBack || got == Halt) && why == "" {
 			t.Errorf("%s: %d, %q", c.name, got, why)
 		}
 	}
-	// With nothing to compare with, failures count all the same.
+	// Failures count even if there were no requests before the change.
 	if got, _ := l.Evaluate(appliedOf(2, 2), RequestCounts{}, RequestCounts{Requests: 500, Failed: 100}, time.Second); got != RollBack {
-		t.Error("failures pass where nothing was asked before")
+		t.Error("failures are accepted if there were no requests before")
 	}
 }
 
-// Managers that start after one another have rising numbers, and two that start at once differ.
+// Managers that start one after the other get increasing fencing tokens, and two that start at once
+// get different ones.
 func TestNextFence(t *testing.T) {
 	first := NextFence(0, 7)
 	if concurrent := NextFence(0, 8); first == 0 || concurrent == first {
-		t.Errorf("two at once: %d and %d", first, concurrent)
+		t.Errorf("two managers at once: %d and %d", first, concurrent)
 	}
 	if second := NextFence(first, 0); second <= first {
 		t.Errorf("%d after %d", second, first)
@@ -284,11 +288,11 @@
 		text, _ := s.MarshalText()
 		var back State
 		if err := back.UnmarshalText(text); err != nil || back != s {
-			t.Errorf("%s comes back as %s, error %v", s, back, err)
+			t.Errorf("%s is decoded as %s, error %v", s, back, err)
 		}
 	}
 	var s State
 	if err := s.UnmarshalText([]byte("what")); err == nil {
-		t.Error("an unknown state is read")
+		t.Error("an invalid state is accepted")
 	}
 }
--- a/internal/change/explore_test.go
+++ b/internal/change/explore_test.go
@@ -9,36 +9,37 @@
 	"testing"
 )
 
-// The world of the explorer: two managers, the second the newer, each with one change in two parts for all instances;
-// instances; and what is on its way between them, which may arrive in any order and as late as it likes: what is lost
-// arrives never, which no property can tell from late. One party dies at any
-// point, one part fails at any point, managers give up at any point.
+// system is the model that the tests in this file explore exhaustively. It has instances and two
+// managers, the second one newer, each with one change of two parts for all instances. Messages
+// arrive in any order and with any delay. A lost message is one that never arrives, which no
+// invariant can tell from a late one. One process restarts at any point, one part fails at any
+// point, and managers stop waiting for an answer at any point.
 type system struct {
 	instances   []*instanceModel
 	managers    []*managerModel
 	inFlight    []message
-	crashesLeft int    // that may still happen
-	faultsLeft  int    // parts that may still fail
-	injectedBug string // bug
+	crashesLeft int    // number of restarts that may still happen
+	faultsLeft  int    // number of parts that may still fail
+	injectedBug string // name of a deliberate bug, "" for none
 }
 
 type instanceModel struct {
 	*Instance
 	restarts       int
-	pendingActions []Action        // of the process, at most one
-	applied        map[string]bool // epoch and change: all parts were applied once, and not taken back
-	partsInForce   map[string]bool // epoch, change and part that are applied
-	highestFence   uint64          // in this epoch
-	openCommits    []message       // commits that are to be answered
+	pendingActions []Action        // actions of the process, at most one
+	applied        map[string]bool // by epoch and change: all parts were applied and not reverted
+	partsInForce   map[string]bool // by epoch, change and part: the part is applied
+	highestFence   uint64          // highest fencing token of an accepted request in this epoch
+	openCommits    []message       // commits that are not answered yet
 }
 
 type managerModel struct {
 	fence        uint64
 	id           string
 	targets      []Target
-	openRequest  []int // the request that is open at each, 0 for none: an answer comes on its request's connection
-	lastNumber   int   // request
-	resolvesLeft []int // that it may still send
+	openRequest  []int // number of the open request to each instance, 0 for none: an answer arrives on the connection of its request
+	lastNumber   int   // number of the last request
+	resolvesLeft []int // number of aborts that may still be sent to each instance
 }
 
 type message struct {
@@ -50,14 +51,14 @@
 	payload  Answer
 }
 
-// ask opens a request.
+// openRequestTo returns a new request to an instance and marks it open.
 func (m *managerModel) openRequestTo(g, i int, r Request) message {
 	m.lastNumber++
 	m.openRequest[i] = m.lastNumber
 	return message{manager: g, instance: i, request: r, number: m.lastNumber}
 }
 
-// reply is what goes back.
+// withAnswer returns the answer to a request.
 func (f message) withAnswer(a Answer) message {
 	f.isAnswer, f.payload = true, a
 	return f
@@ -95,7 +96,8 @@
 	return c
 }
 
-// key is the state in canonical form: what is on its way has no order, and instances have none.
+// stateKey returns the state in canonical form, in which messages in flight and instances are
+// sorted.
 func (w *system) stateKey() string {
 	instanceKeys := make([]string, len(w.instances))
 	for i, m := range w.instances {
@@ -121,17 +123,19 @@
 	return fmt.Sprint(w.crashesLeft, w.faultsLeft, instanceKeys)
 }
 
-// canonical tells a message by whether anybody still waits for it, not by its number.
+// canonicalMessage returns a message as text. In place of its number it has whether the manager
+// still waits for the answer.
 func (w *system) canonicalMessage(f message) string {
 	return fmt.Sprint(f.isAnswer, f.manager, f.request, w.managers[f.manager].openRequest[f.instance] == f.number, f.payload)
 }
 
-// step is one thing that can happen.
+// transition is one event that can happen in a state.
 type transition struct {
 	description string
 	apply       func(w *system) error
 }
 
+// transitions returns all events that can happen in the current state.
 func (w *system) transitions() (transitions []transition) {
 	add := func(apply func(w *system) error, format string, args ...any) {
 		transitions = append(transitions, transition{fmt.Sprintf(format, args...), apply})
@@ -145,19 +149,19 @@
 	for i, m := range w.instances {
 		if len(m.pendingActions) > 0 {
 			a := m.pendingActions[0]
-			add(func(w *system) error { return w.runAction(i, nil) }, "instance %d does %d of %s %s", i, a.Kind, a.ID, a.Part)
+			add(func(w *system) error { return w.runAction(i, nil) }, "instance %d carries out action %d of %s %s", i, a.Kind, a.ID, a.Part)
 			if w.faultsLeft > 0 {
 				add(func(w *system) error {
 					w.faultsLeft--
 					return w.runAction(i, errors.New("no"))
-				}, "instance %d fails at %d of %s %s", i, a.Kind, a.ID, a.Part)
+				}, "instance %d fails action %d of %s %s", i, a.Kind, a.ID, a.Part)
 			}
 		}
 		if m.phase == prepared {
-			add(func(w *system) error { w.instances[i].Tick(w.instances[i].deadline); return nil }, "what instance %d has prepared expires", i)
+			add(func(w *system) error { w.instances[i].Tick(w.instances[i].deadline); return nil }, "the prepared change of instance %d expires", i)
 		}
 		if w.crashesLeft > 0 {
-			add(func(w *system) error { w.crashesLeft--; w.instances[i].restart(); return nil }, "instance %d dies and is back", i)
+			add(func(w *system) error { w.crashesLeft--; w.instances[i].restart(); return nil }, "instance %d restarts", i)
 		}
 	}
 	for g, mgr := range w.managers {
@@ -169,10 +173,10 @@
 					m.targets[i].Resume()
 					m.openRequest[i] = 0
 				}
-				// What was on its way to it is lost with its connections.
+				// Answers in flight are lost with the connections of the manager.
 				w.inFlight = slices.DeleteFunc(w.inFlight, func(f message) bool { return f.isAnswer && f.manager == g })
 				return nil
-			}, "manager %d dies and is back", g)
+			}, "manager %d restarts", g)
 		}
 		commit := !slices.ContainsFunc(mgr.targets, func(t Target) bool { return t.State == Planned || t.State == Preparing })
 		for i := range mgr.targets {
@@ -182,11 +186,11 @@
 					m := w.managers[g]
 					m.openRequest[i] = 0
 					m.targets[i].RecordNoAnswer("no answer")
-					if w.injectedBug == "takes silence for a no" && m.targets[i].State == Unknown {
+					if w.injectedBug == "treats a missing answer as unchanged" && m.targets[i].State == Unknown {
 						m.targets[i].State = NotDone
 					}
 					return nil
-				}, "manager %d gives up on instance %d", g, i)
+				}, "manager %d stops waiting for instance %d", g, i)
 				continue
 			}
 			if t.NextRequest(commit) != NoRequest {
@@ -194,7 +198,7 @@
 					m := w.managers[g]
 					w.inFlight = append(w.inFlight, m.openRequestTo(g, i, m.targets[i].NextRequest(commit)))
 					return nil
-				}, "manager %d asks instance %d on", g, i)
+				}, "manager %d sends the next request to instance %d", g, i)
 			}
 			if s := mgr.targets[i]; s.State == Unknown && mgr.resolvesLeft[i] > 0 {
 				add(func(w *system) error {
@@ -202,7 +206,7 @@
 					m.resolvesLeft[i]--
 					w.inFlight = append(w.inFlight, m.openRequestTo(g, i, m.targets[i].Resolve()))
 					return nil
-				}, "manager %d settles with instance %d", g, i)
+				}, "manager %d resolves its change on instance %d", g, i)
 			}
 		}
 	}
@@ -213,14 +217,14 @@
 	if f.isAnswer {
 		return fmt.Sprintf("instance %d answers manager %d: epoch %s, outcome %s, error %v", f.instance, f.manager, f.payload.Epoch, f.payload.Result.Outcome, f.payload.Err)
 	}
-	return fmt.Sprintf("request %d of manager %d comes to instance %d", f.request, f.manager, f.instance)
+	return fmt.Sprintf("request %d of manager %d arrives at instance %d", f.request, f.manager, f.instance)
 }
 
-// deliver hands a message to whom it is for.
+// deliver hands a message to its receiver.
 func (w *system) deliver(f message) error {
 	mgr, m := w.managers[f.manager], w.instances[f.instance]
 	fence := mgr.fence
-	if w.injectedBug == "forgets who is newer" {
+	if w.injectedBug == "forgets the highest fencing token" {
 		fence, m.fence = 1, 0
 	}
 	if f.isAnswer {
@@ -238,7 +242,7 @@
 		var actions []Action
 		if actions, a.Err = m.Commit(0, fence, mgr.id); len(actions) > 0 {
 			if mgr.fence < m.highestFence {
-				return fmt.Errorf("a change of manager %d begins after a newer one was heard", f.manager)
+				return fmt.Errorf("a change of manager %d starts after a request of a newer manager", f.manager)
 			}
 			if len(m.pendingActions) > 0 {
 				return errors.New("two changes are under way")
@@ -256,14 +260,14 @@
 	}
 	a.Fenced = errors.Is(a.Err, ErrFenced)
 	if f.request == RequestCommit && a.Err == nil && a.Result.Outcome == None {
-		m.openCommits = append(m.openCommits, f) // it is answered when it has ended
+		m.openCommits = append(m.openCommits, f) // it is answered when the change has ended
 		return nil
 	}
 	w.inFlight = append(w.inFlight, f.withAnswer(a))
 	return nil
 }
 
-// work carries out what the process is to do.
+// runAction carries out the next action of an instance, which fails with err if that is not nil.
 func (w *system) runAction(i int, err error) error {
 	m := w.instances[i]
 	a := m.pendingActions[0]
@@ -292,7 +296,7 @@
 	m.pendingActions, m.highestFence, m.openCommits = nil, 0, nil
 }
 
-// check is what must hold in every state.
+// checkInvariants returns an error if the state of a manager contradicts an instance.
 func (w *system) checkInvariants() error {
 	for g, mgr := range w.managers {
 		for i, t := range mgr.targets {
@@ -301,16 +305,16 @@
 			switch t.State {
 			case Done:
 				if !m.applied[changeKey] {
-					return fmt.Errorf("manager %d says that instance %d has applied it in %s, and it has not", g, i, t.Epoch)
+					return fmt.Errorf("manager %d records the change as applied on instance %d in %s, and it is not applied", g, i, t.Epoch)
 				}
 			case NotDone:
 				if m.applied[changeKey] {
-					return fmt.Errorf("manager %d says that instance %d is unchanged in %s, and it has applied it", g, i, t.Epoch)
+					return fmt.Errorf("manager %d records instance %d as unchanged in %s, and the change is applied", g, i, t.Epoch)
 				}
 			case PartlyDone:
 				for _, part := range twoParts.Parts {
 					if m.partsInForce[changeKey+"/"+part] != slices.Contains(t.Parts, part) {
-						return fmt.Errorf("manager %d says that instance %d has parts %v", g, i, t.Parts)
+						return fmt.Errorf("manager %d records the wrong applied parts of instance %d: %v", g, i, t.Parts)
 					}
 				}
 			}
@@ -319,8 +323,8 @@
 	return nil
 }
 
-// explore goes through all that can happen, the shortest stories first. Its error tells the shortest that breaks a
-// property.
+// explore visits all states that can be reached, breadth first. Its error has the shortest sequence
+// of events that violates an invariant.
 func explore(initial *system) (states int, err error) {
 	type node struct {
 		system      *system
@@ -356,10 +360,10 @@
 	return len(seen), nil
 }
 
-// Whatever happens, and whoever dies, nobody says of an instance what is not so.
+// No sequence of delays, failures and restarts makes a manager record a wrong state of an instance.
 func TestExplore(t *testing.T) {
 	if testing.Short() {
-		t.Skip("some hundred thousand states")
+		t.Skip("explores several hundred thousand states")
 	}
 	states, err := explore(newSystem(1))
 	if err != nil {
@@ -368,9 +372,9 @@
 	t.Logf("%d states", states)
 }
 
-// The explorer finds what is planted.
+// The exploration finds deliberate bugs.
 func TestExplorerFindsBugs(t *testing.T) {
-	for _, bug := range []string{"takes silence for a no", "forgets who is newer"} {
+	for _, bug := range []string{"treats a missing answer as unchanged", "forgets the highest fencing token"} {
 		w := newSystem(1)
 		w.injectedBug = bug
 		if _, err := explore(w); err == nil {
--- a/internal/change/instance.go
+++ b/internal/change/instance.go
@@ -1,11 +1,12 @@
-// Package change implements two-phase configuration changes. Instance is the state machine of an instance, which
-// prepares and commits changes. Target is the state machine of a manager, which tracks the outcome of one change on
-// one instance. The package has no I/O, no clock and no goroutines: callers pass in events with their times and carry
-// out the actions and requests that are returned.
+// Package change implements two-phase configuration changes. Instance is the state machine of an
+// instance, which prepares and commits changes. Target is the state machine of a manager, which
+// tracks the outcome of one change on one instance. The package has no I/O, no clock and no
+// goroutines: callers pass in events with their times and carry out the actions and requests that
+// are returned.
 //
-// A change has an id, and repeated requests with that id get the first result. A change names the revision that it is
-// based on and the fencing token of its manager. Preparing a change applies nothing; committing it applies its
-// document part by part. See docs/design/control.md.
+// A change has an id, and repeated requests with that id get the first result. A change names the
+// revision that it is based on and the fencing token of its manager. Preparing a change applies
+// nothing; committing it applies its document part by part. See docs/design/control.md.
 package change
 
 import (
@@ -51,7 +52,8 @@
 	return Outcome(i), nil
 }
 
-// Result is how a change ended on an instance. An instance reports the same result for every repeated request.
+// Result is how a change ended on an instance. An instance reports the same result for every
+// repeated request.
 type Result struct {
 	ID       string
 	Outcome  Outcome
@@ -60,13 +62,15 @@
 	Reason   string   // why the change is not applied
 }
 
-// Document identifies a configuration document by its hash and parts. This package never reads the content.
+// Document identifies a configuration document by its hash and parts. This package never reads the
+// content.
 type Document struct {
 	Hash  string
 	Parts []string // in the order in which they are applied
 }
 
-// Action is work that the caller has to carry out. The caller reports the end of each action with Instance.ActionDone.
+// Action is work that the caller has to carry out. The caller reports the end of each action with
+// Instance.ActionDone.
 type Action struct {
 	Kind ActionKind
 	ID   string
@@ -83,8 +87,8 @@
 )
 
 const (
-	// maxResults is the number of changes whose results an instance remembers. A change whose result has been
-	// dropped could be committed again.
+	// maxResults is the number of changes whose results an instance remembers. A change whose
+	// result has been dropped could be committed again.
 	maxResults = 1024
 	// PrepareTimeout is how long a prepared change waits for its commit before it expires.
 	PrepareTimeout = time.Minute
@@ -101,7 +105,8 @@
 	confirming       // applied, waits for a confirmation until the deadline
 )
 
-// Instance is the state machine of changes in one process of an instance. It is not safe for concurrent use.
+// Instance is the state machine of changes in one process of an instance. It is not safe for
+// concurrent use.
 type Instance struct {
 	epoch    string
 	revision uint64
@@ -125,7 +130,8 @@
 	documentHashes map[string]string // hash of the document of each change, by id
 }
 
-// NewInstance returns the state machine of a process that started with document d at the given revision.
+// NewInstance returns the state machine of a process that started with document d at the given
+// revision.
 func NewInstance(epoch string, revision uint64, d Document) *Instance {
 	return &Instance{epoch: epoch, revision: revision, current: d, results: map[string]Result{}, documentHashes: map[string]string{}}
 }
@@ -139,8 +145,8 @@
 // Current returns the document in force.
 func (i *Instance) Current() Document { return i.current }
 
-// MixedParts returns the parts in force that do not belong to the Current document. They are left by a change that
-// could neither be fully applied nor fully reverted.
+// MixedParts returns the parts in force that do not belong to the Current document. They are left
+// by a change that could neither be fully applied nor fully reverted.
 func (i *Instance) MixedParts() []string { return i.mixedParts }
 
 // Fence returns the highest fencing token that a manager has sent.
@@ -171,7 +177,8 @@
 	return i.current
 }
 
-// ObserveFence records the fencing token of a manager. It returns ErrFenced if a higher token was seen before.
+// ObserveFence records the fencing token of a manager. It returns ErrFenced if a higher token was
+// seen before.
 func (i *Instance) ObserveFence(fence uint64) error { return i.observeFence(fence) }
 
 // observeFence implements ObserveFence.
@@ -183,8 +190,9 @@
 	return nil
 }
 
-// Prepare accepts a change without applying any of it. The caller must have validated the whole document. The change
-// expires if it is not committed within PrepareTimeout. A prepared change of an older manager is superseded.
+// Prepare accepts a change without applying any of it. The caller must have validated the whole
+// document. The change expires if it is not committed within PrepareTimeout. A prepared change of
+// an older manager is superseded.
 func (i *Instance) Prepare(now time.Duration, fence uint64, id string, base uint64, d Document, confirmTimeout time.Duration) error {
 	if id == "" {
 		return ErrNoID
@@ -228,8 +236,8 @@
 	}
 }
 
-// Commit starts to apply the prepared change and returns the first action. A repeated request has no effect; Result
-// returns the result once ActionDone has reported the last action.
+// Commit starts to apply the prepared change and returns the first action. A repeated request has
+// no effect; Result returns the result once ActionDone has reported the last action.
 func (i *Instance) Commit(now time.Duration, fence uint64, id string) ([]Action, error) {
 	if _, known := i.results[id]; known {
 		return nil, nil
@@ -248,8 +256,9 @@
 	return i.advance(now), nil
 }
 
-// Abort permanently ends a change that is not committed: a later commit of it applies nothing. If the change has ended,
-// Abort returns its result. If the change is committed and has not ended, it goes on and Abort returns ErrBusy.
+// Abort permanently ends a change that is not committed: a later commit of it applies nothing. If
+// the change has ended, Abort returns its result. If the change is committed and has not ended, it
+// goes on and Abort returns ErrBusy.
 func (i *Instance) Abort(now time.Duration, fence uint64, id string) (Result, error) {
 	if r, known := i.results[id]; known {
 		return r, nil
@@ -275,7 +284,8 @@
 	return i.results[id], nil
 }
 
-// Confirm makes an applied change permanent. It returns ErrNotPrepared if the change does not wait for a confirmation.
+// Confirm makes an applied change permanent. It returns ErrNotPrepared if the change does not wait
+// for a confirmation.
 func (i *Instance) Confirm(now time.Duration, fence uint64, id string) error {
 	if r, known := i.results[id]; known && r.Outcome == Applied {
 		return nil
--- a/internal/change/manager.go
+++ b/internal/change/manager.go
@@ -42,11 +42,12 @@
 	return nil
 }
 
-// fenceRandomBits is the number of low bits of a fencing token that are random. They keep the tokens of two managers
-// apart that start at the same time and have seen the same highest token.
+// fenceRandomBits is the number of low bits of a fencing token that are random. They keep the
+// tokens of two managers apart that start at the same time and have seen the same highest token.
 const fenceRandomBits = 20
 
-// NextFence returns a fencing token for a new manager. It is higher than highest, the highest token seen so far.
+// NextFence returns a fencing token for a new manager. It is higher than highest, the highest token
+// seen so far.
 func NextFence(highest uint64, random uint32) uint64 {
 	return (highest>>fenceRandomBits+1)<<fenceRandomBits | uint64(random)&(1<<fenceRandomBits-1)
 }
@@ -67,8 +68,9 @@
 	RequestAbort
 )
 
-// Target is the state machine of a manager for one change on one instance. The manager stores it in its journal. After
-// a restart it restores the target and calls Resume, which marks the states that are no longer certain.
+// Target is the state machine of a manager for one change on one instance. The manager stores it in
+// its journal. After a restart it restores the target and calls Resume, which marks the states that
+// are no longer certain.
 type Target struct {
 	State    State    `json:"state"`
 	Epoch    string   `json:"epoch,omitempty"`    // reported by the process that State refers to; "" before the first answer
@@ -88,8 +90,8 @@
 	Fenced bool   // Err is ErrFenced
 }
 
-// NextRequest returns the next request to the instance. It sends a commit only if commit is set. The caller must
-// write the new state to its journal before it sends the request.
+// NextRequest returns the next request to the instance. It sends a commit only if commit is set.
+// The caller must write the new state to its journal before it sends the request.
 func (t *Target) NextRequest(commit bool) Request {
 	switch {
 	case t.State == Planned:
@@ -102,8 +104,9 @@
 	return NoRequest
 }
 
-// Resolve returns the request that finds out an unknown state. This is an abort: the answer contains the result of
-// the change, and a change that was not applied can no longer be applied afterwards.
+// Resolve returns the request that finds out an unknown state. This is an abort: the answer
+// contains the result of the change, and a change that was not applied can no longer be applied
+// afterwards.
 func (t *Target) Resolve() Request {
 	switch t.State {
 	case Preparing, Prepared, Committing, Resolving, Unknown:
@@ -118,8 +121,8 @@
 	return NoRequest
 }
 
-// Resume updates the state after a restart of the manager. Requests sent before the restart may have been answered or
-// may still arrive.
+// Resume updates the state after a restart of the manager. Requests sent before the restart may
+// have been answered or may still arrive.
 func (t *Target) Resume() {
 	switch t.State {
 	case Preparing:
@@ -129,7 +132,8 @@
 	}
 }
 
-// markUnanswered records that a request got no usable answer. The outcome is unknown only if a commit was sent.
+// markUnanswered records that a request got no usable answer. The outcome is unknown only if a
+// commit was sent.
 func (t *Target) markUnanswered(reason string) {
 	t.Reason = reason
 	if t.Sent {
@@ -173,8 +177,8 @@
 		t.State, t.Parts, t.Revision, t.Reason = PartlyDone, slices.Clone(a.Result.Parts), a.Result.Revision, a.Result.Reason
 		return
 	case Unchanged, Reverted:
-		// Unchanged after an abort is the manager's decision. After a commit, the instance failed to apply the change
-		// or reverted it.
+		// Unchanged after an abort is the manager's decision. After a commit, the instance failed
+		// to apply the change or reverted it.
 		t.Refused = t.State == Committing || a.Result.Outcome == Reverted
 		t.State, t.Revision, t.Reason = NotDone, a.Result.Revision, a.Result.Reason
 		return
@@ -190,7 +194,8 @@
 	case a.Err != nil && t.State == Preparing:
 		t.State, t.Refused, t.Reason = NotDone, true, a.Err.Error()
 	case a.Err != nil && t.State == Committing:
-		// The same process refuses the commit and has no result, so the change was not applied and cannot be applied.
+		// The same process refuses the commit and has no result, so the change was not applied and
+		// cannot be applied.
 		t.State, t.Sent, t.Reason = NotDone, false, a.Err.Error()
 	case a.Err != nil:
 		t.markUnanswered(a.Err.Error())
--- a/internal/change/once.go
+++ b/internal/change/once.go
@@ -1,8 +1,8 @@
 package change
 
-// Deduplicator remembers the results of changes that have a single phase, so that a repeated request with the same id
-// gets the first result. The zero value is ready for use. Callers do not record failed changes: those changed nothing
-// and may be retried.
+// Deduplicator remembers the results of changes that have a single phase, so that a repeated
+// request with the same id gets the first result. The zero value is ready for use. Callers do not
+// record failed changes: those changed nothing and may be retried.
 type Deduplicator struct {
 	recorded map[string]recordedChange
 	order    []string // ids of recorded, the oldest first
@@ -14,8 +14,9 @@
 	result  any
 }
 
-// Begin starts a change. If the change was made before, known is true and result is its first result. It returns
-// ErrNoID for an empty id and ErrIDInUse if the id belongs to a change with other content.
+// Begin starts a change. If the change was made before, known is true and result is its first
+// result. It returns ErrNoID for an empty id and ErrIDInUse if the id belongs to a change with
+// other content.
 func (o *Deduplicator) Begin(id, content string) (result any, known bool, err error) {
 	if id == "" {
 		return nil, false, ErrNoID
--- a/internal/change/wave.go
+++ b/internal/change/wave.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// RequestCounts counts the requests of some instances over some time by their result. InAim counts those that were
-// answered within their target latency.
+// RequestCounts counts the requests of some instances over some time by their result. InAim counts
+// those that were answered within their target latency.
 type RequestCounts struct {
 	Requests, InAim, Refused, Failed float64
 }
@@ -24,21 +24,24 @@
 	return RequestCounts{s.Requests - o.Requests, s.InAim - o.InAim, s.Refused - o.Refused, s.Failed - o.Failed}
 }
 
-// Limits holds the stop conditions of a rollout and the growth of its waves. Shares are between 0 and 1.
+// Limits holds the stop conditions of a rollout and the growth of its waves. Shares are between 0
+// and 1.
 type Limits struct {
 	Canaries int           `json:"canaries"` // number of instances in the first wave
 	Growth   float64       `json:"growth"`   // size of each further wave as a multiple of the one before
 	Bake     time.Duration `json:"bake"`     // time in ns for which a wave is observed before the next one starts
-	// The largest allowed changes of the shares of requests on the changed instances, compared with the time
-	// before the change: more refused, more failed, fewer answered within their target latency.
+	// The largest allowed changes of the shares of requests on the changed instances, compared with
+	// the time before the change: more refused, more failed, fewer answered within their target
+	// latency.
 	MoreRefused float64 `json:"more_refused"`
 	MoreFailed  float64 `json:"more_failed"`
 	LessInAim   float64 `json:"less_in_aim"`
-	// Least is the number of requests needed for an evaluation. With fewer, the wave is observed for up to
-	// Patience (ns).
+	// Least is the number of requests needed for an evaluation. With fewer, the wave is observed
+	// for up to Patience (ns).
 	Least    float64       `json:"least"`
 	Patience time.Duration `json:"patience"`
-	// MayFail is the share of the instances of a wave on which the change may end without being applied.
+	// MayFail is the share of the instances of a wave on which the change may end without being
+	// applied.
 	MayFail float64 `json:"may_fail"`
 }
 
@@ -72,9 +75,10 @@
 	Lost    int // not applied for another reason: no answer, no connection, or a restart before the commit
 }
 
-// Evaluate decides how to go on after a wave. It gets the outcome on the instances of the wave, their request counts
-// before and since the change, and how long the wave has been observed. The returned text is the reason for the
-// verdict. Callers must count an instance that does not answer as lost, because it would otherwise block the wave.
+// Evaluate decides how to go on after a wave. It gets the outcome on the instances of the wave,
+// their request counts before and since the change, and how long the wave has been observed. The
+// returned text is the reason for the verdict. Callers must count an instance that does not answer
+// as lost, because it would otherwise block the wave.
 func (l *Limits) Evaluate(outcome WaveOutcome, before, since RequestCounts, watched time.Duration) (Verdict, string) {
 	allowedFailures := l.MayFail * float64(outcome.Total)
 	switch {
@@ -86,8 +90,8 @@
 		return Halt, fmt.Sprintf("%d of %d instances cannot be reached or failed the change", outcome.Refused+outcome.Lost, outcome.Total)
 	}
 	if since.Requests >= l.Least && since.Requests > 0 {
-		// Requests are counted on arrival and results when they are sent, so a short time may have more results
-		// than requests. The share is therefore limited to 1.
+		// Requests are counted on arrival and results when they are sent, so a short time may have
+		// more results than requests. The share is therefore limited to 1.
 		share := func(s RequestCounts, count float64) float64 { return min(1, max(0, count/max(1, s.Requests))) }
 		for _, c := range []struct {
 			category string
@@ -98,8 +102,8 @@
 			{"failed", share(since, since.Failed) - share(before, before.Failed), l.MoreFailed},
 			{"answered within the target latency", share(before, before.InAim) - share(since, since.InAim), l.LessInAim},
 		} {
-			// With too few requests before the change there is no latency to compare with. Refusals and failures are
-			// still compared.
+			// With too few requests before the change there is no latency to compare with. Refusals
+			// and failures are still compared.
 			if c.category == "answered within the target latency" && before.Requests < l.Least {
 				continue
 			}
--- a/internal/rollout/answers.go
+++ b/internal/rollout/answers.go
@@ -30,8 +30,9 @@
 	r.resolveRestored(m, a)
 }
 
-// resolveRestored retries a change whose commit was open when the previous manager process ended, if the same process
-// of the instance now reports that the change was not applied and never will be.
+// resolveRestored retries a change whose commit was open when the previous manager process ended,
+// if the same process of the instance now reports that the change was not applied and never will
+// be.
 func (r *Rollout) resolveRestored(m *Member, a change.Answer) {
 	if !m.commitUnresolved || m.Target.State == change.Unknown {
 		return
@@ -62,8 +63,8 @@
 	r.markUnsaved(m)
 }
 
-// Observe records the state that an instance reports. It returns a request that resolves the change on the instance if
-// the outcome of a commit is unknown or a prepared change may be left there.
+// Observe records the state that an instance reports. It returns a request that resolves the change
+// on the instance if the outcome of a commit is unknown or a prepared change may be left there.
 func (r *Rollout) Observe(now time.Duration, name string, l Observation) (requests []OutgoingRequest) {
 	m := r.byName[name]
 	if m == nil {
@@ -74,8 +75,8 @@
 		return nil
 	}
 	if m.Target.State == change.Planned && m.Epoch != l.Epoch {
-		// The instance has restarted before its wave. The new process does not have the document of the previous one,
-		// but a rollback still restores that document.
+		// The instance has restarted before its wave. The new process does not have the document of
+		// the previous one, but a rollback still restores that document.
 		m.Epoch, m.Base = l.Epoch, l.Revision
 		r.markUnsaved(m)
 	}
--- a/internal/rollout/explore_test.go
+++ b/internal/rollout/explore_test.go
@@ -14,31 +14,33 @@
 	"example.org/micaline/internal/change"
 )
 
-// The world of the explorer: two managers, the second the newer, each bringing a document of its own to two instances in
-// two waves; and what is on its way between them, which may arrive in any order and as late as it likes: what is lost
-// arrives never, which no property can tell from late. One party dies at any point, and managers give up at any point.
-// A manager that dies between its journal and its sending is one whose sending is lost, and one that dies between
-// an answer and its journal is one to which the answer is lost, so that neither needs steps of its own.
+// system is the model that the tests in this file explore exhaustively. It has two instances and
+// two managers, the second one newer, each with a rollout of its own document in two waves.
+// Messages arrive in any order and with any delay. A lost message is one that never arrives, which
+// no invariant can tell from a late one. One process restarts at any point, and managers stop
+// waiting for an answer at any point. A manager that ends between writing its journal and sending
+// is the same as a lost request, and one that ends between an answer and writing its journal is the
+// same as a lost answer, so neither needs a transition of its own.
 type system struct {
 	instances     [2]instanceModel
 	managers      [2]managerModel
 	inFlight      []message
 	crashesLeft   int
-	singleManager bool // the second manager never begins
+	singleManager bool // the second manager never starts
 	injectedBug   string
 }
 
 type instanceModel struct {
 	*change.Instance
 	restarts int
-	applied  map[string]bool // epoch and change: it was applied, and not taken back by itself
+	applied  map[string]bool // by epoch and change: the change was applied and not reverted by the instance
 }
 
 type managerModel struct {
 	*Rollout
-	openRequest      [2]int // the request that is open at each, 0 for none: an answer comes on its request's connection
+	openRequest      [2]int // number of the open request to each instance, 0 for none: an answer arrives on the connection of its request
 	lastNumber       int
-	observationsLeft int // that may still happen
+	observationsLeft int // number of observations that may still happen
 	now              time.Duration
 }
 
@@ -55,7 +57,8 @@
 	return change.Document{Hash: hash, Parts: []string{"whole"}}
 }
 
-// newWorld has two managers, or one that is alone, each of which looks at an instance so many times.
+// newSystem returns the initial state with two managers, or one if singleManager is set. Each
+// manager observes instances as many times as given.
 func newSystem(singleManager bool, observations int) *system {
 	w := &system{crashesLeft: 1, singleManager: singleManager}
 	for i := range w.instances {
@@ -85,7 +88,7 @@
 	return c
 }
 
-// copy is the rollout as it is, with what is only in its memory.
+// clone returns a copy of the rollout, including the state that is not in the journal.
 func (r *Rollout) clone() *Rollout {
 	c := &Rollout{Header: r.Header, firstAdvance: r.firstAdvance, byName: map[string]*Member{}, unsavedMembers: map[*Member]struct{}{}}
 	for _, m := range r.members {
@@ -98,7 +101,7 @@
 
 var hashSeed = maphash.MakeSeed()
 
-// key is the state in canonical form, as a hash: what is on its way has no order.
+// stateHash returns a hash of the state in canonical form, in which messages in flight are sorted.
 func (w *system) stateHash() uint64 {
 	var b strings.Builder
 	fmt.Fprint(&b, w.crashesLeft)
@@ -122,11 +125,13 @@
 	return maphash.String(hashSeed, b.String())
 }
 
+// transition is one event that can happen in a state.
 type transition struct {
 	description string
 	apply       func(w *system) error
 }
 
+// transitions returns all events that can happen in the current state.
 func (w *system) transitions() (transitions []transition) {
 	add := func(apply func(w *system) error, format string, args ...any) {
 		transitions = append(transitions, transition{fmt.Sprintf(format, args...), apply})
@@ -145,7 +150,7 @@
 				m.restarts++
 				m.Instance = change.NewInstance(fmt.Sprintf("e%d", m.restarts), 0, documentOf("old"))
 				return nil
-			}, "instance %d dies and is back", i)
+			}, "instance %d restarts", i)
 		}
 	}
 	for g := range w.managers {
@@ -164,10 +169,10 @@
 					members = append(members, n)
 				}
 				m.Rollout, m.openRequest = Restore(m.Header, members), [2]int{}
-				// What was on its way to it is lost with its connections.
+				// Answers in flight are lost with the connections of the manager.
 				w.inFlight = slices.DeleteFunc(w.inFlight, func(f message) bool { return f.isAnswer && f.manager == g })
 				return w.advanceManager(g)
-			}, "manager %d dies and is back", g)
+			}, "manager %d restarts", g)
 		}
 		for i := range w.instances {
 			if m.openRequest[i] > 0 {
@@ -175,11 +180,11 @@
 					m := &w.managers[g]
 					m.openRequest[i] = 0
 					m.RecordNoAnswer(fmt.Sprint(i), "no answer")
-					if t := m.members[i].activeTarget(); w.injectedBug == "takes silence for a no" && t.State == change.Unknown {
+					if t := m.members[i].activeTarget(); w.injectedBug == "treats a missing answer as unchanged" && t.State == change.Unknown {
 						t.State = change.NotDone
 					}
 					return w.advanceManager(g)
-				}, "manager %d gives up on instance %d", g, i)
+				}, "manager %d stops waiting for instance %d", g, i)
 			} else if m.observationsLeft > 0 && m.Status != Superseded {
 				add(func(w *system) error {
 					m := &w.managers[g]
@@ -189,17 +194,17 @@
 						w.sendRequest(g, s)
 					}
 					return w.advanceManager(g)
-				}, "manager %d looks at instance %d", g, i)
+				}, "manager %d observes instance %d", g, i)
 			}
 		}
 		if m.Baking > 0 && m.now == 2 {
 			add(func(w *system) error {
 				w.managers[g].now += 2 * unobservedTimeout
 				return w.advanceManager(g)
-			}, "manager %d has watched for long", g)
+			}, "the observation time of manager %d passes", g)
 		}
 		if m.lastNumber == 0 {
-			add(func(w *system) error { return w.advanceManager(g) }, "manager %d begins", g)
+			add(func(w *system) error { return w.advanceManager(g) }, "manager %d starts", g)
 		}
 	}
 	return transitions
@@ -209,10 +214,10 @@
 	if f.isAnswer {
 		return fmt.Sprintf("instance %d answers manager %d: epoch %s, outcome %s, error %v", f.instance, f.manager, f.payload.Epoch, f.payload.Result.Outcome, f.payload.Err)
 	}
-	return fmt.Sprintf("request %d of manager %d for %s comes to instance %d", f.request.Request, f.manager, f.request.ID, f.instance)
+	return fmt.Sprintf("request %d of manager %d for %s arrives at instance %d", f.request.Request, f.manager, f.request.ID, f.instance)
 }
 
-// post has a request on its way.
+// sendRequest puts a request in flight and marks it open.
 func (w *system) sendRequest(g int, s OutgoingRequest) {
 	m := &w.managers[g]
 	i := int(s.Instance[0] - '0')
@@ -221,17 +226,17 @@
 	w.inFlight = append(w.inFlight, message{manager: g, instance: i, request: s, number: m.lastNumber})
 }
 
-// goOn has a manager do what it does by itself.
+// advanceManager advances the rollout of a manager until neither its status nor its wave changes.
 func (w *system) advanceManager(g int) error {
 	m := &w.managers[g]
 	for {
-		if w.injectedBug == "does not wait for the wave before" && m.Wave == 0 && m.members[0].Target.State == change.Committing {
+		if w.injectedBug == "does not wait for the previous wave" && m.Wave == 0 && m.members[0].Target.State == change.Committing {
 			m.Wave = 1
 		}
 		status, wave := m.Status, m.Wave
 		for _, s := range m.Advance(m.now) {
 			if s.Request == change.RequestCommit && s.Instance == "1" && !m.members[1].Backing && m.members[0].Target.State != change.Done {
-				return fmt.Errorf("manager %d commits its second wave, and of its first it knows that it is %s", g, m.members[0].Target.State)
+				return fmt.Errorf("manager %d commits its second wave while the instance of its first wave is %s", g, m.members[0].Target.State)
 			}
 			w.sendRequest(g, s)
 		}
@@ -242,7 +247,7 @@
 	}
 }
 
-// deliver hands a message to whom it is for.
+// deliver hands a message to its receiver.
 func (w *system) deliver(f message) error {
 	mgr, m := &w.managers[f.manager], &w.instances[f.instance]
 	if f.isAnswer {
@@ -277,7 +282,7 @@
 	return nil
 }
 
-// check is what must hold in every state.
+// checkInvariants returns an error if the state of a manager contradicts an instance.
 func (w *system) checkInvariants() error {
 	for g := range w.managers {
 		mgr := &w.managers[g]
@@ -289,22 +294,23 @@
 			}{{mgr.changeID(x), &x.Target}, {mgr.revertID(x), &x.Back}} {
 				applied := m.applied[tracked.t.Epoch+"/"+tracked.id]
 				if tracked.t.State == change.Done && !applied {
-					return fmt.Errorf("manager %d says that instance %d has applied %s in %s, and it has not", g, i, tracked.id, tracked.t.Epoch)
+					return fmt.Errorf("manager %d, instance %d: %s is recorded as applied in %s, and it is not applied", g, i, tracked.id, tracked.t.Epoch)
 				}
 				if tracked.t.State == change.NotDone && applied {
-					return fmt.Errorf("manager %d says that instance %d is unchanged by %s in %s, and it has applied it", g, i, tracked.id, tracked.t.Epoch)
+					return fmt.Errorf("manager %d records instance %d as unchanged by %s in %s, and the change is applied", g, i, tracked.id, tracked.t.Epoch)
 				}
 			}
 			if x.Back.State == change.Done && x.Back.Epoch == m.Epoch() && m.Current().Hash == mgr.Document {
-				return fmt.Errorf("manager %d says that instance %d is as before, and it has %s", g, i, mgr.Document)
+				return fmt.Errorf("manager %d records instance %d as reverted, and it has %s", g, i, mgr.Document)
 			}
 		}
 	}
 	return nil
 }
 
-// explore goes through all that can happen, the shortest stories first, or so many states of it. Its error tells the
-// shortest that breaks a property.
+// explore visits all states that can be reached, breadth first, up to maxStates. Its error has the
+// shortest sequence of events that violates an invariant. It returns the number of states, the
+// number left unexplored, and the number of states by the statuses of both managers.
 func explore(initial *system, maxStates int) (states, unexplored int, statusCounts map[string]int, err error) {
 	type node struct {
 		previous    int
@@ -348,13 +354,13 @@
 	return len(seen), len(queue), statusCounts, nil
 }
 
-var observationsFlag = flag.Int("looks", 1, "so often each of two managers looks at an instance; with 2 there are 2.9 million states")
+var observationsFlag = flag.Int("looks", 1, "number of times that each of two managers observes an instance; 2 gives 2.9 million states")
 
-// Whatever happens, and whoever dies, no manager says of an instance what is not so, and none brings a document
-// further than its first wave before that has it.
+// No sequence of delays and restarts makes a manager record a wrong state of an instance, or commit
+// its second wave before the first one has the document.
 func TestExplore(t *testing.T) {
 	if testing.Short() {
-		t.Skip("some hundred thousand states")
+		t.Skip("explores several hundred thousand states")
 	}
 	for name, w := range map[string]*system{"two managers": newSystem(false, *observationsFlag), "one manager": newSystem(true, 4)} {
 		t.Run(name, func(t *testing.T) {
@@ -364,16 +370,16 @@
 				t.Fatal(err)
 			}
 			if unexplored > 0 {
-				t.Errorf("%d states are not followed", unexplored)
+				t.Errorf("%d states are unexplored", unexplored)
 			}
-			t.Logf("%d states; by status of the managers %v", states, statusCounts)
+			t.Logf("%d states; by status of the managers: %v", states, statusCounts)
 		})
 	}
 }
 
-// The explorer finds what is planted.
+// The exploration finds deliberate bugs.
 func TestExplorerFindsBugs(t *testing.T) {
-	for _, bug := range []string{"takes silence for a no", "does not wait for the wave before"} {
+	for _, bug := range []string{"treats a missing answer as unchanged", "does not wait for the previous wave"} {
 		w := newSystem(false, 1)
 		w.injectedBug = bug
 		if _, _, _, err := explore(w, 10_000_000); err == nil {
--- a/internal/rollout/keep.go
+++ b/internal/rollout/keep.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// minRetryDelay and maxRetryDelay bound the exponential delay between failed attempts of a Reconciler.
+	// minRetryDelay and maxRetryDelay bound the exponential delay between failed attempts of a
+	// Reconciler.
 	minRetryDelay = time.Second
 	maxRetryDelay = 5 * time.Minute
 )
 
-// Reconciler brings one instance back to its desired document whenever the instance reports another one. This happens
-// after a restart, which loses applied changes, and after a manual change.
+// Reconciler brings one instance back to its desired document whenever the instance reports another
+// one. This happens after a restart, which loses applied changes, and after a manual change.
 type Reconciler struct {
 	Name    string
 	Desired string // hash of the desired document; "" for none
 
 	target      change.Target
-	document    string // that it is being brought to
+	document    string // hash of the document that the current attempt applies
 	epoch       string
 	base        uint64
 	attempt     int
@@ -30,8 +31,8 @@
 	retryDelay  time.Duration
 }
 
-// Observe records the state that the instance reports, and returns the request to send, if any. It sends nothing while
-// busy is set, which means that something else changes the instance.
+// Observe records the state that the instance reports, and returns the request to send, if any. It
+// sends nothing while busy is set, which means that something else changes the instance.
 func (k *Reconciler) Observe(now time.Duration, l Observation, busy bool) (OutgoingRequest, bool) {
 	switch {
 	case k.requestOpen:
@@ -60,8 +61,9 @@
 	return OutgoingRequest{Instance: k.Name, Request: q, ID: fmt.Sprintf("keep/%s/%s/%d", k.document, k.epoch, k.attempt), Document: k.document, Base: k.base, FromReconciler: true}, true
 }
 
-// RecordAnswer records the answer of the instance, and returns the next request, if any. It sends no commit if the
-// desired document has changed since the prepare, because the commit would apply the outdated document.
+// RecordAnswer records the answer of the instance, and returns the next request, if any. It sends
+// no commit if the desired document has changed since the prepare, because the commit would apply
+// the outdated document.
 func (k *Reconciler) RecordAnswer(now time.Duration, busy bool, a change.Answer) (OutgoingRequest, bool) {
 	k.requestOpen = false
 	if !k.inProgress {
@@ -81,7 +83,8 @@
 	return OutgoingRequest{}, false
 }
 
-// RecordNoAnswer records that the instance did not answer. Its next observation shows the outcome of a commit.
+// RecordNoAnswer records that the instance did not answer. Its next observation shows the outcome
+// of a commit.
 func (k *Reconciler) RecordNoAnswer(now time.Duration) {
 	k.requestOpen = false
 	k.scheduleRetry(now)
@@ -102,7 +105,8 @@
 	return k.target.Reason
 }
 
-// SlidingWindow keeps recent request counts of an instance. They are the baseline for the evaluation of a change.
+// SlidingWindow keeps recent request counts of an instance. They are the baseline for the
+// evaluation of a change.
 type SlidingWindow struct {
 	epoch   string
 	samples []sample // oldest first
@@ -118,8 +122,8 @@
 	sampleInterval = 5 * time.Second // time between samples; with maxSamples, the window covers half a minute
 )
 
-// Add records the total counts of an instance, and returns the counts since the oldest sample. A new epoch empties the
-// window.
+// Add records the total counts of an instance, and returns the counts since the oldest sample. A
+// new epoch empties the window.
 func (w *SlidingWindow) Add(now time.Duration, epoch string, served change.RequestCounts) change.RequestCounts {
 	if epoch != w.epoch {
 		w.epoch, w.samples = epoch, nil
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -18,15 +18,16 @@
 	return nil
 }
 
-// Resume continues a halted rollout, or a superseded one once this manager has a newer fencing token. A rollback that
-// was halted continues as a rollback. Otherwise the instances of the waves so far that did not apply the change are
-// retried, or excluded if exclude is set.
+// Resume continues a halted rollout, or a superseded one once this manager has a newer fencing
+// token. A rollback that was halted continues as a rollback. Otherwise the instances of the waves
+// so far that did not apply the change are retried, or excluded if exclude is set.
 func (r *Rollout) Resume(now time.Duration, exclude bool) error {
 	if r.Status != Halted && r.Status != Superseded {
 		return ErrNotHalted
 	}
 	if slices.ContainsFunc(r.members, func(m *Member) bool { return m.Backing }) {
-		// A rollback was halted. Continuing the waves would count reverted instances as having the change.
+		// A rollback was halted. Continuing the waves would count reverted instances as having the
+		// change.
 		r.Reason = ""
 		r.beginRollback()
 		return nil
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,10 +1,12 @@
-// Package rollout implements the state machine of a rollout, which brings one configuration document to many instances.
-// A rollout goes in waves of growing size, starting with a few canaries. Each wave is observed before the next one
-// starts, and the rollout is rolled back or halted according to its limits. The package also has Reconciler, which
-// keeps a single instance at its desired document.
+// Package rollout implements the state machine of a rollout, which brings one configuration
+// document to many instances. A rollout goes in waves of growing size, starting with a few
+// canaries. Each wave is observed before the next one starts, and the rollout is rolled back or
+// halted according to its limits. The package also has Reconciler, which keeps a single instance at
+// its desired document.
 //
-// The package has no I/O, no clock and no goroutines. Callers pass in events with their times and call Advance. They
-// must write what Unsaved returns to the journal before they send the requests that Advance returned.
+// The package has no I/O, no clock and no goroutines. Callers pass in events with their times and
+// call Advance. They must write what Unsaved returns to the journal before they send the requests
+// that Advance returned.
 //
 // Package change tracks the change on each instance. See docs/design/control.md.
 package rollout
@@ -53,13 +55,14 @@
 // Finished reports whether the rollout has ended and cannot be resumed.
 func (s Status) Finished() bool { return s == Completed || s == RolledBack }
 
-// stragglerTimeout is how long the commits of a wave wait for instances that have not prepared yet. A slower instance
-// is committed as soon as it has prepared.
+// stragglerTimeout is how long the commits of a wave wait for instances that have not prepared yet.
+// A slower instance is committed as soon as it has prepared.
 const stragglerTimeout = 2 * time.Second
 
-// unobservedTimeout is how much longer than the bake time a wave waits for instances that have applied the change and
-// were not observed since. It is also how long a restored rollout waits for instances whose commit was open when the
-// previous manager process ended. After that time these instances count as lost.
+// unobservedTimeout is how much longer than the bake time a wave waits for instances that have
+// applied the change and were not observed since. It is also how long a restored rollout waits for
+// instances whose commit was open when the previous manager process ended. After that time these
+// instances count as lost.
 const unobservedTimeout = 10 * time.Second
 
 // Header is the part of a rollout's journal record that is not about a single instance.
@@ -87,20 +90,20 @@
 	Base   uint64        `json:"base"`  // revision of that process that the change is based on
 	Target change.Target `json:"target"`
 	Left   bool          `json:"left,omitempty"` // excluded from the rollout
-	// Back is the change that restores the previous document. Backing says that it has been started, and BackTry
-	// counts its retries.
+	// Back is the change that restores the previous document. Backing says that it has been
+	// started, and BackTry counts its retries.
 	Back    change.Target `json:"back"`
 	Backing bool          `json:"backing,omitempty"`
 	BackTry int           `json:"back_try,omitempty"`
 	Ended   bool          `json:"ended,omitempty"` // nothing to revert, because the process that had applied the change has ended
-	// Before has the request counts of a period before the change, Mark the counts of the process so far when the
-	// change was committed.
+	// Before has the request counts of a period before the change, Mark the counts of the process
+	// so far when the change was committed.
 	Before change.RequestCounts `json:"before"`
 	Mark   change.RequestCounts `json:"mark"`
 
 	requestOpen bool // a request has been sent and not answered
-	// commitUnresolved says that a commit was open when the previous manager process ended, and that the instance
-	// has not reported its outcome since.
+	// commitUnresolved says that a commit was open when the previous manager process ended, and
+	// that the instance has not reported its outcome since.
 	commitUnresolved bool
 	observed         Observation
 	observedAt       time.Duration
@@ -116,8 +119,8 @@
 	Recent   change.RequestCounts // counts of the recent past, for the comparison; see SlidingWindow
 }
 
-// OutgoingRequest is a request that the caller has to send to an instance. The caller reports the result with
-// RecordAnswer or RecordNoAnswer.
+// OutgoingRequest is a request that the caller has to send to an instance. The caller reports the
+// result with RecordAnswer or RecordNoAnswer.
 type OutgoingRequest struct {
 	Instance       string
 	Request        change.Request
@@ -169,7 +172,8 @@
 	return r
 }
 
-// Exclude adds an instance that the rollout skips, because it could not be reached when the rollout was planned.
+// Exclude adds an instance that the rollout skips, because it could not be reached when the rollout
+// was planned.
 func (r *Rollout) Exclude(name, reason string) {
 	m := &Member{Name: name, Wave: max(0, r.Waves-1), Left: true, Target: change.Target{State: change.NotDone, Reason: reason}}
 	r.members = append(r.members, m)
@@ -177,8 +181,8 @@
 	r.unsavedMembers[m] = struct{}{}
 }
 
-// Restore returns a rollout from its journal after the manager process has ended at any point. Requests that were sent
-// before may have been answered or may still arrive.
+// Restore returns a rollout from its journal after the manager process has ended at any point.
+// Requests that were sent before may have been answered or may still arrive.
 func Restore(h Header, members []Member) *Rollout {
 	r := &Rollout{Header: h, byName: map[string]*Member{}, unsavedMembers: map[*Member]struct{}{}}
 	for i := range members {
@@ -197,8 +201,8 @@
 	return r
 }
 
-// Unsaved returns the changes that must be in the journal before any request is sent: the header, or nil if it is
-// unchanged, and the changed members.
+// Unsaved returns the changes that must be in the journal before any request is sent: the header,
+// or nil if it is unchanged, and the changed members.
 func (r *Rollout) Unsaved() (h *Header, members []*Member) {
 	if r.headerUnsaved {
 		h = &r.Header
@@ -223,7 +227,8 @@
 // Member returns the instance with the given name, nil if there is none.
 func (r *Rollout) Member(name string) *Member { return r.byName[name] }
 
-// Busy reports whether the rollout may still change an instance, so that nothing else may change it.
+// Busy reports whether the rollout may still change an instance, so that nothing else may change
+// it.
 func (r *Rollout) Busy(name string) bool {
 	m := r.byName[name]
 	return m != nil && (!r.Status.Finished() || m.requestOpen)
@@ -236,10 +241,12 @@
 
 func (r *Rollout) markUnsaved(m *Member) { r.unsavedMembers[m] = struct{}{} }
 
-// changeID returns the id of the change on an instance. Each retry has a new id, because an aborted id stays aborted.
+// changeID returns the id of the change on an instance. Each retry has a new id, because an aborted
+// id stays aborted.
 func (r *Rollout) changeID(m *Member) string { return fmt.Sprintf("%s/%d", r.ID, m.Try) }
 
-// retry starts a change again that an instance has not applied, based on the last observation of the instance.
+// retry starts a change again that an instance has not applied, based on the last observation of
+// the instance.
 func (r *Rollout) retry(m *Member) {
 	if !m.Target.Loose {
 		m.Try++ // a loose change may still be prepared there, so its id is kept
@@ -254,8 +261,8 @@
 // revertID returns the id of the change that restores the previous document of an instance.
 func (r *Rollout) revertID(m *Member) string { return fmt.Sprintf("%s/back/%d", r.ID, m.BackTry) }
 
-// appendRequest appends a request to a member, if there is one, and marks it open. With revert set, the request is about
-// the change that restores the previous document.
+// appendRequest appends a request to a member, if there is one, and marks it open. With revert set,
+// the request is about the change that restores the previous document.
 func (r *Rollout) appendRequest(requests []OutgoingRequest, m *Member, request change.Request, revert bool) []OutgoingRequest {
 	if request == change.NoRequest {
 		return requests
@@ -269,8 +276,8 @@
 	return append(requests, s)
 }
 
-// Advance continues the rollout as far as possible. It returns the requests to send once the changes from Unsaved are
-// in the journal.
+// Advance continues the rollout as far as possible. It returns the requests to send once the
+// changes from Unsaved are in the journal.
 func (r *Rollout) Advance(now time.Duration) (requests []OutgoingRequest) {
 	if r.firstAdvance == 0 {
 		r.firstAdvance = now
@@ -312,7 +319,8 @@
 	for _, m := range wave {
 		preparing = preparing || m.Target.State == change.Planned || m.Target.State == change.Preparing
 	}
-	// Evaluate before anything is committed, so that a document that instances refuse does not reach the others.
+	// Evaluate before anything is committed, so that a document that instances refuse does not
+	// reach the others.
 	if v, reason := r.Limits.Evaluate(ended, change.RequestCounts{}, change.RequestCounts{}, 0); v == change.RollBack || v == change.Halt && open == 0 {
 		r.haltOrRollBack(now, v, reason)
 		return nil
@@ -355,9 +363,9 @@
 	return requests
 }
 
-// countOutcomes counts the instances of a wave by outcome, and those on which the change has not ended as open. An
-// instance whose commit was open when the previous manager process ended stays open for unobservedTimeout, because the
-// end of a manager is not a failure of the instance.
+// countOutcomes counts the instances of a wave by outcome, and those on which the change has not
+// ended as open. An instance whose commit was open when the previous manager process ended stays
+// open for unobservedTimeout, because the end of a manager is not a failure of the instance.
 func (r *Rollout) countOutcomes(now time.Duration, wave []*Member) (c change.WaveOutcome, open int) {
 	c.Total = len(wave)
 	for _, m := range wave {
@@ -379,7 +387,8 @@
 	return c, open
 }
 
-// countUnobserved counts the members that have applied the change and were not observed since the bake time began.
+// countUnobserved counts the members that have applied the change and were not observed since the
+// bake time began.
 func (r *Rollout) countUnobserved(wave []*Member) (n int) {
 	for _, m := range wave {
 		if m.Target.State == change.Done && (m.observedAt < r.Baking || m.observed.Epoch == "") {
@@ -411,7 +420,8 @@
 	r.beginRollback()
 }
 
-// beginRollback starts the rollback. Instances that were never sent a commit have nothing to revert.
+// beginRollback starts the rollback. Instances that were never sent a commit have nothing to
+// revert.
 func (r *Rollout) beginRollback() {
 	r.Status, r.Ended, r.headerUnsaved = RollingBack, 0, true
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -14,15 +14,16 @@
 
 var limits = change.Limits{Canaries: 1, Growth: 2, Bake: 10 * time.Second, MoreRefused: 0.02, MoreFailed: 0.01, LessInAim: 0.05, Least: 100, Patience: time.Minute, MayFail: 0.2}
 
-// bench plays instances that answer at once, the way that their names say.
+// harness runs a rollout against simulated instances that answer at once, or not at all.
 type harness struct {
 	t         *testing.T
 	r         *Rollout
 	now       time.Duration
-	responses map[string]func(OutgoingRequest) (change.Answer, bool) // false: silent
+	responses map[string]func(OutgoingRequest) (change.Answer, bool) // by instance, accepts if missing; false for no answer
 	sent      []string
 }
 
+// plannedInstances returns n instances with the same document and revision.
 func plannedInstances(n int) (planned []PlannedInstance) {
 	for i := range n {
 		planned = append(planned, PlannedInstance{fmt.Sprintf("i%d", i), Observation{Epoch: "e0", Revision: 3, Hash: "old"}})
@@ -34,7 +35,7 @@
 	return &harness{t: t, now: time.Hour, r: New(time.Hour, "r", "new", limits, plannedInstances(n)), responses: map[string]func(OutgoingRequest) (change.Answer, bool){}}
 }
 
-// well is what an instance does that does as it is told.
+// accepts answers as an instance that carries out every request.
 func accepts(s OutgoingRequest) (change.Answer, bool) {
 	a := change.Answer{Epoch: "e0"}
 	if s.Request == change.RequestCommit {
@@ -46,13 +47,15 @@
 	return a, true
 }
 
+// refuses answers as an instance that rejects the document.
 func refuses(OutgoingRequest) (change.Answer, bool) {
 	return change.Answer{Epoch: "e0", Err: errors.New("no such class")}, true
 }
 
+// silent does not answer.
 func silent(OutgoingRequest) (change.Answer, bool) { return change.Answer{}, false }
 
-// step goes on until nothing is to be sent.
+// advanceUntilIdle advances the rollout until there are no more requests to send.
 func (b *harness) advanceUntilIdle() {
 	for range 1000 {
 		requests := b.r.Advance(b.now)
@@ -62,9 +65,10 @@
 		}
 		b.deliver(requests)
 	}
-	b.t.Fatal("it never rests")
+	b.t.Fatal("the rollout sends requests without end")
 }
 
+// deliver passes requests to the simulated instances and their answers to the rollout.
 func (b *harness) deliver(requests []OutgoingRequest) {
 	for _, s := range requests {
 		b.sent = append(b.sent, fmt.Sprintf("%s %s", []string{"", "prepare", "commit", "abort"}[s.Request], s.Instance))
@@ -80,7 +84,7 @@
 	}
 }
 
-// serve has all instances show that they have served so many more.
+// serveRequests lets time pass and all instances report that they have served s more requests.
 func (b *harness) serveRequests(d time.Duration, s change.RequestCounts) {
 	b.now += d
 	for _, m := range b.r.Members() {
@@ -91,6 +95,7 @@
 	b.advanceUntilIdle()
 }
 
+// observe reports the state of an instance and delivers the requests that follow.
 func (b *harness) observe(name string, l Observation) {
 	requests := b.r.Observe(b.now, name, l)
 	b.r.MarkSaved()
@@ -99,6 +104,7 @@
 
 var healthyCounts = change.RequestCounts{Requests: 1000, InAim: 1000}
 
+// expect fails the test if the rollout is in another state.
 func (b *harness) expect(status Status, wave int, s Summary) {
 	b.t.Helper()
 	if b.r.Status != status || b.r.Wave != wave || b.r.Summary() != s {
@@ -106,7 +112,7 @@
 	}
 }
 
-// Waves of 1, 2 and 4 instances follow one another, each after the one before was watched.
+// Waves of 1, 2 and 4 instances follow each other, each after the previous one was observed.
 func TestWaves(t *testing.T) {
 	b := newHarness(t, 7)
 	b.advanceUntilIdle()
@@ -120,19 +126,19 @@
 	b.serveRequests(11*time.Second, healthyCounts)
 	b.expect(Completed, 2, Summary{Applied: 7})
 	if b.r.Busy("i0") || !b.r.Status.Finished() {
-		t.Error("it still has to do with i0")
+		t.Error("the completed rollout is not finished or still busy with i0")
 	}
 }
 
-// A document that instances refuse stops at the canary, where nothing was applied; one that makes service worse is taken
-// back from all that have it.
+// A document that instances refuse stops at the canary, where nothing is applied. A document that
+// makes service worse is reverted on all instances that have it.
 func TestStops(t *testing.T) {
 	b := newHarness(t, 7)
 	b.responses["i0"] = refuses
 	b.advanceUntilIdle()
 	b.expect(RolledBack, 0, Summary{Unchanged: 1, Waiting: 6})
 	if slices.ContainsFunc(b.sent, func(s string) bool { return strings.HasPrefix(s, "commit") }) {
-		t.Errorf("did %v", b.sent)
+		t.Errorf("requests %v", b.sent)
 	}
 
 	b = newHarness(t, 7)
@@ -142,10 +148,11 @@
 	b.serveRequests(time.Second, change.RequestCounts{Requests: 1000, InAim: 900, Failed: 100})
 	b.expect(RolledBack, 1, Summary{Back: 3, Waiting: 4})
 	if !strings.Contains(b.r.Reason, "failed") {
-		t.Errorf("because %q", b.r.Reason)
+		t.Errorf("reason %q", b.r.Reason)
 	}
 
-	// One of four in the second wave can't use it: before anybody there has it, the first is taken back.
+	// An instance of the second wave refuses the document: the first wave is reverted before the
+	// second is committed.
 	b = newHarness(t, 7)
 	b.responses["i2"] = refuses
 	b.advanceUntilIdle()
@@ -153,7 +160,7 @@
 	b.expect(RolledBack, 1, Summary{Back: 1, Unchanged: 2, Waiting: 4})
 }
 
-// A process that ends after the change, while it is watched, has died of it as far as anybody knows.
+// A process that ends while its wave is observed counts as a failure of the change.
 func TestDiesOfIt(t *testing.T) {
 	b := newHarness(t, 3)
 	b.advanceUntilIdle()
@@ -162,7 +169,8 @@
 	b.expect(RolledBack, 0, Summary{Ended: 1, Waiting: 2})
 }
 
-// A process that has begun anew since the plan can't use what it was based on, which says nothing against the document.
+// A process that has restarted since the rollout was planned refuses the outdated base revision,
+// which does not count against the document.
 func TestBegunAnewBeforeItsTurn(t *testing.T) {
 	b := newHarness(t, 1)
 	b.responses["i0"] = func(OutgoingRequest) (change.Answer, bool) {
@@ -175,7 +183,7 @@
 		a, _ := accepts(s)
 		a.Epoch = "e1"
 		if s.Request == change.RequestPrepare && s.Base != 0 {
-			t.Errorf("based on %d", s.Base)
+			t.Errorf("base revision %d", s.Base)
 		}
 		return a, true
 	}
@@ -186,8 +194,8 @@
 	b.expect(Running, 0, Summary{Applied: 1})
 }
 
-// Too many that can't be reached halt the rollout and leave what is applied. It is resumed with those tried again, or
-// without them.
+// Too many unreachable instances halt the rollout, and applied changes stay. Resuming it retries
+// these instances or excludes them.
 func TestHaltAndResume(t *testing.T) {
 	for _, exclude := range []bool{false, true} {
 		b := newHarness(t, 3)
@@ -216,7 +224,7 @@
 	}
 }
 
-// A slow instance holds the others up for the time of stragglers and no longer.
+// A slow instance delays the others for stragglerTimeout at most.
 func TestStraggler(t *testing.T) {
 	b := newHarness(t, 3)
 	b.advanceUntilIdle()
@@ -237,16 +245,17 @@
 		}
 	}
 	if len(withheld) != 1 || b.r.Member("i2").Target.State != change.Done {
-		t.Fatalf("kept %v, i2 is %s", withheld, b.r.Member("i2").Target.State)
+		t.Fatalf("withheld %v, i2 is %s", withheld, b.r.Member("i2").Target.State)
 	}
 	b.deliver(withheld)
 	b.advanceUntilIdle()
 	if s := b.r.Member("i1").Target.State; s != change.Done {
-		t.Errorf("the slow one is %s", s)
+		t.Errorf("the slow instance is %s", s)
 	}
 }
 
-// A commit that was not answered is unknown, until the instance is seen again and says what became of it.
+// A commit that was not answered leaves the state unknown until the instance is observed again and
+// reports the result.
 func TestUnknown(t *testing.T) {
 	for _, applied := range []bool{true, false} {
 		b := newHarness(t, 3)
@@ -272,8 +281,9 @@
 	}
 }
 
-// Whatever a manager had sent, one that starts again from its journal claims nothing that it was not told, and goes on: that
-// a manager has died is no instance's failure.
+// A manager may end at any point. When it restarts from its journal, it records only results that
+// instances reported, and it completes the rollout, because the end of a manager is not a failure
+// of an instance.
 func TestRestoreAtEachStep(t *testing.T) {
 	for restartPoint := 0; ; restartPoint++ {
 		b := newHarness(t, 3)
@@ -309,7 +319,7 @@
 		}
 		write()
 		applied, restartPoints, restarted := map[string]bool{}, 0, false
-		restartHere := func() bool { // the manager dies here
+		restartHere := func() bool { // restarts the manager at the chosen point
 			restartPoints++
 			if restartPoints == restartPoint+1 {
 				restarted = true
@@ -354,27 +364,27 @@
 				}
 			}
 			if b.r.Status == Halted {
-				t.Fatalf("killed at step %d: halted, %s, though no instance has failed", restartPoint, b.r.Reason)
+				t.Fatalf("restarted at point %d: halted, %s, though no instance has failed", restartPoint, b.r.Reason)
 			}
 		}
 		for _, m := range b.r.Members() {
 			if (m.Target.State == change.Done) != applied[m.Name] {
-				t.Errorf("killed at step %d: %s is told as %s, and that it is applied is %v", restartPoint, m.Name, m.Target.State, applied[m.Name])
+				t.Errorf("restarted at point %d: %s is recorded as %s, applied is %v", restartPoint, m.Name, m.Target.State, applied[m.Name])
 			}
 		}
 		if b.r.Status != Completed {
-			t.Errorf("killed at step %d: %s, %s", restartPoint, b.r.Status, b.r.Reason)
+			t.Errorf("restarted at point %d: %s, %s", restartPoint, b.r.Status, b.r.Reason)
 		}
 		if !restarted {
 			if restartPoint < 10 {
-				t.Errorf("only %d steps", restartPoint)
+				t.Errorf("only %d restart points", restartPoint)
 			}
 			return
 		}
 	}
 }
 
-// A newer manager ends all of it, and what was said stays said.
+// A newer manager ends the rollout of an older one, and recorded results stay.
 func TestSuperseded(t *testing.T) {
 	b := newHarness(t, 3)
 	b.advanceUntilIdle()
@@ -393,7 +403,7 @@
 	}
 }
 
-// An abort ends what is prepared and leaves what is applied.
+// An abort ends prepared changes and leaves applied ones in force.
 func TestAbort(t *testing.T) {
 	b := newHarness(t, 3)
 	b.advanceUntilIdle()
@@ -415,14 +425,14 @@
 	}
 }
 
-// A taking back that was halted is what goes on when it is resumed.
+// Resuming a rollback that was halted continues the rollback.
 func TestResumedTakingBack(t *testing.T) {
 	b := newHarness(t, 1)
 	b.advanceUntilIdle()
 	if err := b.r.Rollback(b.now); err != nil {
 		t.Fatal(err)
 	}
-	b.deliver(b.r.Advance(b.now)) // it is prepared
+	b.deliver(b.r.Advance(b.now)) // the revert is prepared
 	if err := b.r.Abort(b.now); err != nil {
 		t.Fatal(err)
 	}
@@ -434,20 +444,20 @@
 	b.expect(RolledBack, 0, Summary{Back: 1})
 }
 
-// The keeper brings back an instance that has begun anew, waits longer after each refusal, and leaves alone what a
-// rollout has in hand.
+// The reconciler restores the document of an instance that has restarted, waits longer after each
+// failure, and sends nothing while a rollout changes the instance.
 func TestKeeper(t *testing.T) {
 	k := Reconciler{Name: "i0", Desired: "new"}
 	if _, ok := k.Observe(0, Observation{Epoch: "e0", Hash: "new"}, false); ok {
-		t.Error("something is sent to one that is as wanted")
+		t.Error("a request is sent to an instance with the desired document")
 	}
 	if _, ok := k.Observe(0, Observation{Epoch: "e0", Hash: "new", Mixed: true}, false); !ok {
-		t.Error("nothing is sent to one that has parts of another document")
+		t.Error("no request is sent to an instance with parts of another document")
 	}
 	k = Reconciler{Name: "i0", Desired: "new"}
 	outdated := Observation{Epoch: "e1", Hash: "old"}
 	if _, ok := k.Observe(0, outdated, true); ok {
-		t.Error("something is sent to one that a rollout has in hand")
+		t.Error("a request is sent to an instance that a rollout changes")
 	}
 	s, ok := k.Observe(0, outdated, false)
 	if !ok || s.Request != change.RequestPrepare || s.Document != "new" {
@@ -457,28 +467,28 @@
 		t.Fatalf("then %+v, %v", s, ok)
 	}
 	if _, ok = k.RecordAnswer(0, false, change.Answer{Epoch: "e1", Result: change.Result{Outcome: change.Applied}}); ok || k.FailureReason() != "" {
-		t.Error("it does not rest")
+		t.Error("the reconciler does not stop after success")
 	}
 	delays := []time.Duration{}
 	now := time.Duration(0)
 	for range 12 {
 		if _, ok = k.Observe(now, outdated, false); !ok {
-			t.Fatalf("nothing is tried after %v", delays)
+			t.Fatalf("no attempt after the delays %v", delays)
 		}
 		k.RecordAnswer(now, false, change.Answer{Epoch: "e1", Err: errors.New("no")})
 		if k.FailureReason() != "no" {
-			t.Errorf("refused because %q", k.FailureReason())
+			t.Errorf("failure reason %q", k.FailureReason())
 		}
 		if _, ok = k.Observe(k.retryAt-1, outdated, false); ok {
-			t.Error("tried too soon")
+			t.Error("retried too early")
 		}
 		delays = append(delays, k.retryAt-now)
 		now = k.retryAt
 	}
 	if delays[0] != minRetryDelay || delays[11] != maxRetryDelay || !slices.IsSorted(delays) {
-		t.Errorf("waits %v", delays)
+		t.Errorf("delays %v", delays)
 	}
-	// What is wanted changes between prepare and commit: nothing is committed.
+	// The desired document changes between prepare and commit: nothing is committed.
 	k.Observe(now, outdated, false)
 	k.Desired = "newer"
 	if s, ok = k.RecordAnswer(now, false, change.Answer{Epoch: "e1"}); ok {
@@ -493,13 +503,13 @@
 		total.Requests += 10
 		got := w.Add(time.Duration(i)*time.Second, "e0", total)
 		if i == 99 && (got.Requests < 300 || got.Requests > 350) {
-			t.Errorf("the last half minute served %v", got.Requests)
+			t.Errorf("requests in the last half minute: %v", got.Requests)
 		}
 	}
 	if len(w.samples) > maxSamples {
 		t.Errorf("%d samples", len(w.samples))
 	}
 	if got := w.Add(100*time.Second, "e1", change.RequestCounts{Requests: 5}); got.Requests != 0 {
-		t.Errorf("another process has served %v", got.Requests)
+		t.Errorf("requests of a new process: %v", got.Requests)
 	}
 }
