--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -238,11 +238,11 @@
 	appliedOf := func(applied, total int) WaveOutcome { return WaveOutcome{Total: total, Lost: total - applied} }
 	healthy := RequestCounts{Requests: 1000, InAim: 980, Refused: 10, Failed: 5}
 	for _, c := range []struct {
-		name    string
-		ended   WaveOutcome
-		since   RequestCounts
-		watched time.Duration
-		verdict Verdict
+		name        string
+		outcome     WaveOutcome
+		since       RequestCounts
+		observedFor time.Duration
+		verdict     Verdict
 	}{
 		{"observed too briefly", appliedOf(10, 10), healthy, time.Second, KeepWatching},
 		{"healthy", appliedOf(10, 10), healthy, 10 * time.Second, NextWave},
@@ -258,7 +258,7 @@
 		{"too few requests to evaluate", appliedOf(10, 10), RequestCounts{Requests: 10, Failed: 10}, 20 * time.Second, KeepWatching},
 		{"too few requests until Patience is over", appliedOf(10, 10), RequestCounts{Requests: 10, Failed: 10}, time.Minute, NextWave},
 	} {
-		if got, why := l.Evaluate(c.ended, healthy, c.since, c.watched); got != c.verdict || (got == RollBack || got == Halt) && why == "" {
+		if got, why := l.Evaluate(c.outcome, healthy, c.since, c.observedFor); got != c.verdict || (got == RollBack || got == Halt) && why == "" {
 			t.Errorf("%s: %d, %q", c.name, got, why)
 		}
 	}
--- a/internal/change/explore_test.go
+++ b/internal/change/explore_test.go
@@ -15,12 +15,12 @@
 // invariant can tell from a late one. One process restarts at any point, one part fails at any
 // point, and managers stop waiting for an answer at any point.
 type system struct {
-	instances   []*instanceModel
-	managers    []*managerModel
-	inFlight    []message
-	crashesLeft int    // number of restarts that may still happen
-	faultsLeft  int    // number of parts that may still fail
-	injectedBug string // name of a deliberate bug, "" for none
+	instances    []*instanceModel
+	managers     []*managerModel
+	inFlight     []message
+	restartsLeft int    // number of restarts that may still happen
+	failuresLeft int    // number of parts that may still fail
+	injectedBug  string // name of a deliberate bug, "" for none
 }
 
 type instanceModel struct {
@@ -34,10 +34,12 @@
 }
 
 type managerModel struct {
-	fence        uint64
-	id           string
-	targets      []Target
-	openRequest  []int // number of the open request to each instance, 0 for none: an answer arrives on the connection of its request
+	fence   uint64
+	id      string
+	targets []Target
+	// openRequest has the number of the open request to each instance, 0 for none. An answer
+	// arrives on the connection of its request, so only the answer to the open request counts.
+	openRequest  []int
 	lastNumber   int   // number of the last request
 	resolvesLeft []int // number of aborts that may still be sent to each instance
 }
@@ -67,7 +69,7 @@
 var twoParts = Document{Hash: "h", Parts: []string{"service", "decisions"}}
 
 func newSystem(instances int) *system {
-	w := &system{crashesLeft: 1, faultsLeft: 1}
+	w := &system{restartsLeft: 1, failuresLeft: 1}
 	for range instances {
 		w.instances = append(w.instances, &instanceModel{
 			Instance: NewInstance("e0", 0, Document{Hash: "0", Parts: twoParts.Parts}), applied: map[string]bool{}, partsInForce: map[string]bool{},
@@ -86,7 +88,7 @@
 }
 
 func (w *system) clone() *system {
-	c := &system{inFlight: slices.Clone(w.inFlight), crashesLeft: w.crashesLeft, faultsLeft: w.faultsLeft, injectedBug: w.injectedBug}
+	c := &system{inFlight: slices.Clone(w.inFlight), restartsLeft: w.restartsLeft, failuresLeft: w.failuresLeft, injectedBug: w.injectedBug}
 	for _, m := range w.instances {
 		c.instances = append(c.instances, &instanceModel{m.Clone(), m.restarts, slices.Clone(m.pendingActions), maps.Clone(m.applied), maps.Clone(m.partsInForce), m.highestFence, slices.Clone(m.openCommits)})
 	}
@@ -120,7 +122,7 @@
 		instanceKeys[i] = b.String()
 	}
 	slices.Sort(instanceKeys)
-	return fmt.Sprint(w.crashesLeft, w.faultsLeft, instanceKeys)
+	return fmt.Sprint(w.restartsLeft, w.failuresLeft, instanceKeys)
 }
 
 // canonicalMessage returns a message as text. In place of its number it has whether the manager
@@ -150,9 +152,9 @@
 		if len(m.pendingActions) > 0 {
 			a := m.pendingActions[0]
 			add(func(w *system) error { return w.runAction(i, nil) }, "instance %d carries out action %d of %s %s", i, a.Kind, a.ID, a.Part)
-			if w.faultsLeft > 0 {
+			if w.failuresLeft > 0 {
 				add(func(w *system) error {
-					w.faultsLeft--
+					w.failuresLeft--
 					return w.runAction(i, errors.New("no"))
 				}, "instance %d fails action %d of %s %s", i, a.Kind, a.ID, a.Part)
 			}
@@ -160,14 +162,14 @@
 		if m.phase == prepared {
 			add(func(w *system) error { w.instances[i].Tick(w.instances[i].deadline); return nil }, "the prepared change of instance %d expires", i)
 		}
-		if w.crashesLeft > 0 {
-			add(func(w *system) error { w.crashesLeft--; w.instances[i].restart(); return nil }, "instance %d restarts", i)
+		if w.restartsLeft > 0 {
+			add(func(w *system) error { w.restartsLeft--; w.instances[i].restart(); return nil }, "instance %d restarts", i)
 		}
 	}
 	for g, mgr := range w.managers {
-		if w.crashesLeft > 0 {
+		if w.restartsLeft > 0 {
 			add(func(w *system) error {
-				w.crashesLeft--
+				w.restartsLeft--
 				m := w.managers[g]
 				for i := range m.targets {
 					m.targets[i].Resume()
--- a/internal/change/instance.go
+++ b/internal/change/instance.go
@@ -184,7 +184,7 @@
 // observeFence implements ObserveFence.
 func (i *Instance) observeFence(fence uint64) error {
 	if fence < i.fence {
-		return fmt.Errorf("%w: its number is %d, and %d has been heard", ErrFenced, fence, i.fence)
+		return fmt.Errorf("%w: its fencing token is %d, and %d has been heard", ErrFenced, fence, i.fence)
 	}
 	i.fence = fence
 	return nil
--- a/internal/change/manager.go
+++ b/internal/change/manager.go
@@ -77,9 +77,11 @@
 	Sent     bool     `json:"sent,omitempty"`     // a commit has been sent to the process with that epoch
 	Parts    []string `json:"parts,omitempty"`    // applied parts, if Done or PartlyDone
 	Revision uint64   `json:"revision,omitempty"` // revision in force after the change, reported by that process
-	Loose    bool     `json:"loose,omitempty"`    // NotDone, but possibly still prepared on the instance, where it blocks other changes until it is resolved or expires
-	Refused  bool     `json:"refused,omitempty"`  // NotDone because the instance rejected the change or failed to apply it
-	Reason   string   `json:"reason,omitempty"`
+	// Loose says that the change is NotDone, but possibly still prepared on the instance, where it
+	// blocks other changes until it is resolved or expires.
+	Loose   bool   `json:"loose,omitempty"`
+	Refused bool   `json:"refused,omitempty"` // NotDone because the instance rejected the change or failed to apply it
+	Reason  string `json:"reason,omitempty"`
 }
 
 // Answer is the answer of an instance to a request.
--- a/internal/change/wave.go
+++ b/internal/change/wave.go
@@ -79,15 +79,15 @@
 // their request counts before and since the change, and how long the wave has been observed. The
 // returned text is the reason for the verdict. Callers must count an instance that does not answer
 // as lost, because it would otherwise block the wave.
-func (l *Limits) Evaluate(outcome WaveOutcome, before, since RequestCounts, watched time.Duration) (Verdict, string) {
+func (l *Limits) Evaluate(outcome WaveOutcome, before, since RequestCounts, observedFor time.Duration) (Verdict, string) {
 	allowedFailures := l.MayFail * float64(outcome.Total)
 	switch {
 	case outcome.Total == 0:
 		return NextWave, "" // all instances of the wave were excluded
 	case float64(outcome.Refused) > allowedFailures:
-		return RollBack, fmt.Sprintf("%d of %d instances refused or failed the change", outcome.Refused, outcome.Total)
+		return RollBack, fmt.Sprintf("%d of %d instances refuse the change", outcome.Refused, outcome.Total)
 	case float64(outcome.Refused+outcome.Lost) > allowedFailures:
-		return Halt, fmt.Sprintf("%d of %d instances cannot be reached or failed the change", outcome.Refused+outcome.Lost, outcome.Total)
+		return Halt, fmt.Sprintf("%d of %d instances are lost", outcome.Refused+outcome.Lost, outcome.Total)
 	}
 	if since.Requests >= l.Least && since.Requests > 0 {
 		// Requests are counted on arrival and results when they are sent, so a short time may have
@@ -113,9 +113,9 @@
 		}
 	}
 	switch {
-	case watched < l.Bake:
+	case observedFor < l.Bake:
 		return KeepWatching, ""
-	case since.Requests < l.Least && watched < l.Patience:
+	case since.Requests < l.Least && observedFor < l.Patience:
 		return KeepWatching, "too few requests to evaluate"
 	}
 	return NextWave, ""
--- a/internal/rollout/answers.go
+++ b/internal/rollout/answers.go
@@ -65,19 +65,19 @@
 
 // Observe records the state that an instance reports. It returns a request that resolves the change
 // on the instance if the outcome of a commit is unknown or a prepared change may be left there.
-func (r *Rollout) Observe(now time.Duration, name string, l Observation) (requests []OutgoingRequest) {
+func (r *Rollout) Observe(now time.Duration, name string, observation Observation) (requests []OutgoingRequest) {
 	m := r.byName[name]
 	if m == nil {
 		return nil
 	}
-	m.observed, m.observedAt = l, now
+	m.observed, m.observedAt = observation, now
 	if r.Status == Superseded || m.requestOpen {
 		return nil
 	}
-	if m.Target.State == change.Planned && m.Epoch != l.Epoch {
+	if m.Target.State == change.Planned && m.Epoch != observation.Epoch {
 		// The instance has restarted before its wave. The new process does not have the document of
 		// the previous one, but a rollback still restores that document.
-		m.Epoch, m.Base = l.Epoch, l.Revision
+		m.Epoch, m.Base = observation.Epoch, observation.Revision
 		r.markUnsaved(m)
 	}
 	if t := m.activeTarget(); t.State == change.Unknown || t.Loose {
--- a/internal/rollout/explore_test.go
+++ b/internal/rollout/explore_test.go
@@ -25,7 +25,7 @@
 	instances     [2]instanceModel
 	managers      [2]managerModel
 	inFlight      []message
-	crashesLeft   int
+	restartsLeft  int
 	singleManager bool // the second manager never starts
 	injectedBug   string
 }
@@ -38,7 +38,9 @@
 
 type managerModel struct {
 	*Rollout
-	openRequest      [2]int // number of the open request to each instance, 0 for none: an answer arrives on the connection of its request
+	// openRequest has the number of the open request to each instance, 0 for none. An answer
+	// arrives on the connection of its request, so only the answer to the open request counts.
+	openRequest      [2]int
 	lastNumber       int
 	observationsLeft int // number of observations that may still happen
 	now              time.Duration
@@ -60,7 +62,7 @@
 // newSystem returns the initial state with two managers, or one if singleManager is set. Each
 // manager observes instances as many times as given.
 func newSystem(singleManager bool, observations int) *system {
-	w := &system{crashesLeft: 1, singleManager: singleManager}
+	w := &system{restartsLeft: 1, singleManager: singleManager}
 	for i := range w.instances {
 		w.instances[i] = instanceModel{Instance: change.NewInstance("e0", 0, documentOf("old")), applied: map[string]bool{}}
 	}
@@ -76,7 +78,7 @@
 }
 
 func (w *system) clone() *system {
-	c := &system{inFlight: slices.Clone(w.inFlight), crashesLeft: w.crashesLeft, singleManager: w.singleManager, injectedBug: w.injectedBug}
+	c := &system{inFlight: slices.Clone(w.inFlight), restartsLeft: w.restartsLeft, singleManager: w.singleManager, injectedBug: w.injectedBug}
 	for i := range w.instances {
 		m := &w.instances[i]
 		c.instances[i] = instanceModel{m.Clone(), m.restarts, maps.Clone(m.applied)}
@@ -104,7 +106,7 @@
 // stateHash returns a hash of the state in canonical form, in which messages in flight are sorted.
 func (w *system) stateHash() uint64 {
 	var b strings.Builder
-	fmt.Fprint(&b, w.crashesLeft)
+	fmt.Fprint(&b, w.restartsLeft)
 	for i := range w.instances {
 		m := &w.instances[i]
 		fmt.Fprint(&b, m.Describe(), m.applied)
@@ -142,10 +144,10 @@
 			return w.deliver(f)
 		}, "%s", f)
 	}
-	if w.crashesLeft > 0 {
+	if w.restartsLeft > 0 {
 		for i := range w.instances {
 			add(func(w *system) error {
-				w.crashesLeft--
+				w.restartsLeft--
 				m := &w.instances[i]
 				m.restarts++
 				m.Instance = change.NewInstance(fmt.Sprintf("e%d", m.restarts), 0, documentOf("old"))
@@ -158,9 +160,9 @@
 			break
 		}
 		m := &w.managers[g]
-		if w.crashesLeft > 0 {
+		if w.restartsLeft > 0 {
 			add(func(w *system) error {
-				w.crashesLeft--
+				w.restartsLeft--
 				m := &w.managers[g]
 				var members []Member
 				for _, x := range m.members {
--- a/internal/rollout/keep.go
+++ b/internal/rollout/keep.go
@@ -33,76 +33,76 @@
 
 // Observe records the state that the instance reports, and returns the request to send, if any. It
 // sends nothing while busy is set, which means that something else changes the instance.
-func (k *Reconciler) Observe(now time.Duration, l Observation, busy bool) (OutgoingRequest, bool) {
+func (r *Reconciler) Observe(now time.Duration, observation Observation, busy bool) (OutgoingRequest, bool) {
 	switch {
-	case k.requestOpen:
+	case r.requestOpen:
 		return OutgoingRequest{}, false
-	case l.Hash == k.Desired && !l.Mixed || k.Desired == "" || busy:
-		k.inProgress, k.retryDelay, k.retryAt = false, 0, 0
+	case observation.Hash == r.Desired && !observation.Mixed || r.Desired == "" || busy:
+		r.inProgress, r.retryDelay, r.retryAt = false, 0, 0
 		return OutgoingRequest{}, false
-	case l.Epoch != k.epoch: // the delay was due to failures of another process
-		k.retryDelay, k.retryAt = 0, 0
+	case observation.Epoch != r.epoch: // the delay was due to failures of another process
+		r.retryDelay, r.retryAt = 0, 0
 	}
-	if now < k.retryAt {
+	if now < r.retryAt {
 		return OutgoingRequest{}, false
 	}
-	k.target, k.inProgress, k.document, k.epoch, k.base = change.Target{}, true, k.Desired, l.Epoch, l.Revision
-	k.attempt++
-	return k.nextRequest()
+	r.target, r.inProgress, r.document, r.epoch, r.base = change.Target{}, true, r.Desired, observation.Epoch, observation.Revision
+	r.attempt++
+	return r.nextRequest()
 }
 
 // nextRequest returns the next request of the current attempt, if any.
-func (k *Reconciler) nextRequest() (OutgoingRequest, bool) {
-	q := k.target.NextRequest(true)
-	if q == change.NoRequest {
+func (r *Reconciler) nextRequest() (OutgoingRequest, bool) {
+	request := r.target.NextRequest(true)
+	if request == change.NoRequest {
 		return OutgoingRequest{}, false
 	}
-	k.requestOpen = true
-	return OutgoingRequest{Instance: k.Name, Request: q, ID: fmt.Sprintf("keep/%s/%s/%d", k.document, k.epoch, k.attempt), Document: k.document, Base: k.base, FromReconciler: true}, true
+	r.requestOpen = true
+	return OutgoingRequest{Instance: r.Name, Request: request, ID: fmt.Sprintf("keep/%s/%s/%d", r.document, r.epoch, r.attempt), Document: r.document, Base: r.base, FromReconciler: true}, true
 }
 
 // RecordAnswer records the answer of the instance, and returns the next request, if any. It sends
 // no commit if the desired document has changed since the prepare, because the commit would apply
 // the outdated document.
-func (k *Reconciler) RecordAnswer(now time.Duration, busy bool, a change.Answer) (OutgoingRequest, bool) {
-	k.requestOpen = false
-	if !k.inProgress {
+func (r *Reconciler) RecordAnswer(now time.Duration, busy bool, a change.Answer) (OutgoingRequest, bool) {
+	r.requestOpen = false
+	if !r.inProgress {
 		return OutgoingRequest{}, false
 	}
-	k.target.RecordAnswer(a)
+	r.target.RecordAnswer(a)
 	switch {
-	case k.target.State == change.Done:
-		k.inProgress, k.retryDelay = false, 0
-	case k.target.State.Final():
-		k.scheduleRetry(now)
-	case k.Desired != k.document || busy:
-		k.inProgress = false // the prepared change expires
+	case r.target.State == change.Done:
+		r.inProgress, r.retryDelay = false, 0
+	case r.target.State.Final():
+		r.scheduleRetry(now)
+	case r.Desired != r.document || busy:
+		r.inProgress = false // the prepared change expires
 	default:
-		return k.nextRequest()
+		return r.nextRequest()
 	}
 	return OutgoingRequest{}, false
 }
 
 // RecordNoAnswer records that the instance did not answer. Its next observation shows the outcome
 // of a commit.
-func (k *Reconciler) RecordNoAnswer(now time.Duration) {
-	k.requestOpen = false
-	k.scheduleRetry(now)
+func (r *Reconciler) RecordNoAnswer(now time.Duration) {
+	r.requestOpen = false
+	r.scheduleRetry(now)
 }
 
 // scheduleRetry ends the current attempt and doubles the delay before the next one.
-func (k *Reconciler) scheduleRetry(now time.Duration) {
-	k.inProgress = false
-	k.retryDelay = min(max(minRetryDelay, 2*k.retryDelay), maxRetryDelay)
-	k.retryAt = now + k.retryDelay
+func (r *Reconciler) scheduleRetry(now time.Duration) {
+	r.inProgress = false
+	r.retryDelay = min(max(minRetryDelay, 2*r.retryDelay), maxRetryDelay)
+	r.retryAt = now + r.retryDelay
 }
 
 // FailureReason returns why the last attempt failed, "" if it did not fail.
-func (k *Reconciler) FailureReason() string {
-	if k.retryDelay == 0 {
+func (r *Reconciler) FailureReason() string {
+	if r.retryDelay == 0 {
 		return ""
 	}
-	return k.target.Reason
+	return r.target.Reason
 }
 
 // SlidingWindow keeps recent request counts of an instance. They are the baseline for the
@@ -119,7 +119,7 @@
 
 const (
 	maxSamples     = 7
-	sampleInterval = 5 * time.Second // time between samples; with maxSamples, the window covers half a minute
+	sampleInterval = 5 * time.Second // with maxSamples, the window covers half a minute
 )
 
 // Add records the total counts of an instance, and returns the counts since the oldest sample. A
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -74,7 +74,7 @@
 	Wave     int           `json:"wave"` // index of the current wave, from 0
 	Status   Status        `json:"status"`
 	Reason   string        `json:"reason,omitempty"`
-	Begun    time.Duration `json:"begun"`           // start of the rollout, as all times here in ns since 1970
+	Begun    time.Duration `json:"begun"`           // start of the rollout; all times here are in ns since 1970
 	Since    time.Duration `json:"since"`           // start of the current wave
 	Baking   time.Duration `json:"baking"`          // when the change had ended on all instances of the wave; 0 before
 	Ended    time.Duration `json:"ended,omitempty"` // when the rollout was completed, rolled back, halted or superseded
@@ -95,7 +95,9 @@
 	Back    change.Target `json:"back"`
 	Backing bool          `json:"backing,omitempty"`
 	BackTry int           `json:"back_try,omitempty"`
-	Ended   bool          `json:"ended,omitempty"` // nothing to revert, because the process that had applied the change has ended
+	// Ended says that there is nothing to revert, because the process that had applied the change
+	// has ended.
+	Ended bool `json:"ended,omitempty"`
 	// Before has the request counts of a period before the change, Mark the counts of the process
 	// so far when the change was committed.
 	Before change.RequestCounts `json:"before"`
@@ -159,12 +161,12 @@
 	sizes := limits.WaveSizes(len(instances))
 	r := &Rollout{Header: Header{ID: id, Document: document, Limits: limits, Waves: len(sizes), Begun: now, Since: now}, byName: map[string]*Member{}, unsavedMembers: map[*Member]struct{}{}, headerUnsaved: true}
 	wave := 0
-	for i, p := range instances {
+	for i, planned := range instances {
 		for left := sizes[wave]; left == 0; left = sizes[wave] {
 			wave++
 		}
 		sizes[wave]--
-		m := &Member{Name: p.Name, Wave: wave, Was: p.Observation.Hash, Epoch: p.Observation.Epoch, Base: p.Observation.Revision, observed: p.Observation}
+		m := &Member{Name: planned.Name, Wave: wave, Was: planned.Observation.Hash, Epoch: planned.Observation.Epoch, Base: planned.Observation.Revision, observed: planned.Observation}
 		r.members = append(r.members, m)
 		r.byName[m.Name] = m
 		r.unsavedMembers[r.members[i]] = struct{}{}
@@ -314,15 +316,15 @@
 // advanceWave continues the current wave and starts the next one when it has ended well.
 func (r *Rollout) advanceWave(now time.Duration) (requests []OutgoingRequest) {
 	wave := r.currentWave()
-	ended, open := r.countOutcomes(now, wave)
+	outcome, open := r.countOutcomes(now, wave)
 	preparing := false
 	for _, m := range wave {
 		preparing = preparing || m.Target.State == change.Planned || m.Target.State == change.Preparing
 	}
 	// Evaluate before anything is committed, so that a document that instances refuse does not
 	// reach the others.
-	if v, reason := r.Limits.Evaluate(ended, change.RequestCounts{}, change.RequestCounts{}, 0); v == change.RollBack || v == change.Halt && open == 0 {
-		r.haltOrRollBack(now, v, reason)
+	if verdict, reason := r.Limits.Evaluate(outcome, change.RequestCounts{}, change.RequestCounts{}, 0); verdict == change.RollBack || verdict == change.Halt && open == 0 {
+		r.haltOrRollBack(now, verdict, reason)
 		return nil
 	}
 	commit := !preparing || now-r.Since >= stragglerTimeout
@@ -330,11 +332,11 @@
 		if m.requestOpen {
 			continue
 		}
-		q := m.Target.NextRequest(commit)
-		if q == change.RequestCommit {
+		request := m.Target.NextRequest(commit)
+		if request == change.RequestCommit {
 			m.Before, m.Mark = m.observed.Recent, m.observed.Served
 		}
-		requests = r.appendRequest(requests, m, q, false)
+		requests = r.appendRequest(requests, m, request, false)
 	}
 	if open > 0 || len(requests) > 0 {
 		return requests
@@ -346,12 +348,12 @@
 		if now-r.Baking < r.Limits.Bake+unobservedTimeout {
 			return nil
 		}
-		ended.Lost += lost
+		outcome.Lost += lost
 	}
 	before, since := r.requestCounts(wave)
-	switch v, reason := r.Limits.Evaluate(ended, before, since, now-r.Baking); v {
+	switch verdict, reason := r.Limits.Evaluate(outcome, before, since, now-r.Baking); verdict {
 	case change.RollBack, change.Halt:
-		r.haltOrRollBack(now, v, reason)
+		r.haltOrRollBack(now, verdict, reason)
 	case change.NextWave:
 		r.headerUnsaved = true
 		if r.Wave+1 < r.Waves {
@@ -366,25 +368,25 @@
 // countOutcomes counts the instances of a wave by outcome, and those on which the change has not
 // ended as open. An instance whose commit was open when the previous manager process ended stays
 // open for unobservedTimeout, because the end of a manager is not a failure of the instance.
-func (r *Rollout) countOutcomes(now time.Duration, wave []*Member) (c change.WaveOutcome, open int) {
-	c.Total = len(wave)
+func (r *Rollout) countOutcomes(now time.Duration, wave []*Member) (outcome change.WaveOutcome, open int) {
+	outcome.Total = len(wave)
 	for _, m := range wave {
 		t := &m.Target
 		switch {
 		case t.State == change.Done && m.observed.Epoch != "" && m.observed.Epoch != t.Epoch && r.Baking > 0:
-			c.Refused++ // the process that applied the change ended while the wave was observed
+			outcome.Refused++ // the process that applied the change ended while the wave was observed
 		case t.State == change.Done:
 		case t.State == change.PartlyDone || t.State == change.NotDone && t.Refused:
-			c.Refused++
+			outcome.Refused++
 		case t.State == change.Unknown && m.commitUnresolved && now-r.firstAdvance < unobservedTimeout:
 			open++
 		case t.State.Final():
-			c.Lost++
+			outcome.Lost++
 		default:
 			open++
 		}
 	}
-	return c, open
+	return outcome, open
 }
 
 // countUnobserved counts the members that have applied the change and were not observed since the
@@ -411,9 +413,9 @@
 }
 
 // haltOrRollBack ends the waves according to the verdict.
-func (r *Rollout) haltOrRollBack(now time.Duration, v change.Verdict, reason string) {
+func (r *Rollout) haltOrRollBack(now time.Duration, verdict change.Verdict, reason string) {
 	r.headerUnsaved, r.Reason = true, fmt.Sprintf("wave %d: %s", r.Wave+1, reason)
-	if v == change.Halt {
+	if verdict == change.Halt {
 		r.Status, r.Ended = Halted, now
 		return
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -16,10 +16,12 @@
 
 // harness runs a rollout against simulated instances that answer at once, or not at all.
 type harness struct {
-	t         *testing.T
-	r         *Rollout
-	now       time.Duration
-	responses map[string]func(OutgoingRequest) (change.Answer, bool) // by instance, accepts if missing; false for no answer
+	t   *testing.T
+	r   *Rollout
+	now time.Duration
+	// responses has a function per instance that answers its requests; it returns false for no
+	// answer. Instances without an entry use accepts.
+	responses map[string]func(OutgoingRequest) (change.Answer, bool)
 	sent      []string
 }
 
@@ -52,80 +54,80 @@
 	return change.Answer{Epoch: "e0", Err: errors.New("no such class")}, true
 }
 
-// silent does not answer.
-func silent(OutgoingRequest) (change.Answer, bool) { return change.Answer{}, false }
+// doesNotAnswer simulates an instance that does not answer.
+func doesNotAnswer(OutgoingRequest) (change.Answer, bool) { return change.Answer{}, false }
 
 // advanceUntilIdle advances the rollout until there are no more requests to send.
-func (b *harness) advanceUntilIdle() {
+func (h *harness) advanceUntilIdle() {
 	for range 1000 {
-		requests := b.r.Advance(b.now)
-		b.r.MarkSaved()
+		requests := h.r.Advance(h.now)
+		h.r.MarkSaved()
 		if len(requests) == 0 {
 			return
 		}
-		b.deliver(requests)
+		h.deliver(requests)
 	}
-	b.t.Fatal("the rollout sends requests without end")
+	h.t.Fatal("the rollout sends requests without end")
 }
 
 // deliver passes requests to the simulated instances and their answers to the rollout.
-func (b *harness) deliver(requests []OutgoingRequest) {
+func (h *harness) deliver(requests []OutgoingRequest) {
 	for _, s := range requests {
-		b.sent = append(b.sent, fmt.Sprintf("%s %s", []string{"", "prepare", "commit", "abort"}[s.Request], s.Instance))
-		respond := b.responses[s.Instance]
+		h.sent = append(h.sent, fmt.Sprintf("%s %s", []string{"", "prepare", "commit", "abort"}[s.Request], s.Instance))
+		respond := h.responses[s.Instance]
 		if respond == nil {
 			respond = accepts
 		}
 		if a, ok := respond(s); ok {
-			b.r.RecordAnswer(b.now, s.Instance, a)
+			h.r.RecordAnswer(h.now, s.Instance, a)
 		} else {
-			b.r.RecordNoAnswer(s.Instance, "timeout")
+			h.r.RecordNoAnswer(s.Instance, "timeout")
 		}
 	}
 }
 
-// serveRequests lets time pass and all instances report that they have served s more requests.
-func (b *harness) serveRequests(d time.Duration, s change.RequestCounts) {
-	b.now += d
-	for _, m := range b.r.Members() {
-		l := m.observed
-		l.Served.Add(s)
-		b.observe(m.Name, l)
-	}
-	b.advanceUntilIdle()
+// serveRequests lets time pass, after which all instances report the given additional requests.
+func (h *harness) serveRequests(elapsed time.Duration, counts change.RequestCounts) {
+	h.now += elapsed
+	for _, m := range h.r.Members() {
+		observation := m.observed
+		observation.Served.Add(counts)
+		h.observe(m.Name, observation)
+	}
+	h.advanceUntilIdle()
 }
 
 // observe reports the state of an instance and delivers the requests that follow.
-func (b *harness) observe(name string, l Observation) {
-	requests := b.r.Observe(b.now, name, l)
-	b.r.MarkSaved()
-	b.deliver(requests)
+func (h *harness) observe(name string, observation Observation) {
+	requests := h.r.Observe(h.now, name, observation)
+	h.r.MarkSaved()
+	h.deliver(requests)
 }
 
 var healthyCounts = change.RequestCounts{Requests: 1000, InAim: 1000}
 
 // expect fails the test if the rollout is in another state.
-func (b *harness) expect(status Status, wave int, s Summary) {
-	b.t.Helper()
-	if b.r.Status != status || b.r.Wave != wave || b.r.Summary() != s {
-		b.t.Fatalf("%s, wave %d, %+v, reason %q; want %s, wave %d, %+v\n%s", b.r.Status, b.r.Wave, b.r.Summary(), b.r.Reason, status, wave, s, strings.Join(b.sent, "\n"))
+func (h *harness) expect(status Status, wave int, s Summary) {
+	h.t.Helper()
+	if h.r.Status != status || h.r.Wave != wave || h.r.Summary() != s {
+		h.t.Fatalf("%s, wave %d, %+v, reason %q; want %s, wave %d, %+v\n%s", h.r.Status, h.r.Wave, h.r.Summary(), h.r.Reason, status, wave, s, strings.Join(h.sent, "\n"))
 	}
 }
 
 // Waves of 1, 2 and 4 instances follow each other, each after the previous one was observed.
 func TestWaves(t *testing.T) {
-	b := newHarness(t, 7)
-	b.advanceUntilIdle()
-	b.expect(Running, 0, Summary{Applied: 1, Waiting: 6})
-	b.serveRequests(9*time.Second, healthyCounts)
-	b.expect(Running, 0, Summary{Applied: 1, Waiting: 6})
-	b.serveRequests(2*time.Second, healthyCounts)
-	b.expect(Running, 1, Summary{Applied: 3, Waiting: 4})
-	b.serveRequests(11*time.Second, healthyCounts)
-	b.expect(Running, 2, Summary{Applied: 7})
-	b.serveRequests(11*time.Second, healthyCounts)
-	b.expect(Completed, 2, Summary{Applied: 7})
-	if b.r.Busy("i0") || !b.r.Status.Finished() {
+	h := newHarness(t, 7)
+	h.advanceUntilIdle()
+	h.expect(Running, 0, Summary{Applied: 1, Waiting: 6})
+	h.serveRequests(9*time.Second, healthyCounts)
+	h.expect(Running, 0, Summary{Applied: 1, Waiting: 6})
+	h.serveRequests(2*time.Second, healthyCounts)
+	h.expect(Running, 1, Summary{Applied: 3, Waiting: 4})
+	h.serveRequests(11*time.Second, healthyCounts)
+	h.expect(Running, 2, Summary{Applied: 7})
+	h.serveRequests(11*time.Second, healthyCounts)
+	h.expect(Completed, 2, Summary{Applied: 7})
+	if h.r.Busy("i0") || !h.r.Status.Finished() {
 		t.Error("the completed rollout is not finished or still busy with i0")
 	}
 }
@@ -133,53 +135,53 @@
 // A document that instances refuse stops at the canary, where nothing is applied. A document that
 // makes service worse is reverted on all instances that have it.
 func TestStops(t *testing.T) {
-	b := newHarness(t, 7)
-	b.responses["i0"] = refuses
-	b.advanceUntilIdle()
-	b.expect(RolledBack, 0, Summary{Unchanged: 1, Waiting: 6})
-	if slices.ContainsFunc(b.sent, func(s string) bool { return strings.HasPrefix(s, "commit") }) {
-		t.Errorf("requests %v", b.sent)
+	h := newHarness(t, 7)
+	h.responses["i0"] = refuses
+	h.advanceUntilIdle()
+	h.expect(RolledBack, 0, Summary{Unchanged: 1, Waiting: 6})
+	if slices.ContainsFunc(h.sent, func(s string) bool { return strings.HasPrefix(s, "commit") }) {
+		t.Errorf("requests %v", h.sent)
 	}
 
-	b = newHarness(t, 7)
-	b.serveRequests(0, healthyCounts)
-	b.serveRequests(11*time.Second, healthyCounts)
-	b.expect(Running, 1, Summary{Applied: 3, Waiting: 4})
-	b.serveRequests(time.Second, change.RequestCounts{Requests: 1000, InAim: 900, Failed: 100})
-	b.expect(RolledBack, 1, Summary{Back: 3, Waiting: 4})
-	if !strings.Contains(b.r.Reason, "failed") {
-		t.Errorf("reason %q", b.r.Reason)
+	h = newHarness(t, 7)
+	h.serveRequests(0, healthyCounts)
+	h.serveRequests(11*time.Second, healthyCounts)
+	h.expect(Running, 1, Summary{Applied: 3, Waiting: 4})
+	h.serveRequests(time.Second, change.RequestCounts{Requests: 1000, InAim: 900, Failed: 100})
+	h.expect(RolledBack, 1, Summary{Back: 3, Waiting: 4})
+	if !strings.Contains(h.r.Reason, "failed") {
+		t.Errorf("reason %q", h.r.Reason)
 	}
 
 	// An instance of the second wave refuses the document: the first wave is reverted before the
 	// second is committed.
-	b = newHarness(t, 7)
-	b.responses["i2"] = refuses
-	b.advanceUntilIdle()
-	b.serveRequests(11*time.Second, healthyCounts)
-	b.expect(RolledBack, 1, Summary{Back: 1, Unchanged: 2, Waiting: 4})
+	h = newHarness(t, 7)
+	h.responses["i2"] = refuses
+	h.advanceUntilIdle()
+	h.serveRequests(11*time.Second, healthyCounts)
+	h.expect(RolledBack, 1, Summary{Back: 1, Unchanged: 2, Waiting: 4})
 }
 
 // A process that ends while its wave is observed counts as a failure of the change.
 func TestDiesOfIt(t *testing.T) {
-	b := newHarness(t, 3)
-	b.advanceUntilIdle()
-	b.observe("i0", Observation{Epoch: "e1"})
-	b.advanceUntilIdle()
-	b.expect(RolledBack, 0, Summary{Ended: 1, Waiting: 2})
+	h := newHarness(t, 3)
+	h.advanceUntilIdle()
+	h.observe("i0", Observation{Epoch: "e1"})
+	h.advanceUntilIdle()
+	h.expect(RolledBack, 0, Summary{Ended: 1, Waiting: 2})
 }
 
 // A process that has restarted since the rollout was planned refuses the outdated base revision,
 // which does not count against the document.
 func TestBegunAnewBeforeItsTurn(t *testing.T) {
-	b := newHarness(t, 1)
-	b.responses["i0"] = func(OutgoingRequest) (change.Answer, bool) {
+	h := newHarness(t, 1)
+	h.responses["i0"] = func(OutgoingRequest) (change.Answer, bool) {
 		return change.Answer{Epoch: "e1", Err: change.ErrStaleRevision}, true
 	}
-	b.advanceUntilIdle()
-	b.expect(Halted, 0, Summary{Unchanged: 1})
-	b.observe("i0", Observation{Epoch: "e1", Hash: "none"})
-	b.responses["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
+	h.advanceUntilIdle()
+	h.expect(Halted, 0, Summary{Unchanged: 1})
+	h.observe("i0", Observation{Epoch: "e1", Hash: "none"})
+	h.responses["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
 		a, _ := accepts(s)
 		a.Epoch = "e1"
 		if s.Request == change.RequestPrepare && s.Base != 0 {
@@ -187,38 +189,38 @@
 		}
 		return a, true
 	}
-	if err := b.r.Resume(b.now, false); err != nil {
+	if err := h.r.Resume(h.now, false); err != nil {
 		t.Fatal(err)
 	}
-	b.advanceUntilIdle()
-	b.expect(Running, 0, Summary{Applied: 1})
+	h.advanceUntilIdle()
+	h.expect(Running, 0, Summary{Applied: 1})
 }
 
 // Too many unreachable instances halt the rollout, and applied changes stay. Resuming it retries
 // these instances or excludes them.
 func TestHaltAndResume(t *testing.T) {
 	for _, exclude := range []bool{false, true} {
-		b := newHarness(t, 3)
-		b.responses["i1"] = silent
-		b.advanceUntilIdle()
-		b.serveRequests(11*time.Second, healthyCounts)
-		b.now += stragglerTimeout
-		b.advanceUntilIdle()
-		b.expect(Halted, 1, Summary{Applied: 2, Unchanged: 1})
+		h := newHarness(t, 3)
+		h.responses["i1"] = doesNotAnswer
+		h.advanceUntilIdle()
+		h.serveRequests(11*time.Second, healthyCounts)
+		h.now += stragglerTimeout
+		h.advanceUntilIdle()
+		h.expect(Halted, 1, Summary{Applied: 2, Unchanged: 1})
 		if !exclude {
-			delete(b.responses, "i1")
+			delete(h.responses, "i1")
 		}
-		if err := b.r.Resume(b.now, exclude); err != nil {
+		if err := h.r.Resume(h.now, exclude); err != nil {
 			t.Fatal(err)
 		}
-		b.advanceUntilIdle()
-		b.serveRequests(11*time.Second, healthyCounts)
+		h.advanceUntilIdle()
+		h.serveRequests(11*time.Second, healthyCounts)
 		if exclude {
-			b.expect(Completed, 1, Summary{Applied: 2, Unchanged: 1})
+			h.expect(Completed, 1, Summary{Applied: 2, Unchanged: 1})
 		} else {
-			b.expect(Completed, 1, Summary{Applied: 3})
+			h.expect(Completed, 1, Summary{Applied: 3})
 		}
-		if err := b.r.Resume(b.now, exclude); err != ErrNotHalted {
+		if err := h.r.Resume(h.now, exclude); err != ErrNotHalted {
 			t.Errorf("resumed again: %v", err)
 		}
 	}
@@ -226,30 +228,30 @@
 
 // A slow instance delays the others for stragglerTimeout at most.
 func TestStraggler(t *testing.T) {
-	b := newHarness(t, 3)
-	b.advanceUntilIdle()
-	b.serveRequests(0, healthyCounts)
-	b.now += 11 * time.Second
+	h := newHarness(t, 3)
+	h.advanceUntilIdle()
+	h.serveRequests(0, healthyCounts)
+	h.now += 11 * time.Second
 	var withheld []OutgoingRequest
 	for range 10 {
-		requests := b.r.Advance(b.now)
+		requests := h.r.Advance(h.now)
 		for _, s := range requests {
 			if s.Instance == "i1" {
 				withheld = append(withheld, s)
 				continue
 			}
-			b.deliver([]OutgoingRequest{s})
+			h.deliver([]OutgoingRequest{s})
 		}
 		if len(requests) == 0 {
-			b.now += stragglerTimeout
+			h.now += stragglerTimeout
 		}
 	}
-	if len(withheld) != 1 || b.r.Member("i2").Target.State != change.Done {
-		t.Fatalf("withheld %v, i2 is %s", withheld, b.r.Member("i2").Target.State)
+	if len(withheld) != 1 || h.r.Member("i2").Target.State != change.Done {
+		t.Fatalf("withheld %v, i2 is %s", withheld, h.r.Member("i2").Target.State)
 	}
-	b.deliver(withheld)
-	b.advanceUntilIdle()
-	if s := b.r.Member("i1").Target.State; s != change.Done {
+	h.deliver(withheld)
+	h.advanceUntilIdle()
+	if s := h.r.Member("i1").Target.State; s != change.Done {
 		t.Errorf("the slow instance is %s", s)
 	}
 }
@@ -258,25 +260,25 @@
 // reports the result.
 func TestUnknown(t *testing.T) {
 	for _, applied := range []bool{true, false} {
-		b := newHarness(t, 3)
-		b.responses["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
+		h := newHarness(t, 3)
+		h.responses["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
 			a, _ := accepts(s)
 			return a, s.Request != change.RequestCommit
 		}
-		b.advanceUntilIdle()
-		b.expect(Halted, 0, Summary{Unknown: 1, Waiting: 2})
-		b.responses["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
+		h.advanceUntilIdle()
+		h.expect(Halted, 0, Summary{Unknown: 1, Waiting: 2})
+		h.responses["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
 			a, _ := accepts(s)
 			if applied {
 				a.Result = change.Result{Outcome: change.Applied, Revision: 4}
 			}
 			return a, true
 		}
-		b.observe("i0", Observation{Epoch: "e0"})
+		h.observe("i0", Observation{Epoch: "e0"})
 		if applied {
-			b.expect(Halted, 0, Summary{Applied: 1, Waiting: 2})
+			h.expect(Halted, 0, Summary{Applied: 1, Waiting: 2})
 		} else {
-			b.expect(Halted, 0, Summary{Unchanged: 1, Waiting: 2})
+			h.expect(Halted, 0, Summary{Unchanged: 1, Waiting: 2})
 		}
 	}
 }
@@ -286,16 +288,16 @@
 // of an instance.
 func TestRestoreAtEachStep(t *testing.T) {
 	for restartPoint := 0; ; restartPoint++ {
-		b := newHarness(t, 3)
+		h := newHarness(t, 3)
 		var journal struct {
 			header  Header
 			members map[string]string
 		}
 		journal.members = map[string]string{}
 		write := func() {
-			h, members := b.r.Unsaved()
-			if h != nil {
-				journal.header = *h
+			header, members := h.r.Unsaved()
+			if header != nil {
+				journal.header = *header
 			}
 			for _, m := range members {
 				text, err := json.Marshal(m)
@@ -304,7 +306,7 @@
 				}
 				journal.members[m.Name] = string(text)
 			}
-			b.r.MarkSaved()
+			h.r.MarkSaved()
 		}
 		restore := func() {
 			var members []Member
@@ -315,7 +317,7 @@
 				}
 				members = append(members, m)
 			}
-			b.r = Restore(journal.header, members)
+			h.r = Restore(journal.header, members)
 		}
 		write()
 		applied, restartPoints, restarted := map[string]bool{}, 0, false
@@ -329,7 +331,7 @@
 			return false
 		}
 		for range 200 {
-			requests := b.r.Advance(b.now)
+			requests := h.r.Advance(h.now)
 			if restartHere() {
 				continue
 			}
@@ -347,33 +349,33 @@
 				if restartHere() {
 					break
 				}
-				b.r.RecordAnswer(b.now, s.Instance, a)
+				h.r.RecordAnswer(h.now, s.Instance, a)
 			}
-			b.now += time.Second
-			for _, m := range b.r.Members() {
-				l := m.observed
-				l.Epoch = "e0"
-				l.Served.Add(healthyCounts)
-				for _, s := range b.r.Observe(b.now, m.Name, l) {
+			h.now += time.Second
+			for _, m := range h.r.Members() {
+				observation := m.observed
+				observation.Epoch = "e0"
+				observation.Served.Add(healthyCounts)
+				for _, s := range h.r.Observe(h.now, m.Name, observation) {
 					write()
 					a, _ := accepts(s)
 					if applied[s.Instance] {
 						a.Result = change.Result{Outcome: change.Applied, Revision: 4}
 					}
-					b.r.RecordAnswer(b.now, s.Instance, a)
+					h.r.RecordAnswer(h.now, s.Instance, a)
 				}
 			}
-			if b.r.Status == Halted {
-				t.Fatalf("restarted at point %d: halted, %s, though no instance has failed", restartPoint, b.r.Reason)
+			if h.r.Status == Halted {
+				t.Fatalf("restarted at point %d: halted, %s, though no instance has failed", restartPoint, h.r.Reason)
 			}
 		}
-		for _, m := range b.r.Members() {
+		for _, m := range h.r.Members() {
 			if (m.Target.State == change.Done) != applied[m.Name] {
 				t.Errorf("restarted at point %d: %s is recorded as %s, applied is %v", restartPoint, m.Name, m.Target.State, applied[m.Name])
 			}
 		}
-		if b.r.Status != Completed {
-			t.Errorf("restarted at point %d: %s, %s", restartPoint, b.r.Status, b.r.Reason)
+		if h.r.Status != Completed {
+			t.Errorf("restarted at point %d: %s, %s", restartPoint, h.r.Status, h.r.Reason)
 		}
 		if !restarted {
 			if restartPoint < 10 {
@@ -386,112 +388,112 @@
 
 // A newer manager ends the rollout of an older one, and recorded results stay.
 func TestSuperseded(t *testing.T) {
-	b := newHarness(t, 3)
-	b.advanceUntilIdle()
-	b.responses["i1"] = func(OutgoingRequest) (change.Answer, bool) {
+	h := newHarness(t, 3)
+	h.advanceUntilIdle()
+	h.responses["i1"] = func(OutgoingRequest) (change.Answer, bool) {
 		return change.Answer{Epoch: "e0", Err: change.ErrFenced, Fenced: true}, true
 	}
-	b.serveRequests(11*time.Second, healthyCounts)
-	b.serveRequests(11*time.Second, healthyCounts)
-	if b.r.Status != Superseded || b.r.Member("i0").Target.State != change.Done || b.r.Member("i1").Target.State != change.Superseded {
-		t.Errorf("%s, %+v", b.r.Status, b.r.Summary())
+	h.serveRequests(11*time.Second, healthyCounts)
+	h.serveRequests(11*time.Second, healthyCounts)
+	if h.r.Status != Superseded || h.r.Member("i0").Target.State != change.Done || h.r.Member("i1").Target.State != change.Superseded {
+		t.Errorf("%s, %+v", h.r.Status, h.r.Summary())
 	}
-	sentBefore := len(b.sent)
-	b.serveRequests(11*time.Second, healthyCounts)
-	if len(b.sent) > sentBefore {
-		t.Errorf("sent %v", b.sent[sentBefore:])
+	sentBefore := len(h.sent)
+	h.serveRequests(11*time.Second, healthyCounts)
+	if len(h.sent) > sentBefore {
+		t.Errorf("sent %v", h.sent[sentBefore:])
 	}
 }
 
 // An abort ends prepared changes and leaves applied ones in force.
 func TestAbort(t *testing.T) {
-	b := newHarness(t, 3)
-	b.advanceUntilIdle()
-	if err := b.r.Abort(b.now); err != nil {
+	h := newHarness(t, 3)
+	h.advanceUntilIdle()
+	if err := h.r.Abort(h.now); err != nil {
 		t.Fatal(err)
 	}
-	b.advanceUntilIdle()
-	b.expect(Halted, 0, Summary{Applied: 1, Waiting: 2})
-	if err := b.r.Abort(b.now); err != ErrNotRunning {
+	h.advanceUntilIdle()
+	h.expect(Halted, 0, Summary{Applied: 1, Waiting: 2})
+	if err := h.r.Abort(h.now); err != ErrNotRunning {
 		t.Errorf("aborted again: %v", err)
 	}
-	if err := b.r.Rollback(b.now); err != nil {
+	if err := h.r.Rollback(h.now); err != nil {
 		t.Fatal(err)
 	}
-	b.advanceUntilIdle()
-	b.expect(RolledBack, 0, Summary{Back: 1, Waiting: 2})
-	if err := b.r.Rollback(b.now); err != ErrAlreadyRolledBack {
+	h.advanceUntilIdle()
+	h.expect(RolledBack, 0, Summary{Back: 1, Waiting: 2})
+	if err := h.r.Rollback(h.now); err != ErrAlreadyRolledBack {
 		t.Errorf("rolled back again: %v", err)
 	}
 }
 
 // Resuming a rollback that was halted continues the rollback.
 func TestResumedTakingBack(t *testing.T) {
-	b := newHarness(t, 1)
-	b.advanceUntilIdle()
-	if err := b.r.Rollback(b.now); err != nil {
+	h := newHarness(t, 1)
+	h.advanceUntilIdle()
+	if err := h.r.Rollback(h.now); err != nil {
 		t.Fatal(err)
 	}
-	b.deliver(b.r.Advance(b.now)) // the revert is prepared
-	if err := b.r.Abort(b.now); err != nil {
+	h.deliver(h.r.Advance(h.now)) // the revert is prepared
+	if err := h.r.Abort(h.now); err != nil {
 		t.Fatal(err)
 	}
-	b.advanceUntilIdle()
-	if err := b.r.Resume(b.now, false); err != nil {
+	h.advanceUntilIdle()
+	if err := h.r.Resume(h.now, false); err != nil {
 		t.Fatal(err)
 	}
-	b.advanceUntilIdle()
-	b.expect(RolledBack, 0, Summary{Back: 1})
+	h.advanceUntilIdle()
+	h.expect(RolledBack, 0, Summary{Back: 1})
 }
 
 // The reconciler restores the document of an instance that has restarted, waits longer after each
 // failure, and sends nothing while a rollout changes the instance.
 func TestKeeper(t *testing.T) {
-	k := Reconciler{Name: "i0", Desired: "new"}
-	if _, ok := k.Observe(0, Observation{Epoch: "e0", Hash: "new"}, false); ok {
+	reconciler := Reconciler{Name: "i0", Desired: "new"}
+	if _, ok := reconciler.Observe(0, Observation{Epoch: "e0", Hash: "new"}, false); ok {
 		t.Error("a request is sent to an instance with the desired document")
 	}
-	if _, ok := k.Observe(0, Observation{Epoch: "e0", Hash: "new", Mixed: true}, false); !ok {
+	if _, ok := reconciler.Observe(0, Observation{Epoch: "e0", Hash: "new", Mixed: true}, false); !ok {
 		t.Error("no request is sent to an instance with parts of another document")
 	}
-	k = Reconciler{Name: "i0", Desired: "new"}
+	reconciler = Reconciler{Name: "i0", Desired: "new"}
 	outdated := Observation{Epoch: "e1", Hash: "old"}
-	if _, ok := k.Observe(0, outdated, true); ok {
+	if _, ok := reconciler.Observe(0, outdated, true); ok {
 		t.Error("a request is sent to an instance that a rollout changes")
 	}
-	s, ok := k.Observe(0, outdated, false)
+	s, ok := reconciler.Observe(0, outdated, false)
 	if !ok || s.Request != change.RequestPrepare || s.Document != "new" {
 		t.Fatalf("sent %+v, %v", s, ok)
 	}
-	if s, ok = k.RecordAnswer(0, false, change.Answer{Epoch: "e1"}); !ok || s.Request != change.RequestCommit {
+	if s, ok = reconciler.RecordAnswer(0, false, change.Answer{Epoch: "e1"}); !ok || s.Request != change.RequestCommit {
 		t.Fatalf("then %+v, %v", s, ok)
 	}
-	if _, ok = k.RecordAnswer(0, false, change.Answer{Epoch: "e1", Result: change.Result{Outcome: change.Applied}}); ok || k.FailureReason() != "" {
+	if _, ok = reconciler.RecordAnswer(0, false, change.Answer{Epoch: "e1", Result: change.Result{Outcome: change.Applied}}); ok || reconciler.FailureReason() != "" {
 		t.Error("the reconciler does not stop after success")
 	}
 	delays := []time.Duration{}
 	now := time.Duration(0)
 	for range 12 {
-		if _, ok = k.Observe(now, outdated, false); !ok {
+		if _, ok = reconciler.Observe(now, outdated, false); !ok {
 			t.Fatalf("no attempt after the delays %v", delays)
 		}
-		k.RecordAnswer(now, false, change.Answer{Epoch: "e1", Err: errors.New("no")})
-		if k.FailureReason() != "no" {
-			t.Errorf("failure reason %q", k.FailureReason())
+		reconciler.RecordAnswer(now, false, change.Answer{Epoch: "e1", Err: errors.New("no")})
+		if reconciler.FailureReason() != "no" {
+			t.Errorf("failure reason %q", reconciler.FailureReason())
 		}
-		if _, ok = k.Observe(k.retryAt-1, outdated, false); ok {
+		if _, ok = reconciler.Observe(reconciler.retryAt-1, outdated, false); ok {
 			t.Error("retried too early")
 		}
-		delays = append(delays, k.retryAt-now)
-		now = k.retryAt
+		delays = append(delays, reconciler.retryAt-now)
+		now = reconciler.retryAt
 	}
 	if delays[0] != minRetryDelay || delays[11] != maxRetryDelay || !slices.IsSorted(delays) {
 		t.Errorf("delays %v", delays)
 	}
 	// The desired document changes between prepare and commit: nothing is committed.
-	k.Observe(now, outdated, false)
-	k.Desired = "newer"
-	if s, ok = k.RecordAnswer(now, false, change.Answer{Epoch: "e1"}); ok {
+	reconciler.Observe(now, outdated, false)
+	reconciler.Desired = "newer"
+	if s, ok = reconciler.RecordAnswer(now, false, change.Answer{Epoch: "e1"}); ok {
 		t.Errorf("sent %+v", s)
 	}
 }
