--- a/internal/change/once.go
+++ b/internal/change/once.go
@@ -1,41 +1,43 @@
 package change
 
-// Once remembers what became of changes that are made at once, so that a repeat under an id has the first result. The
-// zero value is ready. Changes that failed are not remembered: nothing was changed, and the same may be tried again.
-type Once struct {
-	done  map[string]once
-	order []string // of done, the oldest first
-	now   string   // what is being done
+// Deduplicator remembers the results of changes that have a single phase, so that a repeated
+// request with the same id gets the first result. The zero value is ready for use. Callers do not
+// record failed changes: those changed nothing and may be retried.
+type Deduplicator struct {
+	recorded map[string]recordedChange
+	order    []string // ids of recorded, the oldest first
+	current  string   // content of the change that Begin has started
 }
 
-type once struct {
-	what   string
-	result any
+type recordedChange struct {
+	content string
+	result  any
 }
 
-// Begin says whether a change was made before, and with which result. What is another change under the same id is
-// ErrIDInUse.
-func (o *Once) Begin(id, what string) (result any, known bool, err error) {
+// Begin starts a change. If the change was made before, known is true and result is its first
+// result. It returns ErrNoID for an empty id and ErrIDInUse if the id belongs to a change with
+// other content.
+func (o *Deduplicator) Begin(id, content string) (result any, known bool, err error) {
 	if id == "" {
 		return nil, false, ErrNoID
 	}
-	first, known := o.done[id]
-	if known && first.what != what {
+	first, known := o.recorded[id]
+	if known && first.content != content {
 		return nil, false, ErrIDInUse
 	}
-	o.now = what
+	o.current = content
 	return first.result, known, nil
 }
 
-// End takes in how the change ended that has begun last.
-func (o *Once) End(id string, result any) {
-	if o.done == nil {
-		o.done = map[string]once{}
+// End records the result of the change that the last call of Begin has started.
+func (o *Deduplicator) End(id string, result any) {
+	if o.recorded == nil {
+		o.recorded = map[string]recordedChange{}
 	}
-	if len(o.order) >= mostResults {
-		delete(o.done, o.order[0])
+	if len(o.order) >= maxResults {
+		delete(o.recorded, o.order[0])
 		o.order = o.order[1:]
 	}
-	o.done[id] = once{o.now, result}
+	o.recorded[id] = recordedChange{o.current, result}
 	o.order = append(o.order, id)
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -133,7 +133,7 @@
 	machine := s.service.stateMachine
 	id := &Identity{
 		Name: s.service.instance.Name(), Epoch: machine.Epoch(), Uptime: s.service.now().Seconds(), Revision: machine.Revision(),
-		Hash: machine.Current().Hash, Fence: machine.Fence(), Pending: machine.Pending(), Taking: state.Taking, Labels: s.options.Labels, Mixed: machine.Mixed(),
+		Hash: machine.Current().Hash, Fence: machine.Fence(), Pending: machine.Pending(), Taking: state.Taking, Labels: s.options.Labels, Mixed: machine.MixedParts(),
 	}
 	if s.options.Configuration != nil {
 		id.Configuration = s.options.Configuration()
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -166,7 +166,7 @@
 	started  time.Time
 
 	mu           sync.Mutex
-	results      change.Once // results of changes without a document, by idempotency key
+	results      change.Deduplicator // results of changes without a document, by idempotency key
 	stateMachine *change.Instance
 	documents    map[string]*document.Document // by hash: the one in force and the one of the change in progress
 	timer        *time.Timer
@@ -247,7 +247,7 @@
 	for len(actions) > 0 {
 		action := actions[0]
 		s.mu.Lock()
-		d := s.documents[s.stateMachine.Wanted(action).Hash]
+		d := s.documents[s.stateMachine.DocumentFor(action).Hash]
 		s.mu.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), applyTimeout)
 		err := errors.New("the document of the change is missing")
@@ -256,7 +256,7 @@
 		}
 		cancel()
 		s.mu.Lock()
-		actions = s.stateMachine.Done(s.now(), action, err)
+		actions = s.stateMachine.ActionDone(s.now(), action, err)
 		if len(actions) == 0 {
 			s.notifyWaiters()
 		}
@@ -274,7 +274,7 @@
 
 // armTimer sets the timer for the next timeout of the state machine. The caller holds the mutex.
 func (s *service) armTimer() {
-	due, ok := s.stateMachine.Due()
+	due, ok := s.stateMachine.NextDeadline()
 	if !ok {
 		return
 	}
@@ -310,7 +310,7 @@
 func (s *service) observeFence(fence uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stateMachine.Hear(fence)
+	return s.stateMachine.ObserveFence(fence)
 }
 
 func (s *service) abort(id string, fence uint64) (*Change, error) {
@@ -363,7 +363,7 @@
 		return p
 	case errors.As(err, &f):
 		return &api.Problem{Status: 422, Title: "invalid document", Detail: f.Reason, Field: f.Field}
-	case errors.Is(err, change.ErrStale), errors.Is(err, change.ErrBusy), errors.Is(err, change.ErrNotPrepared), errors.Is(err, change.ErrIDInUse):
+	case errors.Is(err, change.ErrStaleRevision), errors.Is(err, change.ErrBusy), errors.Is(err, change.ErrNotPrepared), errors.Is(err, change.ErrIDInUse):
 		return &api.Problem{Status: 409, Title: "the change can't be made now", Detail: err.Error()}
 	case errors.Is(err, change.ErrFenced):
 		return &api.Problem{Status: 412, Title: "the manager has been replaced", Detail: err.Error()}
--- a/internal/manage/instances.go
+++ b/internal/manage/instances.go
@@ -50,8 +50,8 @@
 		r.State = StateUnmanaged
 	case r.Wanted == r.Hash && len(instance.summary.Mixed) == 0:
 		r.State = StateAsWanted
-	case instance.keeper.Refusal() != "":
-		r.State, r.Reason = StateRefused, instance.keeper.Refusal()
+	case instance.keeper.FailureReason() != "":
+		r.State, r.Reason = StateRefused, instance.keeper.FailureReason()
 	default:
 		r.State = StateDiffers
 	}
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -98,9 +98,9 @@
 	documents      map[string]*document.Document
 	wanted         map[string]string
 
-	pendingRecords []journal.Record // to be written to the journal
-	pendingSends   []rollout.Send   // requests to send once pendingRecords are written
-	journalErr     error            // error of the last journal write; nil if it succeeded
+	pendingRecords []journal.Record          // to be written to the journal
+	pendingSends   []rollout.OutgoingRequest // requests to send once pendingRecords are written
+	journalErr     error                     // error of the last journal write; nil if it succeeded
 	journalRetryAt time.Duration
 	pendingAcks    []func(error) // callers of update that wait for pendingRecords to be written
 	damagedRecords []string      // errors of damaged records that were skipped on loading
@@ -117,9 +117,9 @@
 	pollErr           error // error of the last poll
 	polling           bool
 	nextPoll          time.Duration
-	serviceWindow     rollout.Window
-	observation       rollout.Look
-	keeper            rollout.Keeper
+	serviceWindow     rollout.SlidingWindow
+	observation       rollout.Observation
+	keeper            rollout.Reconciler
 }
 
 // reachable reports whether the last poll succeeded.
@@ -151,7 +151,7 @@
 func (m *Manager) registerInstance(in inventory.Instance) *managedInstance {
 	instance := m.instances[in.Name]
 	if instance == nil {
-		instance = &managedInstance{keeper: rollout.Keeper{Name: in.Name, Wanted: m.wanted[in.Name]}}
+		instance = &managedInstance{keeper: rollout.Reconciler{Name: in.Name, Desired: m.wanted[in.Name]}}
 		m.instances[in.Name] = instance
 	}
 	instance.Instance, instance.labels = in, in.Labels
@@ -291,7 +291,7 @@
 			r.Supersede(t, fmt.Sprintf("a newer manager has spoken, with fence %d", m.highestFence))
 		} else if m.fence != 0 && acknowledged {
 			status, baking := r.Status, r.Baking
-			sends := r.Next(t)
+			sends := r.Advance(t)
 			if r.Status != status {
 				m.updateWanted(r)
 			}
@@ -304,7 +304,7 @@
 			}
 			m.pendingSends = append(m.pendingSends, sends...)
 		}
-		header, members := r.Changed()
+		header, members := r.Unsaved()
 		if header != nil {
 			m.appendRecord(rolloutBucket, id, header)
 			m.opts.Log.Info("rollout", "id", id, "status", r.Status.String(), "wave", r.Wave+1, "of", r.Waves, "reason", r.Reason)
@@ -312,7 +312,7 @@
 		for _, x := range members {
 			m.appendRecord(memberBucket, id+"\x00"+x.Name, x)
 		}
-		r.Written() // the records are queued, and requests are sent only after they are written
+		r.MarkSaved() // the records are queued, and requests are sent only after they are written
 	}
 }
 
@@ -338,7 +338,7 @@
 	m.wanted[name] = hash
 	m.appendRecord(wantedBucket, name, hash)
 	if instance := m.instances[name]; instance != nil {
-		instance.keeper.Wanted = hash
+		instance.keeper.Desired = hash
 	}
 }
 
--- a/internal/manage/orders.go
+++ b/internal/manage/orders.go
@@ -105,7 +105,7 @@
 type orderTargets struct {
 	limits   *Limits
 	hash     string
-	included []rollout.Planned
+	included []rollout.PlannedInstance
 	excluded map[string]string // reasons for leaving out the other instances, by name
 }
 
@@ -136,7 +136,7 @@
 			case instance.summary == nil:
 				targets.excluded[instance.Name] = "not seen yet"
 			default:
-				targets.included = append(targets.included, rollout.Planned{Name: instance.Name, Look: instance.observation})
+				targets.included = append(targets.included, rollout.PlannedInstance{Name: instance.Name, Observation: instance.observation})
 				if hash := instance.observation.Hash; m.documents[hash] == nil && len(sources[hash]) < maxDocumentSources {
 					sources[hash] = append(sources[hash], instance.Address())
 				}
@@ -176,12 +176,12 @@
 		for hash, d := range fetched {
 			m.storeDocument(hash, d)
 		}
-		targets.included = slices.DeleteFunc(targets.included, func(p rollout.Planned) bool {
-			if m.documents[p.Look.Hash] != nil {
+		targets.included = slices.DeleteFunc(targets.included, func(p rollout.PlannedInstance) bool {
+			if m.documents[p.Observation.Hash] != nil {
 				return false
 			}
 			targets.excluded[p.Name] = "its document has just changed"
-			if err := failed[p.Look.Hash]; err != nil {
+			if err := failed[p.Observation.Hash]; err != nil {
 				targets.excluded[p.Name] = "fetching its document failed: " + err.Error()
 			}
 			return true
@@ -208,7 +208,7 @@
 		return nil, err
 	}
 	limits := targets.limits.changeLimits()
-	plan := &Plan{Hash: targets.hash, Waves: limits.Waves(len(targets.included)), Instances: []PlannedInstance{}}
+	plan := &Plan{Hash: targets.hash, Waves: limits.WaveSizes(len(targets.included)), Instances: []PlannedInstance{}}
 	err = m.read(ctx, func() {
 		r := rollout.New(now(), "", targets.hash, limits, targets.included)
 		for _, x := range r.Members() {
@@ -278,7 +278,7 @@
 		m.storeDocument(targets.hash, o.Document)
 		r := rollout.New(now(), id, targets.hash, targets.limits.changeLimits(), targets.included)
 		for _, name := range slices.Sorted(maps.Keys(targets.excluded)) {
-			r.LeaveOut(name, targets.excluded[name])
+			r.Exclude(name, targets.excluded[name])
 		}
 		m.rollouts[id] = r
 		m.rolloutOrder = append(m.rolloutOrder, id)
@@ -301,7 +301,7 @@
 	if len(m.rolloutOrder) < maxRollouts {
 		return nil
 	}
-	i := slices.IndexFunc(m.rolloutOrder, func(id string) bool { r := m.rollouts[id]; return r.Status.Over() && !r.Waiting() })
+	i := slices.IndexFunc(m.rolloutOrder, func(id string) bool { r := m.rollouts[id]; return r.Status.Finished() && !r.HasOpenRequests() })
 	if i < 0 {
 		return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("%d rollouts have not ended", len(m.rolloutOrder))}
 	}
--- a/internal/manage/poll.go
+++ b/internal/manage/poll.go
@@ -88,25 +88,25 @@
 		m.superseded = true
 		m.opts.Log.Error("a newer manager has spoken; this manager sends no more changes", "fence", m.fence, "newer", s.Fence)
 	}
-	served := change.Service{Requests: float64(s.Service.Requests), InAim: float64(s.Service.InAim), Refused: float64(s.Service.Refused), Failed: float64(s.Service.Failed)}
-	instance.observation = rollout.Look{Epoch: s.Epoch, Revision: s.Revision, Hash: s.Hash, Mixed: len(s.Mixed) > 0, Served: served, Before: instance.serviceWindow.Add(t, s.Epoch, served)}
+	served := change.RequestCounts{Requests: float64(s.Service.Requests), InAim: float64(s.Service.InAim), Refused: float64(s.Service.Refused), Failed: float64(s.Service.Failed)}
+	instance.observation = rollout.Observation{Epoch: s.Epoch, Revision: s.Revision, Hash: s.Hash, Mixed: len(s.Mixed) > 0, Served: served, Recent: instance.serviceWindow.Add(t, s.Epoch, served)}
 	if m.superseded || m.fence == 0 || fence != m.fence {
 		return
 	}
 	for _, id := range m.rolloutOrder {
-		m.pendingSends = append(m.pendingSends, m.rollouts[id].Looked(t, name, instance.observation)...)
+		m.pendingSends = append(m.pendingSends, m.rollouts[id].Observe(t, name, instance.observation)...)
 	}
 	_, active := m.activeRollout(name)
-	if next, ok := instance.keeper.Look(t, instance.observation, active); ok {
+	if next, ok := instance.keeper.Observe(t, instance.observation, active); ok {
 		m.pendingSends = append(m.pendingSends, next)
 	}
 }
 
 // startRequest starts a request of a rollout or keeper to an instance. Its outcome is queued for
 // handleAnswer.
-func (m *Manager) startRequest(ctx context.Context, s rollout.Send) {
+func (m *Manager) startRequest(ctx context.Context, s rollout.OutgoingRequest) {
 	instance := m.instances[s.Instance]
-	if instance == nil || instance.pollErr != nil && s.Request == change.AskPrepare || !m.mayAct() {
+	if instance == nil || instance.pollErr != nil && s.Request == change.RequestPrepare || !m.mayAct() {
 		// Nothing is sent. The rollout handles this like an unanswered request, without a delay.
 		reason := "the instance is no longer known"
 		if !m.mayAct() {
@@ -140,24 +140,24 @@
 var errStillApplying = errors.New("it is still being applied")
 
 // request sends a request to an instance. An error means that its outcome is unknown.
-func (m *Manager) request(ctx context.Context, address api.Address, s rollout.Send, fence uint64, doc *document.Document) (change.Answer, error) {
+func (m *Manager) request(ctx context.Context, address api.Address, s rollout.OutgoingRequest, fence uint64, doc *document.Document) (change.Answer, error) {
 	client := m.opts.Client(address)
 	var changed *control.Change
 	var err error
 	switch s.Request {
-	case change.AskPrepare:
+	case change.RequestPrepare:
 		if doc == nil {
 			return change.Answer{}, errors.New("the manager does not have the document")
 		}
 		changed, err = client.Prepare(ctx, s.ID, &control.Proposal{Base: s.Base, Fence: fence, Confirm: confirmTimeout.Seconds(), Document: doc})
-	case change.AskCommit:
+	case change.RequestCommit:
 		changed, err = client.Commit(ctx, s.ID, fence)
 		if err == nil && changed.Outcome == change.None.String() && changed.Pending == s.ID {
 			// The change is applied. Confirming over a new connection shows that the instance is
 			// still reachable.
 			changed, err = m.opts.FreshClient(address).Confirm(ctx, s.ID, fence)
 		}
-	case change.AskAbort:
+	case change.RequestAbort:
 		changed, err = client.Abort(ctx, s.ID, fence)
 		var problem *api.Problem
 		if errors.As(err, &problem) && problem.Status == 409 {
@@ -169,7 +169,7 @@
 		}
 	}
 	a, err := parseAnswer(changed, err)
-	if err == nil && s.Request == change.AskCommit && a.Err == nil && a.Result.Outcome == change.None {
+	if err == nil && s.Request == change.RequestCommit && a.Err == nil && a.Result.Outcome == change.None {
 		err = errStillApplying
 	}
 	return a, err
@@ -193,19 +193,19 @@
 }
 
 // handleAnswer passes the outcome of a request to the rollout or keeper that sent it.
-func (m *Manager) handleAnswer(s rollout.Send, a change.Answer, err error) {
+func (m *Manager) handleAnswer(s rollout.OutgoingRequest, a change.Answer, err error) {
 	t := now()
 	if a.Fenced {
 		m.superseded = true
 	}
-	if s.Keeps {
+	if s.FromReconciler {
 		if instance := m.instances[s.Instance]; instance != nil {
 			if err != nil {
-				instance.keeper.Silent(t)
+				instance.keeper.RecordNoAnswer(t)
 				return
 			}
 			_, active := m.activeRollout(s.Instance)
-			if next, ok := instance.keeper.Answered(t, active || m.superseded, a); ok {
+			if next, ok := instance.keeper.RecordAnswer(t, active || m.superseded, a); ok {
 				m.pendingSends = append(m.pendingSends, next)
 			}
 		}
@@ -217,9 +217,9 @@
 		return
 	}
 	if err != nil {
-		r.Silent(s.Instance, err.Error())
+		r.RecordNoAnswer(s.Instance, err.Error())
 	} else {
-		r.Answered(t, s.Instance, a)
+		r.RecordAnswer(t, s.Instance, a)
 	}
 }
 
--- a/internal/manage/server_test.go
+++ b/internal/manage/server_test.go
@@ -71,7 +71,7 @@
 	parts, err := p.change.Commit(0, fence, id)
 	for len(parts) > 0 {
 		p.document = p.proposed[id]
-		parts = p.change.Done(0, parts[0], nil)
+		parts = p.change.ActionDone(0, parts[0], nil)
 	}
 	return p.toChange(id, err)
 }
--- a/internal/manage/store.go
+++ b/internal/manage/store.go
@@ -79,7 +79,7 @@
 	}
 	slices.SortFunc(m.rolloutOrder, func(a, b string) int { return int(headers[a].Begun - headers[b].Begun) })
 	for _, instance := range m.instances {
-		instance.keeper.Wanted = m.wanted[instance.Name]
+		instance.keeper.Desired = m.wanted[instance.Name]
 	}
 	return nil
 }
--- a/internal/rollout/answers.go
+++ b/internal/rollout/answers.go
@@ -6,80 +6,82 @@
 	"example.org/micaline/internal/change"
 )
 
-// What instances say to a rollout.
+// This file has the events of a rollout: answers, missing answers and observations of instances.
 
-// Answered takes in an instance's answer.
-func (r *Rollout) Answered(now time.Duration, name string, a change.Answer) {
+// RecordAnswer records the answer of an instance to the open request.
+func (r *Rollout) RecordAnswer(now time.Duration, name string, a change.Answer) {
 	m := r.byName[name]
-	if m == nil || !m.asked {
-		return // of a process of this manager that has ended
+	if m == nil || !m.requestOpen {
+		return // the answer is to a request of an earlier manager process
 	}
-	m.asked = false
-	if m.seen.Epoch != a.Epoch {
-		m.seen = Look{} // what was seen before is of another process
+	m.requestOpen = false
+	if m.observed.Epoch != a.Epoch {
+		m.observed = Observation{} // the last observation was of another process
 	}
-	t := m.current()
-	t.Answered(a)
+	t := m.activeTarget()
+	t.RecordAnswer(a)
 	if t.Refused && !m.Backing && m.Epoch != a.Epoch {
-		t.Refused = false // it has begun anew since the change was planned, on which that was based
+		t.Refused = false // the instance has restarted, so the refusal may come from the base revision
 	}
-	r.note(m)
+	r.markUnsaved(m)
 	if a.Fenced {
 		r.Supersede(now, a.Err.Error())
 	}
-	r.settleRestored(m, a)
+	r.resolveRestored(m, a)
 }
 
-// settleRestored begins a change anew that the manager before this one had asked an instance to apply, and of which the
-// same process of the instance says now that it has not and never will.
-func (r *Rollout) settleRestored(m *Member, a change.Answer) {
-	if !m.restored || m.Target.State == change.Unknown {
+// resolveRestored retries a change whose commit was open when the previous manager process ended,
+// if the same process of the instance now reports that the change was not applied and never will
+// be.
+func (r *Rollout) resolveRestored(m *Member, a change.Answer) {
+	if !m.commitUnresolved || m.Target.State == change.Unknown {
 		return
 	}
-	m.restored = false
+	m.commitUnresolved = false
 	t := &m.Target
 	if r.Status == Running && t.State == change.NotDone && !t.Refused && a.Result.Outcome == change.Unchanged && m.Epoch == a.Epoch {
-		r.tryAgain(m)
+		r.retry(m)
 	}
 }
 
-// Supersede ends all sending: another manager has the fleet.
-func (r *Rollout) Supersede(now time.Duration, why string) {
-	if r.Status.Over() || r.Status == Superseded {
+// Supersede ends the rollout in this manager, because a newer manager has taken over the fleet.
+func (r *Rollout) Supersede(now time.Duration, reason string) {
+	if r.Status.Finished() || r.Status == Superseded {
 		return
 	}
-	r.Status, r.Reason, r.Ended, r.header = Superseded, why, now, true
+	r.Status, r.Reason, r.Ended, r.headerUnsaved = Superseded, reason, now, true
 }
 
-// Silent takes in that a request was not answered in time, or its connection ended.
-func (r *Rollout) Silent(name, why string) {
+// RecordNoAnswer records that the open request timed out or its connection ended.
+func (r *Rollout) RecordNoAnswer(name, reason string) {
 	m := r.byName[name]
-	if m == nil || !m.asked {
+	if m == nil || !m.requestOpen {
 		return
 	}
-	m.asked = false
-	m.current().Silent(why)
-	r.note(m)
+	m.requestOpen = false
+	m.activeTarget().RecordNoAnswer(reason)
+	r.markUnsaved(m)
 }
 
-// Looked takes in what an instance shows, and returns a question to it where what became of a commit is not known, or a
-// prepare may have been left there.
-func (r *Rollout) Looked(now time.Duration, name string, l Look) (out []Send) {
+// Observe records the state that an instance reports. It returns a request that resolves the change
+// on the instance if the outcome of a commit is unknown or a prepared change may be left there.
+func (r *Rollout) Observe(now time.Duration, name string, observation Observation) (requests []OutgoingRequest) {
 	m := r.byName[name]
 	if m == nil {
 		return nil
 	}
-	m.seen, m.seenAt = l, now
-	if r.Status == Superseded || m.asked {
+	m.observed, m.observedAt = observation, now
+	if r.Status == Superseded || m.requestOpen {
 		return nil
 	}
-	if m.Target.State == change.Planned && m.Epoch != l.Epoch {
-		// Another process before its turn: it has nothing of what the one before had. It goes back to that all the same.
-		m.Epoch, m.Base = l.Epoch, l.Revision
-		r.note(m)
+	if m.Target.State == change.Planned && m.Epoch != observation.Epoch {
+		// The instance has restarted before its wave. The new process does not have the document of
+		// the previous one, but a rollback still restores that document.
+		m.Epoch, m.Base = observation.Epoch, observation.Revision
+		r.markUnsaved(m)
 	}
-	if t := m.current(); t.State == change.Unknown || t.Loose {
-		out = r.send(out, m, m.current().Settle(), m.Backing)
+	if t := m.activeTarget(); t.State == change.Unknown || t.Loose {
+		requests = r.appendRequest(requests, m, m.activeTarget().Resolve(), m.Backing)
 	}
-	return out
+	return requests
 }
--- a/internal/rollout/keep.go
+++ b/internal/rollout/keep.go
@@ -8,123 +8,132 @@
 )
 
 const (
-	firstAgain = time.Second // after an instance that could not be brought to what is wanted
-	lastAgain  = 5 * time.Minute
+	// minRetryDelay and maxRetryDelay bound the exponential delay between failed attempts of a
+	// Reconciler.
+	minRetryDelay = time.Second
+	maxRetryDelay = 5 * time.Minute
 )
 
-// Keeper brings one instance to the document that is wanted of it, whenever it shows another: after its process has
-// begun anew, with nothing applied, or after somebody has set another by hand.
-type Keeper struct {
-	Name   string
-	Wanted string // hash; "" for none
+// Reconciler brings one instance back to its desired document whenever the instance reports another
+// one. This happens after a restart, which loses applied changes, and after a manual change.
+type Reconciler struct {
+	Name    string
+	Desired string // hash of the desired document; "" for none
 
-	target change.Target
-	doc    string // that it is being brought to
-	epoch  string
-	base   uint64
-	try    int
-	active bool
-	asked  bool
-	due    time.Duration
-	wait   time.Duration
+	target      change.Target
+	document    string // hash of the document that the current attempt applies
+	epoch       string
+	base        uint64
+	attempt     int
+	inProgress  bool
+	requestOpen bool
+	retryAt     time.Duration
+	retryDelay  time.Duration
 }
 
-// Look takes in what the instance shows, and returns what is to be sent. Nothing is while others change the instance.
-func (k *Keeper) Look(now time.Duration, l Look, busy bool) (Send, bool) {
+// Observe records the state that the instance reports, and returns the request to send, if any. It
+// sends nothing while busy is set, which means that something else changes the instance.
+func (r *Reconciler) Observe(now time.Duration, observation Observation, busy bool) (OutgoingRequest, bool) {
 	switch {
-	case k.asked:
-		return Send{}, false
-	case l.Hash == k.Wanted && !l.Mixed || k.Wanted == "" || busy:
-		k.active, k.wait, k.due = false, 0, 0
-		return Send{}, false
-	case l.Epoch != k.epoch: // there was nothing wrong with this one
-		k.wait, k.due = 0, 0
+	case r.requestOpen:
+		return OutgoingRequest{}, false
+	case observation.Hash == r.Desired && !observation.Mixed || r.Desired == "" || busy:
+		r.inProgress, r.retryDelay, r.retryAt = false, 0, 0
+		return OutgoingRequest{}, false
+	case observation.Epoch != r.epoch: // the delay was due to failures of another process
+		r.retryDelay, r.retryAt = 0, 0
 	}
-	if now < k.due {
-		return Send{}, false
+	if now < r.retryAt {
+		return OutgoingRequest{}, false
 	}
-	k.target, k.active, k.doc, k.epoch, k.base = change.Target{}, true, k.Wanted, l.Epoch, l.Revision
-	k.try++
-	return k.next()
+	r.target, r.inProgress, r.document, r.epoch, r.base = change.Target{}, true, r.Desired, observation.Epoch, observation.Revision
+	r.attempt++
+	return r.nextRequest()
 }
 
-func (k *Keeper) next() (Send, bool) {
-	q := k.target.Next(true)
-	if q == change.Nothing {
-		return Send{}, false
+// nextRequest returns the next request of the current attempt, if any.
+func (r *Reconciler) nextRequest() (OutgoingRequest, bool) {
+	request := r.target.NextRequest(true)
+	if request == change.NoRequest {
+		return OutgoingRequest{}, false
 	}
-	k.asked = true
-	return Send{Instance: k.Name, Request: q, ID: fmt.Sprintf("keep/%s/%s/%d", k.doc, k.epoch, k.try), Document: k.doc, Base: k.base, Keeps: true}, true
+	r.requestOpen = true
+	return OutgoingRequest{Instance: r.Name, Request: request, ID: fmt.Sprintf("keep/%s/%s/%d", r.document, r.epoch, r.attempt), Document: r.document, Base: r.base, FromReconciler: true}, true
 }
 
-// Answered takes in the instance's answer, and returns what is to be sent next. Danger: the wanted document may be
-// another by now, and a commit would bring the old one.
-func (k *Keeper) Answered(now time.Duration, busy bool, a change.Answer) (Send, bool) {
-	k.asked = false
-	if !k.active {
-		return Send{}, false
+// RecordAnswer records the answer of the instance, and returns the next request, if any. It sends
+// no commit if the desired document has changed since the prepare, because the commit would apply
+// the outdated document.
+func (r *Reconciler) RecordAnswer(now time.Duration, busy bool, a change.Answer) (OutgoingRequest, bool) {
+	r.requestOpen = false
+	if !r.inProgress {
+		return OutgoingRequest{}, false
 	}
-	k.target.Answered(a)
+	r.target.RecordAnswer(a)
 	switch {
-	case k.target.State == change.Done:
-		k.active, k.wait = false, 0
-	case k.target.State.Final():
-		k.later(now)
-	case k.Wanted != k.doc || busy:
-		k.active = false // what is prepared expires
+	case r.target.State == change.Done:
+		r.inProgress, r.retryDelay = false, 0
+	case r.target.State.Final():
+		r.scheduleRetry(now)
+	case r.Desired != r.document || busy:
+		r.inProgress = false // the prepared change expires
 	default:
-		return k.next()
+		return r.nextRequest()
 	}
-	return Send{}, false
+	return OutgoingRequest{}, false
 }
 
-// Silent takes in that the instance did not answer. What became of a commit its next look shows.
-func (k *Keeper) Silent(now time.Duration) {
-	k.asked = false
-	k.later(now)
+// RecordNoAnswer records that the instance did not answer. Its next observation shows the outcome
+// of a commit.
+func (r *Reconciler) RecordNoAnswer(now time.Duration) {
+	r.requestOpen = false
+	r.scheduleRetry(now)
 }
 
-func (k *Keeper) later(now time.Duration) {
-	k.active = false
-	k.wait = min(max(firstAgain, 2*k.wait), lastAgain)
-	k.due = now + k.wait
+// scheduleRetry ends the current attempt and doubles the delay before the next one.
+func (r *Reconciler) scheduleRetry(now time.Duration) {
+	r.inProgress = false
+	r.retryDelay = min(max(minRetryDelay, 2*r.retryDelay), maxRetryDelay)
+	r.retryAt = now + r.retryDelay
 }
 
-// Refusal is why the instance is not as is wanted, "" if nothing is known against it.
-func (k *Keeper) Refusal() string {
-	if k.wait == 0 {
+// FailureReason returns why the last attempt failed, "" if it did not fail.
+func (r *Reconciler) FailureReason() string {
+	if r.retryDelay == 0 {
 		return ""
 	}
-	return k.target.Reason
+	return r.target.Reason
 }
 
-// Window remembers what an instance has served lately, to compare with.
-type Window struct {
+// SlidingWindow keeps recent request counts of an instance. They are the baseline for the
+// evaluation of a change.
+type SlidingWindow struct {
 	epoch   string
-	samples []sample // the oldest first
+	samples []sample // oldest first
 }
 
 type sample struct {
 	at     time.Duration
-	served change.Service
+	served change.RequestCounts
 }
 
 const (
-	windowSamples = 7
-	windowStep    = 5 * time.Second // between samples: half a minute is remembered
+	maxSamples     = 7
+	sampleInterval = 5 * time.Second // with maxSamples, the window covers half a minute
 )
 
-// Add takes in an instance's counts, and returns what it has served since the oldest that are remembered.
-func (w *Window) Add(now time.Duration, epoch string, served change.Service) change.Service {
+// Add records the total counts of an instance, and returns the counts since the oldest sample. A
+// new epoch empties the window.
+func (w *SlidingWindow) Add(now time.Duration, epoch string, served change.RequestCounts) change.RequestCounts {
 	if epoch != w.epoch {
 		w.epoch, w.samples = epoch, nil
 	}
-	if n := len(w.samples); n == 0 || now-w.samples[n-1].at >= windowStep {
-		if n == windowSamples {
+	if n := len(w.samples); n == 0 || now-w.samples[n-1].at >= sampleInterval {
+		if n == maxSamples {
 			copy(w.samples, w.samples[1:])
 			w.samples = w.samples[:n-1]
 		}
 		w.samples = append(w.samples, sample{now, served})
 	}
-	return served.Less(w.samples[0].served)
+	return served.Sub(w.samples[0].served)
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -14,492 +14,504 @@
 
 var limits = change.Limits{Canaries: 1, Growth: 2, Bake: 10 * time.Second, MoreRefused: 0.02, MoreFailed: 0.01, LessInAim: 0.05, Least: 100, Patience: time.Minute, MayFail: 0.2}
 
-// bench plays instances that answer at once, the way that their names say.
-type bench struct {
+// harness runs a rollout against simulated instances that answer at once, or not at all.
+type harness struct {
 	t   *testing.T
 	r   *Rollout
 	now time.Duration
-	how map[string]func(Send) (change.Answer, bool) // false: silent
-	log []string
+	// responses has a function per instance that answers its requests; it returns false for no
+	// answer. Instances without an entry use accepts.
+	responses map[string]func(OutgoingRequest) (change.Answer, bool)
+	sent      []string
 }
 
-func names(n int) (all []Planned) {
+// plannedInstances returns n instances with the same document and revision.
+func plannedInstances(n int) (planned []PlannedInstance) {
 	for i := range n {
-		all = append(all, Planned{fmt.Sprintf("i%d", i), Look{Epoch: "e0", Revision: 3, Hash: "old"}})
+		planned = append(planned, PlannedInstance{fmt.Sprintf("i%d", i), Observation{Epoch: "e0", Revision: 3, Hash: "old"}})
 	}
-	return all
+	return planned
 }
 
-func newBench(t *testing.T, n int) *bench {
-	return &bench{t: t, now: time.Hour, r: New(time.Hour, "r", "new", limits, names(n)), how: map[string]func(Send) (change.Answer, bool){}}
+func newHarness(t *testing.T, n int) *harness {
+	return &harness{t: t, now: time.Hour, r: New(time.Hour, "r", "new", limits, plannedInstances(n)), responses: map[string]func(OutgoingRequest) (change.Answer, bool){}}
 }
 
-// well is what an instance does that does as it is told.
-func well(s Send) (change.Answer, bool) {
+// accepts answers as an instance that carries out every request.
+func accepts(s OutgoingRequest) (change.Answer, bool) {
 	a := change.Answer{Epoch: "e0"}
-	if s.Request == change.AskCommit {
+	if s.Request == change.RequestCommit {
 		a.Result = change.Result{ID: s.ID, Outcome: change.Applied, Revision: 4}
 	}
-	if s.Request == change.AskAbort {
+	if s.Request == change.RequestAbort {
 		a.Result = change.Result{ID: s.ID, Outcome: change.Unchanged, Revision: 3, Reason: "aborted"}
 	}
 	return a, true
 }
 
-func refuses(Send) (change.Answer, bool) {
+// refuses answers as an instance that rejects the document.
+func refuses(OutgoingRequest) (change.Answer, bool) {
 	return change.Answer{Epoch: "e0", Err: errors.New("no such class")}, true
 }
 
-func silent(Send) (change.Answer, bool) { return change.Answer{}, false }
+// doesNotAnswer simulates an instance that does not answer.
+func doesNotAnswer(OutgoingRequest) (change.Answer, bool) { return change.Answer{}, false }
 
-// step goes on until nothing is to be sent.
-func (b *bench) step() {
+// advanceUntilIdle advances the rollout until there are no more requests to send.
+func (h *harness) advanceUntilIdle() {
 	for range 1000 {
-		out := b.r.Next(b.now)
-		b.r.Written()
-		if len(out) == 0 {
+		requests := h.r.Advance(h.now)
+		h.r.MarkSaved()
+		if len(requests) == 0 {
 			return
 		}
-		b.carryOut(out)
+		h.deliver(requests)
 	}
-	b.t.Fatal("it never rests")
+	h.t.Fatal("the rollout sends requests without end")
 }
 
-func (b *bench) carryOut(out []Send) {
-	for _, s := range out {
-		b.log = append(b.log, fmt.Sprintf("%s %s", []string{"", "prepare", "commit", "abort"}[s.Request], s.Instance))
-		how := b.how[s.Instance]
-		if how == nil {
-			how = well
+// deliver passes requests to the simulated instances and their answers to the rollout.
+func (h *harness) deliver(requests []OutgoingRequest) {
+	for _, s := range requests {
+		h.sent = append(h.sent, fmt.Sprintf("%s %s", []string{"", "prepare", "commit", "abort"}[s.Request], s.Instance))
+		respond := h.responses[s.Instance]
+		if respond == nil {
+			respond = accepts
 		}
-		if a, ok := how(s); ok {
-			b.r.Answered(b.now, s.Instance, a)
+		if a, ok := respond(s); ok {
+			h.r.RecordAnswer(h.now, s.Instance, a)
 		} else {
-			b.r.Silent(s.Instance, "timeout")
+			h.r.RecordNoAnswer(s.Instance, "timeout")
 		}
 	}
 }
 
-// serve has all instances show that they have served so many more.
-func (b *bench) serve(d time.Duration, s change.Service) {
-	b.now += d
-	for _, m := range b.r.Members() {
-		l := m.seen
-		l.Served.Add(s)
-		b.look(m.Name, l)
-	}
-	b.step()
+// serveRequests lets time pass, after which all instances report the given additional requests.
+func (h *harness) serveRequests(elapsed time.Duration, counts change.RequestCounts) {
+	h.now += elapsed
+	for _, m := range h.r.Members() {
+		observation := m.observed
+		observation.Served.Add(counts)
+		h.observe(m.Name, observation)
+	}
+	h.advanceUntilIdle()
 }
 
-func (b *bench) look(name string, l Look) {
-	out := b.r.Looked(b.now, name, l)
-	b.r.Written()
-	b.carryOut(out)
+// observe reports the state of an instance and delivers the requests that follow.
+func (h *harness) observe(name string, observation Observation) {
+	requests := h.r.Observe(h.now, name, observation)
+	h.r.MarkSaved()
+	h.deliver(requests)
 }
 
-var fine = change.Service{Requests: 1000, InAim: 1000}
+var healthyCounts = change.RequestCounts{Requests: 1000, InAim: 1000}
 
-func (b *bench) want(status Status, wave int, s Summary) {
-	b.t.Helper()
-	if b.r.Status != status || b.r.Wave != wave || b.r.Summary() != s {
-		b.t.Fatalf("%s, wave %d, %+v, reason %q; want %s, wave %d, %+v\n%s", b.r.Status, b.r.Wave, b.r.Summary(), b.r.Reason, status, wave, s, strings.Join(b.log, "\n"))
+// expect fails the test if the rollout is in another state.
+func (h *harness) expect(status Status, wave int, s Summary) {
+	h.t.Helper()
+	if h.r.Status != status || h.r.Wave != wave || h.r.Summary() != s {
+		h.t.Fatalf("%s, wave %d, %+v, reason %q; want %s, wave %d, %+v\n%s", h.r.Status, h.r.Wave, h.r.Summary(), h.r.Reason, status, wave, s, strings.Join(h.sent, "\n"))
 	}
 }
 
-// Waves of 1, 2 and 4 instances follow one another, each after the one before was watched.
+// Waves of 1, 2 and 4 instances follow each other, each after the previous one was observed.
 func TestWaves(t *testing.T) {
-	b := newBench(t, 7)
-	b.step()
-	b.want(Running, 0, Summary{Applied: 1, Waiting: 6})
-	b.serve(9*time.Second, fine)
-	b.want(Running, 0, Summary{Applied: 1, Waiting: 6})
-	b.serve(2*time.Second, fine)
-	b.want(Running, 1, Summary{Applied: 3, Waiting: 4})
-	b.serve(11*time.Second, fine)
-	b.want(Running, 2, Summary{Applied: 7})
-	b.serve(11*time.Second, fine)
-	b.want(Completed, 2, Summary{Applied: 7})
-	if b.r.Busy("i0") || !b.r.Status.Over() {
-		t.Error("it still has to do with i0")
+	h := newHarness(t, 7)
+	h.advanceUntilIdle()
+	h.expect(Running, 0, Summary{Applied: 1, Waiting: 6})
+	h.serveRequests(9*time.Second, healthyCounts)
+	h.expect(Running, 0, Summary{Applied: 1, Waiting: 6})
+	h.serveRequests(2*time.Second, healthyCounts)
+	h.expect(Running, 1, Summary{Applied: 3, Waiting: 4})
+	h.serveRequests(11*time.Second, healthyCounts)
+	h.expect(Running, 2, Summary{Applied: 7})
+	h.serveRequests(11*time.Second, healthyCounts)
+	h.expect(Completed, 2, Summary{Applied: 7})
+	if h.r.Busy("i0") || !h.r.Status.Finished() {
+		t.Error("the completed rollout is not finished or still busy with i0")
 	}
 }
 
-// A document that instances refuse stops at the canary, where nothing was applied; one that makes service worse is taken
-// back from all that have it.
+// A document that instances refuse stops at the canary, where nothing is applied. A document that
+// makes service worse is reverted on all instances that have it.
 func TestStops(t *testing.T) {
-	b := newBench(t, 7)
-	b.how["i0"] = refuses
-	b.step()
-	b.want(RolledBack, 0, Summary{Unchanged: 1, Waiting: 6})
-	if slices.ContainsFunc(b.log, func(s string) bool { return strings.HasPrefix(s, "commit") }) {
-		t.Errorf("did %v", b.log)
+	h := newHarness(t, 7)
+	h.responses["i0"] = refuses
+	h.advanceUntilIdle()
+	h.expect(RolledBack, 0, Summary{Unchanged: 1, Waiting: 6})
+	if slices.ContainsFunc(h.sent, func(s string) bool { return strings.HasPrefix(s, "commit") }) {
+		t.Errorf("requests %v", h.sent)
 	}
 
-	b = newBench(t, 7)
-	b.serve(0, fine)
-	b.serve(11*time.Second, fine)
-	b.want(Running, 1, Summary{Applied: 3, Waiting: 4})
-	b.serve(time.Second, change.Service{Requests: 1000, InAim: 900, Failed: 100})
-	b.want(RolledBack, 1, Summary{Back: 3, Waiting: 4})
-	if !strings.Contains(b.r.Reason, "failed") {
-		t.Errorf("because %q", b.r.Reason)
+	h = newHarness(t, 7)
+	h.serveRequests(0, healthyCounts)
+	h.serveRequests(11*time.Second, healthyCounts)
+	h.expect(Running, 1, Summary{Applied: 3, Waiting: 4})
+	h.serveRequests(time.Second, change.RequestCounts{Requests: 1000, InAim: 900, Failed: 100})
+	h.expect(RolledBack, 1, Summary{Back: 3, Waiting: 4})
+	if !strings.Contains(h.r.Reason, "failed") {
+		t.Errorf("reason %q", h.r.Reason)
 	}
 
-	// One of four in the second wave can't use it: before anybody there has it, the first is taken back.
-	b = newBench(t, 7)
-	b.how["i2"] = refuses
-	b.step()
-	b.serve(11*time.Second, fine)
-	b.want(RolledBack, 1, Summary{Back: 1, Unchanged: 2, Waiting: 4})
+	// An instance of the second wave refuses the document: the first wave is reverted before the
+	// second is committed.
+	h = newHarness(t, 7)
+	h.responses["i2"] = refuses
+	h.advanceUntilIdle()
+	h.serveRequests(11*time.Second, healthyCounts)
+	h.expect(RolledBack, 1, Summary{Back: 1, Unchanged: 2, Waiting: 4})
 }
 
-// A process that ends after the change, while it is watched, has died of it as far as anybody knows.
+// A process that ends while its wave is observed counts as a failure of the change.
 func TestDiesOfIt(t *testing.T) {
-	b := newBench(t, 3)
-	b.step()
-	b.look("i0", Look{Epoch: "e1"})
-	b.step()
-	b.want(RolledBack, 0, Summary{Ended: 1, Waiting: 2})
+	h := newHarness(t, 3)
+	h.advanceUntilIdle()
+	h.observe("i0", Observation{Epoch: "e1"})
+	h.advanceUntilIdle()
+	h.expect(RolledBack, 0, Summary{Ended: 1, Waiting: 2})
 }
 
-// A process that has begun anew since the plan can't use what it was based on, which says nothing against the document.
+// A process that has restarted since the rollout was planned refuses the outdated base revision,
+// which does not count against the document.
 func TestBegunAnewBeforeItsTurn(t *testing.T) {
-	b := newBench(t, 1)
-	b.how["i0"] = func(Send) (change.Answer, bool) {
-		return change.Answer{Epoch: "e1", Err: change.ErrStale}, true
-	}
-	b.step()
-	b.want(Halted, 0, Summary{Unchanged: 1})
-	b.look("i0", Look{Epoch: "e1", Hash: "none"})
-	b.how["i0"] = func(s Send) (change.Answer, bool) {
-		a, _ := well(s)
+	h := newHarness(t, 1)
+	h.responses["i0"] = func(OutgoingRequest) (change.Answer, bool) {
+		return change.Answer{Epoch: "e1", Err: change.ErrStaleRevision}, true
+	}
+	h.advanceUntilIdle()
+	h.expect(Halted, 0, Summary{Unchanged: 1})
+	h.observe("i0", Observation{Epoch: "e1", Hash: "none"})
+	h.responses["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
+		a, _ := accepts(s)
 		a.Epoch = "e1"
-		if s.Request == change.AskPrepare && s.Base != 0 {
-			t.Errorf("based on %d", s.Base)
+		if s.Request == change.RequestPrepare && s.Base != 0 {
+			t.Errorf("base revision %d", s.Base)
 		}
 		return a, true
 	}
-	if err := b.r.Resume(b.now, false); err != nil {
+	if err := h.r.Resume(h.now, false); err != nil {
 		t.Fatal(err)
 	}
-	b.step()
-	b.want(Running, 0, Summary{Applied: 1})
+	h.advanceUntilIdle()
+	h.expect(Running, 0, Summary{Applied: 1})
 }
 
-// Too many that can't be reached halt the rollout and leave what is applied. It is resumed with those tried again, or
-// without them.
+// Too many unreachable instances halt the rollout, and applied changes stay. Resuming it retries
+// these instances or excludes them.
 func TestHaltAndResume(t *testing.T) {
-	for _, leave := range []bool{false, true} {
-		b := newBench(t, 3)
-		b.how["i1"] = silent
-		b.step()
-		b.serve(11*time.Second, fine)
-		b.now += stragglers
-		b.step()
-		b.want(Halted, 1, Summary{Applied: 2, Unchanged: 1})
-		if !leave {
-			delete(b.how, "i1")
+	for _, exclude := range []bool{false, true} {
+		h := newHarness(t, 3)
+		h.responses["i1"] = doesNotAnswer
+		h.advanceUntilIdle()
+		h.serveRequests(11*time.Second, healthyCounts)
+		h.now += stragglerTimeout
+		h.advanceUntilIdle()
+		h.expect(Halted, 1, Summary{Applied: 2, Unchanged: 1})
+		if !exclude {
+			delete(h.responses, "i1")
 		}
-		if err := b.r.Resume(b.now, leave); err != nil {
+		if err := h.r.Resume(h.now, exclude); err != nil {
 			t.Fatal(err)
 		}
-		b.step()
-		b.serve(11*time.Second, fine)
-		if leave {
-			b.want(Completed, 1, Summary{Applied: 2, Unchanged: 1})
+		h.advanceUntilIdle()
+		h.serveRequests(11*time.Second, healthyCounts)
+		if exclude {
+			h.expect(Completed, 1, Summary{Applied: 2, Unchanged: 1})
 		} else {
-			b.want(Completed, 1, Summary{Applied: 3})
+			h.expect(Completed, 1, Summary{Applied: 3})
 		}
-		if err := b.r.Resume(b.now, leave); err != ErrNotHalted {
+		if err := h.r.Resume(h.now, exclude); err != ErrNotHalted {
 			t.Errorf("resumed again: %v", err)
 		}
 	}
 }
 
-// A slow instance holds the others up for the time of stragglers and no longer.
+// A slow instance delays the others for stragglerTimeout at most.
 func TestStraggler(t *testing.T) {
-	b := newBench(t, 3)
-	b.step()
-	b.serve(0, fine)
-	b.now += 11 * time.Second
-	var kept []Send
+	h := newHarness(t, 3)
+	h.advanceUntilIdle()
+	h.serveRequests(0, healthyCounts)
+	h.now += 11 * time.Second
+	var withheld []OutgoingRequest
 	for range 10 {
-		out := b.r.Next(b.now)
-		for _, s := range out {
+		requests := h.r.Advance(h.now)
+		for _, s := range requests {
 			if s.Instance == "i1" {
-				kept = append(kept, s)
+				withheld = append(withheld, s)
 				continue
 			}
-			b.carryOut([]Send{s})
+			h.deliver([]OutgoingRequest{s})
 		}
-		if len(out) == 0 {
-			b.now += stragglers
+		if len(requests) == 0 {
+			h.now += stragglerTimeout
 		}
 	}
-	if len(kept) != 1 || b.r.Member("i2").Target.State != change.Done {
-		t.Fatalf("kept %v, i2 is %s", kept, b.r.Member("i2").Target.State)
+	if len(withheld) != 1 || h.r.Member("i2").Target.State != change.Done {
+		t.Fatalf("withheld %v, i2 is %s", withheld, h.r.Member("i2").Target.State)
 	}
-	b.carryOut(kept)
-	b.step()
-	if s := b.r.Member("i1").Target.State; s != change.Done {
-		t.Errorf("the slow one is %s", s)
+	h.deliver(withheld)
+	h.advanceUntilIdle()
+	if s := h.r.Member("i1").Target.State; s != change.Done {
+		t.Errorf("the slow instance is %s", s)
 	}
 }
 
-// A commit that was not answered is unknown, until the instance is seen again and says what became of it.
+// A commit that was not answered leaves the state unknown until the instance is observed again and
+// reports the result.
 func TestUnknown(t *testing.T) {
 	for _, applied := range []bool{true, false} {
-		b := newBench(t, 3)
-		b.how["i0"] = func(s Send) (change.Answer, bool) {
-			a, _ := well(s)
-			return a, s.Request != change.AskCommit
+		h := newHarness(t, 3)
+		h.responses["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
+			a, _ := accepts(s)
+			return a, s.Request != change.RequestCommit
 		}
-		b.step()
-		b.want(Halted, 0, Summary{Unknown: 1, Waiting: 2})
-		b.how["i0"] = func(s Send) (change.Answer, bool) {
-			a, _ := well(s)
+		h.advanceUntilIdle()
+		h.expect(Halted, 0, Summary{Unknown: 1, Waiting: 2})
+		h.responses["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
+			a, _ := accepts(s)
 			if applied {
 				a.Result = change.Result{Outcome: change.Applied, Revision: 4}
 			}
 			return a, true
 		}
-		b.look("i0", Look{Epoch: "e0"})
+		h.observe("i0", Observation{Epoch: "e0"})
 		if applied {
-			b.want(Halted, 0, Summary{Applied: 1, Waiting: 2})
+			h.expect(Halted, 0, Summary{Applied: 1, Waiting: 2})
 		} else {
-			b.want(Halted, 0, Summary{Unchanged: 1, Waiting: 2})
+			h.expect(Halted, 0, Summary{Unchanged: 1, Waiting: 2})
 		}
 	}
 }
 
-// Whatever a manager had sent, one that starts again from its journal claims nothing that it was not told, and goes on: that
-// a manager has died is no instance's failure.
+// A manager may end at any point. When it restarts from its journal, it records only results that
+// instances reported, and it completes the rollout, because the end of a manager is not a failure
+// of an instance.
 func TestRestoreAtEachStep(t *testing.T) {
-	for kill := 0; ; kill++ {
-		b := newBench(t, 3)
+	for restartPoint := 0; ; restartPoint++ {
+		h := newHarness(t, 3)
 		var journal struct {
-			h Header
-			m map[string]string
+			header  Header
+			members map[string]string
 		}
-		journal.m = map[string]string{}
+		journal.members = map[string]string{}
 		write := func() {
-			h, members := b.r.Changed()
-			if h != nil {
-				journal.h = *h
+			header, members := h.r.Unsaved()
+			if header != nil {
+				journal.header = *header
 			}
 			for _, m := range members {
 				text, err := json.Marshal(m)
 				if err != nil {
 					t.Fatal(err)
 				}
-				journal.m[m.Name] = string(text)
+				journal.members[m.Name] = string(text)
 			}
-			b.r.Written()
+			h.r.MarkSaved()
 		}
 		restore := func() {
 			var members []Member
 			for _, name := range []string{"i0", "i1", "i2"} {
 				var m Member
-				if err := json.Unmarshal([]byte(journal.m[name]), &m); err != nil {
+				if err := json.Unmarshal([]byte(journal.members[name]), &m); err != nil {
 					t.Fatal(err)
 				}
 				members = append(members, m)
 			}
-			b.r = Restore(journal.h, members)
+			h.r = Restore(journal.header, members)
 		}
 		write()
-		applied, steps, killed := map[string]bool{}, 0, false
-		at := func() bool { // the manager dies here
-			steps++
-			if steps == kill+1 {
-				killed = true
+		applied, restartPoints, restarted := map[string]bool{}, 0, false
+		restartHere := func() bool { // restarts the manager at the chosen point
+			restartPoints++
+			if restartPoints == restartPoint+1 {
+				restarted = true
 				restore()
 				return true
 			}
 			return false
 		}
 		for range 200 {
-			out := b.r.Next(b.now)
-			if at() {
+			requests := h.r.Advance(h.now)
+			if restartHere() {
 				continue
 			}
 			write()
-			if at() {
+			if restartHere() {
 				continue
 			}
-			for _, s := range out {
-				a, _ := well(s)
+			for _, s := range requests {
+				a, _ := accepts(s)
 				if applied[s.Instance] {
 					a.Result = change.Result{Outcome: change.Applied, Revision: 4}
-				} else if s.Request == change.AskCommit {
+				} else if s.Request == change.RequestCommit {
 					applied[s.Instance] = true
 				}
-				if at() {
+				if restartHere() {
 					break
 				}
-				b.r.Answered(b.now, s.Instance, a)
+				h.r.RecordAnswer(h.now, s.Instance, a)
 			}
-			b.now += time.Second
-			for _, m := range b.r.Members() {
-				l := m.seen
-				l.Epoch = "e0"
-				l.Served.Add(fine)
-				for _, s := range b.r.Looked(b.now, m.Name, l) {
+			h.now += time.Second
+			for _, m := range h.r.Members() {
+				observation := m.observed
+				observation.Epoch = "e0"
+				observation.Served.Add(healthyCounts)
+				for _, s := range h.r.Observe(h.now, m.Name, observation) {
 					write()
-					a, _ := well(s)
+					a, _ := accepts(s)
 					if applied[s.Instance] {
 						a.Result = change.Result{Outcome: change.Applied, Revision: 4}
 					}
-					b.r.Answered(b.now, s.Instance, a)
+					h.r.RecordAnswer(h.now, s.Instance, a)
 				}
 			}
-			if b.r.Status == Halted {
-				t.Fatalf("killed at step %d: halted, %s, though no instance has failed", kill, b.r.Reason)
+			if h.r.Status == Halted {
+				t.Fatalf("restarted at point %d: halted, %s, though no instance has failed", restartPoint, h.r.Reason)
 			}
 		}
-		for _, m := range b.r.Members() {
+		for _, m := range h.r.Members() {
 			if (m.Target.State == change.Done) != applied[m.Name] {
-				t.Errorf("killed at step %d: %s is told as %s, and that it is applied is %v", kill, m.Name, m.Target.State, applied[m.Name])
+				t.Errorf("restarted at point %d: %s is recorded as %s, applied is %v", restartPoint, m.Name, m.Target.State, applied[m.Name])
 			}
 		}
-		if b.r.Status != Completed {
-			t.Errorf("killed at step %d: %s, %s", kill, b.r.Status, b.r.Reason)
+		if h.r.Status != Completed {
+			t.Errorf("restarted at point %d: %s, %s", restartPoint, h.r.Status, h.r.Reason)
 		}
-		if !killed {
-			if kill < 10 {
-				t.Errorf("only %d steps", kill)
+		if !restarted {
+			if restartPoint < 10 {
+				t.Errorf("only %d restart points", restartPoint)
 			}
 			return
 		}
 	}
 }
 
-// A newer manager ends all of it, and what was said stays said.
+// A newer manager ends the rollout of an older one, and recorded results stay.
 func TestSuperseded(t *testing.T) {
-	b := newBench(t, 3)
-	b.step()
-	b.how["i1"] = func(Send) (change.Answer, bool) {
+	h := newHarness(t, 3)
+	h.advanceUntilIdle()
+	h.responses["i1"] = func(OutgoingRequest) (change.Answer, bool) {
 		return change.Answer{Epoch: "e0", Err: change.ErrFenced, Fenced: true}, true
 	}
-	b.serve(11*time.Second, fine)
-	b.serve(11*time.Second, fine)
-	if b.r.Status != Superseded || b.r.Member("i0").Target.State != change.Done || b.r.Member("i1").Target.State != change.Superseded {
-		t.Errorf("%s, %+v", b.r.Status, b.r.Summary())
+	h.serveRequests(11*time.Second, healthyCounts)
+	h.serveRequests(11*time.Second, healthyCounts)
+	if h.r.Status != Superseded || h.r.Member("i0").Target.State != change.Done || h.r.Member("i1").Target.State != change.Superseded {
+		t.Errorf("%s, %+v", h.r.Status, h.r.Summary())
 	}
-	sent := len(b.log)
-	b.serve(11*time.Second, fine)
-	if len(b.log) > sent {
-		t.Errorf("sent %v", b.log[sent:])
+	sentBefore := len(h.sent)
+	h.serveRequests(11*time.Second, healthyCounts)
+	if len(h.sent) > sentBefore {
+		t.Errorf("sent %v", h.sent[sentBefore:])
 	}
 }
 
-// An abort ends what is prepared and leaves what is applied.
+// An abort ends prepared changes and leaves applied ones in force.
 func TestAbort(t *testing.T) {
-	b := newBench(t, 3)
-	b.step()
-	if err := b.r.Abort(b.now); err != nil {
+	h := newHarness(t, 3)
+	h.advanceUntilIdle()
+	if err := h.r.Abort(h.now); err != nil {
 		t.Fatal(err)
 	}
-	b.step()
-	b.want(Halted, 0, Summary{Applied: 1, Waiting: 2})
-	if err := b.r.Abort(b.now); err != ErrNotRunning {
+	h.advanceUntilIdle()
+	h.expect(Halted, 0, Summary{Applied: 1, Waiting: 2})
+	if err := h.r.Abort(h.now); err != ErrNotRunning {
 		t.Errorf("aborted again: %v", err)
 	}
-	if err := b.r.Rollback(b.now); err != nil {
+	if err := h.r.Rollback(h.now); err != nil {
 		t.Fatal(err)
 	}
-	b.step()
-	b.want(RolledBack, 0, Summary{Back: 1, Waiting: 2})
-	if err := b.r.Rollback(b.now); err != ErrOver {
+	h.advanceUntilIdle()
+	h.expect(RolledBack, 0, Summary{Back: 1, Waiting: 2})
+	if err := h.r.Rollback(h.now); err != ErrAlreadyRolledBack {
 		t.Errorf("rolled back again: %v", err)
 	}
 }
 
-// A taking back that was halted is what goes on when it is resumed.
+// Resuming a rollback that was halted continues the rollback.
 func TestResumedTakingBack(t *testing.T) {
-	b := newBench(t, 1)
-	b.step()
-	if err := b.r.Rollback(b.now); err != nil {
+	h := newHarness(t, 1)
+	h.advanceUntilIdle()
+	if err := h.r.Rollback(h.now); err != nil {
 		t.Fatal(err)
 	}
-	b.carryOut(b.r.Next(b.now)) // it is prepared
-	if err := b.r.Abort(b.now); err != nil {
+	h.deliver(h.r.Advance(h.now)) // the revert is prepared
+	if err := h.r.Abort(h.now); err != nil {
 		t.Fatal(err)
 	}
-	b.step()
-	if err := b.r.Resume(b.now, false); err != nil {
+	h.advanceUntilIdle()
+	if err := h.r.Resume(h.now, false); err != nil {
 		t.Fatal(err)
 	}
-	b.step()
-	b.want(RolledBack, 0, Summary{Back: 1})
+	h.advanceUntilIdle()
+	h.expect(RolledBack, 0, Summary{Back: 1})
 }
 
-// The keeper brings back an instance that has begun anew, waits longer after each refusal, and leaves alone what a
-// rollout has in hand.
+// The reconciler restores the document of an instance that has restarted, waits longer after each
+// failure, and sends nothing while a rollout changes the instance.
 func TestKeeper(t *testing.T) {
-	k := Keeper{Name: "i0", Wanted: "new"}
-	if _, ok := k.Look(0, Look{Epoch: "e0", Hash: "new"}, false); ok {
-		t.Error("something is sent to one that is as wanted")
+	reconciler := Reconciler{Name: "i0", Desired: "new"}
+	if _, ok := reconciler.Observe(0, Observation{Epoch: "e0", Hash: "new"}, false); ok {
+		t.Error("a request is sent to an instance with the desired document")
 	}
-	if _, ok := k.Look(0, Look{Epoch: "e0", Hash: "new", Mixed: true}, false); !ok {
-		t.Error("nothing is sent to one that has parts of another document")
+	if _, ok := reconciler.Observe(0, Observation{Epoch: "e0", Hash: "new", Mixed: true}, false); !ok {
+		t.Error("no request is sent to an instance with parts of another document")
 	}
-	k = Keeper{Name: "i0", Wanted: "new"}
-	lost := Look{Epoch: "e1", Hash: "old"}
-	if _, ok := k.Look(0, lost, true); ok {
-		t.Error("something is sent to one that a rollout has in hand")
+	reconciler = Reconciler{Name: "i0", Desired: "new"}
+	outdated := Observation{Epoch: "e1", Hash: "old"}
+	if _, ok := reconciler.Observe(0, outdated, true); ok {
+		t.Error("a request is sent to an instance that a rollout changes")
 	}
-	s, ok := k.Look(0, lost, false)
-	if !ok || s.Request != change.AskPrepare || s.Document != "new" {
+	s, ok := reconciler.Observe(0, outdated, false)
+	if !ok || s.Request != change.RequestPrepare || s.Document != "new" {
 		t.Fatalf("sent %+v, %v", s, ok)
 	}
-	if s, ok = k.Answered(0, false, change.Answer{Epoch: "e1"}); !ok || s.Request != change.AskCommit {
+	if s, ok = reconciler.RecordAnswer(0, false, change.Answer{Epoch: "e1"}); !ok || s.Request != change.RequestCommit {
 		t.Fatalf("then %+v, %v", s, ok)
 	}
-	if _, ok = k.Answered(0, false, change.Answer{Epoch: "e1", Result: change.Result{Outcome: change.Applied}}); ok || k.Refusal() != "" {
-		t.Error("it does not rest")
+	if _, ok = reconciler.RecordAnswer(0, false, change.Answer{Epoch: "e1", Result: change.Result{Outcome: change.Applied}}); ok || reconciler.FailureReason() != "" {
+		t.Error("the reconciler does not stop after success")
 	}
-	waits := []time.Duration{}
+	delays := []time.Duration{}
 	now := time.Duration(0)
 	for range 12 {
-		if _, ok = k.Look(now, lost, false); !ok {
-			t.Fatalf("nothing is tried after %v", waits)
+		if _, ok = reconciler.Observe(now, outdated, false); !ok {
+			t.Fatalf("no attempt after the delays %v", delays)
 		}
-		k.Answered(now, false, change.Answer{Epoch: "e1", Err: errors.New("no")})
-		if k.Refusal() != "no" {
-			t.Errorf("refused because %q", k.Refusal())
+		reconciler.RecordAnswer(now, false, change.Answer{Epoch: "e1", Err: errors.New("no")})
+		if reconciler.FailureReason() != "no" {
+			t.Errorf("failure reason %q", reconciler.FailureReason())
 		}
-		if _, ok = k.Look(k.due-1, lost, false); ok {
-			t.Error("tried too soon")
+		if _, ok = reconciler.Observe(reconciler.retryAt-1, outdated, false); ok {
+			t.Error("retried too early")
 		}
-		waits = append(waits, k.due-now)
-		now = k.due
+		delays = append(delays, reconciler.retryAt-now)
+		now = reconciler.retryAt
 	}
-	if waits[0] != firstAgain || waits[11] != lastAgain || !slices.IsSorted(waits) {
-		t.Errorf("waits %v", waits)
+	if delays[0] != minRetryDelay || delays[11] != maxRetryDelay || !slices.IsSorted(delays) {
+		t.Errorf("delays %v", delays)
 	}
-	// What is wanted changes between prepare and commit: nothing is committed.
-	k.Look(now, lost, false)
-	k.Wanted = "newer"
-	if s, ok = k.Answered(now, false, change.Answer{Epoch: "e1"}); ok {
+	// The desired document changes between prepare and commit: nothing is committed.
+	reconciler.Observe(now, outdated, false)
+	reconciler.Desired = "newer"
+	if s, ok = reconciler.RecordAnswer(now, false, change.Answer{Epoch: "e1"}); ok {
 		t.Errorf("sent %+v", s)
 	}
 }
 
 func TestWindow(t *testing.T) {
-	var w Window
-	total := change.Service{}
+	var w SlidingWindow
+	total := change.RequestCounts{}
 	for i := range 100 {
 		total.Requests += 10
 		got := w.Add(time.Duration(i)*time.Second, "e0", total)
 		if i == 99 && (got.Requests < 300 || got.Requests > 350) {
-			t.Errorf("the last half minute served %v", got.Requests)
+			t.Errorf("requests in the last half minute: %v", got.Requests)
 		}
 	}
-	if len(w.samples) > windowSamples {
+	if len(w.samples) > maxSamples {
 		t.Errorf("%d samples", len(w.samples))
 	}
-	if got := w.Add(100*time.Second, "e1", change.Service{Requests: 5}); got.Requests != 0 {
-		t.Errorf("another process has served %v", got.Requests)
+	if got := w.Add(100*time.Second, "e1", change.RequestCounts{Requests: 5}); got.Requests != 0 {
+		t.Errorf("requests of a new process: %v", got.Requests)
 	}
 }
