--- a/internal/mesh/meshconfig/cordon.go
+++ b/internal/mesh/meshconfig/cordon.go
@@ -44,13 +44,13 @@
 	MaxCordonNodes = 256
 )
 
-// Covers reports whether the cordon applies to a machine.
+// Covers reports whether the cordon applies to the machine with the IP address node in the zone.
 func (c *Cordon) Covers(zone, node string) bool {
 	return slices.Contains(c.Zones, zone) || slices.Contains(c.Nodes, node)
 }
 
 // stageOf returns the stage of a machine that the cordon covers. Which machines belong to Part
-// depends only on their names, so that all nodes agree on it.
+// depends only on their IP addresses, so that all nodes agree on it.
 func (c *Cordon) stageOf(node string) Stage {
 	if c.Stage == StageOpen || hashFraction(node) <= c.Part {
 		return c.Stage
@@ -112,7 +112,8 @@
 // Cordons returns all cordons.
 func (c *Config) Cordons() []Cordon { return slices.Clone(c.cordons) }
 
-// Stage returns the highest stage of the cordons that cover a machine.
+// Stage returns the highest stage of the cordons that cover the machine with the IP address node in
+// the zone.
 func (c *Config) Stage(zone, node string) (stage Stage) {
 	for i := range c.cordons {
 		if cordon := &c.cordons[i]; cordon.Covers(zone, node) {
--- a/internal/mesh/meshconfig/customer.go
+++ b/internal/mesh/meshconfig/customer.go
@@ -35,8 +35,8 @@
 	return f.err
 }
 
-// indexCustomerKeys maps each key to its customer. Of several customers that share keys it reports
-// the first by name, so that every node returns the same error.
+// indexCustomerKeys maps each key to its customer. It goes through the customers sorted by name, so
+// that every node returns the same error if some of them share keys.
 func (c *Config) indexCustomerKeys() error {
 	var customerList []*Customer
 	for _, i := range c.items {
--- a/internal/mesh/meshconfig/digest.go
+++ b/internal/mesh/meshconfig/digest.go
@@ -21,7 +21,7 @@
 	return max(1, h.Sum64())
 }
 
-// putItem sets an item, replaces one with the same key, and updates digestSum and textSize.
+// putItem sets an item, replacing any with the same key, and updates digestSum and textSize.
 func (c *Config) putItem(i *item) {
 	if old := c.items[i.key]; old != nil {
 		c.digestSum -= old.digest()
--- a/internal/mesh/meshconfig/history.go
+++ b/internal/mesh/meshconfig/history.go
@@ -28,7 +28,7 @@
 	items        map[key]*itemHistory
 	versionCount int    // number of remembered versions
 	lastAge      uint64 // number of versions that were ever remembered
-	oldestKnown  uint64 // versions below this one are unknown for items without a tombstone
+	oldestKnown  uint64 // versions below this one are unknown for names without item or tombstone
 	zones        map[string]zoneTurns
 }
 
@@ -68,7 +68,7 @@
 // ForgottenVersionError reports that it is unknown whether a request was confirmed before.
 type ForgottenVersionError struct {
 	Item, Version string
-	OldestKnown   uint64 // lowest version that is not unknown
+	OldestKnown   uint64 // lowest version under which the change may be sent anew
 }
 
 func (e *ForgottenVersionError) Error() string {
@@ -99,7 +99,8 @@
 }
 
 // ApplyOrder checks the order at the index against the history, records it, and returns the
-// resulting configuration. It returns c if the order changes nothing or can't be applied.
+// resulting configuration. It returns c if the order can't be applied or changes nothing. An
+// OpCordons order counts as a change even if its cordons are the same.
 func (h *History) ApplyOrder(index uint64, c *Config, o *Order) (*Config, error) {
 	switch o.Op {
 	case OpPatch:
@@ -236,7 +237,8 @@
 }
 
 // expireItem handles an item whose tombstone has expired. A delayed change could restore the dropped
-// item, so from now on versions up to its version are unknown for every item without a tombstone.
+// item, so from now on versions up to its version are unknown for every name that has neither an
+// item nor a tombstone.
 func (h *History) expireItem(i *item) {
 	h.oldestKnown = max(h.oldestKnown, nextVersion(i.version))
 	if known := h.items[i.key]; known != nil {
--- a/internal/mesh/meshconfig/history_encode.go
+++ b/internal/mesh/meshconfig/history_encode.go
@@ -13,13 +13,13 @@
 // to equal bytes.
 type historyState struct {
 	Items     []historyItem
-	Age, From uint64
+	Age, From uint64 // History.lastAge and History.oldestKnown
 	Zones     []historyZone
 }
 
 type historyItem struct {
 	Kind, Name string
-	From       uint64
+	From       uint64 // itemHistory.oldestKnown
 	Versions   []pastVersion
 }
 
--- a/internal/mesh/meshconfig/history_test.go
+++ b/internal/mesh/meshconfig/history_test.go
@@ -146,8 +146,8 @@
 }
 
 // checkHistory generates patches with few names and versions, so that most conflict with others or
-// repeat them, and compares each result with the models. It calls between after each patch.
-func checkHistory(t *rapid.T, between func(node *simulatedNode)) {
+// repeat them, and compares each result with the models. It calls afterPatch after each one.
+func checkHistory(t *rapid.T, afterPatch func(node *simulatedNode)) {
 	node, model, confirmed := newSimulatedNode(), model{}, confirmedContents{}
 	names := strings.Split("abc", "")
 	for range rapid.IntRange(1, 40).Draw(t, "calls") {
@@ -165,15 +165,15 @@
 		case confirmed.contradictedBy(patch):
 			require.Error(t, err, "other content was confirmed: %v", patch)
 		case !valid:
-			var wrong *InvalidError
-			require.ErrorAs(t, err, &wrong)
+			var invalidError *InvalidError
+			require.ErrorAs(t, err, &invalidError)
 		default:
 			require.NoError(t, err)
 			model = next
 			confirmed.add(patch)
 		}
 		require.Len(t, node.config.items, len(model))
-		between(node)
+		afterPatch(node)
 	}
 }
 
--- a/internal/mesh/meshconfig/item.go
+++ b/internal/mesh/meshconfig/item.go
@@ -50,15 +50,15 @@
 	HeaderWait, Idle       time.Duration
 }
 
-// defaultLimits apply to limits that the item does not give. They are generous, because these
-// clients respect the operator's limits, and refusing a valid request costs more than serving a
-// large one.
+// defaultLimits apply to limits that the item does not give. They are generous, because the
+// mesh's clients respect the operator's limits, and refusing a valid request costs more than serving
+// a large one.
 var defaultLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 64 << 20, HeaderWait: 3 * time.Second, Idle: 15 * time.Second}
 
 const (
 	defaultAttempts     = 2           // first attempt and one retry, if a route gives no number
 	maxTargetTimeExcess = time.Minute // a target time that exceeds give_up by this much is refused
-	maxExactInteger     = 1 << 52     // larger numbers are clamped: float64 is exact up to here
+	maxExactInteger     = 1 << 52     // numbers are clamped to this; float64 is exact for integers below
 )
 
 // item is an item, or the tombstone of a dropped one. It is immutable.
--- a/internal/mesh/meshconfig/meshconfig.go
+++ b/internal/mesh/meshconfig/meshconfig.go
@@ -5,16 +5,17 @@
 // Items are routes, services, customers (tenants, identified by their API keys) and the single item
 // `limits`. Each item has a name and its own version. A patch sets and drops items. For each name
 // the highest version wins, whether it sets or drops the item, and lower or equal versions change
-// nothing. A dropped item therefore leaves a tombstone with its version. Evacuations have no
-// version: the last order wins. Cordons take machines out of use in stages for planned maintenance.
+// nothing. A dropped item therefore leaves a tombstone with its version. The backends of an
+// evacuated zone get no requests. Evacuations have no version: the last order wins. Cordons take
+// machines out of use in stages for planned maintenance.
 //
 // A patch takes effect completely or not at all. It is validated in two steps. Parsing checks each
 // item by itself. Applying checks that the resulting configuration is consistent, so that the
 // services of each route exist, which depends on the configuration that the patch is applied to. An
 // item that changes nothing, because its version is not higher than the current one, is not checked
 // against other items, so a repeated request remains valid after newer versions have replaced its
-// items. A patch that can be read and applied is not refused for anything that the API documentation
-// doesn't call invalid.
+// items. A patch that can be read and applied is refused only for what the API documentation calls
+// invalid.
 //
 // Two requests make the same change to an item if version and Identity are equal. Only one content
 // is ever confirmed for each version of an item. Control-plane nodes keep a History for this, which
--- a/internal/mesh/meshconfig/meshconfig_test.go
+++ b/internal/mesh/meshconfig/meshconfig_test.go
@@ -93,8 +93,8 @@
 		strings.Replace(route(`"kind":"safe","service":"s"`), `"d"`, `""`, 1):                       "routes r domain: is missing",
 	} {
 		_, err := ParsePatch([]byte(body))
-		var wrong *InvalidError
-		require.ErrorAs(t, err, &wrong, body)
+		var invalidError *InvalidError
+		require.ErrorAs(t, err, &invalidError, body)
 		require.ErrorContains(t, err, want, body)
 	}
 	for _, body := range []string{
--- a/internal/mesh/meshconfig/order.go
+++ b/internal/mesh/meshconfig/order.go
@@ -26,7 +26,8 @@
 }
 
 // ApplyOrder returns the configuration after an accepted order, without checks against a History, as
-// agents apply it. It returns c if the order changes nothing or can't be applied.
+// agents apply it. It returns c if the order can't be applied or changes nothing. An OpCordons order
+// counts as a change even if its cordons are the same.
 func (c *Config) ApplyOrder(o *Order) (*Config, error) {
 	switch o.Op {
 	case OpPatch:
--- a/internal/mesh/meshconfig/route.go
+++ b/internal/mesh/meshconfig/route.go
@@ -58,7 +58,7 @@
 // prefixIndex finds the routes of one domain by the longest matching path prefix.
 type prefixIndex struct {
 	routes []*Route // sorted by PathStart, which is unique
-	parent []int    // index of the longest other prefix that begins this one's, -1 if none
+	parent []int    // index of the longest other prefix of this route's PathStart; -1 if none
 }
 
 // longestMatch returns the route with the longest prefix of the path. It is the last route that
--- a/internal/mesh/sidecar/agent.go
+++ b/internal/mesh/sidecar/agent.go
@@ -45,7 +45,8 @@
 	bodyMemoryDivisor = 4
 )
 
-// Agent is the agent process. The fields from table on belong to the goroutine of runOwner.
+// Agent is the agent process. The fields from table on, except the atomic ones, belong to the
+// goroutine of runOwner.
 type Agent struct {
 	settingsPath string
 	settings     *bootstrap.Settings
@@ -243,8 +244,8 @@
 	a.sampleWorkload()
 	if a.table.Expire(a.uptime()) {
 		a.viewChanged = true
-		// A disconnected node would resume after the expired stations and not send them again, so its
-		// feed has to start over.
+		// After a reconnect, a node resumes from the resume point and would not send the expired
+		// stations again, so feeds without a connection have to start over.
 		for _, f := range a.feeds {
 			if !f.connected {
 				f.resumePoint.Store(nil)
@@ -282,7 +283,7 @@
 	a.updateFeeds()
 }
 
-// Reload reads the settings file again.
+// Reload reads the settings file again, even if its modification time is unchanged.
 func (a *Agent) Reload() {
 	a.enqueue(func() { a.settingsModified = time.Unix(1, 0); a.reloadIfModified() })
 }
--- a/internal/mesh/sidecar/beats_test.go
+++ b/internal/mesh/sidecar/beats_test.go
@@ -83,7 +83,7 @@
 
 // TestLateCallsReviveNothing checks that a delayed heartbeat does not reactivate a backend instance
 // that has drained or deregistered since. Such a backend would get requests, which violates the rule
-// DRAIN.
+// DRAIN of package meshtest.
 func TestLateCallsReviveNothing(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/internal/mesh/sidecar/config.go
+++ b/internal/mesh/sidecar/config.go
@@ -84,7 +84,7 @@
 	if a.newestIndex <= a.configIndex || a.awaitingConfig() {
 		return
 	}
-	var candidates []*feed // nodes that have it: a partitioned node would not answer
+	var candidates []*feed // only nodes that have it, because a partitioned node would not answer
 	for _, f := range a.feeds {
 		if f.connected && f != a.configSource && f.configIndex >= a.newestIndex {
 			candidates = append(candidates, f)
--- a/internal/mesh/sidecar/config_test.go
+++ b/internal/mesh/sidecar/config_test.go
@@ -75,7 +75,8 @@
 
 // TestWholeIsAskedForOnce checks that a complete configuration that is being transferred is not
 // requested from a second control-plane node. On links with little bandwidth, duplicate transfers
-// make an agent late with the configuration, which violates the rule CONFIG.
+// make an agent late with the configuration, which violates the rule CONFIG of
+// package meshtest.
 func TestWholeIsAskedForOnce(t *testing.T) {
 	a := &Agent{feeds: map[string]*feed{}, newestIndex: 5, commands: make(chan func(), commandQueueSize)}
 	for _, core := range []string{"a", "b", "c"} {
--- a/internal/mesh/sidecar/feed.go
+++ b/internal/mesh/sidecar/feed.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// updateFeeds opens feeds to control-plane nodes that have become known and closes the feeds to
-// nodes that are no longer members.
+// updateFeeds opens feeds to the control-plane nodes that selectFeedTargets returns and closes the
+// feeds to all others.
 func (a *Agent) updateFeeds() {
 	targets := selectFeedTargets(a.currentMemberLists(), a.settings.Seeds, maxFeeds)
 	for core, f := range a.feeds {
--- a/internal/mesh/sidecar/leave.go
+++ b/internal/mesh/sidecar/leave.go
@@ -12,7 +12,7 @@
 const (
 	maxNoticeTime    = 2200 * time.Millisecond // limit of the wait for refused checks
 	settleTime       = 200 * time.Millisecond  // for requests that are still arriving
-	minCheckInterval = 500 * time.Millisecond  // least time between checks of the platform
+	minCheckInterval = 500 * time.Millisecond  // checks in quicker succession count as one
 	requiredRefusals = 2                       // after which the platform routes clients elsewhere
 )
 
@@ -24,8 +24,8 @@
 	last  time.Time
 }
 
-// record counts a refused check. Checks in quick succession count as one, because others than the
-// platform may check too.
+// record counts a refused check. Checks in quick succession count as one, because other clients
+// than the platform may check too.
 func (r *refusalTracker) record(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/mesh/sidecar/probe.go
+++ b/internal/mesh/sidecar/probe.go
@@ -20,7 +20,7 @@
 
 // probeIfNeeded probes the backend for its identity if its heartbeats do not establish it. That is
 // the case after a start of this process, which does not know what its predecessor acknowledged.
-// The gate then does not have to stay closed until the next heartbeat. A draining backend answers
+// Without a probe, the gate would stay closed until the next heartbeat. A draining backend answers
 // 503. At most one probe runs at a time.
 func (a *Agent) probeIfNeeded() {
 	path := a.healthPath.Load()
--- a/internal/mesh/sidecar/usage.go
+++ b/internal/mesh/sidecar/usage.go
@@ -20,22 +20,22 @@
 }
 
 // nextUpdate returns the usage counts to send now, nil if there is nothing to report.
-func (t *usageReporter) nextUpdate(now time.Time) *usage.Update {
-	if t.counter == nil || now.Sub(t.sentAt) < usageReportInterval && t.counter.LastClosed() == t.sentClosed {
+func (r *usageReporter) nextUpdate(now time.Time) *usage.Update {
+	if r.counter == nil || now.Sub(r.sentAt) < usageReportInterval && r.counter.LastClosed() == r.sentClosed {
 		return nil
 	}
-	u, revision := t.counter.ChangesSince(t.sentRevision)
-	if revision == t.sentRevision && u.Closed == t.sentClosed {
+	u, revision := r.counter.ChangesSince(r.sentRevision)
+	if revision == r.sentRevision && u.Closed == r.sentClosed {
 		return nil
 	}
-	t.sentRevision, t.sentClosed, t.sentAt = revision, u.Closed, now
+	r.sentRevision, r.sentClosed, r.sentAt = revision, u.Closed, now
 	return &u
 }
 
 // fillUpdate adds the agent's clock and its usage counts to a message.
-func (t *usageReporter) fillUpdate(a *Agent, update *transport.AgentUpdate) {
+func (r *usageReporter) fillUpdate(a *Agent, update *transport.AgentUpdate) {
 	update.Clock = int64(a.clock.Local())
-	update.Usage = t.nextUpdate(time.Now())
+	update.Usage = r.nextUpdate(time.Now())
 }
 
 // correctClock adjusts the mesh clock to the times that the connected control-plane nodes send.
--- a/internal/mesh/sidecar/work.go
+++ b/internal/mesh/sidecar/work.go
@@ -30,20 +30,20 @@
 }
 
 // nextUpdate returns the workload to send now, nil if there is nothing to report.
-func (t *workloadReporter) nextUpdate(a *Agent, now time.Time) *transport.Workload {
+func (r *workloadReporter) nextUpdate(a *Agent, now time.Time) *transport.Workload {
 	// The stage is read first, so that the counts are not from before it.
 	workload := transport.Workload{Stage: a.maintenanceStage()}
 	workload.Mean, workload.Gate, workload.Sender = math.Float64frombits(a.meanWorkload.Load()), a.host.Load().InFlight, a.sender.InFlight()
 	switch {
-	case t.lastSent == nil:
-	case workload.Stage != t.lastSent.Stage || workload.Stage >= meshconfig.StageClients:
-		if workload == *t.lastSent {
+	case r.lastSent == nil:
+	case workload.Stage != r.lastSent.Stage || workload.Stage >= meshconfig.StageClients:
+		if workload == *r.lastSent {
 			return nil
 		}
-	case now.Sub(t.sentAt) < workloadReportInterval || math.Abs(workload.Mean-t.lastSent.Mean) < max(1, workloadMinChange*t.lastSent.Mean):
+	case now.Sub(r.sentAt) < workloadReportInterval || math.Abs(workload.Mean-r.lastSent.Mean) < max(1, workloadMinChange*r.lastSent.Mean):
 		return nil
 	}
-	t.lastSent, t.sentAt = &workload, now
+	r.lastSent, r.sentAt = &workload, now
 	return &workload
 }
 
