--- a/cmd/micaline/main.go
+++ b/cmd/micaline/main.go
@@ -168,9 +168,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_INHERITED_FD: %w", err)
 	}
-	cfg.Inherited = true
+	cfg.SharedSocket = true
 	if dir := os.Getenv("TMPDIR"); dir != "" {
-		cfg.Beside = handover.Unix(dir)
+		cfg.Handover = handover.Unix(dir)
 	}
 	return l, nil
 }
--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -18,8 +18,8 @@
 // Figures are what operators' staff read.
 func (a *Agent) Figures(ctx context.Context) (*admin.Figures, error) {
 	l := a.loop
-	f := &admin.Figures{Attempts: l.backends.written.Load(), InFlight: a.server.held.Load() - a.server.coming.Load()}
-	err := l.do(ctx, func() {
+	f := &admin.Figures{Attempts: l.backends.written.Load(), InFlight: a.server.openRequests.Load() - a.server.coming.Load()}
+	err := l.runInLoop(ctx, func() {
 		for i, c := range l.counts.classes {
 			f.Classes = append(f.Classes, admin.Class{Name: l.settings.Classes[i], Served: c.served, Refused: c.refused, Failed: c.failed})
 		}
@@ -28,7 +28,7 @@
 		for id, e := range l.listedServers {
 			avoided[id] = l.effectiveEntry(e).State != policy.Ready
 		}
-		if v, ok := l.current.Decider.(viewer); ok {
+		if v, ok := l.current.Decider.(observableDecider); ok {
 			for _, s := range v.View(l.clock.now()) {
 				if len(s.Ejected) == len(l.settings.Classes) {
 					avoided[s.ID] = true
@@ -60,29 +60,29 @@
 func (a *Agent) changeStance(f func(m *leave.Controller, now time.Duration)) {
 	a.leaveMu.Lock()
 	defer a.leaveMu.Unlock()
-	f(&a.leave, a.loop.clock.now())
-	a.follow()
+	f(&a.modeController, a.loop.clock.now())
+	a.applyMode()
 }
 
 // follow brings the stance into force, as often as it changes by itself. The mutex is held.
-func (a *Agent) follow() {
-	s := a.leave.ModeAt(a.loop.clock.now())
+func (a *Agent) applyMode() {
+	s := a.modeController.ModeAt(a.loop.clock.now())
 	a.server.stance.Store(&s)
 	if s.CloseIdle {
-		a.clients.closeIdle()
+		a.clientConns.closeIdle()
 	}
 	switch {
-	case !s.CloseAfterAnswer || a.following:
-	case a.sweep == nil:
-		a.following = true
-		a.sweep = time.AfterFunc(sweepIdle, func() {
+	case !s.CloseAfterAnswer || a.modeTimerArmed:
+	case a.modeTimer == nil:
+		a.modeTimerArmed = true
+		a.modeTimer = time.AfterFunc(sweepIdle, func() {
 			a.leaveMu.Lock()
 			defer a.leaveMu.Unlock()
-			a.following = false
-			a.follow()
+			a.modeTimerArmed = false
+			a.applyMode()
 		})
 	default:
-		a.following = true
-		a.sweep.Reset(sweepIdle)
+		a.modeTimerArmed = true
+		a.modeTimer.Reset(sweepIdle)
 	}
 }
--- a/internal/agent/admin_test.go
+++ b/internal/agent/admin_test.go
@@ -17,9 +17,9 @@
 // A backend that is called out gets nothing, also once it has left the list and come back; called out twice, it is in by
 // one call back, and is taken for one that has just started.
 func TestBanOutlivesTheList(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0), host("y", y.Addr, "Ready", 0)))
-	a := start(t, config(t, l.Addr, testSettings))
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
+	a := startAgent(t, testConfig(t, l.Addr, testSettings))
 	ban := func(id string, out, want bool) {
 		t.Helper()
 		if known, err := a.agent.Ban(t.Context(), id, out); known != want || err != nil {
@@ -30,28 +30,28 @@
 	ban("x", true, true)
 	ban("z", true, false)
 	ban("z", false, false)
-	l.Next <- hosts(2, false, `{"id":"x","phase":"Gone"}`)
-	l.Next <- hosts(3, false, host("x", x.Addr, "Ready", 0))
-	l.Next <- hosts(4, false, host("z", y.Addr, "Terminating", 0)) // which shows that the one before was taken
-	for begun := time.Now(); len(look(t, a).Backends) < 3; time.Sleep(time.Millisecond) {
-		if time.Since(begun) > wait {
+	l.Next <- listJSON(2, false, `{"id":"x","phase":"Gone"}`)
+	l.Next <- listJSON(3, false, memberJSON("x", x.Addr, "Ready", 0))
+	l.Next <- listJSON(4, false, memberJSON("z", y.Addr, "Terminating", 0)) // which shows that the one before was taken
+	for begun := time.Now(); len(controlState(t, a).Backends) < 3; time.Sleep(time.Millisecond) {
+		if time.Since(begun) > testTimeout {
 			t.Fatal("the list does not come")
 		}
 	}
-	a.serve(t, 30)
+	a.serveRequests(t, 30)
 	f, err := a.agent.Figures(t.Context())
 	if err != nil || f.Known != 3 || f.Excluded != 2 || f.Attempts != 30 || f.Classes[2].Served != 30 {
 		t.Errorf("figures %+v, %v", f, err)
 	}
-	if s := look(t, a).Backends[0]; len(x.Got) > 0 || s.HeldBy != heldByOperator {
+	if s := controlState(t, a).Backends[0]; len(x.Got) > 0 || s.HeldBy != heldByOperator {
 		t.Errorf("%d sent to who is out; shown as %+v", len(x.Got), s)
 	}
 	ban("x", false, true)
-	if s := look(t, a).Backends[0]; s.Warmth >= 1 || s.HeldBy != "" {
+	if s := controlState(t, a).Backends[0]; s.Warmth >= 1 || s.HeldBy != "" {
 		t.Errorf("back from a restart it is shown as %+v", s)
 	}
-	for begun := time.Now(); len(x.Got) == 0; a.serve(t, 1) {
-		if time.Since(begun) > wait {
+	for begun := time.Now(); len(x.Got) == 0; a.serveRequests(t, 1) {
+		if time.Since(begun) > testTimeout {
 			t.Fatal("nothing is sent to who is back")
 		}
 	}
@@ -60,14 +60,14 @@
 // A drained agent says no, answers what still comes and ends its connections, idle ones by themselves; when the drain
 // ends it serves as before.
 func TestDrainByHand(t *testing.T) {
-	a := agentFor(t, testSettings, newBackend(t, serves))
+	a := startAgentWith(t, testSettings, newBackend(t, alwaysOK))
 	addr := strings.TrimPrefix(a.url, "http://")
 	idle, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	idle.SetDeadline(time.Now().Add(wait))
+	idle.SetDeadline(time.Now().Add(testTimeout))
 	br := bufio.NewReader(idle)
 	ask := func() *http.Response {
 		io.WriteString(idle, "GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -96,7 +96,7 @@
 		t.Errorf("an idle connection ends with %v", err)
 	}
 	a.agent.SetDraining(false)
-	a.serve(t, 3)
+	a.serveRequests(t, 3)
 	if resp, err := a.client.Get(a.url + readyPath); err != nil || resp.StatusCode != http.StatusOK || resp.Close {
 		t.Errorf("up after the drain: %+v, %v", resp, err)
 	}
@@ -106,29 +106,29 @@
 type slowDial struct {
 	TCP
 	dialing chan string
-	let     chan struct{}
+	proceed chan struct{}
 }
 
 func (n *slowDial) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	n.dialing <- addr
-	<-n.let
+	<-n.proceed
 	return n.TCP.Dial(ctx, addr)
 }
 
 // A backend that is called out in the instant between the choice and the first byte gets nothing; what was to go there goes
 // elsewhere.
 func TestBanBetweenChoiceAndFirstByte(t *testing.T) {
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	net := &slowDial{dialing: make(chan string, 10), let: make(chan struct{}, 10)}
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	l, err := newLoop(cfg, newBackends(net, &cfg.Settings, 8, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	net := &slowDial{dialing: make(chan string, 10), proceed: make(chan struct{}, 10)}
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	l, err := newLoop(cfg, newBackendClient(net, &cfg.Settings, 8, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.send(input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull}, members: []member{
 		{ID: "x", HostPort: x.Addr, Phase: "Ready"}, {ID: "y", HostPort: y.Addr, Phase: "Ready"},
 	}})
-	c := &call{callID: "c", class: 2, deadline: l.clock.now() + wait, answers: make(chan answer, 1)}
+	c := &call{callID: "c", class: 2, deadline: l.clock.now() + testTimeout, answers: make(chan answer, 1)}
 	c.message = newMessage(http.MethodPost, "/unsafe/1", "x", http.Header{callIDHeader: {"c"}}, nil, nil)
 	l.send(input{event: policy.Event{Kind: policy.EventRequest}, call: c})
 	first, other := x, y
@@ -137,8 +137,8 @@
 		first, other, out = y, x, "y"
 	}
 	l.withLock(func() { l.setHold(t.Context(), out, indefiniteHold, heldByOperator) })
-	net.let <- struct{}{}
-	net.let <- struct{}{}
+	net.proceed <- struct{}{}
+	net.proceed <- struct{}{}
 	if a := receive(t, "answer", c.answers); a.status != http.StatusOK || len(first.Got) != 0 || len(other.Got) != 1 {
 		t.Errorf("answered %d, %d sent to who is out, %d to the other", a.status, len(first.Got), len(other.Got))
 	}
--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -36,7 +36,7 @@
 // maxRequestReadTime limits the time from the first byte of a request until the part of it that is
 // kept has arrived: the time for the header, 1 s for a body of 64 KiB at 64 kB/s, and another 1 s
 // in case the agent is delayed.
-const maxRequestReadTime = requestTimeout + 2*time.Second
+const maxRequestReadTime = readHeaderTimeout + 2*time.Second
 
 // evictionRetryInterval is how often a waiting Accept looks again for a connection to evict.
 const evictionRetryInterval = 20 * time.Millisecond
@@ -80,9 +80,9 @@
 	if len(c.header) == 0 && !bytes.Contains(b[:n], headerTerminator) {
 		// net/http measures the time for a header from when the connection became idle. Without a
 		// new deadline, a slow header that starts late would be cut off.
-		c.SetReadDeadline(time.Now().Add(requestTimeout))
+		c.SetReadDeadline(time.Now().Add(readHeaderTimeout))
 	}
-	c.header = append(c.header, b[:min(n, maxHeader-len(c.header))]...)
+	c.header = append(c.header, b[:min(n, maxHeaderBytes-len(c.header))]...)
 	return n, err
 }
 
--- a/internal/agent/admission_test.go
+++ b/internal/agent/admission_test.go
@@ -13,20 +13,20 @@
 )
 
 // dial opens a client connection to the agent.
-func (r *running) dial(t *testing.T) net.Conn {
+func (r *runningAgent) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(wait))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
 // exchangeRaw sends text unchanged and returns everything that the agent sends until it closes the
 // connection.
-func (r *running) exchangeRaw(t *testing.T, text string) string {
+func (r *runningAgent) exchangeRaw(t *testing.T, text string) string {
 	t.Helper()
 	c := r.dial(t)
 	go io.WriteString(c, text)
@@ -40,7 +40,7 @@
 // At the connection limit, idle client connections are closed to make room for new clients. Open
 // requests are not affected.
 func TestSilentClientsMakeRoom(t *testing.T) {
-	a, b, finishFirst, first := sendHeldRequest(t)
+	a, b, finishFirst, first := sendPendingRequest(t)
 	receive(t, "request", b.Got)
 	idleClientConns := make([]net.Conn, 1024)
 	for i := range idleClientConns {
@@ -70,12 +70,12 @@
 // An application that keeps each connection open after its request, and has at most a third of the
 // sockets, always finds a free one for its next request.
 func TestKeptConnectionsLeaveSome(t *testing.T) {
-	a := agentFor(t, testSettings, newBackend(t, serves))
+	a := startAgentWith(t, testSettings, newBackend(t, alwaysOK))
 	openConns := make(chan struct{}, 1024/3)
 	for i := range 1024/3 + 1 {
 		select {
 		case openConns <- struct{}{}:
-		case <-time.After(idleClients / 2):
+		case <-time.After(clientIdleTimeout / 2):
 			t.Fatalf("no connection left for request %d", i)
 		}
 		c := a.dial(t)
@@ -137,7 +137,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(wait))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		return c
 	}
 	accept := func() (net.Conn, *clientConn) {
@@ -214,7 +214,7 @@
 // Clients that send nothing or an incomplete request are disconnected after a time, and so are idle
 // clients.
 func TestSlowClientsAreClosed(t *testing.T) {
-	a := agentFor(t, testSettings, newBackend(t, serves))
+	a := startAgentWith(t, testSettings, newBackend(t, alwaysOK))
 	completeHead := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n"
 	for name, test := range map[string]struct{ text, answer string }{
 		"silence":     {"", ""},
@@ -234,8 +234,8 @@
 // A body with two framings can hide a second request, and a duplicate header field is ambiguous.
 // Such requests must not reach a backend.
 func TestAmbiguousRequests(t *testing.T) {
-	b := newBackend(t, serves)
-	a := agentFor(t, testSettings, b)
+	b := newBackend(t, alwaysOK)
+	a := startAgentWith(t, testSettings, b)
 	head := func(extra string) string {
 		return "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n" + extra + "\r\n"
 	}
@@ -294,7 +294,7 @@
 	const sent = "GET /up HTTP/1.1\r\n"
 	io.WriteString(client, sent)
 	var got []byte
-	for started := time.Now(); len(got) < len(sent) && time.Since(started) < wait; {
+	for started := time.Now(); len(got) < len(sent) && time.Since(started) < testTimeout; {
 		n, err := c.Read(b)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal(err)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -23,10 +23,10 @@
 	// listener, the runtime's poller, discovery, and connections that are just being closed.
 	reservedSockets = 32
 	// requestTimeout is how long a client may take to send a head, from its first byte, or from when it connected.
-	requestTimeout = 2500 * time.Millisecond
+	readHeaderTimeout = 2500 * time.Millisecond
 	// idleClients is how long a client's connection may be without a request. Danger: clients that ask once and keep
 	// their connection would use up the sockets.
-	idleClients = 2500 * time.Millisecond
+	clientIdleTimeout = 2500 * time.Millisecond
 	// streamShare is the part of the memory that streams may hold.
 	streamShare = 4
 	leaveSlack  = 100 * time.Millisecond
@@ -45,33 +45,33 @@
 
 // Agent is one agent.
 type Agent struct {
-	cfg       *Config
-	log       *slog.Logger
-	loop      *loop
-	discovery *discovery
-	clients   *connLimiter
-	server    *server
-	peers     *peerLink    // nil: there is no talk among agents
-	moves     chan *Config // to another discovery, by operators
-	followed  string       // the discovery that they have moved to last
+	cfg              *Config
+	log              *slog.Logger
+	loop             *loop
+	discovery        *discovery
+	clientConns      *connLimiter
+	server           *server
+	peers            *peerLink    // nil: there is no talk among agents
+	discoveryChanges chan *Config // to another discovery, by operators
+	followed         string       // the discovery that they have moved to last
 
-	handover *handover.Handover // nil: the process is never replaced
-	half     int                // of the sockets, for backends
-	room     int                // connections of clients
-	beside   atomic.Bool        // another process of the agent runs
-	wanted   atomic.Int64       // requests held at once, by operators; 0: they say nothing
+	handover        *handover.Handover // nil: the process is never replaced
+	maxBackendConns int                // of the sockets, for backends
+	maxClientConns  int                // connections of clients
+	otherProcess    atomic.Bool        // another process of the agent runs
+	operatorLimit   atomic.Int64       // requests held at once, by operators; 0: they say nothing
 
-	leaveMu   sync.Mutex // guards what follows
-	leave     leave.Controller
-	sweep     *time.Timer
-	following bool // the sweep is to come
+	leaveMu        sync.Mutex // guards what follows
+	modeController leave.Controller
+	modeTimer      *time.Timer
+	modeTimerArmed bool // the sweep is to come
 }
 
 // New returns an agent that is not running yet.
 func New(cfg *Config, listener net.Listener, network Network, log *slog.Logger) (*Agent, error) {
 	// Half of the sockets is for backends.
 	half := (cfg.Sockets - reservedSockets) / 2
-	l, err := newLoop(cfg, newBackends(network, &cfg.Settings, half, int64(cfg.MemoryMB)<<20/streamShare, log), log)
+	l, err := newLoop(cfg, newBackendClient(network, &cfg.Settings, half, int64(cfg.MemoryMB)<<20/streamShare, log), log)
 	if err != nil {
 		return nil, err
 	}
@@ -80,10 +80,10 @@
 	}
 	d := newDiscovery(network, cfg.Discovery, cfg.Settings.Module.AskList, tell, log)
 	// Danger: discovery's work is the lines that it sends, and after a release all agents ask at once.
-	if cfg.known.Complete && len(cfg.known.Members) > 0 {
-		d.revision = cfg.known.Revision
+	if cfg.knownList.Complete && len(cfg.knownList.Members) > 0 {
+		d.revision = cfg.knownList.Revision
 	}
-	l.subscribe = d.asked
+	l.subscribe = d.requestWatch
 	talk, err := openPeerLink(&cfg.Peers, network)
 	if err != nil {
 		return nil, err
@@ -95,16 +95,16 @@
 	// that it has used once and keeps would leave it none for the next request.
 	room := min(half, cfg.Sockets*3/10)
 	a := &Agent{
-		cfg: cfg, log: log, loop: l, discovery: d, clients: &connLimiter{Listener: listener, maxConns: room},
-		server: &server{loop: l, usual: int64(room - room/8)}, moves: make(chan *Config),
-		followed: cfg.Discovery, peers: talk, leave: leave.Controller{SharedSocket: cfg.Inherited},
+		cfg: cfg, log: log, loop: l, discovery: d, clientConns: &connLimiter{Listener: listener, maxConns: room},
+		server: &server{loop: l, usual: int64(room - room/8)}, discoveryChanges: make(chan *Config),
+		followed: cfg.Discovery, peers: talk, modeController: leave.Controller{SharedSocket: cfg.SharedSocket},
 	}
-	a.server.clients = a.clients
-	a.server.most.Store(a.server.usual)
+	a.server.clientConns = a.clientConns
+	a.server.maxRequests.Store(a.server.usual)
 	a.server.stance.Store(&leave.Mode{Ready: true, Accept: true})
-	a.half, a.room = half, room
-	if cfg.Beside != nil {
-		a.handover = handover.New(cfg.Beside, handoverSide{a}, log)
+	a.maxBackendConns, a.maxClientConns = half, room
+	if cfg.Handover != nil {
+		a.handover = handover.New(cfg.Handover, handoverSide{a}, log)
 		l.onHoldChange = a.handover.Tell
 	}
 	return a, nil
@@ -113,9 +113,9 @@
 // Run serves until the context ends, then finishes what it has taken. It closes the listener.
 func (a *Agent) Run(ctx context.Context, reloads <-chan *Config) error {
 	cfg, l, handler := a.cfg, a.loop, a.server
-	defer a.clients.Close()
-	if cfg.Started != nil {
-		cfg.Started(a)
+	defer a.clientConns.Close()
+	if cfg.OnStart != nil {
+		cfg.OnStart(a)
 	}
 	// What the agent has taken it finishes, so its workers outlive the context.
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -124,8 +124,8 @@
 	l.ctx = work
 	workers.Go(func() { l.run(work) })
 	a.takeOver(ctx)
-	a.discovery.tell(policy.ListCached, cfg.known.Members)
-	workers.Go(func() { a.discovery.run(work, reloads, a.moves) })
+	a.discovery.onList(policy.ListCached, cfg.knownList.Members)
+	workers.Go(func() { a.discovery.run(work, reloads, a.discoveryChanges) })
 	if a.peers != nil {
 		workers.Go(func() { a.peers.receiveLoop(work, l) })
 	}
@@ -141,22 +141,22 @@
 		l.backends.Close()
 	}()
 	srv := &http.Server{
-		Handler: handler, ReadHeaderTimeout: requestTimeout, IdleTimeout: idleClients, MaxHeaderBytes: maxHeader,
-		ConnContext: withConn, ConnState: a.clients.trackState,
+		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnContext: withConn, ConnState: a.clientConns.trackState,
 		ErrorLog: slog.NewLogLogger(a.log.Handler(), slog.LevelWarn),
 	}
 	defer srv.Close() // what outlasts Shutdown
 	a.awaitReady(ctx)
 	failed := make(chan error, 1)
-	go func() { failed <- srv.Serve(a.clients) }()
+	go func() { failed <- srv.Serve(a.clientConns) }()
 	select {
 	case err := <-failed:
 		return fmt.Errorf("serving: %w", err)
 	case <-ctx.Done():
 	}
 	a.changeStance(func(m *leave.Controller, now time.Duration) { m.Shutdown(now) })
-	if cfg.Inherited { // who else accepts is there for new connections
-		a.clients.Close()
+	if cfg.SharedSocket { // who else accepts is there for new connections
+		a.clientConns.Close()
 		<-failed
 		failed = nil
 	}
@@ -165,7 +165,7 @@
 		return fmt.Errorf("serving: %w", err)
 	case <-time.After(leave.AcceptGrace + sweepIdle):
 	}
-	a.clients.closeIdle()
+	a.clientConns.closeIdle()
 	longest := leaveSlack
 	for _, c := range cfg.Settings.Module.Classes {
 		longest = max(longest, c.Deadline+leaveSlack)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -29,21 +29,21 @@
  "rules":{"coldFrom":0.5,"warmAfter":1000,"overloadFactor":2,"extraFloor":100,"extraWindow":1000}}`
 
 // wait bounds what a test waits for; nothing passes by it.
-const wait = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(wait):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 		panic("unreachable")
 	}
 }
 
 // running is an agent under test.
-type running struct {
+type runningAgent struct {
 	url    string
 	stop   context.CancelFunc
 	ended  chan error
@@ -55,16 +55,16 @@
 }
 
 // start runs an agent and waits until it is up, which it is once it has a list that names a backend.
-func start(t *testing.T, cfg *Config) *running {
+func startAgent(t *testing.T, cfg *Config) *runningAgent {
 	t.Helper()
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{
+	r := &runningAgent{
 		url: "http://" + listener.Addr().String(), stop: stop, ended: make(chan error, 1),
-		client:  &http.Client{Transport: &http.Transport{}, Timeout: wait},
+		client:  &http.Client{Transport: &http.Transport{}, Timeout: testTimeout},
 		reloads: make(chan *Config),
 	}
 	if r.agent, err = New(cfg, listener, TCP{}, slog.New(slog.DiscardHandler)); err != nil {
@@ -75,7 +75,7 @@
 		stop()
 		r.client.CloseIdleConnections()
 	})
-	for begun := time.Now(); time.Since(begun) < wait; time.Sleep(time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < testTimeout; time.Sleep(time.Millisecond) {
 		resp, err := r.client.Get(r.url + readyPath)
 		if err != nil {
 			continue
@@ -90,25 +90,25 @@
 }
 
 // eventually waits until a condition holds, and fails if it does not within the time that a test waits for anything.
-func (r *running) eventually(t *testing.T, what string, holds func() bool) {
+func (r *runningAgent) eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for begun := time.Now(); !holds(); time.Sleep(time.Millisecond) {
-		if time.Since(begun) > wait {
-			t.Fatalf("not within %v: %s", wait, what)
+		if time.Since(begun) > testTimeout {
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
 
 // sendHeldRequest starts an agent over a backend that answers once goOn is closed or sent to, and sends it a request; status is
 // told what the client got.
-func sendHeldRequest(t *testing.T) (a *running, backend *standin.Script, goOn chan struct{}, status chan int) {
+func sendPendingRequest(t *testing.T) (a *runningAgent, backend *standin.Script, goOn chan struct{}, status chan int) {
 	t.Helper()
 	goOn, status = make(chan struct{}), make(chan int, 1)
 	backend = newBackend(t, func(int, *http.Request) (string, bool) {
 		<-goOn
-		return okText, false
+		return okResponse, false
 	})
-	a = agentFor(t, testSettings, backend)
+	a = startAgentWith(t, testSettings, backend)
 	go func() {
 		got, _ := a.do(t, a.request("unsafe", "15000m"))
 		status <- got
@@ -117,7 +117,7 @@
 }
 
 // request makes a client's request of a class.
-func (r *running) request(class string, budget string) *http.Request {
+func (r *runningAgent) request(class string, budget string) *http.Request {
 	method, body := http.MethodPost, "body of "+class
 	if class == "safe" {
 		method, body = http.MethodGet, ""
@@ -133,7 +133,7 @@
 	return req
 }
 
-func (r *running) do(t *testing.T, req *http.Request) (int, string) {
+func (r *runningAgent) do(t *testing.T, req *http.Request) (int, string) {
 	t.Helper()
 	resp, err := r.client.Do(req)
 	if err != nil {
@@ -147,9 +147,9 @@
 	return resp.StatusCode, string(body)
 }
 
-const okText = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Type: text/x-made\r\n\r\nserved"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Type: text/x-made\r\n\r\nserved"
 
-func serves(int, *http.Request) (string, bool) { return okText, false }
+func alwaysOK(int, *http.Request) (string, bool) { return okResponse, false }
 
 // newBackend starts a scripted backend that ends with the test.
 func newBackend(t *testing.T, answer standin.Answer) *standin.Script {
@@ -163,7 +163,7 @@
 }
 
 // newLists starts a scripted discovery that ends with the test.
-func newLists(t *testing.T, whole []byte) *standin.ListScript {
+func newScriptedDiscovery(t *testing.T, whole []byte) *standin.ListScript {
 	t.Helper()
 	l, err := standin.NewListScript(whole)
 	if err != nil {
@@ -174,19 +174,19 @@
 }
 
 // agentFor starts an agent that knows the backends, each in a cell of its own number.
-func agentFor(t *testing.T, settings string, backends ...*standin.Script) *running {
+func startAgentWith(t *testing.T, settings string, backends ...*standin.Script) *runningAgent {
 	t.Helper()
 	var members []string
 	for i, b := range backends {
-		members = append(members, host(fmt.Sprintf("s-%d", i), b.Addr, "Ready", i))
+		members = append(members, memberJSON(fmt.Sprintf("s-%d", i), b.Addr, "Ready", i))
 	}
-	l := newLists(t, hosts(1, true, members...))
-	return start(t, config(t, l.Addr, settings))
+	l := newScriptedDiscovery(t, listJSON(1, true, members...))
+	return startAgent(t, testConfig(t, l.Addr, settings))
 }
 
 func TestPassesOnUnchanged(t *testing.T) {
-	b := newBackend(t, serves)
-	a := agentFor(t, testSettings, b)
+	b := newBackend(t, alwaysOK)
+	a := startAgentWith(t, testSettings, b)
 	req := a.request("keyed", "1500m")
 	req.Header.Set("Traceparent", "00-1-2-01")
 	resp, err := a.client.Do(req)
@@ -216,9 +216,9 @@
 	goOn := make(chan struct{})
 	b := newBackend(t, func(int, *http.Request) (string, bool) {
 		<-goOn
-		return okText, false
+		return okResponse, false
 	})
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	answers := make(chan *http.Response, 2)
 	ask := func() {
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(a.request("unsafe", "15000m"))
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	maxHeader    = 32 << 10
-	probeTimeout = 300 * time.Millisecond
+	maxHeaderBytes = 32 << 10
+	probeTimeout   = 300 * time.Millisecond
 )
 
 // errOverdue says that a stream's answer did not come in time.
@@ -36,43 +36,43 @@
 var errTooLate = errors.New("too late to send the request")
 
 // backends sends messages to backends over the connections of a pool, and keeps what their answers need.
-type backends struct {
+type backendClient struct {
 	*connpool.Pool
-	room    atomic.Int64 // bytes left for streams
-	written atomic.Int64 // attempts whose last byte went out
-	late    *lagMonitor  // the agent's own
-	log     *slog.Logger
+	streamMemory atomic.Int64 // bytes left for streams
+	written      atomic.Int64 // attempts whose last byte went out
+	lagMonitor   *lagMonitor  // the agent's own
+	log          *slog.Logger
 }
 
 // newBackends returns those of a pool of so many connections at most, with room for so many bytes of streams.
-func newBackends(net Network, s *settings.Settings, most int, room int64, log *slog.Logger) *backends {
-	b := &backends{
-		Pool: connpool.New(connpool.Options{Network: net, ConnectTimeout: s.ConnectTimeout, BackendIdleTimeout: s.Module.IdleClose, MaxConns: most}),
-		late: newLagMonitor(s, net), log: log,
+func newBackendClient(net Network, s *settings.Settings, most int, room int64, log *slog.Logger) *backendClient {
+	b := &backendClient{
+		Pool:       connpool.New(connpool.Options{Network: net, ConnectTimeout: s.ConnectTimeout, BackendIdleTimeout: s.Module.IdleClose, MaxConns: most}),
+		lagMonitor: newLagMonitor(s, net), log: log,
 	}
-	b.room.Store(room)
+	b.streamMemory.Store(room)
 	return b
 }
 
 // reserve takes so many bytes of the room for streams, if they are there. Danger: as many streams as there are connections
 // would not fit into the memory.
-func (b *backends) reserve(n int64) bool {
-	if b.room.Add(-n) >= 0 {
+func (b *backendClient) reserve(n int64) bool {
+	if b.streamMemory.Add(-n) >= 0 {
 		return true
 	}
-	b.room.Add(n)
+	b.streamMemory.Add(n)
 	return false
 }
 
 // free gives them back.
-func (b *backends) free(n int64) { b.room.Add(n) }
+func (b *backendClient) freeStreamMemory(n int64) { b.streamMemory.Add(n) }
 
 // message is a client's request as it goes on to a backend, unchanged but for its budget.
 type message struct {
-	head  []byte // the request line and the headers but for the budget
-	body  []byte
-	probe bool    // the agent's own
-	rest  *upload // what is still to come of the body; nil: nothing
+	head    []byte // the request line and the headers but for the budget
+	body    []byte
+	isProbe bool    // the agent's own
+	upload  *upload // what is still to come of the body; nil: nothing
 }
 
 // notPassedOn is what a message says anew each time.
@@ -90,13 +90,13 @@
 		fmt.Fprintf(&head, "Content-Length: %d\r\n", len(body))
 	}
 	header.WriteSubset(&head, notPassedOn) // to a buffer, which takes all
-	return message{head: head.Bytes(), body: body, rest: rest}
+	return message{head: head.Bytes(), body: body, upload: rest}
 }
 
 // size is how long the body is in bytes, or how much of it is known to come.
 func (m *message) size() int {
-	if m.rest != nil {
-		return int(max(m.rest.size, int64(len(m.body))))
+	if m.upload != nil {
+		return int(max(m.upload.size, int64(len(m.body))))
 	}
 	return len(m.body)
 }
@@ -106,7 +106,7 @@
 	text := make([]byte, 0, len(m.head)+len(budgetHeader)+32+len(m.body))
 	text = append(text, m.head...)
 	text = fmt.Appendf(text, "%s: %du\r\n\r\n", budgetHeader, max(1, left.Microseconds()))
-	if m.rest != nil && m.rest.size < 0 {
+	if m.upload != nil && m.upload.size < 0 {
 		return fmt.Appendf(text, "%x\r\n%s\r\n", len(m.body), m.body)
 	}
 	return append(text, m.body...)
@@ -114,25 +114,25 @@
 
 // result is how an attempt or a probe ended.
 type result struct {
-	outcome policy.Outcome
-	took    time.Duration // at the backend, at least
-	seen    time.Duration // of the clock, when it ended
-	load    policy.Load
-	answer  answer // a whole one, if the outcome is OK
+	outcome     policy.Outcome
+	backendTime time.Duration // at the backend, at least
+	endedAt     time.Duration // of the clock, when it ended
+	load        policy.Load
+	answer      answer // a whole one, if the outcome is OK
 }
 
 // exchange sends a message once and waits for its answer until the context ends. If sendBy is set and has passed
 // when a connection is up, nothing is sent.
-func (b *backends) exchange(ctx context.Context, t *connpool.Target, m *message, sendBy time.Time, fields []string) result {
+func (b *backendClient) exchange(ctx context.Context, t *connpool.Target, m *message, sendBy time.Time, fields []string) result {
 	r := result{load: settings.NoLoad()}
 	var a life.Attempt
-	wrote := b.late.timeSource.now()
+	wrote := b.lagMonitor.timeSource.now()
 	resp, body, rest, err := b.roundTrip(ctx, t, m, sendBy, &a, &wrote)
-	r.seen = b.late.timeSource.now()
-	r.took = max(0, r.seen-b.late.ownDelay()-wrote)
+	r.endedAt = b.lagMonitor.timeSource.now()
+	r.backendTime = max(0, r.endedAt-b.lagMonitor.ownDelay()-wrote)
 	if err == nil {
 		r.load = parseLoad(resp.Header.Get(loadHeader), fields)
-		b.on(&a, meaning(resp))
+		b.applyInput(&a, meaning(resp))
 	} else {
 		b.onError(ctx, &a, err)
 	}
@@ -145,32 +145,32 @@
 
 // on takes in what happens to an attempt. Danger: what does not fit would have the attempt end as something that it is not,
 // so it is told; and the attempt stays as it is, which never calls unsent what may have run.
-func (b *backends) on(a *life.Attempt, i life.Input) {
+func (b *backendClient) applyInput(a *life.Attempt, i life.Input) {
 	if err := a.Apply(i); err != nil {
 		b.log.Error("attempt", "error", err)
 	}
 }
 
 // onError takes in why an attempt's I/O has come back without an answer.
-func (b *backends) onError(ctx context.Context, a *life.Attempt, err error) {
+func (b *backendClient) onError(ctx context.Context, a *life.Attempt, err error) {
 	overdue := errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 	switch {
 	case ctx.Err() != nil && !overdue, errors.Is(err, errClient):
-		b.on(a, life.Cancel)
-		b.on(a, life.IOReturned)
+		b.applyInput(a, life.Cancel)
+		b.applyInput(a, life.IOReturned)
 	case errors.Is(err, errTooLate):
-		b.on(a, life.TooLateToSend)
+		b.applyInput(a, life.TooLateToSend)
 	case connpool.IsSocketShortage(err) && a.State() == life.Connecting:
-		b.on(a, life.NoSocket)
+		b.applyInput(a, life.NoSocket)
 	case overdue, errors.Is(err, errOverdue):
-		b.on(a, life.Deadline)
-		b.on(a, life.IOReturned)
-	case a.State() == life.Connecting && errors.Is(err, os.ErrDeadlineExceeded) && b.late.ownDelay() > 0:
-		b.on(a, life.NoSocket) // it may have come up in time while the agent was late
+		b.applyInput(a, life.Deadline)
+		b.applyInput(a, life.IOReturned)
+	case a.State() == life.Connecting && errors.Is(err, os.ErrDeadlineExceeded) && b.lagMonitor.ownDelay() > 0:
+		b.applyInput(a, life.NoSocket) // it may have come up in time while the agent was late
 	case a.State() == life.Connecting:
-		b.on(a, life.ConnectFailed)
+		b.applyInput(a, life.ConnectFailed)
 	default:
-		b.on(a, life.ConnectionBroken)
+		b.applyInput(a, life.ConnectionBroken)
 	}
 }
 
@@ -189,13 +189,13 @@
 
 // roundTrip returns an answer, the rest of its body if that is too long to be read here, or an error. How far it has come before that the attempt tells, and wrote when its last
 // byte went out, if it did.
-func (b *backends) roundTrip(ctx context.Context, t *connpool.Target, m *message, sendBy time.Time, a *life.Attempt, wrote *time.Duration) (resp *http.Response, body []byte, rest *download, err error) {
-	b.on(a, life.Start)
+func (b *backendClient) roundTrip(ctx context.Context, t *connpool.Target, m *message, sendBy time.Time, a *life.Attempt, wrote *time.Duration) (resp *http.Response, body []byte, rest *downloadStream, err error) {
+	b.applyInput(a, life.Start)
 	c, err := b.Get(ctx, t)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	b.on(a, life.Connected)
+	b.applyInput(a, life.Connected)
 	reusable := false
 	stop := context.AfterFunc(ctx, func() {
 		if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
@@ -203,15 +203,15 @@
 		} else {
 			c.Close() // which also gives the attempt up
 		}
-		if m.rest != nil {
-			m.rest.interrupt()
+		if m.upload != nil {
+			m.upload.interrupt()
 		}
 	})
 	defer func() {
 		switch on := stop(); {
 		case on && rest != nil: // its body holds the connection
 		case rest != nil:
-			rest.end(false)
+			rest.release(false)
 			resp, rest, err = nil, nil, context.Cause(ctx)
 		case on && reusable:
 			b.Put(c)
@@ -227,35 +227,35 @@
 		return nil, nil, nil, errTooLate
 	}
 	var left time.Duration
-	if m.rest != nil {
-		left = m.rest.budget
+	if m.upload != nil {
+		left = m.upload.budget
 	} else {
 		deadline, _ := ctx.Deadline()
 		left = time.Until(deadline)
 	}
-	b.on(a, life.WriteStarted)
+	b.applyInput(a, life.WriteStarted)
 	if _, err := c.Write(m.encode(left)); err != nil {
 		return nil, nil, nil, err
 	}
 	whole := true
-	if m.rest != nil {
-		if whole, err = b.passOn(c, m.rest); err != nil {
+	if m.upload != nil {
+		if whole, err = b.passOn(c, m.upload); err != nil {
 			return nil, nil, nil, err
 		}
 	}
 	if whole {
-		b.on(a, life.RequestWritten)
-		if !m.probe {
+		b.applyInput(a, life.RequestWritten)
+		if !m.isProbe {
 			b.written.Add(1)
 		}
-		*wrote = b.late.timeSource.now()
-		if m.rest != nil {
-			overdue := time.AfterFunc(m.rest.arrived(), c.Expire)
+		*wrote = b.lagMonitor.timeSource.now()
+		if m.upload != nil {
+			overdue := time.AfterFunc(m.upload.onComplete(), c.Expire)
 			defer overdue.Stop()
 		}
 	}
-	if resp, body, rest, err = b.read(c, a); err != nil {
-		if m.rest != nil && errors.Is(err, os.ErrDeadlineExceeded) && c.IsExpired() {
+	if resp, body, rest, err = b.readAnswer(c, a); err != nil {
+		if m.upload != nil && errors.Is(err, os.ErrDeadlineExceeded) && c.IsExpired() {
 			err = errOverdue
 		}
 		return nil, nil, nil, err
@@ -267,8 +267,8 @@
 
 // passOn passes the rest of a request's body on, until the backend answers: one that does so before the last byte has no
 // use for what is left. It says whether that was all of it.
-func (b *backends) passOn(c *connpool.Conn, rest *upload) (whole bool, err error) {
-	c.LimitRead(maxHeader + keep)
+func (b *backendClient) passOn(c *connpool.Conn, rest *upload) (whole bool, err error) {
+	c.LimitRead(maxHeaderBytes + maxBufferedBody)
 	c.StallTimeout = 0
 	var early error
 	heard := make(chan struct{})
@@ -298,15 +298,15 @@
 
 // read reads one answer: to its end if it is short, else its head and what of it has come. One whose end only the closing of
 // the connection shows is whole if that is no reset (RFC 9112, section 6.3).
-func (b *backends) read(c *connpool.Conn, a *life.Attempt) (*http.Response, []byte, *download, error) {
-	c.LimitRead(maxHeader + keep)
+func (b *backendClient) readAnswer(c *connpool.Conn, a *life.Attempt) (*http.Response, []byte, *downloadStream, error) {
+	c.LimitRead(maxHeaderBytes + maxBufferedBody)
 	for {
 		c.StallTimeout = 0 // however long it takes until something comes
 		if _, err := c.Reader.Peek(1); err != nil {
 			return nil, nil, nil, err
 		}
 		if s := a.State(); s == life.Sent || s == life.Writing { // not behind an interim one
-			b.on(a, life.FirstAnswerByte)
+			b.applyInput(a, life.FirstAnswerByte)
 		}
 		// Danger: an answer that says that it is longer than it is ends on no connection that stays open.
 		c.StallTimeout = answerStall
@@ -320,7 +320,7 @@
 			return nil, nil, nil, errors.New("an answer in another protocol")
 		case resp.StatusCode/100 == 1:
 			continue // the answer is still to come
-		case resp.ContentLength > mostBody, resp.ContentLength > keep && !good:
+		case resp.ContentLength > mostBody, resp.ContentLength > maxBufferedBody && !good:
 			return nil, nil, nil, fmt.Errorf("an answer of %d bytes", resp.ContentLength)
 		}
 		body, whole, err := readBody(resp)
@@ -339,24 +339,24 @@
 		}
 		c.LimitRead(math.MaxInt64)
 		c.StallTimeout = streamStall
-		return resp, body, &download{
-			backends: b, conn: c, body: resp.Body, size: resp.ContentLength, got: int64(len(body)), reusable: !resp.Close,
+		return resp, body, &downloadStream{
+			backends: b, conn: c, body: resp.Body, size: resp.ContentLength, received: int64(len(body)), reusable: !resp.Close,
 		}, nil
 	}
 }
 
 // readBody reads a body that is short. Of another it returns what has come, once that is much or has gone on for a while.
 func readBody(resp *http.Response) (body []byte, whole bool, err error) {
-	if resp.ContentLength >= 0 && resp.ContentLength <= keep {
+	if resp.ContentLength >= 0 && resp.ContentLength <= maxBufferedBody {
 		body = make([]byte, resp.ContentLength)
 		_, err = io.ReadFull(resp.Body, body)
 		return body, true, err
 	}
 	// Danger: one that says that it is longer than it is would be chosen for its head, and could not be sent for again.
 	begun := time.Now()
-	for len(body) < keep && (len(body) == 0 || time.Since(begun) < settle) {
+	for len(body) < maxBufferedBody && (len(body) == 0 || time.Since(begun) < settle) {
 		body = slices.Grow(body, 4<<10)
-		n, err := resp.Body.Read(body[len(body):min(cap(body), keep)])
+		n, err := resp.Body.Read(body[len(body):min(cap(body), maxBufferedBody)])
 		body = body[:len(body)+n]
 		if err == io.EOF {
 			return body, true, nil
@@ -369,17 +369,17 @@
 }
 
 // probe asks a backend how it does: for its load where probes bring reports, else whether it is alive.
-func (b *backends) probe(ctx context.Context, t *connpool.Target, s *settings.Settings) result {
+func (b *backendClient) probe(ctx context.Context, t *connpool.Target, s *settings.Settings) result {
 	path, reports := alivePath, s.Module.Reports != policy.ReportsOff
 	if reports {
 		path = loadPath
 	}
 	m := newMessage(http.MethodGet, path, t.Addr, nil, nil, nil)
-	m.probe = true
+	m.isProbe = true
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	r := b.exchange(ctx, t, &m, time.Time{}, s.ReportFields)
-	r.answer.drop()
+	r.answer.discard()
 	if r.outcome == policy.OK && reports {
 		r.load = parseLoad(string(r.answer.body), s.ReportFields)
 	}
@@ -412,7 +412,7 @@
 
 // of returns the number of a name, and takes one for it if it is new. Names that would share a number are kept
 // apart: the later one gets the next that is free.
-func (s *serverIDs) of(name string) policy.ServerID {
+func (s *serverIDs) idFor(name string) policy.ServerID {
 	if id, ok := s.ids[name]; ok {
 		return id
 	}
@@ -430,7 +430,7 @@
 }
 
 // free forgets a name that has left the list.
-func (s *serverIDs) free(id policy.ServerID) {
+func (s *serverIDs) release(id policy.ServerID) {
 	delete(s.ids, s.names[id])
 	delete(s.names, id)
 }
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -36,23 +36,23 @@
 		{"said to be oversized", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhalf", false, true},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nhalf", false, true},
 		{"bad chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhalf", false, true},
-		{"another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n" + okText, false, true},
+		{"another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n" + okResponse, false, true},
 		{"nonsense", "SSH-2.0-x\r\n\r\n", true, true},
 		{"endless header", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10), true, true},
-		{"oversized answer", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", int64(mostBody+1), strings.Repeat("x", keep)), true, true},
+		{"oversized answer", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", int64(mostBody+1), strings.Repeat("x", maxBufferedBody)), true, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			script := func(n int, _ *http.Request) (string, bool) {
 				if n == 0 {
 					return row.text, row.closes
 				}
-				return okText, false
+				return okResponse, false
 			}
 			for _, class := range []string{"keyed", "unsafe"} {
 				// The other attempt goes to the second backend, so one script serves for both.
 				both := newBackend(t, script)
-				other := newBackend(t, serves)
-				a := agentFor(t, testSettings, both, other)
+				other := newBackend(t, alwaysOK)
+				a := startAgentWith(t, testSettings, both, other)
 				for len(both.Got) == 0 { // until the draw falls on the first
 					status, body := a.do(t, a.request(class, "15000m"))
 					again := class == "keyed" || !row.ran
@@ -76,12 +76,12 @@
 // behind it would be the next request's answer.
 func TestMoreThanAnAnswer(t *testing.T) {
 	for what, text := range map[string]string{
-		"a copy behind":   okText + strings.Replace(okText, "served", "again!", 1),
-		"noise behind":    okText + "\x00\x01\r\n\r\n",
-		"hints before":    "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + okText,
-		"a broken report": strings.Replace(okText, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
+		"a copy behind":   okResponse + strings.Replace(okResponse, "served", "again!", 1),
+		"noise behind":    okResponse + "\x00\x01\r\n\r\n",
+		"hints before":    "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + okResponse,
+		"a broken report": strings.Replace(okResponse, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
 	} {
-		a := agentFor(t, testSettings, newBackend(t, func(int, *http.Request) (string, bool) { return text, false }))
+		a := startAgentWith(t, testSettings, newBackend(t, func(int, *http.Request) (string, bool) { return text, false }))
 		for range 3 {
 			if status, body := a.do(t, a.request("unsafe", "15000m")); status != 200 || body != "served" {
 				t.Errorf("%s: answered %d %q", what, status, body)
@@ -94,7 +94,7 @@
 func TestKeyedStaysInItsCell(t *testing.T) {
 	breaks := func(int, *http.Request) (string, bool) { return "", true }
 	x, y := newBackend(t, breaks), newBackend(t, breaks)
-	a := agentFor(t, testSettings, x, y)
+	a := startAgentWith(t, testSettings, x, y)
 	a.do(t, a.request("celled", "15000m"))
 	if len(x.Got) > 0 && len(y.Got) > 0 {
 		t.Error("sent to both cells")
@@ -108,7 +108,7 @@
 	}
 	closed.Close()
 	gone := &standin.Script{Addr: closed.Addr().String()}
-	a := agentFor(t, testSettings, gone)
+	a := startAgentWith(t, testSettings, gone)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused {
 		t.Errorf("answered %d: what never ran can be refused", status)
 	}
@@ -116,7 +116,7 @@
 
 func TestTimeout(t *testing.T) {
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	status, _ := a.do(t, a.request("unsafe", "150m"))
 	if status != statusFailed {
 		t.Errorf("answered %d: it may have run", status)
@@ -134,8 +134,8 @@
 		}
 		return "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\noutstanding=7,recent_ms=12", false
 	})
-	cfg := config(t, "127.0.0.1:1", strings.Replace(testSettings, `"off"`, `"on_probe"`, 1))
-	r := newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)).probe(context.Background(), &connpool.Target{Addr: b.Addr}, &cfg.Settings)
+	cfg := testConfig(t, "127.0.0.1:1", strings.Replace(testSettings, `"off"`, `"on_probe"`, 1))
+	r := newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)).probe(context.Background(), &connpool.Target{Addr: b.Addr}, &cfg.Settings)
 	if r.outcome != policy.OK || r.load.InFlight != 7 || r.load.ServiceTime != 12*time.Millisecond || r.load.Queue != -1 {
 		t.Errorf("got %+v", r)
 	}
@@ -151,28 +151,28 @@
 
 func TestServerIDsStayApart(t *testing.T) {
 	ids := serverIDs{ids: map[string]policy.ServerID{}, names: map[policy.ServerID]string{}}
-	x, y := ids.of("costarring"), ids.of("liquid") // one hash
-	if x+1 != y || ids.of("costarring") != x {
+	x, y := ids.idFor("costarring"), ids.idFor("liquid") // one hash
+	if x+1 != y || ids.idFor("costarring") != x {
 		t.Errorf("got %d and %d", x, y)
 	}
-	if ids.free(x); ids.of("liquid") != y {
+	if ids.release(x); ids.idFor("liquid") != y {
 		t.Error("the second name's number has changed with the first gone")
 	}
 }
 
 // A repeat that comes up too late to be dropped is not sent, and so has not run.
 func TestLateRepeatIsNotSent(t *testing.T) {
-	b := newBackend(t, serves)
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	p := newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler))
+	b := newBackend(t, alwaysOK)
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	p := newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler))
 	to := p.NewTarget(b.Addr, 0)
 	m := newMessage("POST", "/keyed/1", "x", nil, nil, nil)
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if r := p.exchange(ctx, to, &m, time.Now(), nil); r.outcome != policy.NotSent || len(b.Got) > 0 {
 		t.Errorf("outcome %d, %d sent", r.outcome, len(b.Got))
 	}
-	if r := p.exchange(ctx, to, &m, time.Now().Add(wait), nil); r.outcome != policy.OK {
+	if r := p.exchange(ctx, to, &m, time.Now().Add(testTimeout), nil); r.outcome != policy.OK {
 		t.Errorf("in time: outcome %d", r.outcome)
 	}
 }
@@ -180,8 +180,8 @@
 // A request that waits for a connection when its client gives up never ran, and one that is cancelled is told so. Neither
 // keeps the socket.
 func TestConnectionThatNeverComesUp(t *testing.T) {
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	p := newBackends(TCP{}, &cfg.Settings, 1, 1<<20, slog.New(slog.DiscardHandler))
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	p := newBackendClient(TCP{}, &cfg.Settings, 1, 1<<20, slog.New(slog.DiscardHandler))
 	to := p.NewTarget("127.0.0.1:1", 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	over, cancel := context.WithDeadline(context.Background(), time.Now())
@@ -194,9 +194,9 @@
 	if r := p.exchange(given, to, &m, time.Time{}, nil); r.outcome != policy.Cancelled {
 		t.Errorf("given up: outcome %d", r.outcome)
 	}
-	ctx, end := context.WithTimeout(context.Background(), wait)
+	ctx, end := context.WithTimeout(context.Background(), testTimeout)
 	defer end()
-	if r := p.exchange(ctx, p.NewTarget(newBackend(t, serves).Addr, 0), &m, time.Time{}, nil); r.outcome != policy.OK {
+	if r := p.exchange(ctx, p.NewTarget(newBackend(t, alwaysOK).Addr, 0), &m, time.Time{}, nil); r.outcome != policy.OK {
 		t.Errorf("by the only socket: outcome %d", r.outcome)
 	}
 }
--- a/internal/agent/backends_test.go
+++ b/internal/agent/backends_test.go
@@ -16,10 +16,10 @@
 	goOn := make(chan struct{}, 1)
 	b := newBackend(t, func(int, *http.Request) (string, bool) {
 		<-goOn
-		return okText, false
+		return okResponse, false
 	})
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	l, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,16 +28,16 @@
 	}
 	old, next := member{ID: "old", HostPort: b.Addr, Phase: "Ready"}, member{ID: "next", HostPort: b.Addr, Phase: "Ready"}
 	list(policy.ListFull, old)
-	ctx, cancel := context.WithTimeout(t.Context(), wait)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	inUse := make(chan result, 1)
-	first := l.targets[l.servers.of("old")]
+	first := l.targets[l.servers.idFor("old")]
 	go func() { inUse <- l.backends.exchange(ctx, first, &m, time.Time{}, nil) }()
 	receive(t, "request", b.Got)
 	list(policy.ListDelta, next)
 	goOn <- struct{}{}
-	second := l.targets[l.servers.of("next")]
+	second := l.targets[l.servers.idFor("next")]
 	inUse2 := make(chan result, 1)
 	receive(t, "answer of the old one", inUse)
 	go func() { inUse2 <- l.backends.exchange(ctx, second, &m, time.Time{}, nil) }()
@@ -66,8 +66,8 @@
 // An idle connection that the backend has closed is not written to: it would end as a reset, which an unsafe
 // request does not survive.
 func TestStaleConnection(t *testing.T) {
-	b := newBackend(t, serves)
-	a := agentFor(t, testSettings, b)
+	b := newBackend(t, alwaysOK)
+	a := startAgentWith(t, testSettings, b)
 	for i := range 3 {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
 		if status != 200 {
@@ -78,8 +78,8 @@
 }
 
 func TestConnectionsAreReused(t *testing.T) {
-	b := newBackend(t, serves)
-	a := agentFor(t, testSettings, b)
+	b := newBackend(t, alwaysOK)
+	a := startAgentWith(t, testSettings, b)
 	for range 5 {
 		a.do(t, a.request("unsafe", "15000m"))
 	}
@@ -90,12 +90,12 @@
 
 // The pool keeps to its sockets: an idle connection makes room, one in use does not.
 func TestPoolIsBounded(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	p := newBackends(TCP{}, &cfg.Settings, 1, 1<<20, slog.New(slog.DiscardHandler))
+	x, y := newBackend(t, alwaysOK), newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	p := newBackendClient(TCP{}, &cfg.Settings, 1, 1<<20, slog.New(slog.DiscardHandler))
 	toX, toY := p.NewTarget(x.Addr, 0), p.NewTarget(y.Addr, 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if r := p.exchange(ctx, toX, &m, time.Time{}, nil); r.outcome != policy.OK {
 		t.Fatalf("outcome %d", r.outcome)
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -22,44 +22,44 @@
 
 // Config is what the platform tells an agent at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	Settings  settings.Settings
-	Peers     Peers              // used where the settings allow it
-	Admin     string             // where operators call; empty: nowhere
-	Inherited bool               // other processes accept from the same socket
-	Beside    handover.Transport // the way to other processes of the agent; nil: there is none
+	Name         string
+	Listen       string
+	Discovery    string
+	Seed         uint64
+	Cores        float64
+	MemoryMB     int
+	Sockets      int
+	Settings     settings.Settings
+	Peers        Peers              // used where the settings allow it
+	Admin        string             // where operators call; empty: nowhere
+	SharedSocket bool               // other processes accept from the same socket
+	Handover     handover.Transport // the way to other processes of the agent; nil: there is none
 	// Started is told of the agent before it serves, for who operates it from the same process; nil: nobody does.
-	Started func(*Agent)
+	OnStart func(*Agent)
 
 	Levels level.Config // of reduced service, from the operators' file; none where it is empty
 
 	Sites site.Config // whether they are watched, and withdrawn when they are lost
 
 	// Decide makes what decides for the agent; nil is policy.New.
-	Decide func(policy.Settings, uint64) (Decider, error)
+	NewDecider func(policy.Settings, uint64) (Decider, error)
 
-	known memberList
+	knownList memberList
 }
 
 // Peers are the addresses of the other agents.
 type Peers struct {
-	Listen netip.AddrPort // where their messages come
-	All    netip.AddrPort // whatever is sent there comes to all of them
-	From   []netip.AddrPort
+	Listen    netip.AddrPort // where their messages come
+	Broadcast netip.AddrPort // whatever is sent there comes to all of them
+	Sources   []netip.AddrPort
 }
 
 // Decider decides for an agent: a policy.Balancer, or what that is held against.
 type Decider = peers.Decider
 
-func (c *Config) decider() (Decider, error) {
-	if c.Decide != nil {
-		return c.Decide(c.Settings.Module, c.Seed)
+func (c *Config) buildDecider() (Decider, error) {
+	if c.NewDecider != nil {
+		return c.NewDecider(c.Settings.Module, c.Seed)
 	}
 	return peers.NewDecider(c.Settings.Module, c.Seed)
 }
@@ -124,7 +124,7 @@
 		return nil, fmt.Errorf("limits.sockets cannot be %d: at least %d are needed", cfg.Sockets, minSockets)
 	}
 	if len(f.Known) > 0 {
-		if cfg.known, err = parseList(f.Known); err != nil {
+		if cfg.knownList, err = parseList(f.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -146,7 +146,7 @@
 	if p.Listen, err = netip.ParseAddrPort(listen); err != nil {
 		return p, fmt.Errorf("peer_listen: %w", err)
 	}
-	if p.All, err = netip.ParseAddrPort(all); err != nil {
+	if p.Broadcast, err = netip.ParseAddrPort(all); err != nil {
 		return p, fmt.Errorf("peers_all: %w", err)
 	}
 	for i, text := range from {
@@ -154,7 +154,7 @@
 		if err != nil {
 			return p, fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		p.From = append(p.From, addr)
+		p.Sources = append(p.Sources, addr)
 	}
 	return p, nil
 }
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func config(t *testing.T, discovery, settings string) *Config {
+func testConfig(t *testing.T, discovery, settings string) *Config {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1f",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},
@@ -53,7 +53,7 @@
 	}
 	const good = `"peer_listen":"127.0.0.1:7946","peers":["127.0.0.2:7946","127.0.0.3:7946"],"peers_all":"127.0.0.9:7946",`
 	cfg, err := ParseConfig(text(true, good))
-	if err != nil || len(cfg.Peers.From) != 2 || cfg.Peers.All.String() != "127.0.0.9:7946" {
+	if err != nil || len(cfg.Peers.Sources) != 2 || cfg.Peers.Broadcast.String() != "127.0.0.9:7946" {
 		t.Errorf("peers %+v, error %v", cfg.Peers, err)
 	}
 	if cfg, err = ParseConfig(text(false, good)); err != nil || cfg.Peers.Listen.IsValid() {
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -24,13 +24,13 @@
 var errEnded = errors.New("the agent has ended")
 
 // viewer is a Decider that shows what it makes of the backends.
-type viewer interface {
+type observableDecider interface {
 	Pressure() float64
 	View(now time.Duration) []policy.ServerView
 }
 
 // do calls a function between two inputs.
-func (l *loop) do(ctx context.Context, f func()) error {
+func (l *loop) runInLoop(ctx context.Context, f func()) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 
 // SetTaking says whether requests are taken. One that is not is refused, and told when to come back.
 func (a *Agent) SetTaking(on bool) {
-	a.server.closed.Store(!on)
+	a.server.refuseAll.Store(!on)
 	a.log.Info("operators", "taking", on)
 }
 
@@ -74,7 +74,7 @@
 		moved := *a.cfg
 		moved.Discovery = addr
 		select {
-		case a.moves <- &moved:
+		case a.discoveryChanges <- &moved:
 			a.followed = addr
 		case <-a.loop.done:
 			return errEnded
@@ -82,11 +82,11 @@
 			return ctx.Err()
 		}
 	}
-	a.wanted.Store(0)
+	a.operatorLimit.Store(0)
 	if s.Requests != nil {
-		a.wanted.Store(int64(*s.Requests)) // more than the sockets bear is not to be had
+		a.operatorLimit.Store(int64(*s.Requests)) // more than the sockets bear is not to be had
 	}
-	a.shareRoom(a.beside.Load())
+	a.updateLimits(a.otherProcess.Load())
 	return nil
 }
 
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	return a.loop.do(ctx, func() { a.loop.replace(context.WithoutCancel(ctx), next, s) })
+	return a.loop.runInLoop(ctx, func() { a.loop.replace(context.WithoutCancel(ctx), next, s) })
 }
 
 // replace lets another module decide from now on. The one before finishes what it has.
@@ -124,23 +124,23 @@
 // Look returns the present state.
 func (a *Agent) Look(ctx context.Context) (*control.State, error) {
 	var s *control.State
-	err := a.loop.do(ctx, func() { s = a.look() })
+	err := a.loop.runInLoop(ctx, func() { s = a.state() })
 	return s, err
 }
 
-func (a *Agent) look() *control.State {
+func (a *Agent) state() *control.State {
 	l := a.loop
 	now := l.clock.now()
-	s := &control.State{Taking: !a.server.closed.Load(), Held: len(l.requests), Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}}
+	s := &control.State{Taking: !a.server.refuseAll.Load(), Held: len(l.requests), Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}}
 	s.Service = control.Service{
 		Requests: l.counts.requests, InAim: l.counts.inAim, Served: l.counts.served, Refused: l.counts.refused, Failed: l.counts.failed, Left: l.counts.clientGone,
 	}
 	own, part := l.lagMonitor.stats()
-	s.Own = control.Own{Late: round(own.MeanDelay.Seconds()), Part: round(part), Worst: round(own.MaxDelay.Seconds()), Times: own.LateTicks}
-	if b, ok := l.current.Decider.(viewer); ok {
+	s.Own = control.Own{Late: roundForDisplay(own.MeanDelay.Seconds()), Part: roundForDisplay(part), Worst: roundForDisplay(own.MaxDelay.Seconds()), Times: own.LateTicks}
+	if b, ok := l.current.Decider.(observableDecider); ok {
 		s.Pressure = b.Pressure()
 		for _, v := range b.View(now) {
-			s.Backends = append(s.Backends, a.backend(&v, now))
+			s.Backends = append(s.Backends, a.backendState(&v, now))
 		}
 	}
 	s.Classes, s.Accounts = make([]control.Class, len(l.settings.Classes)), make([]control.Account, len(l.settings.Tenants))
@@ -183,30 +183,30 @@
 }
 
 // backend is one backend for people to read.
-func (a *Agent) backend(v *policy.ServerView, now time.Duration) control.Backend {
+func (a *Agent) backendState(v *policy.ServerView, now time.Duration) control.Backend {
 	l := a.loop
 	b := control.Backend{
-		Name: l.servers.names[v.ID], Phase: phaseNames[l.listedServers[v.ID].State], Speed: round(v.Speed), Warmth: round(v.WarmFraction),
-		InFlight: v.InFlight, Silent: v.Overdue, Load: round(v.Outstanding), Full: round(v.AvoidedFor.Seconds()),
+		Name: l.servers.names[v.ID], Phase: phaseNames[l.listedServers[v.ID].State], Speed: roundForDisplay(v.Speed), Warmth: roundForDisplay(v.WarmFraction),
+		InFlight: v.InFlight, Silent: v.Overdue, Load: roundForDisplay(v.Outstanding), Full: roundForDisplay(v.AvoidedFor.Seconds()),
 	}
 	if t := l.targets[v.ID]; t != nil {
 		b.Addr = t.Addr
 	}
 	if h := l.holds[b.Name]; h.Out {
-		b.Held, b.HeldBy = round((h.Until - now).Seconds()), h.By
+		b.Held, b.HeldBy = roundForDisplay((h.Until - now).Seconds()), h.By
 	}
 	if v.ReportAge >= 0 {
-		age := round(v.ReportAge.Seconds())
+		age := roundForDisplay(v.ReportAge.Seconds())
 		b.ReportAge = &age
 	}
 	for _, e := range v.Ejected {
-		b.Ejected = append(b.Ejected, control.Ejection{Class: l.settings.Classes[e.Class], For: round(e.Remaining.Seconds()), Times: e.Consecutive})
+		b.Ejected = append(b.Ejected, control.Ejection{Class: l.settings.Classes[e.Class], For: roundForDisplay(e.Remaining.Seconds()), Times: e.Consecutive})
 	}
 	return b
 }
 
 // round leaves what a person reads.
-func round(v float64) float64 {
+func roundForDisplay(v float64) float64 {
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return 0
 	}
--- a/internal/agent/control_test.go
+++ b/internal/agent/control_test.go
@@ -13,9 +13,9 @@
 	"example.org/micaline/policy"
 )
 
-func look(t *testing.T, a *running) *control.State {
+func controlState(t *testing.T, a *runningAgent) *control.State {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), wait)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	s, err := a.agent.Look(ctx)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return s
 }
 
-func (r *running) hold(t *testing.T, backend string, d time.Duration) bool {
+func (r *runningAgent) holdBackend(t *testing.T, backend string, d time.Duration) bool {
 	t.Helper()
 	known, err := r.agent.Hold(t.Context(), backend, d)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return known
 }
 
-func (r *running) apply(t *testing.T, text string) {
+func (r *runningAgent) apply(t *testing.T, text string) {
 	t.Helper()
 	d, err := document.Parse([]byte(text))
 	if err != nil {
@@ -50,7 +50,7 @@
 }
 
 // serve makes so many requests, all of which are to be served.
-func (r *running) serve(t *testing.T, n int) {
+func (r *runningAgent) serveRequests(t *testing.T, n int) {
 	t.Helper()
 	for range n {
 		if status, _ := r.do(t, r.request("unsafe", "15000m")); status != http.StatusOK {
@@ -62,51 +62,51 @@
 // A backend that is held out gets nothing, and is in again when it is let in or its time is over. One that drains gets
 // nothing, whoever lets it in.
 func TestHold(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0), host("y", y.Addr, "Ready", 0)))
-	a := start(t, config(t, l.Addr, testSettings))
-	if a.hold(t, "nobody", time.Hour) {
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
+	a := startAgent(t, testConfig(t, l.Addr, testSettings))
+	if a.holdBackend(t, "nobody", time.Hour) {
 		t.Error("a backend that nobody knows is held")
 	}
-	if !a.hold(t, "x", time.Hour) {
+	if !a.holdBackend(t, "x", time.Hour) {
 		t.Fatal("x is not known")
 	}
-	a.serve(t, 30)
+	a.serveRequests(t, 30)
 	if len(x.Got) > 0 {
 		t.Errorf("%d sent to who is held out", len(x.Got))
 	}
-	if s := look(t, a); s.Backends[0].Held <= 0 || s.Backends[0].Phase != "Ready" {
+	if s := controlState(t, a); s.Backends[0].Held <= 0 || s.Backends[0].Phase != "Ready" {
 		t.Errorf("shown as %+v", s.Backends[0])
 	}
-	a.hold(t, "x", 0)
-	a.serve(t, 60)
+	a.holdBackend(t, "x", 0)
+	a.serveRequests(t, 60)
 	if len(x.Got) == 0 {
 		t.Error("nothing is sent to who is let in")
 	}
 	// A list that comes while x is held does not let it in, and its drain stays when the hold ends.
-	a.hold(t, "x", time.Hour)
-	l.Next <- hosts(2, false, host("x", x.Addr, "Ready", 0))
-	l.Next <- hosts(3, false, host("x", x.Addr, "Terminating", 0)) // which the agent takes after the one before
-	for begun := time.Now(); look(t, a).Backends[0].Phase != "Terminating"; time.Sleep(time.Millisecond) {
-		if time.Since(begun) > wait {
+	a.holdBackend(t, "x", time.Hour)
+	l.Next <- listJSON(2, false, memberJSON("x", x.Addr, "Ready", 0))
+	l.Next <- listJSON(3, false, memberJSON("x", x.Addr, "Terminating", 0)) // which the agent takes after the one before
+	for begun := time.Now(); controlState(t, a).Backends[0].Phase != "Terminating"; time.Sleep(time.Millisecond) {
+		if time.Since(begun) > testTimeout {
 			t.Fatal("the drain does not come")
 		}
 	}
 	sent := len(x.Got)
-	a.hold(t, "x", 0)
-	a.serve(t, 30)
+	a.holdBackend(t, "x", 0)
+	a.serveRequests(t, 30)
 	if n := len(x.Got) - sent; n > 0 {
 		t.Errorf("%d sent to who drains and was let in", n)
 	}
 }
 
 func TestHoldEndsByItself(t *testing.T) {
-	x := newBackend(t, serves)
-	a := agentFor(t, testSettings, x)
-	a.hold(t, "s-0", time.Millisecond)
+	x := newBackend(t, alwaysOK)
+	a := startAgentWith(t, testSettings, x)
+	a.holdBackend(t, "s-0", time.Millisecond)
 	for begun := time.Now(); len(x.Got) == 0; {
 		a.do(t, a.request("unsafe", "15000m"))
-		if time.Since(begun) > wait {
+		if time.Since(begun) > testTimeout {
 			t.Fatal("held out for good")
 		}
 	}
@@ -120,9 +120,9 @@
 		if n < 5 {
 			<-goOn
 		}
-		return okText, false
+		return okResponse, false
 	})
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	answers := make(chan int, 5)
 	for range 5 {
 		go func() {
@@ -134,9 +134,9 @@
 		receive(t, "request", b.Got)
 	}
 	a.apply(t, `{"decisions":{"max_attempts":7,"classes":{"unsafe":{"worth":9}}}}`)
-	a.serve(t, 10)
+	a.serveRequests(t, 10)
 	modules := func() (n, most int) {
-		if err := a.agent.loop.do(t.Context(), func() { n, most = len(a.agent.loop.modules), a.agent.loop.moduleSettings.MaxAttempts }); err != nil {
+		if err := a.agent.loop.runInLoop(t.Context(), func() { n, most = len(a.agent.loop.modules), a.agent.loop.moduleSettings.MaxAttempts }); err != nil {
 			t.Fatal(err)
 		}
 		return n, most
@@ -144,7 +144,7 @@
 	if n, most := modules(); n != 2 || most != 7 {
 		t.Errorf("%d modules, %d attempts at most", n, most)
 	}
-	if s := look(t, a); len(s.Requests) != 5 || s.Requests[0].Out != 1 {
+	if s := controlState(t, a); len(s.Requests) != 5 || s.Requests[0].Out != 1 {
 		t.Errorf("open: %+v", s.Requests)
 	}
 	close(goOn)
@@ -170,9 +170,9 @@
 	goOn := make(chan struct{})
 	b := newBackend(t, func(int, *http.Request) (string, bool) {
 		<-goOn
-		return okText, false
+		return okResponse, false
 	})
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	a.apply(t, `{"service":{"requests":1}}`)
 	first := make(chan int, 1)
 	go func() {
@@ -188,24 +188,24 @@
 	if status := receive(t, "answer", first); status != http.StatusOK {
 		t.Errorf("what was taken before is answered %d", status)
 	}
-	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused || look(t, a).Taking {
+	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused || controlState(t, a).Taking {
 		t.Errorf("while nothing is taken: answered %d", status)
 	}
-	if s := look(t, a); s.Service.Refused != 2 || s.Service.Requests != 3 || len(s.Causes) != 1 || s.Causes[0].Count != 2 {
+	if s := controlState(t, a); s.Service.Refused != 2 || s.Service.Requests != 3 || len(s.Causes) != 1 || s.Causes[0].Count != 2 {
 		t.Errorf("counted %+v, causes %+v", s.Service, s.Causes)
 	}
 	a.agent.SetTaking(true)
-	a.serve(t, 3)
-	next := newLists(t, hosts(1, true, host("z", b.Addr, "Ready", 0)))
+	a.serveRequests(t, 3)
+	next := newScriptedDiscovery(t, listJSON(1, true, memberJSON("z", b.Addr, "Ready", 0)))
 	a.apply(t, `{"service":{"discovery":"`+next.Addr+`"}}`)
 	if q := receive(t, "call to the new discovery", next.Calls); q != "" {
 		t.Errorf("the first call asks %q", q)
 	}
 	receive(t, "watch", next.Calls)
-	if s := look(t, a); len(s.Backends) != 1 || s.Backends[0].Name != "z" {
+	if s := controlState(t, a); len(s.Backends) != 1 || s.Backends[0].Name != "z" {
 		t.Errorf("shown: %+v", s.Backends)
 	}
-	a.serve(t, 3)
+	a.serveRequests(t, 3)
 }
 
 // Requests are counted by how they ended, and refusals and failures by why.
@@ -214,12 +214,12 @@
 		if n == 0 {
 			return "", true
 		}
-		return okText, false
+		return okResponse, false
 	})
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	a.do(t, a.request("unsafe", "15000m"))
-	a.serve(t, 2)
-	s := look(t, a)
+	a.serveRequests(t, 2)
+	s := controlState(t, a)
 	if want := (control.Service{Requests: 3, InAim: 2, Served: 2, Failed: 1}); s.Service != want {
 		t.Errorf("counted %+v", s.Service)
 	}
@@ -237,8 +237,8 @@
 
 // A module that ends by an event does not keep the next one from hearing of it: it might be a drain.
 func TestModuleThatEndsByAnEvent(t *testing.T) {
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	l, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -52,7 +52,7 @@
 	Members  []member
 }
 
-var phases = map[string]policy.ServerState{
+var stateByPhase = map[string]policy.ServerState{
 	"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Gone,
 }
 
@@ -67,7 +67,7 @@
 	}
 	seen := make(map[string]bool, len(l.Members))
 	for i, m := range l.Members {
-		state, known := phases[m.Phase]
+		state, known := stateByPhase[m.Phase]
 		switch {
 		case m.ID == "" || len(m.ID) > maxServerID || seen[m.ID]:
 			return memberList{}, fmt.Errorf("%w: members[%d].id %.40q", errBadList, i, m.ID)
@@ -86,25 +86,25 @@
 
 // discovery follows the list of backends and hands each change to the loop.
 type discovery struct {
-	addr   string
-	ask    bool          // only when the module asks, and it hears of failures
-	follow chan struct{} // the module asks; holds one
-	tell   func(policy.ListMode, []member)
-	client http.Client
-	log    *slog.Logger
+	addr           string
+	onDemand       bool          // only when the module asks, and it hears of failures
+	watchRequested chan struct{} // the module asks; holds one
+	onList         func(policy.ListMode, []member)
+	client         http.Client
+	log            *slog.Logger
 
 	revision *uint64 // of the list held; nil when the whole list is wanted
 }
 
 func newDiscovery(network Network, addr string, ask bool, tell func(policy.ListMode, []member), log *slog.Logger) *discovery {
 	return &discovery{
-		addr: addr, ask: ask, follow: make(chan struct{}, 1), tell: tell, log: log,
+		addr: addr, onDemand: ask, watchRequested: make(chan struct{}, 1), onList: tell, log: log,
 		client: http.Client{
 			Transport: &http.Transport{
 				DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
 					return network.Dial(ctx, addr)
 				},
-				MaxConnsPerHost: 1, DisableCompression: true, MaxResponseHeaderBytes: maxHeader,
+				MaxConnsPerHost: 1, DisableCompression: true, MaxResponseHeaderBytes: maxHeaderBytes,
 			},
 			// Discovery is at the address that the platform gives and nowhere else.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -136,7 +136,7 @@
 		d.log.Info("reloaded", "discovery", cfg.Discovery)
 		// The new service counts revisions of its own, so its whole list comes first.
 		d.addr, d.revision = cfg.Discovery, nil
-		d.asked()
+		d.requestWatch()
 	}
 }
 
@@ -144,9 +144,9 @@
 func (d *discovery) followList(ctx context.Context) {
 	failures := 0
 	for {
-		if d.ask {
+		if d.onDemand {
 			select {
-			case <-d.follow:
+			case <-d.watchRequested:
 			case <-ctx.Done():
 				return
 			}
@@ -164,12 +164,12 @@
 		if errors.Is(err, errBadList) {
 			d.revision = nil
 		}
-		if d.ask {
+		if d.onDemand {
 			select { // what was asked while the watch ran is part of its failure
-			case <-d.follow:
+			case <-d.watchRequested:
 			default:
 			}
-			d.tell(policy.ListFailed, nil) // the module decides when to ask again
+			d.onList(policy.ListFailed, nil) // the module decides when to ask again
 			continue
 		}
 		// Agents that lost discovery together must not come back together.
@@ -186,7 +186,7 @@
 // any was answered.
 func (d *discovery) watch(ctx context.Context) (heard bool, err error) {
 	wait := pushWatch
-	if d.ask {
+	if d.onDemand {
 		wait = askWatch
 	}
 	for {
@@ -200,11 +200,11 @@
 		heard = true
 		switch {
 		case l.Complete:
-			d.tell(policy.ListFull, l.Members)
+			d.onList(policy.ListFull, l.Members)
 		case d.revision == nil || *l.Revision < *d.revision:
 			return heard, fmt.Errorf("%w: changes up to %d do not follow the list held", errBadList, *l.Revision)
 		case len(l.Members) > 0:
-			d.tell(policy.ListDelta, l.Members)
+			d.onList(policy.ListDelta, l.Members)
 		}
 		d.revision = l.Revision
 	}
@@ -213,7 +213,7 @@
 // get makes one call: for the whole list if no revision is held, else a watch.
 func (d *discovery) get(ctx context.Context, wait time.Duration) (memberList, error) {
 	url, timeout := "http://"+d.addr+listPath, listTimeout
-	if d.ask {
+	if d.onDemand {
 		timeout = askWatch // calls are worked through in turn
 	}
 	if d.revision != nil {
@@ -246,9 +246,9 @@
 }
 
 // asked starts a watch if none runs. The loop calls it and must not wait.
-func (d *discovery) asked() {
+func (d *discovery) requestWatch() {
 	select {
-	case d.follow <- struct{}{}:
+	case d.watchRequested <- struct{}{}:
 	default:
 	}
 }
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -6,27 +6,27 @@
 	"testing"
 )
 
-func hosts(revision int, complete bool, members ...string) []byte {
+func listJSON(revision int, complete bool, members ...string) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
-func host(id, addr, phase string, cell int) string {
+func memberJSON(id, addr, phase string, cell int) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"m1","cell":%d,"phase":%q,"size":1,"up_since_ms":0}`,
 		id, addr, cell, phase)
 }
 
 // A backend that drains gets nothing new once a watch has told so, and its list is followed without a gap.
 func TestDrain(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0), host("y", y.Addr, "Ready", 0)))
-	a := start(t, config(t, l.Addr, testSettings))
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
+	a := startAgent(t, testConfig(t, l.Addr, testSettings))
 	if q := receive(t, "first call", l.Calls); q != "" {
 		t.Errorf("the first call asks %q", q)
 	}
 	if q := receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=1&wait_ms=") {
 		t.Errorf("the second call asks %q", q)
 	}
-	l.Next <- hosts(2, false, host("x", x.Addr, "Terminating", 0))
+	l.Next <- listJSON(2, false, memberJSON("x", x.Addr, "Terminating", 0))
 	if q := receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=2&") {
 		t.Errorf("the third call asks %q", q)
 	}
@@ -44,28 +44,28 @@
 // whose work is the lines that it sends, would turn them away one after the other while they go by their old lists. Where
 // discovery can't tell what has changed it says so, and its whole list is asked for.
 func TestKnownListIsFollowed(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
 	for _, c := range []struct {
 		name   string
 		answer []byte // to the first call
 		then   string // what the next one asks
 	}{
-		{"changes", hosts(8, false, host("x", x.Addr, "Gone", 0), host("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
-		{"whole list", hosts(8, true, host("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
+		{"changes", listJSON(8, false, memberJSON("x", x.Addr, "Gone", 0), memberJSON("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
+		{"whole list", listJSON(8, true, memberJSON("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
 		{"unknown revision", nil, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := newLists(t, hosts(2, true, host("y", y.Addr, "Ready", 0)))
-			cfg := config(t, l.Addr, testSettings)
-			known, err := parseList(hosts(5, true, host("x", x.Addr, "Ready", 0)))
+			l := newScriptedDiscovery(t, listJSON(2, true, memberJSON("y", y.Addr, "Ready", 0)))
+			cfg := testConfig(t, l.Addr, testSettings)
+			known, err := parseList(listJSON(5, true, memberJSON("x", x.Addr, "Ready", 0)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			cfg.known = known
+			cfg.knownList = known
 			if c.answer == nil {
-				c.answer = hosts(3, false)
+				c.answer = listJSON(3, false)
 			}
-			start(t, cfg)
+			startAgent(t, cfg)
 			if q := receive(t, "first call", l.Calls); !strings.HasPrefix(q, "after=5&wait_ms=") {
 				t.Errorf("the first call asks %q", q)
 			}
@@ -80,11 +80,11 @@
 // A reload moves to another discovery, which is asked for its whole list although its revisions are lower; the old
 // one's watch is given up.
 func TestReload(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	old := newLists(t, hosts(7, true, host("x", x.Addr, "Ready", 0)))
-	next := newLists(t, hosts(2, true, host("y", y.Addr, "Ready", 0)))
-	cfg := config(t, old.Addr, testSettings)
-	a := start(t, cfg)
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	old := newScriptedDiscovery(t, listJSON(7, true, memberJSON("x", x.Addr, "Ready", 0)))
+	next := newScriptedDiscovery(t, listJSON(2, true, memberJSON("y", y.Addr, "Ready", 0)))
+	cfg := testConfig(t, old.Addr, testSettings)
+	a := startAgent(t, cfg)
 	receive(t, "first call", old.Calls)
 	receive(t, "watch", old.Calls)
 	moved := *cfg
@@ -112,9 +112,9 @@
 // Without discovery, and with lists that cannot be read, the agent goes on with what it has; then it asks for
 // the whole list.
 func TestDiscoveryLoss(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0)))
-	a := start(t, config(t, l.Addr, testSettings))
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0)))
+	a := startAgent(t, testConfig(t, l.Addr, testSettings))
 	receive(t, "first call", l.Calls)
 	for i, text := range []string{"no list", `{"revision":7,"complete":true,"members":[{"id":"x","phase":"Odd"}]}`, `{"complete":true}`} {
 		receive(t, "watch", l.Calls)
@@ -130,7 +130,7 @@
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
 		t.Errorf("without discovery: answered %d", status)
 	}
-	l.Whole(func() []byte { return hosts(9, true, host("y", y.Addr, "Ready", 0)) })
+	l.Whole(func() []byte { return listJSON(9, true, memberJSON("y", y.Addr, "Ready", 0)) })
 	for {
 		if q := receive(t, "call", l.Calls); strings.HasPrefix(q, "after=9&") {
 			break
@@ -144,12 +144,12 @@
 // Changes that do not follow the list held, as after a restart of discovery, lead to the whole list; so does a
 // discovery that is silent when a watch is over.
 func TestDiscoveryGapAndSilence(t *testing.T) {
-	b := newBackend(t, serves)
-	l := newLists(t, hosts(8, true, host("x", b.Addr, "Ready", 0)))
-	start(t, config(t, l.Addr, testSettings))
+	b := newBackend(t, alwaysOK)
+	l := newScriptedDiscovery(t, listJSON(8, true, memberJSON("x", b.Addr, "Ready", 0)))
+	startAgent(t, testConfig(t, l.Addr, testSettings))
 	receive(t, "first call", l.Calls)
 	receive(t, "watch", l.Calls)
-	l.Next <- hosts(3, false)
+	l.Next <- listJSON(3, false)
 	if q := receive(t, "call after the gap", l.Calls); q != "" {
 		t.Errorf("after a gap: asked %q", q)
 	}
@@ -162,18 +162,18 @@
 
 // Where the list must be asked for, the module hears of a failure and decides when to ask again.
 func TestAskedDiscovery(t *testing.T) {
-	b := newBackend(t, serves)
+	b := newBackend(t, alwaysOK)
 	set := strings.Replace(testSettings, `"automatic"`, `"subscribe"`, 1)
 	set = strings.Replace(set, `"extraFloor"`, `"mustAskIn":50,"extraFloor"`, 1)
-	l := newLists(t, hosts(1, true, host("x", b.Addr, "Ready", 0)))
-	whole, calls := hosts(1, true, host("x", b.Addr, "Ready", 0)), 0
+	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", b.Addr, "Ready", 0)))
+	whole, calls := listJSON(1, true, memberJSON("x", b.Addr, "Ready", 0)), 0
 	l.Whole(func() []byte {
 		if calls++; calls <= 2 {
 			return nil
 		}
 		return whole
 	})
-	a := start(t, config(t, l.Addr, set)) // which returns when the list has come
+	a := startAgent(t, testConfig(t, l.Addr, set)) // which returns when the list has come
 	if n := len(l.Calls); n < 3 {
 		t.Errorf("up after %d calls, of which two failed", n)
 	}
--- a/internal/agent/holds.go
+++ b/internal/agent/holds.go
@@ -117,7 +117,7 @@
 // setHold runs loop.setHold in the loop.
 func (a *Agent) setHold(ctx context.Context, backend string, duration time.Duration, source string) (known bool, err error) {
 	var holdErr error
-	err = a.loop.do(ctx, func() { known, holdErr = a.loop.setHold(context.WithoutCancel(ctx), backend, duration, source) })
+	err = a.loop.runInLoop(ctx, func() { known, holdErr = a.loop.setHold(context.WithoutCancel(ctx), backend, duration, source) })
 	return known, errors.Join(err, holdErr)
 }
 
@@ -146,5 +146,5 @@
 // while one does.
 func (s handoverSide) Beside(otherRuns bool) {
 	s.log.Info("handover", "another_process", otherRuns)
-	s.shareRoom(otherRuns)
+	s.updateLimits(otherRuns)
 }
--- a/internal/agent/judge.go
+++ b/internal/agent/judge.go
@@ -47,7 +47,7 @@
 	if l.sites != nil {
 		sample.WithdrawnSites = l.sites.WithdrawnShare()
 	}
-	if v, ok := l.current.Decider.(viewer); ok {
+	if v, ok := l.current.Decider.(observableDecider); ok {
 		sample.Pressure = v.Pressure()
 		for _, s := range v.View(now) {
 			if s.State != policy.Ready {
@@ -86,7 +86,7 @@
 // Level returns the current service level, or nil if no levels are configured.
 func (a *Agent) Level(ctx context.Context) (*control.Level, error) {
 	var status *control.Level
-	err := a.loop.do(ctx, func() {
+	err := a.loop.runInLoop(ctx, func() {
 		if a.loop.levelController != nil {
 			status = a.loop.levelStatus()
 		}
@@ -99,7 +99,7 @@
 func (a *Agent) HoldLevel(ctx context.Context, name string, duration time.Duration, reason string) (status *control.Level, err error) {
 	l := a.loop
 	var holdErr error
-	err = l.do(ctx, func() {
+	err = l.runInLoop(ctx, func() {
 		if l.levelController == nil {
 			return
 		}
@@ -122,11 +122,11 @@
 func (l *loop) levelStatus() *control.Level {
 	now, status := l.clock.now(), l.levelController.Status()
 	shown := &control.Level{
-		Level: status.Level, Levels: status.Levels, For: round((now - status.Since).Seconds()), Dwell: status.MinDwell.Seconds(), Figures: status.Readings,
+		Level: status.Level, Levels: status.Levels, For: roundForDisplay((now - status.Since).Seconds()), Dwell: status.MinDwell.Seconds(), Figures: status.Readings,
 		Refusals: []control.LevelRefusal{}, History: []control.LevelChange{},
 	}
 	if status.HeldUntil > now {
-		shown.Held = round((status.HeldUntil - now).Seconds())
+		shown.Held = roundForDisplay((status.HeldUntil - now).Seconds())
 	}
 	for _, refusal := range status.Refusals {
 		shown.Refusals = append(shown.Refusals, control.LevelRefusal{Level: refusal.Level, Why: refusal.Reason, Count: refusal.Count})
--- a/internal/agent/level_test.go
+++ b/internal/agent/level_test.go
@@ -30,13 +30,13 @@
 // Requests refused by the service level are answered at once with the level's name and are not sent
 // to a backend. Other requests are served as usual.
 func TestLevelRefusesByName(t *testing.T) {
-	x := newBackend(t, serves)
-	lists := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0)))
-	cfg := config(t, lists.Addr, testSettings)
+	x := newBackend(t, alwaysOK)
+	lists := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0)))
+	cfg := testConfig(t, lists.Addr, testSettings)
 	cfg.Levels = testLevels(t)
-	a := start(t, cfg)
+	a := startAgent(t, cfg)
 	ctx := context.Background()
-	a.serve(t, 5)
+	a.serveRequests(t, 5)
 	if status, err := a.agent.HoldLevel(ctx, "essential", time.Minute, "a test"); err != nil || status.Level != "essential" || status.Held <= 0 {
 		t.Fatalf("after HoldLevel: %+v, error %v", status, err)
 	}
@@ -65,7 +65,7 @@
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != http.StatusOK {
 		t.Errorf("a class that the level serves: answered %d", status)
 	}
-	if s := look(t, a); s.Service.Refused != 3 || s.Held != 0 {
+	if s := controlState(t, a); s.Service.Refused != 3 || s.Held != 0 {
 		t.Errorf("counts %+v, %d requests open", s.Service, s.Held)
 	} else if c := s.Causes; len(c) != 3 || c[0].Cause != "level essential: class" {
 		t.Errorf("causes %+v", c)
@@ -86,10 +86,10 @@
 		return "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", false
 	}
 	x, y, z := newBackend(t, reject), newBackend(t, reject), newBackend(t, reject)
-	lists := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0), host("y", y.Addr, "Ready", 0), host("z", z.Addr, "Ready", 0)))
-	cfg := config(t, lists.Addr, testSettings)
+	lists := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0), memberJSON("z", z.Addr, "Ready", 0)))
+	cfg := testConfig(t, lists.Addr, testSettings)
 	cfg.Levels = testLevels(t)
-	a := start(t, cfg)
+	a := startAgent(t, cfg)
 	attempts := func() int {
 		before := len(x.Got) + len(y.Got) + len(z.Got)
 		if status, _ := a.do(t, a.request("unsafe", "15000m")); status != http.StatusServiceUnavailable {
@@ -112,19 +112,19 @@
 
 // Levels that do not fit the classes are rejected at the start, with the name of the field.
 func TestLevelsThatDoNotFit(t *testing.T) {
-	cfg := config(t, "127.0.0.1:1", testSettings)
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
 	cfg.Levels = level.Config{Level: []level.Level{{Name: "lean", Shed: []string{"unsafe"}}}}
 	if err := cfg.Levels.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, nil), nil); err == nil || !strings.Contains(err.Error(), "levels.level[0].shed") {
+	if _, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, nil), nil); err == nil || !strings.Contains(err.Error(), "levels.level[0].shed") {
 		t.Errorf("error %v", err)
 	}
 }
 
 // Without levels no request is refused by a level and no level is shown.
 func TestNoLevels(t *testing.T) {
-	a := agentFor(t, testSettings, newBackend(t, serves))
+	a := startAgentWith(t, testSettings, newBackend(t, alwaysOK))
 	ctx := context.Background()
 	if status, err := a.agent.Level(ctx); status != nil || err != nil {
 		t.Errorf("Level returned %+v, error %v", status, err)
@@ -132,5 +132,5 @@
 	if status, err := a.agent.HoldLevel(ctx, "lean", time.Minute, "a test"); status != nil || err != nil {
 		t.Errorf("HoldLevel returned %+v, error %v", status, err)
 	}
-	a.serve(t, 3)
+	a.serveRequests(t, 3)
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -69,7 +69,7 @@
 	retryAfter  time.Duration // value of the Retry-After header; 0: no header
 	contentType string
 	body        []byte
-	bodyStream  *download // remaining body after the given part; nil: the body is complete
+	bodyStream  *downloadStream // remaining body after the given part; nil: the body is complete
 }
 
 // request is the loop's state of a call. It is kept until the call is answered and no attempt is in
@@ -121,7 +121,7 @@
 	current        *module         // gets the new requests
 	modules        []*module       // current, and its predecessors that still have open requests
 	moduleSettings policy.Settings // settings of the current module
-	backends       *backends
+	backends       *backendClient
 	lagMonitor     *lagMonitor
 	subscribe      func()       // asks discovery for the server list and its changes
 	broadcast      func([]byte) // sends a message to all other agents
@@ -150,14 +150,14 @@
 
 // newLoop returns a loop that does not run yet. It fails if the decision module rejects its
 // settings or the service levels do not fit the classes.
-func newLoop(cfg *Config, backends *backends, log *slog.Logger) (*loop, error) {
-	decider, err := cfg.decider()
+func newLoop(cfg *Config, backends *backendClient, log *slog.Logger) (*loop, error) {
+	decider, err := cfg.buildDecider()
 	if err != nil {
 		return nil, err
 	}
 	first := &module{Decider: decider}
 	l := &loop{
-		settings: &cfg.Settings, clock: backends.late.timeSource, lagMonitor: backends.late, current: first, modules: []*module{first}, moduleSettings: cfg.Settings.Module, backends: backends, log: log,
+		settings: &cfg.Settings, clock: backends.lagMonitor.timeSource, lagMonitor: backends.lagMonitor, current: first, modules: []*module{first}, moduleSettings: cfg.Settings.Module, backends: backends, log: log,
 		listedServers: map[policy.ServerID]policy.ServerEntry{}, holds: handover.Register{}, onHoldChange: func() {},
 		counts:    newCounts(len(cfg.Settings.Classes)),
 		broadcast: func([]byte) {},
@@ -311,7 +311,7 @@
 		r.module.openRequests++
 		l.counts.requests++
 		ev.Request, ev.Class, ev.Tenant, ev.Retry = in.call.id, in.call.class, in.call.tenant, in.call.retry
-		ev.TimeLeft, ev.BodyPending = in.call.deadline-l.clock.now(), in.call.message.rest != nil
+		ev.TimeLeft, ev.BodyPending = in.call.deadline-l.clock.now(), in.call.message.upload != nil
 		if l.sites != nil {
 			l.sites.demandMeter.RecordRequest(r.class, r.tenant, r.retry)
 		}
@@ -327,15 +327,15 @@
 			return
 		}
 		r.startedAt = l.clock.now()
-		r.deadline = r.startedAt + r.message.rest.budget
-		ev.Request, ev.TimeLeft = r.id, r.message.rest.budget
+		r.deadline = r.startedAt + r.message.upload.budget
+		ev.Request, ev.TimeLeft = r.id, r.message.upload.budget
 		l.handle(ctx, r.module, ev)
 	case policy.EventClientGone:
 		r := l.requests[in.call.id]
 		if r == nil || r.ended { // already answered: the answer and the client's close crossed
 			select {
 			case a := <-in.call.answers:
-				a.drop()
+				a.discard()
 			default:
 			}
 			return
@@ -353,7 +353,7 @@
 		r.lastOutcome = ev.Outcome
 		l.recordSiteOutcome(r, &ev)
 		if ev.Outcome == policy.OK && !l.answerClient(r, in.answer) {
-			in.answer.drop()
+			in.answer.discard()
 		}
 		ev.Final = r.ended
 		l.handle(ctx, r.module, ev)
@@ -441,11 +441,11 @@
 	entries := make([]policy.ServerEntry, 0, len(members))
 	for _, m := range members {
 		e := policy.ServerEntry{
-			ID:     l.servers.of(m.ID),
+			ID:     l.servers.idFor(m.ID),
 			Zone:   slices.Index(l.settings.Zones, m.Locality),
 			Kind:   slices.Index(l.settings.Kinds, m.Flavor),
 			Cell:   m.Cell,
-			State:  phases[m.Phase],
+			State:  stateByPhase[m.Phase],
 			Weight: m.Size,
 			Start:  time.Duration(math.Round(m.UpSince * float64(time.Millisecond))),
 			Key:    serverKey(m.ID),
@@ -490,7 +490,7 @@
 			l.backends.Retire(t)
 			delete(l.targets, id)
 		}
-		l.servers.free(id)
+		l.servers.release(id)
 		delete(l.listedServers, id)
 	}
 }
--- a/internal/agent/loop_actions.go
+++ b/internal/agent/loop_actions.go
@@ -84,9 +84,9 @@
 		timeLeft = min(timeLeft, a.Wait)
 	}
 	target := l.targets[a.Server]
-	bodyStream := r.message.rest
+	bodyStream := r.message.upload
 	// The part of a streamed body that was read is not kept, and only one attempt can read it.
-	bodyConsumed := bodyStream != nil && (r.inFlight > 0 || bodyStream.begun.Load())
+	bodyConsumed := bodyStream != nil && (r.inFlight > 0 || bodyStream.forwarding.Load())
 	if r.ended || timeLeft <= 0 || target == nil || index >= l.moduleSettings.MaxAttempts || bodyConsumed {
 		r.attemptCancels = append(r.attemptCancels, func() {})
 		l.eventQueue = append(l.eventQueue, queuedEvent{r.module, policy.Event{
@@ -127,7 +127,7 @@
 		if bodyStream != nil && bodyStream.hasFailed() {
 			l.send(input{event: policy.Event{Kind: policy.EventClientGone}, call: clientCall})
 		}
-		l.send(input{answer: res.answer, sentAt: sentAt, backendTime: res.took, deliveringCall: inlineCall, event: policy.Event{
+		l.send(input{answer: res.answer, sentAt: sentAt, backendTime: res.backendTime, deliveringCall: inlineCall, event: policy.Event{
 			Kind: policy.EventOutcome, Request: id, Attempt: index, Server: server, Outcome: res.outcome, Load: res.load,
 		}})
 	}
@@ -152,7 +152,7 @@
 	}
 	go func() {
 		res := l.backends.probe(ctx, target, l.settings)
-		l.send(input{answeredAt: res.seen - l.lagMonitor.ownDelay(), event: policy.Event{
+		l.send(input{answeredAt: res.endedAt - l.lagMonitor.ownDelay(), event: policy.Event{
 			Kind: policy.EventProbeResult, Server: server, Outcome: res.outcome, Load: res.load,
 		}})
 	}()
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -18,7 +18,7 @@
 // A request is refused if its id belongs to an open or recently ended request, and the first
 // request is served.
 func TestCallIDsAreUsedOnce(t *testing.T) {
-	a, b, finishFirst, first := sendHeldRequest(t)
+	a, b, finishFirst, first := sendPendingRequest(t)
 	id := receive(t, "request", b.Got).Header.Get(callIDHeader)
 	repeat := func() int {
 		req := a.request("unsafe", "15000m")
@@ -57,7 +57,7 @@
 func TestHangup(t *testing.T) {
 	clientDone := make(chan struct{})
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	ctx, hangUp := context.WithCancel(context.Background())
 	go func() {
 		defer close(clientDone)
@@ -73,7 +73,7 @@
 }
 
 // dialAndSendRequest sends a request over a connection of its own and leaves the answer unread.
-func dialAndSendRequest(t *testing.T, a *running) net.Conn {
+func dialAndSendRequest(t *testing.T, a *runningAgent) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
@@ -90,7 +90,7 @@
 // it.
 func TestHangupBehindNextRequest(t *testing.T) {
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	c := dialAndSendRequest(t, a)
 	receive(t, "request", b.Got)
 	if _, err := c.Write([]byte("GET /safe")); err != nil {
@@ -104,7 +104,7 @@
 // suspension of the process.
 func TestCloseWaitsInSocket(t *testing.T) {
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	l := a.agent.loop
 	l.mu.Lock() // no input is processed
 	for range 20 {
@@ -113,7 +113,7 @@
 	c := dialAndSendRequest(t, a)
 	l.mu.Unlock()
 	c.Close()
-	a.eventually(t, "no request is in progress", func() bool { return a.agent.server.held.Load() == 0 })
+	a.eventually(t, "no request is in progress", func() bool { return a.agent.server.openRequests.Load() == 0 })
 	if n := len(b.Got); n > 1 { // the last request may be sent before the client closes
 		t.Errorf("%d requests reached a backend", n)
 	}
@@ -129,9 +129,9 @@
 // The loop does not send an attempt whose delivery limit has passed, and removes backends that are
 // gone.
 func TestLoopCarriesOut(t *testing.T) {
-	b := newBackend(t, serves)
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	b := newBackend(t, alwaysOK)
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	l, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,11 +142,11 @@
 			members: []member{{ID: "x", HostPort: b.Addr, Phase: phase}}})
 	}
 	sendList(policy.ListFull, "Ready")
-	x := l.servers.of("x")
-	r := &request{module: l.current, call: &call{id: 7, deadline: l.clock.now() + wait, answers: make(chan answer, 1),
+	x := l.servers.idFor("x")
+	r := &request{module: l.current, call: &call{id: 7, deadline: l.clock.now() + testTimeout, answers: make(chan answer, 1),
 		message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}}
 	l.requests[r.id] = r
-	send := policy.Action{Kind: policy.ActSend, Request: r.id, Server: x, Wait: wait}
+	send := policy.Action{Kind: policy.ActSend, Request: r.id, Server: x, Wait: testTimeout}
 	l.execute(ctx, l.current, &send)
 	if in := receive(t, "outcome", inputs); in.event.Outcome != policy.OK {
 		t.Fatalf("outcome %d", in.event.Outcome)
@@ -172,8 +172,8 @@
 // A request is answered once: the outcome of an attempt that arrives after the client's disconnect
 // is dropped.
 func TestLateOutcomeIsDropped(t *testing.T) {
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	l, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 	ctx := t.Context()
 	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull},
 		members: []member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
-	c := &call{class: 2, deadline: l.clock.now() + wait, answers: make(chan answer, 1), message: newMessage("POST", "/", "x", nil, nil, nil)}
+	c := &call{class: 2, deadline: l.clock.now() + testTimeout, answers: make(chan answer, 1), message: newMessage("POST", "/", "x", nil, nil, nil)}
 	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
 	if len(l.requests) != 1 || l.requests[c.id].inFlight != 1 {
 		t.Fatalf("after the request: %+v", l.requests)
@@ -214,10 +214,10 @@
 			return loadResponse, false
 		}
 		<-serve
-		return okText, false
+		return okResponse, false
 	})
 	// With a tick of 5 s, one probe of each backend lasts for the whole test.
-	a := agentFor(t, strings.NewReplacer(`"off"`, `"on_probe"`, `"tick":5`, `"tick":5000`,
+	a := startAgentWith(t, strings.NewReplacer(`"off"`, `"on_probe"`, `"tick":5`, `"tick":5000`,
 		`"maxAttempts":3`, `"maxAttempts":20,"probes":true`).Replace(testSettings), x, y)
 	answers := make(chan int, firstWave+secondWave)
 	sendRequest := func() {
@@ -238,7 +238,7 @@
 			if !isProbe(req) {
 				atY++
 			}
-		case <-time.After(wait):
+		case <-time.After(testTimeout):
 			t.Fatalf("%d and %d requests have arrived", atX, atY)
 		}
 	}
@@ -252,7 +252,7 @@
 				if !isProbe(req) {
 					atY++
 				}
-			case <-time.After(wait):
+			case <-time.After(testTimeout):
 				t.Fatalf("%d of %d requests have reached the other backend", atY, n)
 			}
 		}
@@ -278,11 +278,11 @@
 		if attempts.Add(1) == 1 {
 			return "", false
 		}
-		return okText, false
+		return okResponse, false
 	}
 	x, y := newBackend(t, swallowFirst), newBackend(t, swallowFirst)
-	cfg := config(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(cfg, newBackends(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
+	cfg := testConfig(t, "127.0.0.1:1", testSettings)
+	l, err := newLoop(cfg, newBackendClient(TCP{}, &cfg.Settings, 4, 1<<20, slog.New(slog.DiscardHandler)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -290,14 +290,14 @@
 	ctx := t.Context()
 	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventList, ListMode: policy.ListFull},
 		members: []member{{ID: "x", HostPort: x.Addr, Phase: "Ready"}, {ID: "y", HostPort: y.Addr, Phase: "Ready"}}})
-	c := &call{deadline: l.clock.now() + wait, answers: make(chan answer, 1), message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
+	c := &call{deadline: l.clock.now() + testTimeout, answers: make(chan answer, 1), message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
 	l.processInput(ctx, input{event: policy.Event{Kind: policy.EventRequest}, call: c})
 	silentBackend := x
 	select {
 	case <-x.Got:
 	case <-y.Got:
 		silentBackend = y
-	case <-time.After(wait):
+	case <-time.After(testTimeout):
 		t.Fatal("no request")
 	}
 	for range 2 { // the module's checks of the silent attempt, whether due or not
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	c := &peerLink{conn: conn, broadcastAddr: p.All, peerAddrs: map[netip.AddrPort]bool{}}
-	for _, addr := range p.From {
+	c := &peerLink{conn: conn, broadcastAddr: p.Broadcast, peerAddrs: map[netip.AddrPort]bool{}}
+	for _, addr := range p.Sources {
 		c.peerAddrs[addr] = true
 	}
 	return c, nil
--- a/internal/agent/peers_test.go
+++ b/internal/agent/peers_test.go
@@ -27,7 +27,7 @@
 	broadcastConn, broadcastAddr := listenUDP(t)
 	peer, peerAddr := listenUDP(t)
 	stranger, _ := listenUDP(t)
-	link, err := openPeerLink(&Peers{Listen: netip.MustParseAddrPort("127.0.0.1:0"), All: broadcastAddr, From: []netip.AddrPort{peerAddr}}, TCP{})
+	link, err := openPeerLink(&Peers{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Broadcast: broadcastAddr, Sources: []netip.AddrPort{peerAddr}}, TCP{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/replace.go
+++ b/internal/agent/replace.go
@@ -30,7 +30,7 @@
 // awaitReady waits until there is a list. Danger: where another process accepts from the same socket, what this one takes
 // before that would be refused, and need not be.
 func (a *Agent) awaitReady(ctx context.Context) {
-	if !a.cfg.Inherited {
+	if !a.cfg.SharedSocket {
 		return
 	}
 	end := time.Now().Add(readyWithin)
@@ -41,19 +41,19 @@
 
 // shareRoom has the agent use half of its room while another process of it runs: their descriptors and their memory count
 // together.
-func (a *Agent) shareRoom(beside bool) {
-	was := a.beside.Swap(beside)
+func (a *Agent) updateLimits(beside bool) {
+	was := a.otherProcess.Swap(beside)
 	of := int64(1)
 	if beside {
 		of = 2
 	}
 	most := a.server.usual / of
-	if wanted := a.wanted.Load(); wanted > 0 {
+	if wanted := a.operatorLimit.Load(); wanted > 0 {
 		most = min(most, wanted)
 	}
-	a.server.most.Store(most)
-	a.clients.setMaxConns(a.room / int(of))
-	a.loop.backends.SetMaxConns(a.half / int(of))
+	a.server.maxRequests.Store(most)
+	a.clientConns.setMaxConns(a.maxClientConns / int(of))
+	a.loop.backends.SetMaxConns(a.maxBackendConns / int(of))
 	if limit := debug.SetMemoryLimit(-1); beside && !was {
 		debug.SetMemoryLimit(limit / 2)
 	} else if !beside && was {
--- a/internal/agent/replace_test.go
+++ b/internal/agent/replace_test.go
@@ -22,15 +22,15 @@
 // Under load one process after the other takes over a socket that none of them owns. Nothing is lost, nothing runs twice, and
 // a backend that was called out of the first gets nothing from any.
 func TestProcessesReplaceOneAnother(t *testing.T) {
-	x, y := newBackend(t, serves), newBackend(t, serves)
-	l := newLists(t, hosts(1, true, host("x", x.Addr, "Ready", 0), host("y", y.Addr, "Ready", 0)))
+	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
+	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", x.Addr, "Ready", 0), memberJSON("y", y.Addr, "Ready", 0)))
 	shared, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer shared.Close()
-	cfg := config(t, l.Addr, testSettings)
-	cfg.Inherited, cfg.Beside = true, handover.Unix(t.TempDir())
+	cfg := testConfig(t, l.Addr, testSettings)
+	cfg.SharedSocket, cfg.Handover = true, handover.Unix(t.TempDir())
 	type process struct {
 		*Agent
 		stop  context.CancelFunc
@@ -55,7 +55,7 @@
 		p := process{a, stop, make(chan error, 1)}
 		go func() { p.ended <- a.Run(ctx, nil) }()
 		for begun := time.Now(); !a.Ready(); time.Sleep(time.Millisecond) {
-			if time.Since(begun) > wait {
+			if time.Since(begun) > testTimeout {
 				t.Fatal("a process does not come up")
 			}
 		}
@@ -65,7 +65,7 @@
 	if known, err := now.Ban(t.Context(), "x", true); !known || err != nil {
 		t.Fatal(known, err)
 	}
-	r := &running{url: "http://" + shared.Addr().String()}
+	r := &runningAgent{url: "http://" + shared.Addr().String()}
 	var served atomic.Int64
 	var clients sync.WaitGroup
 	done, over := make(chan struct{}), make(chan struct{})
@@ -84,7 +84,7 @@
 	}()
 	for range 4 {
 		clients.Go(func() {
-			client := &http.Client{Transport: &http.Transport{}, Timeout: wait}
+			client := &http.Client{Transport: &http.Transport{}, Timeout: testTimeout}
 			defer client.CloseIdleConnections()
 			for {
 				select {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -46,30 +46,30 @@
 
 // server is the client's side: it turns requests into calls for the loop, and its answers into responses.
 type server struct {
-	loop    *loop
-	clients *connLimiter
-	usual   int64 // requests held at once, if operators say nothing
+	loop        *loop
+	clientConns *connLimiter
+	usual       int64 // requests held at once, if operators say nothing
 
-	most   atomic.Int64 // requests held at once
-	held   atomic.Int64
-	coming atomic.Int64 // of these, those whose last byte is not here
-	closed atomic.Bool  // operators let nothing in
-	stance atomic.Pointer[leave.Mode]
+	maxRequests  atomic.Int64 // requests held at once
+	openRequests atomic.Int64
+	coming       atomic.Int64 // of these, those whose last byte is not here
+	refuseAll    atomic.Bool  // operators let nothing in
+	stance       atomic.Pointer[leave.Mode]
 }
 
 // badRequest is what a client did wrong, and the status that tells it so.
 type badRequest struct {
 	status int
-	what   string
+	text   string
 }
 
-func (e *badRequest) Error() string { return e.what }
+func (e *badRequest) Error() string { return e.text }
 
 func (e *badRequest) answer() answer {
-	return answer{status: e.status, contentType: "text/plain", body: []byte(e.what + "\n")}
+	return answer{status: e.status, contentType: "text/plain", body: []byte(e.text + "\n")}
 }
 
-func bad(format string, args ...any) error {
+func badRequestf(format string, args ...any) error {
 	return &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
@@ -89,16 +89,16 @@
 		}
 		return
 	}
-	c, err := s.read(w, r)
+	c, err := s.readRequest(w, r)
 	var b *badRequest
 	switch {
 	case errors.As(err, &b):
 		s.respond(w, b.answer())
 		return
-	case err != nil, !s.clients.beginRequest(connOf(r)): // the connection is gone
+	case err != nil, !s.clientConns.beginRequest(connOf(r)): // the connection is gone
 		panic(http.ErrAbortHandler)
 	}
-	rest := c.message.rest
+	rest := c.message.upload
 	if rest != nil {
 		defer rest.stop() // danger: who reads the body must not outlast its handler
 		// What is left of it when there is an answer is not waited for.
@@ -108,16 +108,16 @@
 			s.respond(w, answer{status: statusRefused, retryAfter: fullAdvice})
 			return
 		}
-		defer s.loop.backends.free(streamRoom)
+		defer s.loop.backends.freeStreamMemory(streamRoom)
 		s.coming.Add(1)
 		defer func() {
-			if !rest.ended.Load() {
+			if !rest.complete.Load() {
 				s.coming.Add(-1)
 			}
 		}()
 	}
-	defer s.held.Add(-1)
-	if s.held.Add(1) > s.most.Load() || s.closed.Load() {
+	defer s.openRequests.Add(-1)
+	if s.openRequests.Add(1) > s.maxRequests.Load() || s.refuseAll.Load() {
 		s.loop.withLock(func() { s.loop.counts.recordOverloadRefusal(c.class) })
 		s.respond(w, answer{status: statusRefused, retryAfter: fullAdvice})
 		return
@@ -131,7 +131,7 @@
 	s.loop.send(input{event: policy.Event{Kind: policy.EventRequest}, call: c, deliveringCall: c})
 	if c.inlineAttempt != nil {
 		stop := context.AfterFunc(r.Context(), func() {
-			if rest == nil || rest.ended.Load() {
+			if rest == nil || rest.complete.Load() {
 				s.loop.send(hangup)
 			}
 		})
@@ -145,7 +145,7 @@
 	var failed chan struct{}
 	gone := r.Context().Done()
 	if rest != nil {
-		if failed = rest.failed; !rest.ended.Load() {
+		if failed = rest.failed; !rest.complete.Load() {
 			gone = nil // danger: net/http takes a read that was interrupted for a client that has gone
 		}
 	}
@@ -157,7 +157,7 @@
 		if a.bodyStream == nil {
 			s.respond(w, a)
 		} else {
-			s.pass(w, c, a)
+			s.respondStreaming(w, c, a)
 		}
 	case <-failed:
 		s.loop.send(hangup)
@@ -175,18 +175,18 @@
 // respond writes an answer. Whether the connection is to close is asked only now: a request that was taken before
 // the agent was told to stop must not leave a connection on which the next one crosses the close.
 func (s *server) respond(w http.ResponseWriter, a answer) {
-	s.head(w, &a, int64(len(a.body)))
+	s.writeHead(w, &a, int64(len(a.body)))
 	w.Write(a.body) // a client that does not take it is gone
 }
 
 // pass writes an answer whose body passes through. Danger: one that breaks must not look whole.
-func (s *server) pass(w http.ResponseWriter, c *call, a answer) {
-	s.head(w, &a, a.bodyStream.size)
+func (s *server) respondStreaming(w http.ResponseWriter, c *call, a answer) {
+	s.writeHead(w, &a, a.bodyStream.size)
 	whole, client := false, true
 	if _, err := w.Write(a.body); err == nil {
-		whole, client = a.bodyStream.pass(w)
+		whole, client = a.bodyStream.forwardTo(w)
 	}
-	a.bodyStream.end(whole)
+	a.bodyStream.release(whole)
 	if whole {
 		return
 	}
@@ -197,7 +197,7 @@
 }
 
 // head writes the head of an answer with a body of so many bytes; -1 are not known.
-func (s *server) head(w http.ResponseWriter, a *answer, size int64) {
+func (s *server) writeHead(w http.ResponseWriter, a *answer, size int64) {
 	h := w.Header()
 	// What else a client sends that has sent nonsense is not to be trusted either.
 	if s.stance.Load().CloseAfterAnswer || a.status/100 == 4 {
@@ -241,7 +241,7 @@
 
 // read checks a request's head, and then reads it to its last byte, from which its budget counts; or as much as is kept of one
 // that is longer.
-func (s *server) read(w http.ResponseWriter, r *http.Request) (*call, error) {
+func (s *server) readRequest(w http.ResponseWriter, r *http.Request) (*call, error) {
 	set := s.loop.settings
 	// What concerns this connection only goes before anything is checked: it may name what is needed.
 	for _, name := range r.Header["Connection"] {
@@ -254,7 +254,7 @@
 	}
 	for _, name := range onceHeaders {
 		if len(r.Header[name]) > 1 {
-			return nil, bad("%s stands there twice", name)
+			return nil, badRequestf("%s stands there twice", name)
 		}
 	}
 	c := &call{
@@ -263,18 +263,18 @@
 		answers: make(chan answer, 1),
 	}
 	if c.class < 0 {
-		return nil, bad("%s is unknown", classHeader)
+		return nil, badRequestf("%s is unknown", classHeader)
 	}
 	uri := originForm(r.RequestURI)
 	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != set.Classes[c.class] || uri == "" {
-		return nil, bad("the path does not begin with the class")
+		return nil, badRequestf("the path does not begin with the class")
 	}
 	if err := checkEffect(set.Module.Classes[c.class].Effect, r); err != nil {
 		return nil, err
 	}
 	if len(set.Tenants) > 0 {
 		if c.tenant = slices.Index(set.Tenants, r.Header.Get(tenantHeader)); c.tenant < 0 {
-			return nil, bad("%s is unknown", tenantHeader)
+			return nil, badRequestf("%s is unknown", tenantHeader)
 		}
 	}
 	budget, err := parseBudget(r.Header.Get(budgetHeader))
@@ -282,19 +282,19 @@
 		return nil, err
 	}
 	if c.callID = r.Header.Get(callIDHeader); c.callID == "" || len(c.callID) > maxCallID {
-		return nil, bad("%s is missing or too long", callIDHeader)
+		return nil, badRequestf("%s is missing or too long", callIDHeader)
 	}
 	rest := &upload{body: r.Body, conn: connOf(r), size: r.ContentLength, budget: budget, failed: make(chan struct{})}
-	body, err := rest.kept()
+	body, err := rest.readBuffered()
 	if err != nil {
 		return nil, &badRequest{http.StatusRequestTimeout, fmt.Sprintf("the body does not come: %v", err)}
 	}
 	c.deadline = s.loop.clock.now() + budget
-	if rest.ended.Load() {
+	if rest.complete.Load() {
 		rest = nil
 	} else {
-		c.deadline += longest(rest.size)
-		rest.arrived = func() time.Duration {
+		c.deadline += maxUploadTime(rest.size)
+		rest.onComplete = func() time.Duration {
 			s.coming.Add(-1)
 			s.loop.send(input{event: policy.Event{Kind: policy.EventBodyReceived}, call: c})
 			return budget
@@ -329,7 +329,7 @@
 		return &badRequest{http.StatusMethodNotAllowed, "the class wants " + method}
 	}
 	if keyed && r.Header.Get(keyHeader) == "" {
-		return bad("the class wants %s", keyHeader)
+		return badRequestf("the class wants %s", keyHeader)
 	}
 	return nil
 }
@@ -346,5 +346,5 @@
 	if budget := v * float64(unit); ok && err == nil && budget > 0 && budget <= float64(maxBudget) {
 		return time.Duration(math.Round(budget)), nil
 	}
-	return 0, bad("%s is no time", budgetHeader)
+	return 0, badRequestf("%s is no time", budgetHeader)
 }
--- a/internal/agent/server_test.go
+++ b/internal/agent/server_test.go
@@ -13,7 +13,7 @@
 // A client that closes its own side only has gone as well, and must not be told that it was served.
 func TestHalfCloseIsNotServed(t *testing.T) {
 	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	a := startAgentWith(t, testSettings, b)
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -24,15 +24,15 @@
 	}
 	receive(t, "request", b.Got)
 	c.(*net.TCPConn).CloseWrite()
-	c.SetReadDeadline(time.Now().Add(wait))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if text, _ := io.ReadAll(c); len(text) > 0 {
 		t.Errorf("answered %q", text)
 	}
 }
 
 func TestBadRequests(t *testing.T) {
-	b := newBackend(t, serves)
-	a := agentFor(t, testSettings, b)
+	b := newBackend(t, alwaysOK)
+	a := startAgentWith(t, testSettings, b)
 	for what, change := range map[string]func(*http.Request){
 		"class":    func(r *http.Request) { r.Header.Set(classHeader, "nobody") },
 		"path":     func(r *http.Request) { r.URL.Path = "/safe/1"; r.URL.RawPath = "" },
@@ -62,8 +62,8 @@
 }
 
 func TestRefusalTellsWhenToComeBack(t *testing.T) {
-	l := newLists(t, hosts(1, true, host("x", "127.0.0.1:1", "Terminating", 0)))
-	a := start(t, config(t, l.Addr, testSettings))
+	l := newScriptedDiscovery(t, listJSON(1, true, memberJSON("x", "127.0.0.1:1", "Terminating", 0)))
+	a := startAgent(t, testConfig(t, l.Addr, testSettings))
 	resp, err := a.client.Do(a.request("unsafe", "15000m"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -132,7 +132,7 @@
 	s.lastEvaluatedAt = now
 	var loads []site.Load
 	overdue := map[policy.ServerID]bool{}
-	if v, ok := l.current.Decider.(viewer); ok {
+	if v, ok := l.current.Decider.(observableDecider); ok {
 		for _, b := range v.View(now) {
 			loads = append(loads, site.Load{ID: b.ID, InFlight: b.Outstanding, Capacity: b.ConcurrencyLimit})
 			overdue[b.ID] = b.Overdue > 0
@@ -181,7 +181,7 @@
 		switch overloaded := impact.Utilization > site.MaxUtilization && impact.LoadShare > 0; {
 		case overloaded && !s.warnedSites[impact.Site]:
 			s.warnedSites[impact.Site] = true
-			l.log.Warn("the other sites could not carry the load of a site if it were lost", "name", impact.Site, "carries", round(impact.LoadShare), "refused", round(impact.ShedShare))
+			l.log.Warn("the other sites could not carry the load of a site if it were lost", "name", impact.Site, "carries", roundForDisplay(impact.LoadShare), "refused", roundForDisplay(impact.ShedShare))
 		case s.warnedSites[impact.Site] && impact.Utilization < site.MaxUtilization-0.1:
 			delete(s.warnedSites, impact.Site)
 			l.log.Info("the other sites could carry the load of a site again if it were lost", "name", impact.Site)
@@ -192,7 +192,7 @@
 // Sites returns the state of the sites, or nil if they are not monitored.
 func (a *Agent) Sites(ctx context.Context) (*control.Sites, error) {
 	var status *control.Sites
-	err := a.loop.do(ctx, func() {
+	err := a.loop.runInLoop(ctx, func() {
 		if a.loop.sites != nil {
 			status = a.loop.siteStatus()
 		}
@@ -205,7 +205,7 @@
 func (a *Agent) TakeOut(ctx context.Context, name string, duration time.Duration, force bool, reason string) (status *control.Sites, err error) {
 	l := a.loop
 	var siteErr error
-	err = l.do(ctx, func() {
+	err = l.runInLoop(ctx, func() {
 		if l.sites == nil {
 			return
 		}
@@ -228,7 +228,7 @@
 // only the previous document named. If one evacuation fails, it undoes the others.
 func (a *Agent) applySites(ctx context.Context, evacuations map[string]document.Site) (err error) {
 	l := a.loop
-	loopErr := l.do(ctx, func() {
+	loopErr := l.runInLoop(ctx, func() {
 		s := l.sites
 		if s == nil {
 			if len(evacuations) > 0 {
@@ -270,14 +270,14 @@
 	shown := &control.Sites{Sites: []control.Site{}, Plans: []control.SitePlan{}, History: []control.SiteChange{}}
 	for _, status := range statuses {
 		shownSite := control.Site{
-			Name: status.Name, State: status.State.String(), For: round((now - status.Since).Seconds()), Servers: status.Servers, Used: status.Admitted, Times: status.RecentLosses,
-			Load: round(status.InFlight), Room: round(status.Capacity),
+			Name: status.Name, State: status.State.String(), For: roundForDisplay((now - status.Since).Seconds()), Servers: status.Servers, Used: status.Admitted, Times: status.RecentLosses,
+			Load: roundForDisplay(status.InFlight), Room: roundForDisplay(status.Capacity),
 		}
 		if status.RetryAt > 0 {
-			shownSite.Retry = round(max(0, status.RetryAt-now).Seconds())
+			shownSite.Retry = roundForDisplay(max(0, status.RetryAt-now).Seconds())
 		}
 		if status.EvacuatedUntil > 0 {
-			shownSite.Out = round(max(0, status.EvacuatedUntil-now).Seconds())
+			shownSite.Out = roundForDisplay(max(0, status.EvacuatedUntil-now).Seconds())
 		}
 		if pacer := status.Pacer; pacer != nil {
 			shownSite.Pacer = pacer.State.String()
@@ -288,16 +288,16 @@
 		shown.Sites = append(shown.Sites, shownSite)
 	}
 	for _, impact := range l.sites.LossImpacts(now, l.sites.demandMeter.Demand()) {
-		plan := control.SitePlan{Lose: impact.Site, Share: round(impact.LoadShare), Refused: round(impact.ShedShare), Moves: []control.SiteMove{}, First: []control.SiteRefusal{}}
+		plan := control.SitePlan{Lose: impact.Site, Share: roundForDisplay(impact.LoadShare), Refused: roundForDisplay(impact.ShedShare), Moves: []control.SiteMove{}, First: []control.SiteRefusal{}}
 		if !math.IsInf(impact.Utilization, 0) {
-			utilization := round(impact.Utilization)
+			utilization := roundForDisplay(impact.Utilization)
 			plan.After = &utilization
 		}
 		for _, shift := range impact.Shifts {
-			plan.Moves = append(plan.Moves, control.SiteMove{To: shift.Site, Share: round(shift.Share), After: round(shift.Utilization)})
+			plan.Moves = append(plan.Moves, control.SiteMove{To: shift.Site, Share: roundForDisplay(shift.Share), After: roundForDisplay(shift.Utilization)})
 		}
 		for _, shed := range impact.Shed {
-			plan.First = append(plan.First, control.SiteRefusal{What: shed.Name, Share: round(shed.Share), Part: round(shed.ShedFraction)})
+			plan.First = append(plan.First, control.SiteRefusal{What: shed.Name, Share: roundForDisplay(shed.Share), Part: roundForDisplay(shed.ShedFraction)})
 		}
 		shown.Plans = append(shown.Plans, plan)
 	}
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -17,18 +17,18 @@
 
 const (
 	// keep is how much of a body is kept whole, in bytes: what is sent again, or not passed on before it is known to be good.
-	keep = 64 << 10
+	maxBufferedBody = 64 << 10
 	// mostBody bounds bodies in both directions, in bytes.
 	mostBody = 40 << 20
 	// streamBuffer is what a stream moves at once, in bytes.
 	streamBuffer = 32 << 10
 	// streamRoom is what a stream takes of the room that all share, in bytes.
-	streamRoom = keep + streamBuffer
+	streamRoom = maxBufferedBody + streamBuffer
 
 	// A request's body comes at leastRate at least, in bytes a second, of the time that is spent waiting for it, and
 	// some time of grace: clients may be as slow as twice that.
-	leastRate = 32 << 10
-	grace     = 2 * time.Second
+	leastRate   = 32 << 10
+	uploadGrace = 2 * time.Second
 
 	answerStall = 250 * time.Millisecond // until the next byte of an answer that is read whole
 	streamStall = 10 * time.Second       // until a backend gives, or takes, the next byte of what passes through
@@ -41,22 +41,22 @@
 var buffers = sync.Pool{New: func() any { return new([streamBuffer]byte) }}
 
 // pace bounds how long a body may be waited for.
-type pace struct {
-	waited time.Duration
-	got    int64 // bytes
+type uploadPace struct {
+	waited   time.Duration
+	received int64 // bytes
 }
 
 // left is how much longer the next bytes may be waited for.
-func (p *pace) left() time.Duration {
-	return grace + time.Duration(float64(p.got)/leastRate*float64(time.Second)) - p.waited
+func (p *uploadPace) timeLeft() time.Duration {
+	return uploadGrace + time.Duration(float64(p.received)/leastRate*float64(time.Second)) - p.waited
 }
 
 // longest is how long a body of a size may take to come; one of no known size is as long as may be.
-func longest(size int64) time.Duration {
+func maxUploadTime(size int64) time.Duration {
 	if size < 0 {
 		size = mostBody
 	}
-	return grace + time.Duration(float64(size)/leastRate*float64(time.Second))
+	return uploadGrace + time.Duration(float64(size)/leastRate*float64(time.Second))
 }
 
 // upload is a request's body on its way from the client, behind what of it is kept.
@@ -65,15 +65,15 @@
 	conn *clientConn
 	size int64 // bytes of the whole body; -1: not known before its end
 
-	budget  time.Duration        // for the answer, from the last byte on
-	arrived func() time.Duration // is to be told of the last byte, and returns how much time is left
+	budget     time.Duration        // for the answer, from the last byte on
+	onComplete func() time.Duration // is to be told of the last byte, and returns how much time is left
 
-	begun  atomic.Bool   // bytes have been read that are not kept
-	ended  atomic.Bool   // its last byte is here
-	failed chan struct{} // closed when the client has gone or dawdles
+	forwarding atomic.Bool   // bytes have been read that are not kept
+	complete   atomic.Bool   // its last byte is here
+	failed     chan struct{} // closed when the client has gone or dawdles
 
-	mu      sync.Mutex // held while it is read
-	pace    pace
+	readMu  sync.Mutex // held while it is read
+	pace    uploadPace
 	stopMu  sync.Mutex // guards stopped, and the deadline against it
 	stopped bool
 }
@@ -81,26 +81,26 @@
 // Read reads what has come, and waits no longer than the client's pace allows. Its error is io.EOF at the end, or wraps
 // errClient.
 func (u *upload) Read(b []byte) (n int, err error) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+	u.readMu.Lock()
+	defer u.readMu.Unlock()
 	u.stopMu.Lock()
 	if u.stopped {
 		u.stopMu.Unlock()
 		return 0, errClient
 	}
 	begun := time.Now()
-	u.conn.SetReadDeadline(begun.Add(u.pace.left()))
+	u.conn.SetReadDeadline(begun.Add(u.pace.timeLeft()))
 	u.stopMu.Unlock()
 	n, err = u.body.Read(b)
 	u.pace.waited += time.Since(begun)
-	if u.pace.got += int64(n); u.pace.got > mostBody && err == nil {
+	if u.pace.received += int64(n); u.pace.received > mostBody && err == nil {
 		err = errClient
 	}
 	switch {
 	case err == io.EOF:
 		// From here on the connection is watched for a client that goes, for as long as the answer takes.
 		u.conn.SetReadDeadline(time.Time{})
-		u.ended.Store(true)
+		u.complete.Store(true)
 	case err != nil:
 		err = errors.Join(errClient, err)
 		u.stopMu.Lock()
@@ -114,22 +114,22 @@
 }
 
 // kept reads what of the body is kept, which is all of a short one.
-func (u *upload) kept() (body []byte, err error) {
+func (u *upload) readBuffered() (body []byte, err error) {
 	if u.size == 0 {
-		u.ended.Store(true)
+		u.complete.Store(true)
 		u.conn.SetReadDeadline(time.Time{})
 		return nil, nil
 	}
 	body = make([]byte, 0, min(max(u.size, 512), 4<<10))
-	for !u.ended.Load() && len(body) < keep {
+	for !u.complete.Load() && len(body) < maxBufferedBody {
 		body = slices.Grow(body, 1)
-		n, err := u.Read(body[len(body):min(cap(body), keep)])
+		n, err := u.Read(body[len(body):min(cap(body), maxBufferedBody)])
 		body = body[:len(body)+n]
 		if err != nil && err != io.EOF {
 			return nil, err
 		}
 	}
-	if int64(len(body)) == u.size && !u.ended.Load() { // as long as is kept: its end is here, and not told yet
+	if int64(len(body)) == u.size && !u.complete.Load() { // as long as is kept: its end is here, and not told yet
 		if _, err := u.Read(make([]byte, 1)); err != io.EOF {
 			return nil, errClient
 		}
@@ -150,13 +150,13 @@
 // stop ends reading, and returns when nobody reads any more.
 func (u *upload) stop() {
 	u.interrupt()
-	u.mu.Lock() // held by whoever reads: once it is had, nobody does
-	defer u.mu.Unlock()
+	u.readMu.Lock() // held by whoever reads: once it is had, nobody does
+	defer u.readMu.Unlock()
 }
 
 // interrupt ends reading.
 func (u *upload) interrupt() {
-	if u.ended.Load() {
+	if u.complete.Load() {
 		return
 	}
 	u.stopMu.Lock()
@@ -167,7 +167,7 @@
 
 // pump passes the rest of the body on, each byte as it comes. Its error wraps errClient if it is the client's.
 func (u *upload) pump(c *connpool.Conn) error {
-	u.begun.Store(true)
+	u.forwarding.Store(true)
 	var to io.Writer = c
 	var chunks io.WriteCloser
 	if u.size < 0 {
@@ -203,26 +203,26 @@
 }
 
 // download is an answer's body on its way from a backend.
-type download struct {
-	backends *backends
+type downloadStream struct {
+	backends *backendClient
 	conn     *connpool.Conn
 	body     io.Reader
 	size     int64 // bytes of the whole body; -1: not known before its end
-	got      int64
+	received int64
 	reusable bool // its connection, if the answer is read to its end
 }
 
 // Read reads what has come.
-func (d *download) Read(b []byte) (n int, err error) {
+func (d *downloadStream) Read(b []byte) (n int, err error) {
 	n, err = d.body.Read(b)
-	if d.got += int64(n); d.got > mostBody && err == nil {
+	if d.received += int64(n); d.received > mostBody && err == nil {
 		err = errors.New("an answer that does not end")
 	}
 	return n, err
 }
 
 // end gives back what the answer holds. Its backend hears so that it may stop, if it has not ended.
-func (d *download) end(whole bool) {
+func (d *downloadStream) release(whole bool) {
 	c := d.conn
 	c.StallTimeout = 0
 	// Danger: what stands behind an answer, a copy of it or noise, would be taken for the next one's.
@@ -231,11 +231,11 @@
 	} else {
 		d.backends.Discard(c)
 	}
-	d.backends.free(streamRoom)
+	d.backends.freeStreamMemory(streamRoom)
 }
 
 // pass passes an answer on as it comes, and says whether it did to the end, and whose fault it is if not.
-func (d *download) pass(w http.ResponseWriter) (whole, client bool) {
+func (d *downloadStream) forwardTo(w http.ResponseWriter) (whole, client bool) {
 	to := http.NewResponseController(w)
 	buf := buffers.Get().(*[streamBuffer]byte)
 	defer buffers.Put(buf)
@@ -262,8 +262,8 @@
 }
 
 // drop lets go of an answer that nobody gets.
-func (a *answer) drop() {
+func (a *answer) discard() {
 	if a.bodyStream != nil {
-		a.bodyStream.end(false)
+		a.bodyStream.release(false)
 	}
 }
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -28,11 +28,11 @@
 }
 
 // agentOver starts an agent over one backend that is a handler.
-func agentOver(t *testing.T, handler http.HandlerFunc) *running {
+func agentOver(t *testing.T, handler http.HandlerFunc) *runningAgent {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
-	return agentFor(t, testSettings, &standin.Script{Addr: server.Listener.Addr().String()})
+	return startAgentWith(t, testSettings, &standin.Script{Addr: server.Listener.Addr().String()})
 }
 
 // Bodies of all sizes, with and without a length, come through unchanged, in both directions and by all forms of HTTP/1.1 that
@@ -45,7 +45,7 @@
 		body, _ := io.ReadAll(r.Body)
 		w.Write(body)
 	})
-	for _, size := range []int{0, 1, keep - 1, keep, keep + 1, 5 << 20} {
+	for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 5 << 20} {
 		for _, chunked := range []bool{false, true} {
 			want := noise(size)
 			req := a.request("unsafe", "15000m")
@@ -118,7 +118,7 @@
 				conn.(*net.TCPConn).SetLinger(0)
 			}
 		}()
-		a := agentFor(t, testSettings, &standin.Script{Addr: b.Addr().String()})
+		a := startAgentWith(t, testSettings, &standin.Script{Addr: b.Addr().String()})
 		resp, err := a.client.Do(a.request("safe", "15000m"))
 		if err != nil {
 			t.Fatal(what, err)
@@ -129,7 +129,7 @@
 		}
 		for begun := time.Now(); ; time.Sleep(time.Millisecond) {
 			f, err := a.agent.Figures(t.Context())
-			if err != nil || time.Since(begun) > wait {
+			if err != nil || time.Since(begun) > testTimeout {
 				t.Fatalf("%s: %+v, %v", what, f, err)
 			}
 			if s := f.Classes[3]; f.InFlight == 0 && (s.Served == 1) == c.whole && s.Served+s.Failed == 1 {
@@ -163,15 +163,15 @@
 		}
 		defer conn.Close()
 		fmt.Fprintf(conn, "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n%s", strings.ReplaceAll(what, " ", "-"), c.framing)
-		conn.Write(noise(keep + 1))
+		conn.Write(noise(maxBufferedBody + 1))
 		receive(t, "request at the backend", began)
-		if s := look(t, a); s.Backends[0].InFlight != 0 || s.Held != 1 {
+		if s := controlState(t, a); s.Backends[0].InFlight != 0 || s.Held != 1 {
 			t.Errorf("%s: %d in flight, %d held", what, s.Backends[0].InFlight, s.Held)
 		}
 		if c.goes {
 			conn.Close()
 		} else {
-			conn.SetReadDeadline(time.Now().Add(wait))
+			conn.SetReadDeadline(time.Now().Add(testTimeout))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != http.StatusRequestTimeout {
 				t.Errorf("%s: %v, %v", what, resp, err)
@@ -182,7 +182,7 @@
 		}
 		// The backend may see the end of the connection before the agent has taken in that the attempt is over.
 		a.eventually(t, what+": the request is let go", func() bool {
-			s := look(t, a)
+			s := controlState(t, a)
 			return s.Held == 0 && s.Backends[0].InFlight == 0
 		})
 	}
@@ -215,15 +215,15 @@
 				io.WriteString(conn, answer)
 			}
 		}()
-		a := agentFor(t, testSettings, &standin.Script{Addr: b.Addr().String()})
+		a := startAgentWith(t, testSettings, &standin.Script{Addr: b.Addr().String()})
 		conn, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 		io.WriteString(conn, "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: e\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\nContent-Length: 33554432\r\n\r\n")
-		conn.Write(noise(keep + 1)) // and no more
-		conn.SetReadDeadline(time.Now().Add(wait))
+		conn.Write(noise(maxBufferedBody + 1)) // and no more
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != want || !resp.Close {
 			t.Errorf("%q: %v, %v", answer, resp, err)
@@ -235,7 +235,7 @@
 func TestLongBodyThatMayHaveRun(t *testing.T) {
 	breaks := func(int, *http.Request) (string, bool) { return "", true }
 	x, y := newBackend(t, breaks), newBackend(t, breaks)
-	a := agentFor(t, testSettings, x, y)
+	a := startAgentWith(t, testSettings, x, y)
 	req := a.request("unsafe", "15000m")
 	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(noise(1<<20))), 1<<20
 	if status, _ := a.do(t, req); status != statusFailed || len(x.Got)+len(y.Got) != 1 {
@@ -250,36 +250,36 @@
 func TestDrainWithAStream(t *testing.T) {
 	let := make(chan struct{})
 	a := agentOver(t, func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Length", fmt.Sprint(2*keep))
-		w.Write(noise(keep))
+		w.Header().Set("Content-Length", fmt.Sprint(2*maxBufferedBody))
+		w.Write(noise(maxBufferedBody))
 		http.NewResponseController(w).Flush()
 		<-let
-		w.Write(noise(keep))
+		w.Write(noise(maxBufferedBody))
 	})
 	resp, err := a.client.Do(a.request("safe", "15000m"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.ReadFull(resp.Body, make([]byte, keep))
+	io.ReadFull(resp.Body, make([]byte, maxBufferedBody))
 	a.agent.SetDraining(true)
 	for begun := time.Now(); !a.agent.server.stance.Load().CloseIdle; time.Sleep(time.Millisecond) { // which idle ones do not survive
-		if time.Since(begun) > wait {
+		if time.Since(begun) > testTimeout {
 			t.Fatal("idle connections stay")
 		}
 	}
-	a.agent.clients.closeIdle()
+	a.agent.clientConns.closeIdle()
 	close(let)
-	if n, err := io.Copy(io.Discard, resp.Body); n != keep || err != nil {
+	if n, err := io.Copy(io.Discard, resp.Body); n != maxBufferedBody || err != nil {
 		t.Errorf("%d more bytes, %v", n, err)
 	}
 	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
-		a.agent.clients.mu.Lock()
-		open := a.agent.clients.openConns
-		a.agent.clients.mu.Unlock()
+		a.agent.clientConns.mu.Lock()
+		open := a.agent.clientConns.openConns
+		a.agent.clientConns.mu.Unlock()
 		if open == 0 {
 			break
 		}
-		if time.Since(begun) > wait {
+		if time.Since(begun) > testTimeout {
 			t.Fatalf("%d connections stay", open)
 		}
 	}
@@ -333,7 +333,7 @@
 			}
 		})
 	}
-	a.serve(t, 50)
+	a.serveRequests(t, 50)
 	runtime.GC()
 	runtime.ReadMemStats(&during)
 	if held := int64(during.HeapAlloc) - int64(before.HeapAlloc); held > streams*400<<10 {
@@ -343,26 +343,26 @@
 	readers.Wait()
 	// A client has the last byte of its answer before the handler that wrote it gives its room back.
 	whole := int64(a.agent.cfg.MemoryMB) << 20 / streamShare
-	a.eventually(t, "all room is given back", func() bool { return a.agent.loop.backends.room.Load() == whole })
+	a.eventually(t, "all room is given back", func() bool { return a.agent.loop.backends.streamMemory.Load() == whole })
 }
 
 // A head that begins late in the time that a connection may be idle, and comes slowly, has its own time.
 func TestSlowHeadOnAnIdleConnection(t *testing.T) {
 	t.Parallel()
-	a := agentFor(t, testSettings, newBackend(t, serves))
+	a := startAgentWith(t, testSettings, newBackend(t, alwaysOK))
 	conn, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(wait))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	br := bufio.NewReader(conn)
 	for i, first := range []string{"", "P"} { // the second a while after the answer to the first
 		text := fmt.Sprintf("POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: s%d\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\nContent-Length: 0\r\n\r\n", i)
 		if first != "" {
-			time.Sleep(idleClients * 8 / 10)
+			time.Sleep(clientIdleTimeout * 8 / 10)
 			io.WriteString(conn, first)
-			time.Sleep(idleClients * 4 / 10)
+			time.Sleep(clientIdleTimeout * 4 / 10)
 		}
 		io.WriteString(conn, text[len(first):])
 		resp, err := http.ReadResponse(br, nil)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -460,7 +460,7 @@
 func Baseline(name string) Front {
 	return func(ctx context.Context, cfg *agent.Config, reloads <-chan *agent.Config, l net.Listener, n agent.Network, log *slog.Logger) error {
 		plain := *cfg
-		plain.Decide = func(s policy.Settings, seed uint64) (agent.Decider, error) { return baseline.New(name, s, seed) }
+		plain.NewDecider = func(s policy.Settings, seed uint64) (agent.Decider, error) { return baseline.New(name, s, seed) }
 		return agent.Serve(ctx, &plain, reloads, l, n, log)
 	}
 }
--- a/internal/fleet/planted_test.go
+++ b/internal/fleet/planted_test.go
@@ -358,7 +358,7 @@
 func TestAForgottenHoldIsSeen(t *testing.T) {
 	forgets := func(ctx context.Context, cfg *agent.Config, reloads <-chan *agent.Config, l net.Listener, n agent.Network, log *slog.Logger) error {
 		own := *cfg
-		own.Beside = nil
+		own.Handover = nil
 		return agent.Serve(ctx, &own, reloads, l, n, log)
 	}
 	s := day(t, "upgraded", "")
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -79,12 +79,12 @@
 	}
 	var listener net.Listener
 	if a.platform != nil {
-		listener, cfg.Inherited, cfg.Beside = a.platform.join(), true, a.platform
+		listener, cfg.SharedSocket, cfg.Handover = a.platform.join(), true, a.platform
 	} else if listener, err = f.Network.ListenAt(a.addr); err != nil {
 		return nil, err
 	}
 	cfg.Sites.On = f.Scenario.Limits.Sites
-	cfg.Started = func(started *agent.Agent) {
+	cfg.OnStart = func(started *agent.Agent) {
 		f.mu.Lock()
 		a.operated = started
 		f.mu.Unlock()
