--- a/cmd/micaline-manage/crew.go
+++ b/cmd/micaline-manage/crew.go
@@ -37,7 +37,7 @@
 // alone manages until the context ends.
 func (c *crew) alone(ctx context.Context) error {
 	// Danger: what it has may be older than what the others have agreed on since.
-	if name, grouped, err := group.Grouped(c.store); err != nil {
+	if name, grouped, err := group.JournalOwner(c.store); err != nil {
 		return err
 	} else if grouped {
 		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: group.name: missing: the journal is that of %s, a member of a group", c.path, name)}
@@ -61,9 +61,9 @@
 	defer d.Close()
 	peers := map[string]group.Peer{}
 	for i := range g.Member {
-		peers[g.Member[i].Name] = group.PeerAt(d.At(g.Member[i].Address()))
+		peers[g.Member[i].Name] = group.NewPeer(d.At(g.Member[i].Address()))
 	}
-	node, err := group.NewNode(group.Options{Store: c.store, Name: g.Name, Buckets: manage.Buckets, Found: g.Found, Peers: peers, Log: c.log})
+	node, err := group.NewNode(group.Options{Store: c.store, Name: g.Name, Buckets: manage.Buckets, Bootstrap: g.Found, Peers: peers, Log: c.log})
 	if err != nil {
 		return err
 	}
@@ -81,9 +81,9 @@
 		part, end := context.WithCancel(context.WithoutCancel(ctx))
 		var running sync.WaitGroup
 		running.Go(func() { node.Run(part) })
-		node.Hold(ctx, managing, term, func(s *group.Scope) []byte {
+		node.Hold(ctx, managing, term, func(s *group.Grant) []byte {
 			o := c.options
-			o.Store, o.May = s, s.May
+			o.Store, o.May = s, s.IsValid
 			m, err := manage.New(o)
 			if err != nil {
 				c.log.Error("can't manage", "error", err)
--- a/cmd/micaline/main.go
+++ b/cmd/micaline/main.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return nil, err
 	}
-	link := &duty.Link{Name: a.Name(), Duties: a.SharedDuties(), Local: a, Log: log}
+	link := &duty.LeaseClient{Name: a.Name(), Duties: a.SharedDuties(), Agent: a, Log: log}
 	for i := range d.Member {
 		link.Members = append(link.Members, duty.NewClient(dialer.At(d.Member[i].Address())))
 	}
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -33,7 +33,7 @@
 }
 
 // Say returns what this agent reports as the pacer of a site, or nil if it has nothing to report.
-func (a *Agent) Say(duty string) (encoded []byte) {
+func (a *Agent) MessageToPublish(duty string) (encoded []byte) {
 	a.loop.withLock(func() {
 		if status, ok := a.loop.sites.PacerStatus(strings.TrimPrefix(duty, pacingDutyPrefix)); ok {
 			encoded, _ = json.Marshal(status) // can't fail: all fields are numbers
@@ -44,7 +44,7 @@
 
 // Heard passes the report of a site's pacer to the site monitor. A nil report means that there is
 // no pacer.
-func (a *Agent) Heard(duty string, epoch uint64, encoded []byte) {
+func (a *Agent) HandleMessage(duty string, epoch uint64, encoded []byte) {
 	var status *site.PacerStatus
 	if encoded != nil {
 		status = &site.PacerStatus{}
--- a/internal/ctl/duty.go
+++ b/internal/ctl/duty.go
@@ -95,7 +95,7 @@
 		})
 	add(all, "hand DUTY MEMBER", "Have the holder end what it does and a member go on", 2,
 		func(ctx context.Context, c *duty.Client, w io.Writer, words []string) error {
-			d, err := c.Hand(ctx, words[0], words[1])
+			d, err := c.HandOver(ctx, words[0], words[1])
 			return showDuties(w, d, err)
 		})
 	why := ""
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -56,12 +56,12 @@
 }
 
 // Words are what the holders of duties say, as a member knows it.
-type Words struct {
-	Words []Word `json:"words"`
+type HolderMessages struct {
+	Words []HolderMessage `json:"words"`
 }
 
 // Word is what the holder of a duty says. There is one for each duty that agents have held.
-type Word struct {
+type HolderMessage struct {
 	Duty    string `json:"duty"`
 	Free    bool   `json:"free"` // nobody holds it, and it may be asked for
 	Epoch   uint64 `json:"epoch"`
@@ -72,7 +72,7 @@
 
 // Shared says whether a duty is one that agents may hold: its name has two parts, what is done and for what. Others are the
 // managers' own.
-func Shared(name string) bool { return strings.Contains(name, ":") }
+func IsShared(name string) bool { return strings.Contains(name, ":") }
 
 // Client asks a member.
 type Client struct{ at *api.Caller }
@@ -99,8 +99,8 @@
 }
 
 // Words asks for what holders say.
-func (c *Client) Words(ctx context.Context) (*Words, error) {
-	var v Words
+func (c *Client) HolderMessages(ctx context.Context) (*HolderMessages, error) {
+	var v HolderMessages
 	return &v, c.at.Call(ctx, http.MethodGet, "duties/words", nil, nil, &v)
 }
 
@@ -112,7 +112,7 @@
 }
 
 // Hand has a duty handed to a member, once its holder has ended what it does.
-func (c *Client) Hand(ctx context.Context, name, to string) (*Duties, error) {
+func (c *Client) HandOver(ctx context.Context, name, to string) (*Duties, error) {
 	var v Duties
 	return &v, c.at.Call(ctx, http.MethodPost, "duties/"+url.PathEscape(name)+"/hand", nil, map[string]string{"to": to}, &v)
 }
--- a/internal/duty/link.go
+++ b/internal/duty/link.go
@@ -13,36 +13,36 @@
 
 const (
 	// Term is for how long an agent is granted a duty. A word is followed for as long after it was last renewed.
-	Term = 3 * time.Second
+	LeaseTerm = 3 * time.Second
 	// listen is how often the group is asked for words: a pacer takes a step in half a second.
-	listen = Term / 12
+	listen = LeaseTerm / 12
 	// askIn is how long a member has to answer before another is asked.
-	askIn = Term / 3
+	askIn = LeaseTerm / 3
 )
 
 // Local is the agent on this side of a Link. It must not wait for anything.
-type Local interface {
+type Agent interface {
 	// Weight is how well this agent could do a duty; 0: it can't.
 	Weight(duty string) float64
 	// Say is what its holder has to say while it does it; nil: nothing.
-	Say(duty string) []byte
+	MessageToPublish(duty string) []byte
 	// Heard tells what the present holder says, and under which epoch, nil if there is nothing fresh, many times a second.
-	Heard(duty string, epoch uint64, word []byte)
+	HandleMessage(duty string, epoch uint64, word []byte)
 }
 
 // Grantor is a manager of the group that grants duties.
 type Grantor interface {
-	Words(ctx context.Context) (*Words, error)
+	HolderMessages(ctx context.Context) (*HolderMessages, error)
 	Lease(ctx context.Context, op *lease.Op) (lease.Answer, error)
 }
 
 // Link is an agent's side of the duties of a group: it goes for those that are to be had, says what there is to say under them and
 // hears what others say. Nothing waits for it. Where the group is out of reach no word is fresh, and nothing is held.
-type Link struct {
+type LeaseClient struct {
 	Name    string // of the agent, the same after a restart
 	Duties  []string
 	Members []Grantor
-	Local   Local
+	Agent   Agent
 	Log     *slog.Logger
 
 	began   time.Time
@@ -63,15 +63,15 @@
 	held   uint64 // epoch, as it was logged
 }
 
-func (l *Link) now() time.Duration { return time.Since(l.began) + 1 }
+func (l *LeaseClient) now() time.Duration { return time.Since(l.began) + 1 }
 
 // Run goes on until the context ends, and gives back then what is held.
-func (l *Link) Run(ctx context.Context) {
+func (l *LeaseClient) Run(ctx context.Context) {
 	l.began, l.answers, l.at = time.Now(), make(chan func(), 2*len(l.Duties)+2), rand.IntN(len(l.Members))
 	life := fmt.Sprintf("%s/%x", l.Name, rand.Uint64())
 	for _, name := range l.Duties {
 		l.posts = append(l.posts, &post{
-			name: name, holder: lease.Holder{Duty: name, Name: life, Term: Term}, follow: lease.Follower{Life: Term}, free: true,
+			name: name, holder: lease.Holder{Duty: name, Name: life, Term: LeaseTerm}, follow: lease.Follower{MaxAge: LeaseTerm}, free: true,
 		})
 	}
 	var out sync.WaitGroup
@@ -92,13 +92,13 @@
 	}
 	for _, p := range l.posts {
 		if _, _, holds := p.holder.Holds(l.now()); holds {
-			l.ask(context.WithoutCancel(ctx), p, p.holder.LetGo(l.now(), "", nil), &out)
+			l.ask(context.WithoutCancel(ctx), p, p.holder.Release(l.now(), "", nil), &out)
 		}
 	}
 }
 
 // step goes on with one duty.
-func (l *Link) step(ctx context.Context, p *post, out *sync.WaitGroup) {
+func (l *LeaseClient) step(ctx context.Context, p *post, out *sync.WaitGroup) {
 	t := l.now()
 	epoch, _, holds := p.holder.Holds(t)
 	if !holds {
@@ -108,30 +108,30 @@
 		l.Log.Info("duty", "name", p.name, "holding", holds, "epoch", max(epoch, p.held))
 		p.held = epoch
 	}
-	weight := l.Local.Weight(p.name)
+	weight := l.Agent.Weight(p.name)
 	switch {
-	case holds && (weight <= 0 || p.holder.Wanted() != ""):
-		l.ask(ctx, p, p.holder.LetGo(t, "", nil), out)
+	case holds && (weight <= 0 || p.holder.ReleaseReason() != ""):
+		l.ask(ctx, p, p.holder.Release(t, "", nil), out)
 	default:
 		if holds {
-			p.holder.Say(l.Local.Say(p.name))
+			p.holder.Publish(l.Agent.MessageToPublish(p.name))
 		}
 		patience := time.Duration(0)
 		if weight > 0 && !p.meant {
-			patience = lease.Patience(p.name, l.Name, weight, Term)
+			patience = lease.AcquireDelay(p.name, l.Name, weight, LeaseTerm)
 		}
 		// Who has heard nothing of late knows of nothing that is free.
-		l.ask(ctx, p, p.holder.Step(t, p.free && weight > 0 && l.heard > 0 && t-l.heard < Term, patience), out)
+		l.ask(ctx, p, p.holder.Tick(t, p.free && weight > 0 && l.heard > 0 && t-l.heard < LeaseTerm, patience), out)
 	}
-	word, said := p.follow.Word(t)
+	word, said := p.follow.Current(t)
 	if holds {
 		word, said = nil, 0 // its own: it does as it says
 	}
-	l.Local.Heard(p.name, said, word)
+	l.Agent.HandleMessage(p.name, said, word)
 }
 
 // ask asks the group. A holder has one question out, and gives it up within a third of a term.
-func (l *Link) ask(ctx context.Context, p *post, q *lease.Ask, out *sync.WaitGroup) {
+func (l *LeaseClient) ask(ctx context.Context, p *post, q *lease.Request, out *sync.WaitGroup) {
 	if q == nil {
 		return
 	}
@@ -140,7 +140,7 @@
 		within, cancel := context.WithTimeout(ctx, askIn)
 		defer cancel()
 		a, err := m.Lease(within, &q.Op)
-		done := func() { p.holder.Answered(l.now(), q.Turn, a) }
+		done := func() { p.holder.HandleAnswer(l.now(), q.Number, a) }
 		if err != nil { // in time it is asked again
 			done = func() { l.passBy(m) }
 		}
@@ -152,7 +152,7 @@
 }
 
 // listen asks for words. One question is out at a time.
-func (l *Link) listen(ctx context.Context, out *sync.WaitGroup) {
+func (l *LeaseClient) listen(ctx context.Context, out *sync.WaitGroup) {
 	if l.asking {
 		return
 	}
@@ -161,7 +161,7 @@
 	out.Go(func() {
 		within, cancel := context.WithTimeout(ctx, askIn)
 		defer cancel()
-		all, err := m.Words(within)
+		all, err := m.HolderMessages(within)
 		select {
 		case l.answers <- func() { l.take(m, asked, all, err) }:
 		case <-ctx.Done():
@@ -171,13 +171,13 @@
 
 // passBy has another member be asked than one that did not answer. Danger: one that hears the others and is not heard by them tells
 // words as they should be, and what it is asked for is never agreed on.
-func (l *Link) passBy(m Grantor) {
+func (l *LeaseClient) passBy(m Grantor) {
 	if l.Members[l.at] == m {
 		l.at = (l.at + 1) % len(l.Members)
 	}
 }
 
-func (l *Link) take(m Grantor, asked time.Duration, all *Words, err error) {
+func (l *LeaseClient) take(m Grantor, asked time.Duration, all *HolderMessages, err error) {
 	l.asking = false
 	if err != nil {
 		l.passBy(m)
@@ -188,9 +188,9 @@
 		p.free, p.meant = true, false // a duty that nobody has ever had
 		for i := range all.Words {
 			if w := &all.Words[i]; w.Duty == p.name {
-				p.meant = w.To != "" && lease.Meant(w.To, p.holder.Name)
+				p.meant = w.To != "" && lease.MatchesHolder(w.To, p.holder.Name)
 				p.free = w.Free && (w.To == "" || p.meant)
-				p.follow.Heard(asked, w.Epoch, w.Version, w.Word)
+				p.follow.Update(asked, w.Epoch, w.Version, w.Word)
 			}
 		}
 	}
--- a/internal/duty/link_test.go
+++ b/internal/duty/link_test.go
@@ -18,12 +18,12 @@
 	lease lease.Table
 }
 
-func (t *table) Words(context.Context) (*Words, error) {
+func (t *table) HolderMessages(context.Context) (*HolderMessages, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := &Words{}
+	w := &HolderMessages{}
 	for name, d := range t.lease.Duties {
-		w.Words = append(w.Words, Word{Duty: name, Free: d.Holder == "", Epoch: d.Epoch, Version: d.Version, Word: d.Word, To: d.To})
+		w.Words = append(w.Words, HolderMessage{Duty: name, Free: d.Holder == "", Epoch: d.Epoch, Version: d.Version, Word: d.Word, To: d.To})
 	}
 	return w, nil
 }
@@ -52,8 +52,8 @@
 	defer l.mu.Unlock()
 	return l.weight
 }
-func (l *local) Say(string) []byte { return []byte("on") }
-func (l *local) Heard(_ string, _ uint64, word []byte) {
+func (l *local) MessageToPublish(string) []byte { return []byte("on") }
+func (l *local) HandleMessage(_ string, _ uint64, word []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.heard = string(word)
@@ -74,7 +74,7 @@
 		var running sync.WaitGroup
 		ctx, end := context.WithCancel(t.Context())
 		for i, at := range locals {
-			link := &Link{Name: string(rune('a' + i)), Duties: []string{"pace:x"}, Members: []Grantor{mute{group}, mute{group}, group}, Local: at, Log: slog.New(slog.DiscardHandler)}
+			link := &LeaseClient{Name: string(rune('a' + i)), Duties: []string{"pace:x"}, Members: []Grantor{mute{group}, mute{group}, group}, Agent: at, Log: slog.New(slog.DiscardHandler)}
 			running.Go(func() { link.Run(ctx) })
 		}
 		holder := func() (at int) {
@@ -82,7 +82,7 @@
 			defer group.mu.Unlock()
 			return map[byte]int{'a': 1, 'b': 2}[(group.lease.Duties["pace:x"].Holder + "-")[0]] - 1
 		}
-		time.Sleep(6 * Term)
+		time.Sleep(6 * LeaseTerm)
 		first := holder()
 		if first < 0 || locals[1-first].hears() != "on" || locals[first].hears() != "" {
 			t.Fatalf("agent %d holds, and they hear %q and %q", first, locals[0].hears(), locals[1].hears())
@@ -90,7 +90,7 @@
 		locals[first].mu.Lock()
 		locals[first].weight = 0
 		locals[first].mu.Unlock()
-		time.Sleep(3 * Term)
+		time.Sleep(3 * LeaseTerm)
 		if holder() != 1-first {
 			t.Errorf("agent %d holds, and %d can't", holder(), first)
 		}
--- a/internal/group/apply.go
+++ b/internal/group/apply.go
@@ -27,7 +27,7 @@
 }
 
 // apply carries out an entry that is agreed on.
-func (c *Core) apply(w *Work, e *raftpb.Entry) {
+func (c *Core) apply(w *Output, e *raftpb.Entry) {
 	c.state.Applied = e.GetIndex()
 	switch e.GetType() {
 	case raftpb.EntryConfChange:
@@ -74,7 +74,7 @@
 }
 
 // write carries out what a duty's holder writes.
-func (c *Core) write(w *Work, x *write) string {
+func (c *Core) write(w *Output, x *write) string {
 	d, last := c.state.Leases.Duties[x.Duty], c.state.Wrote[x.Duty]
 	if last.Epoch != x.Epoch {
 		last = wrote{x.Epoch, 0}
@@ -105,7 +105,7 @@
 }
 
 // restore takes a snapshot in the place of all that is known.
-func (c *Core) restore(w *Work, s *raftpb.Snapshot) error {
+func (c *Core) restore(w *Output, s *raftpb.Snapshot) error {
 	var im image
 	if err := json.Unmarshal(s.GetData(), &im); err != nil {
 		return fmt.Errorf("a snapshot that can't be read: %w", err)
@@ -148,7 +148,7 @@
 }
 
 // cut drops the beginning of a log that has become long.
-func (c *Core) cut(w *Work) {
+func (c *Core) cut(w *Output) {
 	if c.state.Applied < c.first+mostLog {
 		return
 	}
--- a/internal/group/core.go
+++ b/internal/group/core.go
@@ -51,7 +51,7 @@
 	keepLog = 1024
 	mostLog = 2 * keepLog
 	// MostMembers is how many there may be.
-	MostMembers = 7
+	MaxMembers = 7
 )
 
 // Member is one of a group.
@@ -120,7 +120,7 @@
 // The reasons for which a member takes no part.
 var (
 	// ErrOld is a disk that lacks what the member has told others that it has.
-	ErrOld = errors.New("its disk is older than what it has told the others: remove it from the group, and add it with an empty one")
+	ErrStaleDisk = errors.New("its disk is older than what it has told the others: remove it from the group, and add it with an empty one")
 	// ErrRemoved is a member that was removed.
 	ErrRemoved = errors.New("it was removed from the group")
 	// errUnconfirmed is a member that was the only voter when its journal was written, until most of its peers have confirmed it.
@@ -130,7 +130,7 @@
 )
 
 // Work is what is to be done, in this order: Records written in one transaction, Messages sent, Done called.
-type Work struct {
+type Output struct {
 	Records  []journal.Record
 	Messages []*raftpb.Message
 	Results  []Result // of commands that are applied by then
@@ -153,7 +153,7 @@
 	results []Result
 	met     bool // self has changed
 	ticks   int
-	clock   lease.Watch
+	clock   lease.ExpiryTracker
 	dirty   map[string]bool // duties that are not in the records as they are
 	steps   uint64          // of the history that is
 	peers   int             // how many others the deployment names
@@ -178,7 +178,7 @@
 	if c.part() == nil {
 		c.safely(func() error {
 			c.raw.Tick()
-			c.Promote()
+			c.PromoteLearners()
 			if c.ticks++; c.ticks%electionTicks == 0 {
 				c.spread()
 			}
@@ -209,7 +209,7 @@
 		}
 	}
 	if last, _ := c.log.LastIndex(); m.GetType() == raftpb.MsgHeartbeat && m.GetCommit() > last && m.GetTerm() >= c.raw.BasicStatus().GetTerm() {
-		c.wrong = fmt.Errorf("%w: entry %d was agreed on with it, and its log ends at %d", ErrOld, m.GetCommit(), last) // else raft ends the process for it; a lead of before may know of entries that were replaced
+		c.wrong = fmt.Errorf("%w: entry %d was agreed on with it, and its log ends at %d", ErrStaleDisk, m.GetCommit(), last) // else raft ends the process for it; a lead of before may know of entries that were replaced
 		return c.wrong
 	}
 	err := c.safely(func() error { return c.raw.Step(c.checked(m)) })
@@ -240,7 +240,7 @@
 }
 
 // Unreachable takes in that a message could not be sent.
-func (c *Core) Unreachable(m *raftpb.Message) {
+func (c *Core) ReportUnreachable(m *raftpb.Message) {
 	if c.part() != nil {
 		return
 	}
@@ -251,7 +251,7 @@
 }
 
 // Sent takes in that a snapshot has arrived.
-func (c *Core) Sent(m *raftpb.Message) {
+func (c *Core) ReportSent(m *raftpb.Message) {
 	if m.GetType() == raftpb.MsgSnap && c.part() == nil {
 		c.raw.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 	}
@@ -279,7 +279,7 @@
 func (c *Core) forget(id string) { delete(c.waits, id) }
 
 // Ready returns what is to be done, nil if there is nothing.
-func (c *Core) Ready() (w *Work) {
+func (c *Core) Ready() (w *Output) {
 	c.safely(func() error {
 		w = c.next()
 		return nil
@@ -290,11 +290,11 @@
 	return w
 }
 
-func (c *Core) next() *Work {
+func (c *Core) next() *Output {
 	if c.raw == nil || c.wrong != nil || !c.raw.HasReady() && !c.met {
 		return nil
 	}
-	w := &Work{}
+	w := &Output{}
 	if c.met {
 		c.met = false
 		w.Records = append(w.Records, put(logBucket, selfKey, c.self))
@@ -339,7 +339,7 @@
 }
 
 // Done takes in that the last Work has been done.
-func (c *Core) Done() {
+func (c *Core) Advance() {
 	if c.ready != nil {
 		c.safely(func() error {
 			c.raw.Advance(*c.ready)
@@ -360,7 +360,7 @@
 }
 
 // Lead returns who leads, 0 if that is not known.
-func (c *Core) Lead() uint64 {
+func (c *Core) LeaderID() uint64 {
 	if c.part() != nil {
 		return 0
 	}
@@ -368,7 +368,7 @@
 }
 
 // Rules says that this member leads and has carried out all that was agreed on before.
-func (c *Core) Rules() bool {
+func (c *Core) IsCaughtUpLeader() bool {
 	if c.leads() != nil {
 		return false
 	}
--- a/internal/group/core_test.go
+++ b/internal/group/core_test.go
@@ -23,7 +23,7 @@
 		if err := disk.Write(work.Records); err != nil {
 			t.Fatal(err)
 		}
-		core.Done()
+		core.Advance()
 	}
 	if core.wrong != nil {
 		t.Fatal(core.wrong)
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	founding, err := core.Found()
+	founding, err := core.Bootstrap()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/group/explore_test.go
+++ b/internal/group/explore_test.go
@@ -91,7 +91,7 @@
 		return
 	}
 	if found {
-		first, err := core.Found()
+		first, err := core.Bootstrap()
 		if err != nil {
 			h.fail("Start", "%s: %v", s.name, err)
 		}
@@ -110,7 +110,7 @@
 		if o == s || o.core == nil || h.now < o.cut || h.now < s.cut {
 			continue
 		}
-		if err := o.core.Meet(s.core.self.ID, s.core.self.Boot); err != nil {
+		if err := o.core.CheckBoot(s.core.self.ID, s.core.self.Boot); err != nil {
 			s.core.wrong = err
 			return
 		}
@@ -174,7 +174,7 @@
 		for _, r := range w.Results {
 			h.result(s, r)
 		}
-		s.core.Done()
+		s.core.Advance()
 	}
 }
 
@@ -200,7 +200,7 @@
 	text, _ := proto.Marshal(m)
 	for range 1 + h.rng.IntN(20)/19 {
 		if h.now < 600 && h.rng.IntN(25) == 0 || h.now < s.cut {
-			s.core.Unreachable(m)
+			s.core.ReportUnreachable(m)
 			continue
 		}
 		c := &raftpb.Message{}
@@ -213,7 +213,7 @@
 			}
 		}
 		if !there {
-			s.core.Unreachable(m)
+			s.core.ReportUnreachable(m)
 		}
 	}
 }
@@ -273,16 +273,16 @@
 		told := l.from.core == l.life // whether it arrived
 		if l.to.core == nil || h.now < l.to.cut {
 			if told {
-				l.from.core.Unreachable(l.m)
+				l.from.core.ReportUnreachable(l.m)
 			}
 			continue
 		}
 		if told {
-			l.from.core.Sent(l.m)
+			l.from.core.ReportSent(l.m)
 		}
-		if err := l.to.core.Meet(l.id, l.boot); err != nil {
-			if l.from.core == l.life && errors.Is(err, ErrOld) && h.plant != "an old disk is heard" {
-				l.from.core.wrong = fmt.Errorf("%w: %s knows %+v, and hears %+v", ErrOld, l.to.name, l.to.core.self.Known[l.id], l.boot)
+		if err := l.to.core.CheckBoot(l.id, l.boot); err != nil {
+			if l.from.core == l.life && errors.Is(err, ErrStaleDisk) && h.plant != "an old disk is heard" {
+				l.from.core.wrong = fmt.Errorf("%w: %s knows %+v, and hears %+v", ErrStaleDisk, l.to.name, l.to.core.self.Known[l.id], l.boot)
 			}
 			if h.plant != "an old disk is heard" {
 				continue
@@ -304,8 +304,8 @@
 		s.core.Tick()
 		h.act(s)
 		h.drain(s)
-		if s.core != nil && s.core.Rules() {
-			for _, op := range s.core.clock.Due(time.Duration(h.now)*tick, &s.core.state.Leases) {
+		if s.core != nil && s.core.IsCaughtUpLeader() {
+			for _, op := range s.core.clock.Expired(time.Duration(h.now)*tick, &s.core.state.Leases) {
 				s.core.propose(&command{Lease: &op})
 			}
 			for _, o := range h.replicas {
@@ -319,7 +319,7 @@
 			}
 			h.drain(s)
 		} else if s.core != nil {
-			s.core.clock = lease.Watch{}
+			s.core.clock = lease.ExpiryTracker{}
 		}
 	}
 	if h.now >= 600 {
--- a/internal/group/founding.go
+++ b/internal/group/founding.go
@@ -26,15 +26,15 @@
 // rule does what a lead does: it says which times are over. Danger: one that has not yet carried out what was agreed on before it led
 // does not know them.
 func (n *Node) rule() {
-	if !n.core.Rules() {
-		n.core.clock, n.ruled = lease.Watch{}, false
+	if !n.core.IsCaughtUpLeader() {
+		n.core.clock, n.ruled = lease.ExpiryTracker{}, false
 		return
 	}
 	if !n.ruled {
 		n.ruled = true
 		n.opts.Log.Info("this member leads the group", "members", len(n.core.state.Members))
 	}
-	for _, op := range n.core.clock.Due(n.now(), &n.core.state.Leases) {
+	for _, op := range n.core.clock.Expired(n.now(), &n.core.state.Leases) {
 		n.core.propose(&command{Lease: &op}) // else at another tick
 	}
 }
@@ -43,7 +43,7 @@
 // asks all, and so does one that has to be confirmed.
 func (n *Node) invite(ctx context.Context) {
 	t := n.now()
-	founds, unconfirmed := n.opts.Found && !n.core.found && n.single != nil, n.core.unconfirmed()
+	founds, unconfirmed := n.opts.Bootstrap && !n.core.found && n.single != nil, n.core.unconfirmed()
 	if !founds && !unconfirmed && n.core.leads() != nil || t-n.invited < inviteIn {
 		return
 	}
@@ -73,7 +73,7 @@
 					n.confirm(name, id, objection)
 				}
 				if !n.core.found && id.Grouped {
-					if n.single != nil && n.opts.Found {
+					if n.single != nil && n.opts.Bootstrap {
 						n.opts.Log.Warn("there is a group already: this process founds none, and waits to be added", "member", name)
 					}
 					n.single = nil
@@ -89,8 +89,8 @@
 // confirm takes in what a peer says to this member's start.
 func (n *Node) confirm(name string, id *Identity, objection error) {
 	switch {
-	case errors.Is(objection, ErrOld) && n.core.wrong == nil:
-		n.core.wrong = ErrOld
+	case errors.Is(objection, ErrStaleDisk) && n.core.wrong == nil:
+		n.core.wrong = ErrStaleDisk
 	case objection == nil && id.Name == name:
 		if err := n.core.Confirm(name, id.ID, id.Grouped); err != nil {
 			n.refuse(name, err)
@@ -104,7 +104,7 @@
 	if 2*(len(n.single)+1) <= len(n.opts.Peers)+1 {
 		return
 	}
-	records, err := n.core.Found()
+	records, err := n.core.Bootstrap()
 	if err == nil {
 		err = n.opts.Store.Write(records)
 	}
--- a/internal/group/hold.go
+++ b/internal/group/hold.go
@@ -13,7 +13,7 @@
 )
 
 // Scope is the time in which a duty is held. Its context ends with it.
-type Scope struct {
+type Grant struct {
 	context.Context
 	Epoch uint64
 	Baton []byte
@@ -27,17 +27,17 @@
 }
 
 // May says whether the duty is still held at this moment. What is done after it carries the epoch all the same.
-func (s *Scope) May() bool { return s.Err() == nil && s.node.now() < time.Duration(s.until.Load()) }
+func (s *Grant) IsValid() bool { return s.Err() == nil && s.node.now() < time.Duration(s.until.Load()) }
 
 // Hold goes for a duty until the context ends. Each time that it is granted work is called, in whose time nobody else holds it;
 // it is to return soon after its context has ended, with what it leaves to the next holder. A planned end hands the duty on before
 // its time is over.
-func (n *Node) Hold(ctx context.Context, duty string, term time.Duration, work func(*Scope) (baton []byte)) {
+func (n *Node) Hold(ctx context.Context, duty string, term time.Duration, work func(*Grant) (baton []byte)) {
 	h := &lease.Holder{Duty: duty, Name: fmt.Sprintf("%s/%x", n.opts.Name, rand.Uint64()), Term: term}
-	var scope *Scope
+	var scope *Grant
 	var ended chan []byte
 	answers := make(chan func(), 4)
-	ask := func(q *lease.Ask) {
+	ask := func(q *lease.Request) {
 		if q == nil {
 			return
 		}
@@ -50,7 +50,7 @@
 				return // in time it is asked again
 			}
 			select {
-			case answers <- func() { h.Answered(n.now(), q.Turn, a) }:
+			case answers <- func() { h.HandleAnswer(n.now(), q.Number, a) }:
 			case <-n.done:
 			}
 		}()
@@ -74,9 +74,9 @@
 		case baton := <-ended:
 			scope.stop()
 			if _, _, holds := h.Holds(n.now()); holds {
-				q := h.LetGo(n.now(), n.successor(ctx, duty), baton)
+				q := h.Release(n.now(), n.successor(ctx, duty), baton)
 				if ctx.Err() != nil { // before the release, which goes to the next lead then: this process may be gone by its end
-					n.happened(func() { n.core.Abdicate() })
+					n.happened(func() { n.core.TransferLeadership() })
 				}
 				within, cancel := context.WithTimeout(context.WithoutCancel(ctx), term)
 				if _, err := n.Lease(within, q.Op); err != nil && !errors.Is(err, errEnded) {
@@ -94,18 +94,18 @@
 		d, known := v.duties[duty]
 		elsewhere := d.To != "" && d.To != n.opts.Name
 		switch {
-		case scope != nil && (!holds || epoch != scope.Epoch || over || elsewhere || h.Wanted() != ""):
+		case scope != nil && (!holds || epoch != scope.Epoch || over || elsewhere || h.ReleaseReason() != ""):
 			scope.stop() // and the work's end comes
 		case scope != nil:
 			scope.until.Store(int64(until))
 			n.own.Store(duty, until)
 		case holds && !over:
-			scope = &Scope{Epoch: epoch, Baton: h.Baton(), node: n, duty: duty}
+			scope = &Grant{Epoch: epoch, Baton: h.Baton(), node: n, duty: duty}
 			scope.until.Store(int64(until))
 			scope.Context, scope.stop = context.WithCancel(context.WithoutCancel(ctx))
 			ended = make(chan []byte, 1)
 			n.opts.Log.Info("holding", "duty", duty, "epoch", epoch)
-			go func(s *Scope, ended chan<- []byte) {
+			go func(s *Grant, ended chan<- []byte) {
 				baton := work(s)
 				n.opts.Log.Info("no longer holding", "duty", duty, "epoch", s.Epoch)
 				ended <- baton
@@ -118,7 +118,7 @@
 				return
 			}
 			if scope != nil && holds {
-				ask(renewal(h.Step(t, false, 0))) // while its work ends
+				ask(renewal(h.Tick(t, false, 0))) // while its work ends
 			}
 			continue
 		}
@@ -127,7 +127,7 @@
 		if !v.leads && d.To == "" { // whoever leads the group is nearest to it, and goes first
 			patience = term/2 + time.Duration(rand.Int64N(int64(term)))
 		}
-		ask(h.Step(t, free, patience))
+		ask(h.Tick(t, free, patience))
 	}
 }
 
@@ -154,7 +154,7 @@
 }
 
 // renewal is a question if it is one for more time.
-func renewal(q *lease.Ask) *lease.Ask {
+func renewal(q *lease.Request) *lease.Request {
 	if q != nil && q.Op.Kind != lease.Renew {
 		return nil
 	}
@@ -163,8 +163,8 @@
 
 // Write writes records that all members agree on, if the duty is still held. One that is not answered in time may yet be done: the
 // next write waits for that first, and what it is given again is not written twice.
-func (s *Scope) Write(records []journal.Record) error {
-	if !s.May() {
+func (s *Grant) Write(records []journal.Record) error {
+	if !s.IsValid() {
 		return errors.New("the duty is not held any more")
 	}
 	ctx, cancel := context.WithTimeout(s, writeIn)
@@ -192,7 +192,7 @@
 }
 
 // Read calls a function with each record of a bucket.
-func (s *Scope) Read(bucket string, f func(key string, value []byte) error) error {
+func (s *Grant) Read(bucket string, f func(key string, value []byte) error) error {
 	type record struct {
 		key   string
 		value []byte
--- a/internal/group/load.go
+++ b/internal/group/load.go
@@ -186,7 +186,7 @@
 }
 
 // Grouped says whose journal it is, if it is that of a member of a group.
-func Grouped(s journal.Store) (name string, grouped bool, err error) {
+func JournalOwner(s journal.Store) (name string, grouped bool, err error) {
 	if err := s.Read(stateBucket, func(string, []byte) error { grouped = true; return nil }); err != nil {
 		return "", false, err
 	}
--- a/internal/group/membership.go
+++ b/internal/group/membership.go
@@ -14,7 +14,7 @@
 )
 
 // Found begins a group of this member alone, with the records that its journal has. It returns what is to be written.
-func (c *Core) Found() ([]journal.Record, error) {
+func (c *Core) Bootstrap() ([]journal.Record, error) {
 	if c.found {
 		return nil, errors.New("it is in a group already")
 	}
@@ -55,7 +55,7 @@
 	switch {
 	case slices.Contains(c.state.Gone, id):
 		return fmt.Errorf("%s was removed, and comes back with an empty disk only", name)
-	case len(c.state.Members) >= MostMembers:
+	case len(c.state.Members) >= MaxMembers:
 		return fmt.Errorf("there are %d members already", len(c.state.Members))
 	}
 	return c.change(raftpb.ConfChangeAddLearnerNode, &Member{Name: name, ID: id})
@@ -77,7 +77,7 @@
 }
 
 // Promote proposes to count members that have what the others have.
-func (c *Core) Promote() {
+func (c *Core) PromoteLearners() {
 	if c.leads() != nil {
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 // Abdicate hands the lead to that member.
-func (c *Core) Abdicate() {
+func (c *Core) TransferLeadership() {
 	if to := c.heir(); to.ID != 0 {
 		c.safely(func() error {
 			c.raw.TransferLeader(to.ID)
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -49,12 +49,12 @@
 
 // Options say what a node has to do with.
 type Options struct {
-	Store   journal.Store
-	Name    string
-	Buckets []string        // that are agreed on
-	Found   bool            // begin a group of this node alone, once most of those of the file have said that they are in none
-	Peers   map[string]Peer // who else may be a member, by name
-	Log     *slog.Logger
+	Store     journal.Store
+	Name      string
+	Buckets   []string        // that are agreed on
+	Bootstrap bool            // begin a group of this node alone, once most of those of the file have said that they are in none
+	Peers     map[string]Peer // who else may be a member, by name
+	Log       *slog.Logger
 }
 
 // Node is a member with its journal, its clock and its links. A journal of a process that was in no group is the beginning
@@ -131,7 +131,7 @@
 	defer mail.Wait()
 	clock := time.NewTicker(tick)
 	defer clock.Stop()
-	var work *Work // that could not be written yet
+	var work *Output // that could not be written yet
 	for {
 		in := n.inputs
 		if work != nil {
@@ -173,7 +173,7 @@
 					w <- r
 				}
 			}
-			n.core.Done()
+			n.core.Advance()
 			work = nil
 		}
 		n.look()
@@ -181,7 +181,7 @@
 }
 
 // written writes what must be in the journal before anything is sent.
-func (n *Node) written(w *Work) bool {
+func (n *Node) written(w *Output) bool {
 	var err error
 	if len(w.Records) > 0 {
 		err = n.opts.Store.Write(w.Records)
@@ -208,7 +208,7 @@
 		select {
 		case n.boxes[name] <- m:
 		default:
-			n.core.Unreachable(m)
+			n.core.ReportUnreachable(m)
 		}
 	}
 }
@@ -242,14 +242,14 @@
 		err := p.Deliver(within, b)
 		cancel()
 		n.happened(func() {
-			if errors.Is(err, ErrOld) && n.core.wrong == nil {
-				n.core.wrong = ErrOld
+			if errors.Is(err, ErrStaleDisk) && n.core.wrong == nil {
+				n.core.wrong = ErrStaleDisk
 			}
 			for _, m := range all {
 				if err != nil {
-					n.core.Unreachable(m)
+					n.core.ReportUnreachable(m)
 				} else {
-					n.core.Sent(m)
+					n.core.ReportSent(m)
 				}
 			}
 		})
@@ -297,7 +297,7 @@
 var errEnded = errors.New("this member has ended")
 
 // Take takes in what another member sends.
-func (n *Node) Take(ctx context.Context, b *Batch) error {
+func (n *Node) Receive(ctx context.Context, b *Batch) error {
 	if len(b.Messages) > mostBatch {
 		return fmt.Errorf("%d messages, and %d are allowed", len(b.Messages), mostBatch)
 	}
@@ -313,7 +313,7 @@
 		all = append(all, m)
 	}
 	_, err := within(ctx, n, func() (struct{}, error) {
-		if err := n.core.Meet(b.From, b.Boot); err != nil {
+		if err := n.core.CheckBoot(b.From, b.Boot); err != nil {
 			return struct{}{}, err
 		}
 		if n.boxes[b.Name] != nil {
@@ -413,7 +413,7 @@
 	if n.broken != nil {
 		v.wrong = fmt.Errorf("its journal can't be written: %w", n.broken)
 	}
-	if m := c.state.Members[c.Lead()]; m != nil {
+	if m := c.state.Members[c.LeaderID()]; m != nil {
 		v.lead, v.leads = m.Name, m.ID == c.self.ID
 	}
 	for _, m := range c.state.Members {
@@ -422,7 +422,7 @@
 	slices.SortFunc(v.members, func(a, b Member) int { return int(int64(a.ID) - int64(b.ID)) })
 	for name, d := range c.state.Leases.Duties {
 		v.duties[name] = *d
-		v.left[name] = c.clock.Left(n.now(), name, d)
+		v.left[name] = c.clock.Remaining(n.now(), name, d)
 	}
 	n.mu.Lock()
 	old := n.seen.changed
--- a/internal/group/node_test.go
+++ b/internal/group/node_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	return n.Take(ctx, b)
+	return n.Receive(ctx, b)
 }
 
 func (w wire) Identity(ctx context.Context) (*Identity, error) {
@@ -114,7 +114,7 @@
 			peers[fmt.Sprint("m", j)] = wire{r, i, j}
 		}
 	}
-	n, err := NewNode(Options{Store: r.disks[i], Name: fmt.Sprint("m", i), Buckets: []string{"data"}, Found: i == 0, Peers: peers, Log: slog.New(slog.DiscardHandler)})
+	n, err := NewNode(Options{Store: r.disks[i], Name: fmt.Sprint("m", i), Buckets: []string{"data"}, Bootstrap: i == 0, Peers: peers, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -164,8 +164,8 @@
 	for i := range r.nodes {
 		n := r.nodes[i]
 		clients.Go(func() {
-			n.Hold(ctx, "register", time.Second, func(s *Scope) []byte {
-				for k := 0; s.May(); k++ {
+			n.Hold(ctx, "register", time.Second, func(s *Grant) []byte {
+				for k := 0; s.IsValid(); k++ {
 					// Each grant is a client of its own: what one has not been answered, no other waits for.
 					mu.Lock()
 					number++
@@ -182,7 +182,7 @@
 						continue
 					}
 					call, got := time.Since(began), ""
-					if err := s.Read("data", func(_ string, v []byte) error { got = string(v); return nil }); err == nil && s.May() {
+					if err := s.Read("data", func(_ string, v []byte) error { got = string(v); return nil }); err == nil && s.IsValid() {
 						note(client, input{}, got, call, true)
 					}
 					time.Sleep(5 * time.Millisecond)
@@ -270,7 +270,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		founding, err := core.Found()
+		founding, err := core.Bootstrap()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -295,7 +295,7 @@
 		r.mu.Lock()
 		clear(r.cut)
 		r.mu.Unlock()
-		if err := r.nodes[0].await(ctx, func(v *view) bool { return errors.Is(v.wrong, ErrOld) }); err != nil {
+		if err := r.nodes[0].await(ctx, func(v *view) bool { return errors.Is(v.wrong, ErrStaleDisk) }); err != nil {
 			t.Errorf("heard: %v, and its disk is old", r.nodes[0].view().wrong)
 		}
 	})
--- a/internal/group/serve.go
+++ b/internal/group/serve.go
@@ -39,7 +39,7 @@
 			if err := api.Body(r, &b); err != nil {
 				return nil, err
 			}
-			return struct{}{}, n.Take(r.Context(), &b)
+			return struct{}{}, n.Receive(r.Context(), &b)
 		}),
 		"GET /v1/group/identity": of(mostAsk, api.Member, func(r *http.Request) (any, error) { return n.Identity(r.Context()) }),
 		"GET /v1/group":          of(mostAsk, api.Read, func(*http.Request) (any, error) { return n.Group(), nil }),
@@ -58,7 +58,7 @@
 				return nil, err
 			}
 			switch {
-			case op.Duty != r.PathValue("name") || !duty.Shared(op.Duty):
+			case op.Duty != r.PathValue("name") || !duty.IsShared(op.Duty):
 				return nil, &api.Problem{Status: 422, Title: "no duty of agents", Detail: fmt.Sprintf("%.100q", op.Duty), Field: "duty"}
 			case op.Kind > lease.Release:
 				return nil, &api.Problem{Status: 422, Title: "not a holder's to ask", Detail: fmt.Sprintf("kind %d", op.Kind), Field: "kind"}
@@ -79,10 +79,10 @@
 			if err := api.Body(r, &b); err != nil {
 				return nil, err
 			}
-			if !duty.Shared(r.PathValue("name")) && !slices.ContainsFunc(n.view().members, func(m Member) bool { return m.Name == b.To }) {
+			if !duty.IsShared(r.PathValue("name")) && !slices.ContainsFunc(n.view().members, func(m Member) bool { return m.Name == b.To }) {
 				return nil, &api.Problem{Status: 422, Title: "the duty can't be handed on", Detail: fmt.Sprintf("%.100q is no member", b.To), Field: "to"}
 			}
-			return n.order(r, lease.Op{Kind: lease.Hand, Duty: r.PathValue("name"), To: b.To})
+			return n.order(r, lease.Op{Kind: lease.HandOver, Duty: r.PathValue("name"), To: b.To})
 		}),
 		"POST /v1/duties/{name}/revoke": of(mostAsk, api.Change, func(r *http.Request) (any, error) {
 			var b struct {
@@ -104,7 +104,7 @@
 	switch {
 	case errors.As(err, &p):
 		return p
-	case errors.Is(err, ErrOld):
+	case errors.Is(err, ErrStaleDisk):
 		return &api.Problem{Status: http.StatusGone, Title: "this is not the disk of that member", Detail: err.Error()}
 	}
 	return &api.Problem{Status: 503, Title: "the member did not do it", Detail: err.Error()}
@@ -181,7 +181,7 @@
 }
 
 // words are what the holders of agents' duties say. Danger: a member that hears no lead would tell old ones as if they were new.
-func (n *Node) words() (*duty.Words, error) {
+func (n *Node) words() (*duty.HolderMessages, error) {
 	v := n.view()
 	if v.wrong != nil {
 		return nil, v.wrong
@@ -189,10 +189,10 @@
 	if v.lead == "" {
 		return nil, errors.New("it hears nobody lead the group")
 	}
-	all := &duty.Words{Words: []duty.Word{}}
+	all := &duty.HolderMessages{Words: []duty.HolderMessage{}}
 	for _, name := range slices.Sorted(maps.Keys(v.duties)) {
-		if d := v.duties[name]; duty.Shared(name) {
-			all.Words = append(all.Words, duty.Word{Duty: name, Free: d.Holder == "" && !d.Resting, Epoch: d.Epoch, Version: d.Version, Word: d.Word, To: d.To})
+		if d := v.duties[name]; duty.IsShared(name) {
+			all.Words = append(all.Words, duty.HolderMessage{Duty: name, Free: d.Holder == "" && !d.Resting, Epoch: d.Epoch, Version: d.Version, Word: d.Word, To: d.To})
 		}
 	}
 	return all, nil
@@ -202,14 +202,14 @@
 type peer struct{ at *api.Caller }
 
 // PeerAt returns the process that a caller calls.
-func PeerAt(at *api.Caller) Peer { return peer{at} }
+func NewPeer(at *api.Caller) Peer { return peer{at} }
 
 func (p peer) Deliver(ctx context.Context, b *Batch) error {
 	var none struct{}
 	err := p.at.Call(ctx, http.MethodPost, "group/messages", nil, b, &none)
 	var refused *api.Problem
 	if errors.As(err, &refused) && refused.Status == http.StatusGone {
-		return ErrOld
+		return ErrStaleDisk
 	}
 	return err
 }
--- a/internal/group/starts.go
+++ b/internal/group/starts.go
@@ -28,10 +28,10 @@
 }
 
 // Meet takes in who speaks for a member. One whose disk is a copy is told so.
-func (c *Core) Meet(id uint64, boot Boot) error {
+func (c *Core) CheckBoot(id uint64, boot Boot) error {
 	known := c.self.Known[id]
 	if c.state.Old[id] || !boot.after(&known) {
-		return ErrOld
+		return ErrStaleDisk
 	}
 	if known.Life != boot.Life && c.state.Members[id] != nil {
 		if c.self.Known == nil {
@@ -72,7 +72,7 @@
 			c.state.Old = map[uint64]bool{}
 		}
 		if c.state.Old[s.Member] = true; s.Member == c.self.ID {
-			c.wrong = ErrOld
+			c.wrong = ErrStaleDisk
 		}
 	}
 }
--- a/internal/lease/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -17,7 +17,7 @@
 	rng    *rand.Rand
 	now    time.Duration
 	table  Table
-	watch  Watch
+	watch  ExpiryTracker
 	lead   float64 // how fast its clock runs
 	noLead time.Duration
 	agents []*worker
@@ -66,7 +66,7 @@
 }
 
 func (w *world) drift() float64 {
-	return 1 + Drift*[]float64{-1, 1, 2*w.rng.Float64() - 1}[w.rng.IntN(3)]
+	return 1 + MaxClockDrift*[]float64{-1, 1, 2*w.rng.Float64() - 1}[w.rng.IntN(3)]
 }
 
 func (w *world) fail(property, format string, args ...any) {
@@ -81,7 +81,7 @@
 	a.holders, a.follows, a.newest = map[string]*Holder{}, map[string]*Follower{}, map[string]uint64{}
 	for _, duty := range []string{"x", "y"} {
 		a.holders[duty] = &Holder{Duty: duty, Name: fmt.Sprintf("%s/%d", a.name, a.life), Term: term}
-		a.follows[duty] = &Follower{Life: term}
+		a.follows[duty] = &Follower{MaxAge: term}
 	}
 }
 
@@ -94,7 +94,7 @@
 			return Answer{Holder: op.Holder, Epoch: op.Epoch}
 		}
 	case "the end of an old time ends the new one":
-		if op.Kind == End && d != nil {
+		if op.Kind == Expire && d != nil {
 			op.Version = d.Version
 		}
 	case "a duty that is held is granted":
@@ -128,7 +128,7 @@
 			d.Lost = 0
 		}
 	case "it rests for ever":
-		if op.Kind == End && d != nil && d.Resting {
+		if op.Kind == Expire && d != nil && d.Resting {
 			return Answer{}
 		}
 	case "anybody releases it":
@@ -165,15 +165,15 @@
 	case a.Refused != "":
 	case op.Kind == Release:
 		w.handed[op.Duty], w.batons[op.Duty] = d.To, string(op.Baton)
-	case op.Kind == End && before.Holder == "" && before.To != "":
+	case op.Kind == Expire && before.Holder == "" && before.To != "":
 		delete(w.handed, op.Duty)
-	case op.Kind == Hand:
+	case op.Kind == HandOver:
 		w.handed[op.Duty] = d.To
 	case op.Kind == Revoke:
 		w.revoked[op.Duty] = before.Epoch
 	case op.Kind == Renew && w.revoked[op.Duty] == op.Epoch:
 		w.fail("Revoked", "epoch %d of %s was revoked and renewed", op.Epoch, op.Duty)
-	case op.Kind == End && before.Holder != "" && !before.Revoked && before.Renewed < settled:
+	case op.Kind == Expire && before.Holder != "" && !before.Revoked && before.Renewed < settled:
 		if w.lost[op.Duty]++; w.lost[op.Duty] >= mostLost && !d.Resting {
 			w.fail("Rest", "%s goes on", op.Duty)
 		}
@@ -194,7 +194,7 @@
 }
 
 // ask sends a question, which comes late, or twice, or never, as does its answer.
-func (w *world) ask(a *worker, h *Holder, q *Ask) {
+func (w *world) ask(a *worker, h *Holder, q *Request) {
 	if q == nil {
 		return
 	}
@@ -224,19 +224,19 @@
 	}
 }
 
-func (w *world) answered(a *worker, h *Holder, q *Ask, r Answer) {
+func (w *world) answered(a *worker, h *Holder, q *Request, r Answer) {
 	now := a.clock(w.now)
 	switch w.plant {
 	case "the term counts from the answer":
 		asked := h.asked
-		if h.asked = now; !h.out || q.Turn != h.turn {
+		if h.asked = now; !h.out || q.Number != h.turn {
 			h.asked = asked
 		}
 	case "any answer will do":
-		q.Turn, h.out = h.turn, true
+		q.Number, h.out = h.turn, true
 		h.asked = now
 	}
-	h.Answered(now, q.Turn, r)
+	h.HandleAnswer(now, q.Number, r)
 }
 
 func (w *world) step() {
@@ -253,7 +253,7 @@
 		if w.plant == "the lead's clock runs ahead of the margin" {
 			lead += lead / 5
 		}
-		for _, op := range w.watch.Due(lead, &w.table) {
+		for _, op := range w.watch.Expired(lead, &w.table) {
 			w.mail = append(w.mail, mail{w.now + w.late(), func() { w.apply(op) }})
 		}
 	}
@@ -266,20 +266,20 @@
 			now := a.clock(w.now)
 			d := w.table.Duties[duty]
 			free := d == nil || d.Holder == ""
-			if _, _, holds := h.Holds(now); holds && (h.Wanted() != "" || w.now < quiet && w.rng.IntN(600) == 0) {
+			if _, _, holds := h.Holds(now); holds && (h.ReleaseReason() != "" || w.now < quiet && w.rng.IntN(600) == 0) {
 				to := ""
 				if w.rng.IntN(2) == 0 {
 					o := w.agents[w.rng.IntN(len(w.agents))]
 					to = o.holders[duty].Name
 				}
-				w.ask(a, h, h.LetGo(now, to, fmt.Appendf(nil, "%d", w.rng.IntN(1000))))
+				w.ask(a, h, h.Release(now, to, fmt.Appendf(nil, "%d", w.rng.IntN(1000))))
 				continue
 			}
 			if h.epoch != 0 {
-				h.Say(fmt.Append(nil, h.epoch))
+				h.Publish(fmt.Append(nil, h.epoch))
 			}
 			w.follow(a, duty)
-			w.ask(a, h, h.Step(now, free, time.Duration(w.rng.Int64N(int64(beat)))))
+			w.ask(a, h, h.Tick(now, free, time.Duration(w.rng.Int64N(int64(beat)))))
 			if w.plant == "it holds on when its time is over" && h.epoch != 0 {
 				h.until = now + term
 			}
@@ -319,14 +319,14 @@
 			f.version = 0
 		}
 		if w.side.IntN(8) == 0 && w.last[duty] != nil && w.now <= quiet { // an answer of before
-			f.Heard(asked, w.last[duty].Epoch, w.last[duty].Version, w.last[duty].Word)
+			f.Update(asked, w.last[duty].Epoch, w.last[duty].Version, w.last[duty].Word)
 		}
-		f.Heard(asked, heard.Epoch, heard.Version, heard.Word)
+		f.Update(asked, heard.Epoch, heard.Version, heard.Word)
 		if w.side.IntN(20) == 0 {
 			w.last[duty] = &heard
 		}
 	}
-	word, epoch := f.Word(asked)
+	word, epoch := f.Current(asked)
 	if word == nil {
 		return
 	}
@@ -355,7 +355,7 @@
 	case 3: // another leads
 		w.lead, w.noLead = w.drift(), w.now+long/2
 		if w.plant != "a new lead goes on with the clock of the one before" {
-			w.watch = Watch{}
+			w.watch = ExpiryTracker{}
 		} else {
 			for name, s := range w.watch.seen {
 				s.version, s.since = w.table.Duties[name].Version, s.since-term
@@ -368,7 +368,7 @@
 		}
 	case 6, 7:
 		if d := w.table.Duties["y"]; d != nil {
-			w.apply(Op{Kind: Hand, Duty: "y", To: a.holders["y"].Name})
+			w.apply(Op{Kind: HandOver, Duty: "y", To: a.holders["y"].Name})
 		}
 	}
 }
--- a/internal/lease/follower.go
+++ b/internal/lease/follower.go
@@ -7,7 +7,7 @@
 // asked for in its present version, as each renewal makes a new one: no clock is compared with another, and the word of a holder
 // that has stopped, or of a table that nobody renews, ends by itself.
 type Follower struct {
-	Life time.Duration
+	MaxAge time.Duration
 
 	epoch, version uint64
 	word           []byte
@@ -15,7 +15,7 @@
 }
 
 // Heard takes in what was answered to a question that was asked at a time.
-func (f *Follower) Heard(asked time.Duration, epoch, version uint64, word []byte) {
+func (f *Follower) Update(asked time.Duration, epoch, version uint64, word []byte) {
 	if epoch < f.epoch || epoch == f.epoch && version <= f.version {
 		return
 	}
@@ -23,8 +23,8 @@
 }
 
 // Word is what is to be followed, and the epoch under which it was said; nil if there is nothing fresh.
-func (f *Follower) Word(now time.Duration) (word []byte, epoch uint64) {
-	if f.word == nil || now-f.asked >= f.Life {
+func (f *Follower) Current(now time.Duration) (word []byte, epoch uint64) {
+	if f.word == nil || now-f.asked >= f.MaxAge {
 		return nil, 0
 	}
 	return f.word, f.epoch
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -29,9 +29,9 @@
 }
 
 // Ask is a question to the group, to be answered by Answered with its turn.
-type Ask struct {
-	Turn uint64
-	Op   Op
+type Request struct {
+	Number uint64
+	Op     Op
 }
 
 // renewEvery and askAgain are parts of a term: two renewals may be lost before it is over.
@@ -53,7 +53,7 @@
 
 // Step goes on, and returns what is to be asked. Free says that nobody seems to hold the duty: it is asked for then, after a
 // patience that is each process's own, so that not all ask at once.
-func (h *Holder) Step(now time.Duration, free bool, patience time.Duration) *Ask {
+func (h *Holder) Tick(now time.Duration, free bool, patience time.Duration) *Request {
 	if h.epoch != 0 && now >= h.until {
 		h.drop(now)
 	}
@@ -79,13 +79,13 @@
 }
 
 // Say has those who follow this holder told something, with the next renewal, which is at once if it is news.
-func (h *Holder) Say(word []byte) { h.word = word }
+func (h *Holder) Publish(word []byte) { h.word = word }
 
 // Patience is how long a process leaves a free duty to others before it asks for it, less than a term. It is a rendezvous
 // (highest random weight, Thaler and Ravishankar 1998) that nobody has to preside over: each duty has an order of its own of the
 // processes, in which one of twice the weight is first twice as often, and whoever is first among those that live asks first. The
 // others see it held before their turn comes, so that a fleet that starts at once asks a few times and not once each.
-func Patience(duty, process string, weight float64, term time.Duration) time.Duration {
+func AcquireDelay(duty, process string, weight float64, term time.Duration) time.Duration {
 	h := fnv.New64a()
 	h.Write([]byte(duty))
 	h.Write([]byte{0})
@@ -101,11 +101,11 @@
 }
 
 // Wanted says why the holder should end what it does and let go; "" if it need not.
-func (h *Holder) Wanted() string { return h.wanted }
+func (h *Holder) ReleaseReason() string { return h.wanted }
 
 // LetGo gives the duty back, with a baton for the next holder, who is to be to if that is not empty. What is done under the
 // duty must have ended.
-func (h *Holder) LetGo(now time.Duration, to string, baton []byte) *Ask {
+func (h *Holder) Release(now time.Duration, to string, baton []byte) *Request {
 	if h.epoch == 0 {
 		return nil
 	}
@@ -114,10 +114,10 @@
 	return h.ask(now, op)
 }
 
-func (h *Holder) ask(now time.Duration, op Op) *Ask {
+func (h *Holder) ask(now time.Duration, op Op) *Request {
 	h.turn++
 	h.asked, h.out = now, true
-	return &Ask{h.turn, op}
+	return &Request{h.turn, op}
 }
 
 // drop ends the holding. Others go first for a term.
@@ -127,7 +127,7 @@
 
 // Answered takes in what a question has come to. Danger: the time counts from when it was asked, not from now, and an answer
 // to an earlier question says nothing of this one.
-func (h *Holder) Answered(now time.Duration, turn uint64, a Answer) {
+func (h *Holder) HandleAnswer(now time.Duration, turn uint64, a Answer) {
 	if !h.out || turn != h.turn {
 		return
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -33,13 +33,13 @@
 const (
 	// Drift is how far a clock may run from the true one, as a share: far above what crystals do and what a clock that is being
 	// set right is slewed by (500 in a million).
-	Drift = 0.01
+	MaxClockDrift = 0.01
 	// MostBaton is what a holder may leave to the next one, in bytes.
-	MostBaton = 64 << 10
+	MaxBatonBytes = 64 << 10
 	// MostWord is what a holder may say to those who follow it, in bytes.
-	MostWord = 1 << 10
+	MaxWordBytes = 1 << 10
 	// MostDuties and mostHistory bound the table.
-	MostDuties  = 4096
+	MaxDuties   = 4096
 	mostHistory = 128
 	// mostLost holders in a row that were lost soon: the duty seems to be what loses them.
 	mostLost = 3
@@ -54,8 +54,8 @@
 
 // Margin is how long the group waits before it grants anew what was granted for a term. A slow clock makes of a term
 // term/(1-Drift), of which a fast clock shows (1+Drift) times as much.
-func Margin(term time.Duration) time.Duration {
-	return time.Duration(float64(term)*(1+Drift)/(1-Drift)) + 1
+func RegrantDelay(term time.Duration) time.Duration {
+	return time.Duration(float64(term)*(1+MaxClockDrift)/(1-MaxClockDrift)) + 1
 }
 
 // Duty is what is known of one.
@@ -97,12 +97,12 @@
 
 // The kinds.
 const (
-	Acquire Kind = iota + 1 // by Holder, for Term
-	Renew                   // by Holder under Epoch, who says Word
-	Release                 // by Holder under Epoch, with a Baton, to To or to anybody
-	Revoke                  // by an operator, who says Why
-	Hand                    // by an operator: what is released next is for To
-	End                     // by the lead: the time of Version is over
+	Acquire  Kind = iota + 1 // by Holder, for Term
+	Renew                    // by Holder under Epoch, who says Word
+	Release                  // by Holder under Epoch, with a Baton, to To or to anybody
+	Revoke                   // by an operator, who says Why
+	HandOver                 // by an operator: what is released next is for To
+	Expire                   // by the lead: the time of Version is over
 )
 
 // Op is a change that somebody asks for.
@@ -132,7 +132,7 @@
 // Check says what is wrong with an operation, whatever the table is.
 func (op *Op) Check() error {
 	switch {
-	case op.Kind < Acquire || op.Kind > End:
+	case op.Kind < Acquire || op.Kind > Expire:
 		return fmt.Errorf("kind: there is no kind %d", op.Kind)
 	case op.Duty == "" || len(op.Duty) > 100:
 		return errors.New("duty: a name has 1 to 100 bytes")
@@ -140,10 +140,10 @@
 		return errors.New("holder: a name has 1 to 200 bytes")
 	case op.Kind == Acquire && (op.Term < MinTerm || op.Term > MaxTerm):
 		return fmt.Errorf("term: %v is not between %v and %v", op.Term, MinTerm, MaxTerm)
-	case len(op.Baton) > MostBaton:
-		return fmt.Errorf("baton: it has %d bytes, and %d are allowed", len(op.Baton), MostBaton)
-	case len(op.Word) > MostWord:
-		return fmt.Errorf("word: it has %d bytes, and %d are allowed", len(op.Word), MostWord)
+	case len(op.Baton) > MaxBatonBytes:
+		return fmt.Errorf("baton: it has %d bytes, and %d are allowed", len(op.Baton), MaxBatonBytes)
+	case len(op.Word) > MaxWordBytes:
+		return fmt.Errorf("word: it has %d bytes, and %d are allowed", len(op.Word), MaxWordBytes)
 	case len(op.To) > 200 || len(op.Why) > 200:
 		return errors.New("to, why: at most 200 bytes")
 	}
@@ -160,7 +160,7 @@
 		if op.Kind != Acquire {
 			return Answer{Refused: "nobody has ever had this duty"}
 		}
-		if len(t.Duties) >= MostDuties {
+		if len(t.Duties) >= MaxDuties {
 			return Answer{Refused: fmt.Sprintf("there are %d duties already", len(t.Duties))}
 		}
 		if t.Duties == nil {
@@ -180,7 +180,7 @@
 			return refused("it rests: %d holders in a row were lost", mostLost)
 		case d.Holder != "":
 			return refused("%s holds it", d.Holder)
-		case d.To != "" && !Meant(d.To, op.Holder):
+		case d.To != "" && !MatchesHolder(d.To, op.Holder):
 			return refused("it is handed to %s", d.To)
 		}
 		t.Last++
@@ -223,8 +223,8 @@
 		}
 		d.Revoked = true // danger: its holder may act until its time is over, and nobody else before
 		t.moved(op.Duty, d, op.Why)
-	case Hand:
-		if Meant(op.To, d.Holder) {
+	case HandOver:
+		if MatchesHolder(op.To, d.Holder) {
 			if op.Epoch != 0 && op.Epoch < d.Epoch {
 				return Answer{Holder: d.Holder, Epoch: d.Epoch} // it has come about
 			}
@@ -238,7 +238,7 @@
 		}
 		d.To, d.Resting = op.To, false
 		t.moved(op.Duty, d, "to be handed to "+op.To)
-	case End:
+	case Expire:
 		if op.Version != d.Version {
 			return refused("its time has begun anew")
 		}
@@ -268,7 +268,9 @@
 }
 
 // Meant says whether a process is the one that a name names, or one of those of a member: a member's are called MEMBER/ONE.
-func Meant(name, holder string) bool { return holder == name || strings.HasPrefix(holder, name+"/") }
+func MatchesHolder(name, holder string) bool {
+	return holder == name || strings.HasPrefix(holder, name+"/")
+}
 
 // moved notes a change of a duty.
 func (t *Table) moved(name string, d *Duty, why string) {
@@ -285,7 +287,7 @@
 func (d *Duty) wait() time.Duration {
 	switch {
 	case d.Holder != "":
-		return Margin(d.Term)
+		return RegrantDelay(d.Term)
 	case d.Resting:
 		return restTerms * d.Term
 	case d.To != "":
@@ -295,7 +297,7 @@
 }
 
 // Watch is a lead's clock of a table. Danger: what one lead has counted says nothing to the next.
-type Watch struct{ seen map[string]seen }
+type ExpiryTracker struct{ seen map[string]seen }
 
 type seen struct {
 	version uint64
@@ -303,7 +305,7 @@
 }
 
 // Due returns what is over, to be proposed. It must see the table each time that it has changed.
-func (w *Watch) Due(now time.Duration, t *Table) (over []Op) {
+func (w *ExpiryTracker) Expired(now time.Duration, t *Table) (over []Op) {
 	if w.seen == nil {
 		w.seen = map[string]seen{}
 	}
@@ -315,14 +317,14 @@
 			continue
 		}
 		if wait := d.wait(); wait > 0 && now-s.since >= wait {
-			over = append(over, Op{Kind: End, Duty: name, Version: d.Version})
+			over = append(over, Op{Kind: Expire, Duty: name, Version: d.Version})
 		}
 	}
 	return over
 }
 
 // Left is how much of a duty's time is left by this clock, as far as it has seen.
-func (w *Watch) Left(now time.Duration, name string, d *Duty) time.Duration {
+func (w *ExpiryTracker) Remaining(now time.Duration, name string, d *Duty) time.Duration {
 	s, known := w.seen[name]
 	if !known || s.version != d.Version {
 		return d.wait()
--- a/internal/lease/many_test.go
+++ b/internal/lease/many_test.go
@@ -13,7 +13,7 @@
 	const agents, duties, dead = 50, 1000, 10
 	const long, beat, knows = 3 * time.Second, 50 * time.Millisecond, 250 * time.Millisecond
 	var table Table
-	var watch Watch
+	var watch ExpiryTracker
 	type agent struct {
 		name    string
 		holders []*Holder
@@ -44,7 +44,7 @@
 		}
 		return held, most
 	}
-	ask := func(now time.Duration, h *Holder, q *Ask) {
+	ask := func(now time.Duration, h *Holder, q *Request) {
 		if q == nil {
 			return
 		}
@@ -54,11 +54,11 @@
 				refused++
 			}
 		}
-		h.Answered(now, q.Turn, a)
+		h.HandleAnswer(now, q.Number, a)
 	}
 	run := func(from, until time.Duration) {
 		for now := from; now < until; now += beat {
-			for _, op := range watch.Due(now, &table) {
+			for _, op := range watch.Expired(now, &table) {
 				table.Apply(&op)
 			}
 			for i, a := range all {
@@ -69,10 +69,10 @@
 						a.free[k] = d == nil || d.Holder == "" && !d.Resting
 					}
 					if _, _, held := h.Holds(now); held && i == 0 && h.looked > 0 {
-						ask(now, h, h.LetGo(now, "", nil)) // it takes and drops
+						ask(now, h, h.Release(now, "", nil)) // it takes and drops
 						continue
 					}
-					ask(now, h, h.Step(now, a.free[k], Patience(names[k], a.name, a.weight, long)))
+					ask(now, h, h.Tick(now, a.free[k], AcquireDelay(names[k], a.name, a.weight, long)))
 				}
 			}
 		}
--- a/internal/lease/orders_test.go
+++ b/internal/lease/orders_test.go
@@ -16,7 +16,7 @@
 	}
 	duty := func() Duty { return *table.Duties["x"] }
 	require.Equal(t, uint64(1), apply(Op{Kind: Acquire, Holder: "a/1"}).Epoch)
-	hand := Op{Kind: Hand, Epoch: 1, To: "b", Why: "by hand"}
+	hand := Op{Kind: HandOver, Epoch: 1, To: "b", Why: "by hand"}
 	require.Empty(t, apply(hand).Refused)
 	before := duty()
 	require.Empty(t, apply(hand).Refused)
@@ -28,7 +28,7 @@
 
 	before = duty()
 	require.Empty(t, apply(hand).Refused, "it has come about")
-	require.NotEmpty(t, apply(Op{Kind: Hand, Epoch: 1, To: "c"}).Refused)
+	require.NotEmpty(t, apply(Op{Kind: HandOver, Epoch: 1, To: "c"}).Refused)
 	require.Empty(t, apply(Op{Kind: Revoke, Epoch: 1, Why: "late"}).Refused, "nobody holds it under 1")
 	require.NotEmpty(t, apply(Op{Kind: Revoke, Epoch: 3, Why: "early"}).Refused)
 	require.Equal(t, before, duty())
--- a/internal/mesh/controlplane/duty_holder.go
+++ b/internal/mesh/controlplane/duty_holder.go
@@ -24,7 +24,7 @@
 	core      *Core
 	platform  *platformClient
 	holder    *duties.Holder
-	watch     lease.Watch
+	watch     lease.ExpiryTracker
 	startedAt time.Time
 	events    chan func()
 	stopping  chan chan struct{}
@@ -172,10 +172,10 @@
 // expireLeases ends the leases that were not renewed in time. Only the consensus leader does this.
 func (h *dutyHolder) expireLeases(now time.Duration, table *duties.Table) {
 	if h.core.node.Status().Role != "leader" {
-		h.watch = lease.Watch{}
+		h.watch = lease.ExpiryTracker{}
 		return
 	}
-	for _, op := range h.watch.Due(now, &table.Leases) {
+	for _, op := range h.watch.Expired(now, &table.Leases) {
 		go h.propose(&duties.Command{Lease: &op})
 	}
 }
--- a/internal/mesh/controlplane/duty_orders.go
+++ b/internal/mesh/controlplane/duty_orders.go
@@ -50,7 +50,7 @@
 	switch {
 	case o.Fence == 0:
 		return "fence: missing, give the fencing token of the grant to move"
-	case kind == lease.Hand && o.To == "":
+	case kind == lease.HandOver && o.To == "":
 		return "to: missing, give the name of a core machine"
 	case kind == lease.Revoke && o.Why == "":
 		return "why: missing, give a reason"
--- a/internal/mesh/controlplane/handlers.go
+++ b/internal/mesh/controlplane/handlers.go
@@ -21,7 +21,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("/api/config", &configHandler{c})
 	mux.Handle("/api/drain-zone/{zone}", dropAbandoned(&evacuationHandler{c}))
-	mux.Handle("/api/duties/{duty}/hand", dropAbandoned(&dutyOrderHandler{c, lease.Hand}))
+	mux.Handle("/api/duties/{duty}/hand", dropAbandoned(&dutyOrderHandler{c, lease.HandOver}))
 	mux.Handle("/api/duties/{duty}/revoke", dropAbandoned(&dutyOrderHandler{c, lease.Revoke}))
 	mux.Handle("/api/windows", dropAbandoned(&windowListHandler{c}))
 	mux.Handle("/api/windows/{name}/{what}", dropAbandoned(&windowCommandHandler{c}))
--- a/internal/mesh/duties/duties_test.go
+++ b/internal/mesh/duties/duties_test.go
@@ -63,7 +63,7 @@
 	machines          [machineCount]*machine
 	table             *Table
 	index             uint64
-	watch             lease.Watch // of the leader
+	watch             lease.ExpiryTracker // of the leader
 	events            []event
 	platformDownUntil time.Duration // the platform does not respond until then
 
@@ -191,7 +191,7 @@
 	case 3:
 		w.platformDownUntil = w.now + time.Duration(w.Int64N(int64(10*time.Second)))
 	case 4:
-		w.watch = lease.Watch{} // leadership changes
+		w.watch = lease.ExpiryTracker{} // leadership changes
 	case 5:
 		if w.now >= m.pausedUntil && !m.holder.CallInFlight() {
 			var actions Actions
@@ -227,7 +227,7 @@
 				w.events = append(w.events, e)
 			}
 		}
-		for _, op := range w.watch.Due(w.now, &w.table.Leases) {
+		for _, op := range w.watch.Expired(w.now, &w.table.Leases) {
 			if w.index++; w.plantedBug != "leases never expire" {
 				w.table.Apply(w.index, &Command{Lease: &op})
 			}
@@ -350,7 +350,7 @@
 		node := fmt.Sprint("core-", n)
 		h, table := NewHolder(node, node+"/1", bounds), NewTable()
 		for _, op := range []lease.Op{
-			{Kind: lease.Acquire, Holder: "other/1", Term: time.Second}, {Kind: lease.Hand, Epoch: 1, To: node}, {Kind: lease.Release, Holder: "other/1", Epoch: 1},
+			{Kind: lease.Acquire, Holder: "other/1", Term: time.Second}, {Kind: lease.HandOver, Epoch: 1, To: node}, {Kind: lease.Release, Holder: "other/1", Epoch: 1},
 		} {
 			op.Duty = UsageReport
 			require.Empty(t, table.Leases.Apply(&op).Refused)
--- a/internal/mesh/duties/holder.go
+++ b/internal/mesh/duties/holder.go
@@ -135,18 +135,18 @@
 // isReservedFor reports whether the part is being handed over to a process.
 func (t *Table) isReservedFor(process string) bool {
 	d := t.Leases.Duties[UsageReport]
-	return d != nil && d.To != "" && lease.Meant(d.To, process)
+	return d != nil && d.To != "" && lease.MatchesHolder(d.To, process)
 }
 
 // Tick returns the actions that are due. The view may be empty if NeedsView returned false.
 func (h *Holder) Tick(now time.Duration, table *Table, view *View) (actions Actions) {
 	// An earlier process on this node may have called the platform shortly before this one started.
 	eligible := view.Connected && !view.Cordoned && now > h.bounds.Lease+quietMargin
-	acquireDelay := lease.Patience(UsageReport, h.node, 1, AcquireStagger)
+	acquireDelay := lease.AcquireDelay(UsageReport, h.node, 1, AcquireStagger)
 	if table.isReservedFor(h.lease.Name) {
 		acquireDelay = 0 // the reservation lasts one term, hardly longer than the usual delay
 	}
-	if request := h.lease.Step(now, table.isFree() && eligible, acquireDelay); request != nil {
+	if request := h.lease.Tick(now, table.isFree() && eligible, acquireDelay); request != nil {
 		h.addLeaseRequest(&actions, request)
 	}
 	epoch, deadline, held := h.lease.Holds(now)
@@ -178,14 +178,14 @@
 	return h.lastRequest
 }
 
-func (h *Holder) addLeaseRequest(actions *Actions, request *lease.Ask) {
-	h.leaseTurn = request.Turn
+func (h *Holder) addLeaseRequest(actions *Actions, request *lease.Request) {
+	h.leaseTurn = request.Number
 	h.leaseRequest = h.addRequest(actions, &Command{Lease: &request.Op})
 }
 
 // Release gives the part back if it is held. No call may be in flight.
 func (h *Holder) Release(now time.Duration, actions *Actions) {
-	if request := h.lease.LetGo(now, "", nil); request != nil {
+	if request := h.lease.Release(now, "", nil); request != nil {
 		h.addLeaseRequest(actions, request)
 	}
 }
@@ -198,7 +198,7 @@
 	case h.disconnectedSince == 0:
 		h.disconnectedSince = now
 	}
-	return view.Cordoned || epoch == h.refusedEpoch || h.lease.Wanted() != "" || h.disconnectedSince != 0 && now-h.disconnectedSince > h.bounds.Lease
+	return view.Cordoned || epoch == h.refusedEpoch || h.lease.ReleaseReason() != "" || h.disconnectedSince != 0 && now-h.disconnectedSince > h.bounds.Lease
 }
 
 // confirmAccepted requests ReportAccepted for the reports that the platform has accepted.
@@ -261,7 +261,7 @@
 			h.accepted[window] = false // request it again; a repeated ReportAccepted is refused without harm
 		}
 	case number == h.leaseRequest:
-		h.lease.Answered(now, h.leaseTurn, reply.Lease)
+		h.lease.HandleAnswer(now, h.leaseTurn, reply.Lease)
 	}
 }
 
--- a/internal/processtest/managers_test.go
+++ b/internal/processtest/managers_test.go
@@ -309,7 +309,7 @@
 			},
 			"ends": func(h *managerGroup, x string) { h.Process(x).Terminate() },
 			"handed": func(h *managerGroup, x string) {
-				h.duties[x].Hand(h.t.Context(), "manage", h.Names[(slices.Index(h.Names, x)+1)%len(h.Names)])
+				h.duties[x].HandOver(h.t.Context(), "manage", h.Names[(slices.Index(h.Names, x)+1)%len(h.Names)])
 			},
 		} {
 			b.Run(fmt.Sprintf("%d/%s", members, what), func(b *testing.B) {
--- a/internal/processtest/paced_test.go
+++ b/internal/processtest/paced_test.go
@@ -56,7 +56,7 @@
 	"the pacer is stopped and continued": {
 		grants: 2, fault: scenario.Fault{Kind: "freeze-agent", Zone: "b", At: scenario.Duration(10500 * time.Millisecond), For: scenario.Duration(5 * time.Second), Share: 1},
 		harm: func(h *managerGroup, pacer string, _ chan<- string) {
-			h.duties[h.lead()].Hand(h.t.Context(), paces, map[string]string{"a2": "a5"}[pacer]+map[bool]string{true: "a2"}[pacer != "a2"]) // agents of site b
+			h.duties[h.lead()].HandOver(h.t.Context(), paces, map[string]string{"a2": "a5"}[pacer]+map[bool]string{true: "a2"}[pacer != "a2"]) // agents of site b
 		},
 	},
 	"the pacer hears nothing of the group and is not heard": {grants: 2, harm: func(h *managerGroup, pacer string, _ chan<- string) {
