--- a/cmd/micaline-manage/crew.go
+++ b/cmd/micaline-manage/crew.go
@@ -46,8 +46,8 @@
 	if err != nil {
 		return err
 	}
-	desk := manage.NewDesk(nil)
-	desk.Sit(m)
+	desk := manage.NewActiveManager(nil)
+	desk.Set(m)
 	return c.serve(ctx, desk, nil, m.Run)
 }
 
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	desk := manage.NewDesk(func() string {
+	desk := manage.NewActiveManager(func() string {
 		for _, d := range node.Duties().Duties {
 			if d.Name == managing {
 				who, _, _ := strings.Cut(d.Holder, "/")
@@ -83,15 +83,15 @@
 		running.Go(func() { node.Run(part) })
 		node.Hold(ctx, managing, term, func(s *group.Grant) []byte {
 			o := c.options
-			o.Store, o.May = s, s.IsValid
+			o.Store, o.MayAct = s, s.IsValid
 			m, err := manage.New(o)
 			if err != nil {
 				c.log.Error("can't manage", "error", err)
 				return nil
 			}
-			desk.Sit(m)
+			desk.Set(m)
 			m.Run(s)
-			desk.Sit(nil)
+			desk.Set(nil)
 			return nil
 		})
 		end()
@@ -100,7 +100,7 @@
 }
 
 // serve serves the interface while the work goes on, until the context ends.
-func (c *crew) serve(ctx context.Context, desk *manage.Desk, routes map[string]group.Route, work func(context.Context)) error {
+func (c *crew) serve(ctx context.Context, desk *manage.ActiveManager, routes map[string]group.Route, work func(context.Context)) error {
 	listeners, err := c.settings.Interface.Open()
 	if err != nil {
 		return &exit.Error{Code: 2, Err: fmt.Errorf("%s: interface.%w", c.path, err)}
--- a/cmd/micaline-manage/main.go
+++ b/cmd/micaline-manage/main.go
@@ -74,8 +74,8 @@
 		log: log, path: path, settings: s, store: j,
 		options: manage.Options{
 			Store: j, Instances: f.Instance, Log: log,
-			At:    func(a api.Address) manage.Instance { return control.NewClient(d.At(a)) },
-			Fresh: func(a api.Address) manage.Instance { return control.NewClient(d.Fresh(a)) },
+			Client:      func(a api.Address) manage.InstanceClient { return control.NewClient(d.At(a)) },
+			FreshClient: func(a api.Address) manage.InstanceClient { return control.NewClient(d.Fresh(a)) },
 		},
 	}
 	if s.Group.Name == "" {
--- a/cmd/micaline-manage/size_bench_test.go
+++ b/cmd/micaline-manage/size_bench_test.go
@@ -98,7 +98,7 @@
 					b.Fatal(err)
 				}
 				id := fmt.Sprintf("r%d", round)
-				if _, err := m.Begin(b.Context(), id, &manage.Order{Document: doc, Limits: &manage.Limits{Canaries: 1, Growth: 3}}); err != nil {
+				if _, err := m.StartRollout(b.Context(), id, &manage.Order{Document: doc, Limits: &manage.Limits{Canaries: 1, Growth: 3}}); err != nil {
 					b.Fatal(err)
 				}
 				for {
@@ -106,7 +106,7 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					if r.Over() {
+					if r.Stopped() {
 						if r.Summary.Applied != n {
 							b.Fatalf("%+v, %s", r.Summary, r.Reason)
 						}
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -65,7 +65,7 @@
 			if id == "" {
 				id = "r" + time.Now().UTC().Format("20060102-150405.000")
 			}
-			return o.follow(ctx, m, c, id, !later, func(ctx context.Context) (*manage.Report, error) { return m.Begin(ctx, id, order) })
+			return o.follow(ctx, m, c, id, !later, func(ctx context.Context) (*manage.Report, error) { return m.StartRollout(ctx, id, order) })
 		})
 	limits.add(apply)
 	apply.Flags().StringVar(&id, "id", "", "id of the rollout; the same order again under it begins nothing (default by the time)")
@@ -78,19 +78,19 @@
 		c := add(&cobra.Command{Use: word + " ID", Short: short}, 1,
 			func(ctx context.Context, m *manage.Client, c *cobra.Command, words []string) error {
 				return o.follow(ctx, m, c, words[0], !later, func(ctx context.Context) (*manage.Report, error) {
-					return m.Tell(ctx, words[0], word, leave)
+					return m.ControlRollout(ctx, words[0], word, leave)
 				})
 			})
-		if word == manage.ResumeOrder {
+		if word == manage.ResumeAction {
 			c.Flags().BoolVar(&leave, "leave", false, "go on without those that did not apply the change")
 		}
 		noWait(c)
 		c.ValidArgsFunction = o.completeRollouts
 		return c
 	}
-	tell(manage.AbortOrder, "Halt a rollout, and leave what is applied")
-	tell(manage.ResumeOrder, "Go on with a rollout that is halted or superseded")
-	tell(manage.RollbackOrder, "Take back what a rollout has applied")
+	tell(manage.AbortAction, "Halt a rollout, and leave what is applied")
+	tell(manage.ResumeAction, "Go on with a rollout that is halted or superseded")
+	tell(manage.RollbackAction, "Take back what a rollout has applied")
 
 	report := &cobra.Command{
 		Use: "report [ID]", Short: "Show who got what of a rollout; without ID, all rollouts",
@@ -326,7 +326,7 @@
 			last = now
 			fmt.Fprintf(c.ErrOrStderr(), "%s: %s\n", id, now)
 		}
-		if r.Over() {
+		if r.Stopped() {
 			break
 		}
 		select {
@@ -350,7 +350,7 @@
 	if err := o.report(c.OutOrStdout(), r); err != nil || !wait {
 		return err
 	}
-	if s := r.Summary; c.Name() == manage.RollbackOrder && r.Status == "rolled back" && s.Applied+s.Partly+s.Unknown == 0 {
+	if s := r.Summary; c.Name() == manage.RollbackAction && r.Status == "rolled back" && s.Applied+s.Partly+s.Unknown == 0 {
 		return nil // which is what was wanted
 	}
 	return ended(r)
@@ -418,7 +418,7 @@
 	s := r.Summary
 	all := s.Applied + s.Unchanged + s.Partly + s.Unknown + s.Waiting + s.Back + s.Ended
 	switch {
-	case !r.Over():
+	case !r.Stopped():
 		return nil
 	case s.Unknown > 0:
 		return &exit.Error{Code: Unknown, Err: fmt.Errorf("%s: of %d instances it is not known whether they have it", r.Status, s.Unknown)}
--- a/internal/fleet/managed_test.go
+++ b/internal/fleet/managed_test.go
@@ -112,7 +112,7 @@
 
 // cutting is a client that can be cut off silently, and that tells what is asked.
 type cutting struct {
-	manage.Instance
+	manage.InstanceClient
 	name  string
 	asked func(ctx context.Context, what, name string) error
 }
@@ -121,14 +121,14 @@
 	if err := c.asked(ctx, "look", c.name); err != nil {
 		return nil, err
 	}
-	return c.Instance.Summary(ctx, fence)
+	return c.InstanceClient.Summary(ctx, fence)
 }
 
 func (c cutting) Prepare(ctx context.Context, id string, p *control.Proposal) (*control.Change, error) {
 	if err := c.asked(ctx, "prepare", c.name); err != nil {
 		return nil, err
 	}
-	r, err := c.Instance.Prepare(ctx, id, p)
+	r, err := c.InstanceClient.Prepare(ctx, id, p)
 	if err != nil {
 		return r, err
 	}
@@ -139,7 +139,7 @@
 	if err := c.asked(ctx, "commit", c.name); err != nil {
 		return nil, err
 	}
-	r, err := c.Instance.Commit(ctx, id, fence)
+	r, err := c.InstanceClient.Commit(ctx, id, fence)
 	if err != nil {
 		return r, err
 	}
@@ -150,11 +150,11 @@
 	if err := c.asked(ctx, "abort", c.name); err != nil {
 		return nil, err
 	}
-	return c.Instance.Abort(ctx, id, fence)
+	return c.InstanceClient.Abort(ctx, id, fence)
 }
 
 func (c cutting) Confirm(ctx context.Context, id string, fence uint64) (*control.Change, error) {
-	r, err := c.Instance.Confirm(ctx, id, fence)
+	r, err := c.InstanceClient.Confirm(ctx, id, fence)
 	if err != nil {
 		return r, err
 	}
@@ -254,7 +254,7 @@
 		}
 		return nil
 	}
-	at := func(a api.Address) manage.Instance {
+	at := func(a api.Address) manage.InstanceClient {
 		return cutting{control.NewClient(dialer.At(a)), a.Name, asked}
 	}
 	path := filepath.Join(t.TempDir(), "journal")
@@ -263,7 +263,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m, err := manage.New(manage.Options{Store: j, Instances: fleet, At: at, Fresh: at, Log: slog.New(slog.DiscardHandler)})
+		m, err := manage.New(manage.Options{Store: j, Instances: fleet, Client: at, FreshClient: at, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -311,7 +311,7 @@
 		t.Fatal(err)
 	}
 	order := &manage.Order{Document: good, Limits: &manage.Limits{Canaries: 3, Growth: 3, Bake: 1, MoreRefused: 1, MoreFailed: 1, LessInAim: 1, MayFail: 0.4}}
-	if _, err := m.Begin(t.Context(), "good", order); err != nil {
+	if _, err := m.StartRollout(t.Context(), "good", order); err != nil {
 		t.Fatal(err)
 	}
 	select {
@@ -324,11 +324,11 @@
 	until("it is over", func() bool {
 		r := report("good")
 		if r.Halted() {
-			if _, err := m.Tell(t.Context(), "good", manage.ResumeOrder, false); err != nil {
+			if _, err := m.ControlRollout(t.Context(), "good", manage.ResumeAction, false); err != nil {
 				t.Log(err)
 			}
 		}
-		return r.Over() && !r.Halted()
+		return r.Stopped() && !r.Halted()
 	})
 	r := report("good")
 	if r.Status != "completed" {
@@ -337,9 +337,9 @@
 	if len(struck) != 8 {
 		t.Errorf("struck %v", struck)
 	}
-	got := func(name string) manage.Got {
+	got := func(name string) manage.InstanceOutcome {
 		r := report("good")
-		return r.Instances[slices.IndexFunc(r.Instances, func(g manage.Got) bool { return g.Name == name })]
+		return r.Instances[slices.IndexFunc(r.Instances, func(g manage.InstanceOutcome) bool { return g.Name == name })]
 	}
 	for name := range cuts {
 		if g := got(name); g.State != "unknown" {
@@ -374,7 +374,7 @@
 		t.Fatal(err)
 	}
 	order = &manage.Order{Document: bad, Limits: &manage.Limits{Canaries: 3, Growth: 3, Bake: 60, MoreRefused: 0.05, MoreFailed: 0.05, LessInAim: 0.2, Least: 30, Patience: 60, MayFail: 0.4}}
-	if _, err := m.Begin(t.Context(), "bad", order); err != nil {
+	if _, err := m.StartRollout(t.Context(), "bad", order); err != nil {
 		t.Fatal(err)
 	}
 	until("the bad document is taken back", func() bool {
--- a/internal/manage/client.go
+++ b/internal/manage/client.go
@@ -75,7 +75,7 @@
 }
 
 // Begin begins a rollout, once under its id.
-func (c *Client) Begin(ctx context.Context, id string, o *Order) (*Report, error) {
+func (c *Client) StartRollout(ctx context.Context, id string, o *Order) (*Report, error) {
 	var v Report
 	return &v, c.at.Call(ctx, http.MethodPut, "rollouts/"+url.PathEscape(id), nil, o, &v)
 }
@@ -92,7 +92,7 @@
 }
 
 // Tell gives an order to a rollout.
-func (c *Client) Tell(ctx context.Context, id, order string, leave bool) (*Report, error) {
+func (c *Client) ControlRollout(ctx context.Context, id, order string, leave bool) (*Report, error) {
 	var v Report
 	return &v, c.at.Call(ctx, http.MethodPost, "rollouts/"+url.PathEscape(id)+"/"+order, nil, map[string]bool{"leave": leave}, &v)
 }
--- a/internal/manage/hard_test.go
+++ b/internal/manage/hard_test.go
@@ -142,7 +142,7 @@
 		}
 		for w.report("r").Status != "completed" && time.Since(began) < 5*time.Minute {
 			if w.report("r").Halted() { // once for each wave that has some of them
-				w.now().Tell(context.Background(), "r", ResumeOrder, true)
+				w.now().ControlRollout(context.Background(), "r", ResumeAction, true)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -166,7 +166,7 @@
 		w.set(func() { w.slow["i02"] = 9 * time.Second })
 		began := time.Now()
 		w.begin("r", &Order{Document: doc(t, someWorth), Limits: &Limits{Canaries: 1, Growth: 7, Bake: 1, MayFail: 0.2}})
-		for !w.report("r").Over() {
+		for !w.report("r").Stopped() {
 			time.Sleep(100 * time.Millisecond)
 		}
 		if r := w.report("r"); r.Status != "completed" || time.Since(began) > 20*time.Second {
@@ -191,7 +191,7 @@
 		defer func() { stop(); <-ended; dialer.Kill() }()
 		other := doc(t, `{"decisions":{"max_attempts":2}}`)
 		for range 100 {
-			if _, err := newer.Begin(context.Background(), "second", &Order{Document: other, Limits: quick}); err == nil {
+			if _, err := newer.StartRollout(context.Background(), "second", &Order{Document: other, Limits: quick}); err == nil {
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -199,7 +199,7 @@
 		for {
 			if r, err := newer.Report(context.Background(), "second"); err != nil {
 				t.Fatal(err)
-			} else if r.Over() {
+			} else if r.Stopped() {
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -209,7 +209,7 @@
 			t.Errorf("the older one goes on: %v", err)
 		}
 		var p *api.Problem
-		if _, err := older.Begin(context.Background(), "third", &Order{Document: d, Limits: quick}); !errors.As(err, &p) || p.Status != 412 {
+		if _, err := older.StartRollout(context.Background(), "third", &Order{Document: d, Limits: quick}); !errors.As(err, &p) || p.Status != 412 {
 			t.Errorf("the older one takes an order: %v", err)
 		}
 		if s, err := older.Status(context.Background()); err != nil || !s.Superseded {
@@ -234,18 +234,18 @@
 	inTown(t, 4, func(t *testing.T, w *town) {
 		o := &Order{Document: doc(t, someWorth), Limits: quick}
 		w.begin("r", o)
-		if r, err := w.now().Begin(context.Background(), "r", o); err != nil || r.ID != "r" {
+		if r, err := w.now().StartRollout(context.Background(), "r", o); err != nil || r.ID != "r" {
 			t.Errorf("the same again: %+v, error %v", r, err)
 		}
 		var p *api.Problem
-		if _, err := w.now().Begin(context.Background(), "other", o); !errors.As(err, &p) || p.Status != 409 || !strings.Contains(p.Detail, "rollout r ") {
+		if _, err := w.now().StartRollout(context.Background(), "other", o); !errors.As(err, &p) || p.Status != 409 || !strings.Contains(p.Detail, "rollout r ") {
 			t.Errorf("another beside it: %v", err)
 		}
-		if _, err := w.now().Begin(context.Background(), "r", &Order{Document: doc(t, `{}`), Limits: quick}); !errors.As(err, &p) || p.Status != 409 || p.Field != "id" {
+		if _, err := w.now().StartRollout(context.Background(), "r", &Order{Document: doc(t, `{}`), Limits: quick}); !errors.As(err, &p) || p.Status != 409 || p.Field != "id" {
 			t.Errorf("another under its id: %v", err)
 		}
 		w.settle("r", false)
-		if r, err := w.now().Begin(context.Background(), "r", o); err != nil || r.Status != "completed" {
+		if r, err := w.now().StartRollout(context.Background(), "r", o); err != nil || r.Status != "completed" {
 			t.Errorf("the same when it is over: %+v, error %v", r, err)
 		}
 	})
@@ -280,7 +280,7 @@
 }
 
 func (w *town) client(name string) *control.Client {
-	return w.now().opts.At(api.Address{Name: name, Unix: "/" + w.houses[name].addr}).(probe).Instance.(*control.Client)
+	return w.now().opts.Client(api.Address{Name: name, Unix: "/" + w.houses[name].addr}).(probe).InstanceClient.(*control.Client)
 }
 
 func (w *town) fence() uint64 {
@@ -312,7 +312,7 @@
 		}
 		w.mu.Unlock()
 		var p *api.Problem
-		if _, err := w.now().Begin(context.Background(), "other", &Order{Document: d}); !errors.As(err, &p) || p.Status != 503 || !strings.Contains(p.Detail, full.Error()) {
+		if _, err := w.now().StartRollout(context.Background(), "other", &Order{Document: d}); !errors.As(err, &p) || p.Status != 503 || !strings.Contains(p.Detail, full.Error()) {
 			t.Errorf("an order: %v", err)
 		}
 		if s, err := w.now().Status(context.Background()); err != nil || !strings.Contains(s.Journal, full.Error()) {
@@ -391,7 +391,7 @@
 		w.houses = houses
 		m := w.now()
 		announce := func(name string) error {
-			return m.Announced(context.Background(), inventory.Instance{Name: name, Addr: houses[name].addr, Labels: map[string]string{"kind": "announced"}})
+			return m.RecordAnnouncement(context.Background(), inventory.Instance{Name: name, Addr: houses[name].addr, Labels: map[string]string{"kind": "announced"}})
 		}
 		for name := range houses {
 			if err := announce(name); err != nil {
@@ -404,7 +404,7 @@
 		}
 		for _, bad := range []inventory.Instance{{Name: "x", Unix: "/x"}, {Name: "x y", Addr: "127.0.0.1:1"}, {Name: "x", Addr: "here"}, {Name: "x", Addr: "127.0.0.1:1", Labels: map[string]string{"": ""}}} {
 			var p *api.Problem
-			if err := m.Announced(context.Background(), bad); !errors.As(err, &p) || p.Status != 422 || p.Field == "" {
+			if err := m.RecordAnnouncement(context.Background(), bad); !errors.As(err, &p) || p.Status != 422 || p.Field == "" {
 				t.Errorf("%+v: %v", bad, err)
 			}
 		}
@@ -449,7 +449,7 @@
 			"bake":     {"r", &Order{Document: d, Limits: &Limits{Canaries: 1, Growth: 1, Bake: -1}}, 422, "limits.bake_s"},
 		} {
 			var p *api.Problem
-			if _, err := w.now().Begin(context.Background(), c.id, c.o); !errors.As(err, &p) || p.Status != c.status || p.Field != c.field {
+			if _, err := w.now().StartRollout(context.Background(), c.id, c.o); !errors.As(err, &p) || p.Status != c.status || p.Field != c.field {
 				t.Errorf("%s: %v", what, err)
 			}
 		}
@@ -457,8 +457,8 @@
 			t.Errorf("begun: %+v, error %v", all, err)
 		}
 		var p *api.Problem
-		for _, order := range []string{AbortOrder, ResumeOrder, RollbackOrder} {
-			if _, err := w.now().Tell(context.Background(), "nothing", order, false); !errors.As(err, &p) || p.Status != 404 {
+		for _, order := range []string{AbortAction, ResumeAction, RollbackAction} {
+			if _, err := w.now().ControlRollout(context.Background(), "nothing", order, false); !errors.As(err, &p) || p.Status != 404 {
 				t.Errorf("%s of nothing: %v", order, err)
 			}
 		}
@@ -483,7 +483,7 @@
 		undo := w.cut(func(string) bool { return true })
 		time.Sleep(10 * time.Second)
 		var p *api.Problem
-		if _, err := w.now().Begin(context.Background(), "r", &Order{Document: doc(t, someWorth), Limits: quick}); !errors.As(err, &p) || p.Status != 409 {
+		if _, err := w.now().StartRollout(context.Background(), "r", &Order{Document: doc(t, someWorth), Limits: quick}); !errors.As(err, &p) || p.Status != 409 {
 			t.Errorf("begun: %v", err)
 		}
 		undo()
@@ -500,7 +500,7 @@
 		for i := range mostRollouts + 10 {
 			id := fmt.Sprintf("r%03d", i)
 			w.begin(id, &Order{Document: doc(t, fmt.Sprintf(`{"decisions":{"classes":{"close":{"worth":%d}}}}`, i)), Limits: &Limits{Canaries: 1, Growth: 1}})
-			for !w.report(id).Over() {
+			for !w.report(id).Stopped() {
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
@@ -522,18 +522,18 @@
 		d := doc(t, someWorth)
 		w.begin("r", &Order{Document: d, Limits: &Limits{Canaries: 1, Growth: 3, Bake: 10}})
 		time.Sleep(3 * time.Second)
-		if r, err := w.now().Tell(context.Background(), "r", AbortOrder, false); err != nil || r.Status != "halted" {
+		if r, err := w.now().ControlRollout(context.Background(), "r", AbortAction, false); err != nil || r.Status != "halted" {
 			t.Fatalf("aborted: %+v, error %v", r, err)
 		}
 		time.Sleep(time.Minute)
 		if r := w.report("r"); r.Summary.Applied != 1 || r.Summary.Waiting != 3 {
 			t.Errorf("aborted: %+v", r.Summary)
 		}
-		w.now().Tell(context.Background(), "r", ResumeOrder, false)
+		w.now().ControlRollout(context.Background(), "r", ResumeAction, false)
 		if r := w.settle("r", false); r.Status != "completed" || r.Summary.Applied != 4 {
 			t.Errorf("resumed: %s, %+v", r.Status, r.Summary)
 		}
-		if r, err := w.now().Tell(context.Background(), "r", RollbackOrder, false); err != nil || r.Status != "rolling back" {
+		if r, err := w.now().ControlRollout(context.Background(), "r", RollbackAction, false); err != nil || r.Status != "rolling back" {
 			t.Fatalf("rolled back: %+v, error %v", r, err)
 		}
 		if r := w.settle("r", false); r.Status != "rolled back" || r.Summary.Back != 4 {
--- a/internal/manage/instances.go
+++ b/internal/manage/instances.go
@@ -43,17 +43,17 @@
 	}
 	switch {
 	case p.look == nil && p.err == nil:
-		r.State = NotSeen
+		r.State = StateNotSeen
 	case p.err != nil:
-		r.State, r.Reason = Silent, p.err.Error()
+		r.State, r.Reason = StateUnreachable, p.err.Error()
 	case r.Wanted == "":
-		r.State = Free
+		r.State = StateUnmanaged
 	case r.Wanted == r.Hash && len(p.look.Mixed) == 0:
-		r.State = AsWanted
+		r.State = StateAsWanted
 	case p.keeper.Refusal() != "":
-		r.State, r.Reason = Refuses, p.keeper.Refusal()
+		r.State, r.Reason = StateRefused, p.keeper.Refusal()
 	default:
-		r.State = Differs
+		r.State = StateDiffers
 	}
 	return r
 }
@@ -92,7 +92,7 @@
 }
 
 // Announced takes in where an instance says it is. One of the file stays where the file has it.
-func (m *Manager) Announced(ctx context.Context, in inventory.Instance) error {
+func (m *Manager) RecordAnnouncement(ctx context.Context, in inventory.Instance) error {
 	if in.Unix != "" {
 		return &api.Problem{Status: 422, Title: "the announcement can't be used", Detail: "a socket is on its own machine only", Field: "unix"}
 	}
--- a/internal/manage/kill_test.go
+++ b/internal/manage/kill_test.go
@@ -199,7 +199,7 @@
 
 // probe is a client whose calls are points.
 type probe struct {
-	Instance
+	InstanceClient
 	town *town
 	name string
 }
@@ -212,19 +212,19 @@
 }
 
 func (p probe) Prepare(ctx context.Context, id string, x *control.Proposal) (*control.Change, error) {
-	return p.around("prepare", func() (*control.Change, error) { return p.Instance.Prepare(ctx, id, x) })
+	return p.around("prepare", func() (*control.Change, error) { return p.InstanceClient.Prepare(ctx, id, x) })
 }
 
 func (p probe) Commit(ctx context.Context, id string, fence uint64) (*control.Change, error) {
-	return p.around("commit", func() (*control.Change, error) { return p.Instance.Commit(ctx, id, fence) })
+	return p.around("commit", func() (*control.Change, error) { return p.InstanceClient.Commit(ctx, id, fence) })
 }
 
 func (p probe) Abort(ctx context.Context, id string, fence uint64) (*control.Change, error) {
-	return p.around("abort", func() (*control.Change, error) { return p.Instance.Abort(ctx, id, fence) })
+	return p.around("abort", func() (*control.Change, error) { return p.InstanceClient.Abort(ctx, id, fence) })
 }
 
 func (p probe) Confirm(ctx context.Context, id string, fence uint64) (*control.Change, error) {
-	return p.around("confirm", func() (*control.Change, error) { return p.Instance.Confirm(ctx, id, fence) })
+	return p.around("confirm", func() (*control.Change, error) { return p.InstanceClient.Confirm(ctx, id, fence) })
 }
 
 // newTown starts so many instances, and a manager of them.
@@ -266,8 +266,8 @@
 func (w *town) newManager(s journal.Store, from string) (*Manager, context.CancelFunc, *network.Dialer, chan struct{}) {
 	dialer := w.net.From(from)
 	callers := api.NewDialerOver(nil, "", func(ctx context.Context, _, addr string) (net.Conn, error) { return dialer.Dial(ctx, addr[1:]) })
-	at := func(a api.Address) Instance { return probe{control.NewClient(callers.At(a)), w, a.Name} }
-	o := Options{Store: s, At: at, Fresh: at, Log: slog.New(slog.DiscardHandler)}
+	at := func(a api.Address) InstanceClient { return probe{control.NewClient(callers.At(a)), w, a.Name} }
+	o := Options{Store: s, Client: at, FreshClient: at, Log: slog.New(slog.DiscardHandler)}
 	for _, name := range slices.Sorted(maps.Keys(w.houses)) {
 		o.Instances = append(o.Instances, inventory.Instance{Name: name, Unix: "/" + w.houses[name].addr})
 	}
@@ -333,12 +333,12 @@
 func (w *town) begin(id string, o *Order) {
 	w.t.Helper()
 	for range 100 {
-		if _, err := w.now().Begin(context.Background(), id, o); err == nil {
+		if _, err := w.now().StartRollout(context.Background(), id, o); err == nil {
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	_, err := w.now().Begin(context.Background(), id, o)
+	_, err := w.now().StartRollout(context.Background(), id, o)
 	w.t.Fatalf("%s does not begin: %v", id, err)
 }
 
@@ -361,10 +361,10 @@
 		}
 		w.hold(r)
 		if r.Status == "halted" && resume {
-			w.now().Tell(context.Background(), id, ResumeOrder, false)
+			w.now().ControlRollout(context.Background(), id, ResumeAction, false)
 			continue
 		}
-		if r.Over() && r.Summary.Unknown == 0 {
+		if r.Stopped() && r.Summary.Unknown == 0 {
 			if quiet++; quiet > 20 {
 				return r
 			}
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -53,7 +53,7 @@
 var Buckets = []string{metaBucket, documentBucket, rolloutBucket, memberBucket, wantedBucket, announcedBucket}
 
 // Instance is how the manager talks to an instance: a control.Client.
-type Instance interface {
+type InstanceClient interface {
 	Summary(ctx context.Context, fence uint64) (*control.Summary, error)
 	Document(ctx context.Context) (*control.Versioned, error)
 	Prepare(ctx context.Context, id string, p *control.Proposal) (*control.Change, error)
@@ -64,13 +64,13 @@
 
 // Options say what a manager has to do with.
 type Options struct {
-	Store     journal.Store
-	Instances []inventory.Instance         // known beforehand
-	At        func(a api.Address) Instance // a client of the instance there
-	Fresh     func(a api.Address) Instance // the same, over a new connection each time
-	Log       *slog.Logger
+	Store       journal.Store
+	Instances   []inventory.Instance               // known beforehand
+	Client      func(a api.Address) InstanceClient // a client of the instance there
+	FreshClient func(a api.Address) InstanceClient // the same, over a new connection each time
+	Log         *slog.Logger
 	// May says whether the manager may still act, where another could have taken its place. nil: always.
-	May func() bool
+	MayAct func() bool
 }
 
 // Manager is the managing agent.
@@ -259,7 +259,7 @@
 	return m.fence
 }
 
-func (m *Manager) may() bool { return m.opts.May == nil || m.opts.May() }
+func (m *Manager) may() bool { return m.opts.MayAct == nil || m.opts.MayAct() }
 
 // introduced says whether all instances that answer have heard of this manager. Nothing is sent before: what a manager before
 // this one sends late would still be taken where this one has not spoken.
--- a/internal/manage/orders.go
+++ b/internal/manage/orders.go
@@ -75,16 +75,16 @@
 
 // The states of an instance.
 const (
-	AsWanted = "as wanted"
-	Free     = "nothing wanted"
-	Differs  = "differs" // and is being brought to what is wanted
-	Refuses  = "refuses"
-	Silent   = "silent"
-	NotSeen  = "not seen"
+	StateAsWanted    = "as wanted"
+	StateUnmanaged   = "nothing wanted"
+	StateDiffers     = "differs" // and is being brought to what is wanted
+	StateRefused     = "refuses"
+	StateUnreachable = "silent"
+	StateNotSeen     = "not seen"
 )
 
 // Planned is what an order would do to an instance.
-type Planned struct {
+type PlannedInstance struct {
 	Name     string                `json:"name"`
 	Wave     int                   `json:"wave"` // from 1; 0 for left out
 	Revision uint64                `json:"revision"`
@@ -95,9 +95,9 @@
 
 // Plan is what an order would do.
 type Plan struct {
-	Hash      string    `json:"hash"` // of its document
-	Waves     []int     `json:"waves"`
-	Instances []Planned `json:"instances"`
+	Hash      string            `json:"hash"` // of its document
+	Waves     []int             `json:"waves"`
+	Instances []PlannedInstance `json:"instances"`
 }
 
 // survey is what a plan is made of.
@@ -158,7 +158,7 @@
 				defer func() { <-room }()
 				ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 				defer cancel()
-				d, err := m.opts.At(at).Document(ctx)
+				d, err := m.opts.Client(at).Document(ctx)
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
@@ -206,11 +206,11 @@
 		return nil, err
 	}
 	limits := v.limits.limits()
-	p := &Plan{Hash: v.hash, Waves: limits.Waves(len(v.in)), Instances: []Planned{}}
+	p := &Plan{Hash: v.hash, Waves: limits.Waves(len(v.in)), Instances: []PlannedInstance{}}
 	err = m.look(ctx, func() {
 		r := rollout.New(now(), "", v.hash, limits, v.in)
 		for _, x := range r.Members() {
-			is := Planned{Name: x.Name, Wave: x.Wave + 1, Revision: x.Base, Hash: x.Was, Changes: []document.Difference{}}
+			is := PlannedInstance{Name: x.Name, Wave: x.Wave + 1, Revision: x.Base, Hash: x.Was, Changes: []document.Difference{}}
 			if d := m.documents[x.Was]; d != nil {
 				is.Changes = append(is.Changes, d.Diff(o.Document)...)
 			}
@@ -221,7 +221,7 @@
 		}
 	})
 	for _, name := range slices.Sorted(maps.Keys(v.out)) {
-		p.Instances = append(p.Instances, Planned{Name: name, Reason: v.out[name], Changes: []document.Difference{}})
+		p.Instances = append(p.Instances, PlannedInstance{Name: name, Reason: v.out[name], Changes: []document.Difference{}})
 	}
 	return p, err
 }
@@ -229,7 +229,7 @@
 var rolloutID = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,100}$`)
 
 // Begin begins a rollout. The same order again under its id begins nothing and is told as it is; another is refused.
-func (m *Manager) Begin(ctx context.Context, id string, o *Order) (*Report, error) {
+func (m *Manager) StartRollout(ctx context.Context, id string, o *Order) (*Report, error) {
 	if !rolloutID.MatchString(id) || id == "keep" {
 		return nil, &api.Problem{Status: 422, Title: "the order can't be used", Detail: fmt.Sprintf("%.80q is not 1 to 100 letters, digits, dots, hyphens and underscores", id), Field: "id"}
 	}
@@ -328,29 +328,29 @@
 
 // The orders to a rollout that has begun.
 const (
-	AbortOrder    = "abort"
-	ResumeOrder   = "resume"
-	RollbackOrder = "rollback"
+	AbortAction    = "abort"
+	ResumeAction   = "resume"
+	RollbackAction = "rollback"
 )
 
 // Tell gives an order to a rollout. Leave has a rollout resumed without those that did not apply the change.
-func (m *Manager) Tell(ctx context.Context, id, order string, leave bool) (*Report, error) {
+func (m *Manager) ControlRollout(ctx context.Context, id, order string, leave bool) (*Report, error) {
 	var report *Report
 	err := m.change(ctx, func() error {
 		r := m.rollouts[id]
 		if r == nil {
 			return &api.Problem{Status: 404, Title: "there is no such rollout", Detail: id, Field: "id"}
 		}
-		if order != AbortOrder && (m.superseded || m.fence == 0) {
+		if order != AbortAction && (m.superseded || m.fence == 0) {
 			return m.notManaging()
 		}
 		var err error
 		switch order {
-		case AbortOrder:
+		case AbortAction:
 			err = r.Abort(now())
-		case ResumeOrder:
+		case ResumeAction:
 			err = r.Resume(now(), leave)
-		case RollbackOrder:
+		case RollbackAction:
 			for _, x := range r.Members() {
 				if by, busy := m.busy(x.Name); busy && by != id {
 					return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("rollout %s has %s in hand", by, x.Name)}
--- a/internal/manage/poll.go
+++ b/internal/manage/poll.go
@@ -40,7 +40,7 @@
 		}
 		p.polling, p.due = true, t+pollEvery
 		at, fence := p.Address(), m.stated()
-		client := m.opts.At(at)
+		client := m.opts.Client(at)
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 			s, err := client.Summary(ctx, fence)
@@ -139,7 +139,7 @@
 
 // ask makes the request. An error is silence.
 func (m *Manager) ask(ctx context.Context, at api.Address, s rollout.Send, fence uint64, doc *document.Document) (change.Answer, error) {
-	client := m.opts.At(at)
+	client := m.opts.Client(at)
 	var c *control.Change
 	var err error
 	switch s.Request {
@@ -152,14 +152,14 @@
 		c, err = client.Commit(ctx, s.ID, fence)
 		if err == nil && c.Outcome == change.None.String() && c.Pending == s.ID {
 			// In force. Whether the instance can still be reached, only a new connection shows.
-			c, err = m.opts.Fresh(at).Confirm(ctx, s.ID, fence)
+			c, err = m.opts.FreshClient(at).Confirm(ctx, s.ID, fence)
 		}
 	case change.AskAbort:
 		c, err = client.Abort(ctx, s.ID, fence)
 		var p *api.Problem
 		if errors.As(err, &p) && p.Status == 409 {
 			// Too late: it is being applied, or waits for the confirmation that got lost with the commit's answer.
-			if late, lateErr := m.opts.Fresh(at).Confirm(ctx, s.ID, fence); lateErr == nil {
+			if late, lateErr := m.opts.FreshClient(at).Confirm(ctx, s.ID, fence); lateErr == nil {
 				c, err = late, nil
 			}
 		}
--- a/internal/manage/report.go
+++ b/internal/manage/report.go
@@ -44,20 +44,20 @@
 
 // Report is what a manager says of a rollout.
 type Report struct {
-	ID        string          `json:"id"`
-	Status    string          `json:"status"`
-	Reason    string          `json:"reason,omitempty"`
-	Document  string          `json:"document"`
-	Wave      int             `json:"wave"` // from 1
-	Waves     int             `json:"waves"`
-	Baking    bool            `json:"baking"` // the wave has ended and is watched
-	Took      float64         `json:"took_s"`
-	Summary   rollout.Summary `json:"summary"`
-	Instances []Got           `json:"instances,omitempty"`
+	ID        string            `json:"id"`
+	Status    string            `json:"status"`
+	Reason    string            `json:"reason,omitempty"`
+	Document  string            `json:"document"`
+	Wave      int               `json:"wave"` // from 1
+	Waves     int               `json:"waves"`
+	Baking    bool              `json:"baking"` // the wave has ended and is watched
+	Took      float64           `json:"took_s"`
+	Summary   rollout.Summary   `json:"summary"`
+	Instances []InstanceOutcome `json:"instances,omitempty"`
 }
 
 // Got is what an instance got.
-type Got struct {
+type InstanceOutcome struct {
 	Name     string   `json:"name"`
 	Wave     int      `json:"wave"` // from 1
 	State    string   `json:"state"`
@@ -76,10 +76,10 @@
 }
 
 // NotNeeded is said of an instance of which nothing has to be taken back.
-const NotNeeded = "not needed"
+const RollbackNotNeeded = "not needed"
 
 // Over says that nothing more happens to the rollout by itself.
-func (r *Report) Over() bool {
+func (r *Report) Stopped() bool {
 	return r.Status == rollout.Completed.String() || r.Status == rollout.RolledBack.String() || r.Halted()
 }
 
@@ -98,19 +98,21 @@
 		Baking: r.Baking > 0 && r.Status == rollout.Running, Took: (end - r.Begun).Seconds(), Summary: r.Summary(),
 	}
 	for _, x := range r.Members() {
-		g := Got{Name: x.Name, Wave: x.Wave + 1, State: x.Target.State.String(), Epoch: x.Target.Epoch, Parts: x.Target.Parts, Revision: x.Target.Revision, Left: x.Left, Reason: x.Target.Reason}
+		g := InstanceOutcome{Name: x.Name, Wave: x.Wave + 1, State: x.Target.State.String(), Epoch: x.Target.Epoch, Parts: x.Target.Parts, Revision: x.Target.Revision, Left: x.Left, Reason: x.Target.Reason}
 		if x.Backing {
 			g.Back, g.BackWhy = x.Back.State.String(), x.Back.Reason
 		}
 		if x.Ended {
-			g.Back, g.BackWhy = NotNeeded, "the process that had it has ended"
+			g.Back, g.BackWhy = RollbackNotNeeded, "the process that had it has ended"
 		}
 		if at := m.places[x.Name]; at != nil && at.look != nil {
 			g.Now, g.Has, g.Reachable = at.look.Epoch, at.look.Hash, at.err == nil
 		}
 		p.Instances = append(p.Instances, g)
 	}
-	slices.SortFunc(p.Instances, func(a, b Got) int { return cmp.Or(cmp.Compare(a.Wave, b.Wave), strings.Compare(a.Name, b.Name)) })
+	slices.SortFunc(p.Instances, func(a, b InstanceOutcome) int {
+		return cmp.Or(cmp.Compare(a.Wave, b.Wave), strings.Compare(a.Name, b.Name))
+	})
 	return p
 }
 
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -16,29 +16,31 @@
 
 // Server is the manager's interface for operators and for instances that announce themselves.
 type Server struct {
-	desk *Desk
+	desk *ActiveManager
 	http *api.Server
 }
 
 // Desk is where the manager sits, if there is one: of several processes, one manages at a time.
-type Desk struct {
+type ActiveManager struct {
 	mu        sync.Mutex
 	manager   *Manager
 	elsewhere func() string
 }
 
 // NewDesk returns a desk without a manager. Elsewhere says who has one, "" if nobody is known.
-func NewDesk(elsewhere func() string) *Desk { return &Desk{elsewhere: elsewhere} }
+func NewActiveManager(elsewhere func() string) *ActiveManager {
+	return &ActiveManager{elsewhere: elsewhere}
+}
 
 // Sit puts a manager at the desk, or none.
-func (d *Desk) Sit(m *Manager) {
+func (d *ActiveManager) Set(m *Manager) {
 	d.mu.Lock()
 	d.manager = m
 	d.mu.Unlock()
 }
 
 // get returns the manager.
-func (d *Desk) get() (*Manager, error) {
+func (d *ActiveManager) get() (*Manager, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.manager != nil {
@@ -54,7 +56,7 @@
 const mostBody = document.MaxSize + 8192
 
 // NewServer returns a server that is not serving yet. More are further routes, by their patterns, and the roles that they take.
-func NewServer(d *Desk, door *api.Door, more map[string]http.HandlerFunc, roles map[string]api.Role) *Server {
+func NewServer(d *ActiveManager, door *api.Door, more map[string]http.HandlerFunc, roles map[string]api.Role) *Server {
 	s := &Server{desk: d}
 	mux := http.NewServeMux()
 	for pattern, handler := range s.routes() {
@@ -113,11 +115,11 @@
 			if err != nil {
 				return nil, err
 			}
-			return m.Begin(r.Context(), r.PathValue("id"), o)
+			return m.StartRollout(r.Context(), r.PathValue("id"), o)
 		}),
-		"POST /v1/rollouts/{id}/abort":    of(s.tell(AbortOrder)),
-		"POST /v1/rollouts/{id}/resume":   of(s.tell(ResumeOrder)),
-		"POST /v1/rollouts/{id}/rollback": of(s.tell(RollbackOrder)),
+		"POST /v1/rollouts/{id}/abort":    of(s.tell(AbortAction)),
+		"POST /v1/rollouts/{id}/resume":   of(s.tell(ResumeAction)),
+		"POST /v1/rollouts/{id}/rollback": of(s.tell(RollbackAction)),
 		"GET /v1/openapi.yaml":            description,
 	}
 }
@@ -171,7 +173,7 @@
 		if err := api.Body(r, &b); err != nil {
 			return nil, err
 		}
-		return m.Tell(r.Context(), r.PathValue("id"), what, b.Leave)
+		return m.ControlRollout(r.Context(), r.PathValue("id"), what, b.Leave)
 	}
 }
 
@@ -186,7 +188,7 @@
 	if err := api.Body(r, &a); err != nil {
 		return nil, err
 	}
-	return &a, m.Announced(r.Context(), inventory.Instance{Name: r.PathValue("name"), Addr: a.Addr, Labels: a.Labels})
+	return &a, m.RecordAnnouncement(r.Context(), inventory.Instance{Name: r.PathValue("name"), Addr: a.Addr, Labels: a.Labels})
 }
 
 // Serve serves at a listener until Close. It closes the listener.
--- a/internal/manage/server_test.go
+++ b/internal/manage/server_test.go
@@ -92,9 +92,9 @@
 // The description names what is served and nothing else, and what is answered is as it says.
 func TestOpenAPI(t *testing.T) {
 	instances := map[string]*paper{"i1": newPaper("i1-e1"), "i2": newPaper("i2-e1"), "i3": newPaper("i3-e1")}
-	at := func(a api.Address) Instance { return instances[a.Name] }
+	at := func(a api.Address) InstanceClient { return instances[a.Name] }
 	m, err := New(Options{
-		Store: &journal.Memory{}, At: at, Fresh: at, Log: slog.New(slog.DiscardHandler),
+		Store: &journal.Memory{}, Client: at, FreshClient: at, Log: slog.New(slog.DiscardHandler),
 		Instances: []inventory.Instance{{Name: "i1", Addr: "127.0.0.1:1", Labels: map[string]string{"zone": "a"}}, {Name: "i2", Addr: "127.0.0.1:2"}},
 	})
 	if err != nil {
@@ -149,8 +149,8 @@
 func (r rawJSON) MarshalJSON() ([]byte, error) { return []byte(r), nil }
 
 // sat is a desk with a manager.
-func sat(m *Manager) *Desk {
-	d := NewDesk(func() string { return "" })
-	d.Sit(m)
+func sat(m *Manager) *ActiveManager {
+	d := NewActiveManager(func() string { return "" })
+	d.Set(m)
 	return d
 }
--- a/internal/processtest/managers_harness_test.go
+++ b/internal/processtest/managers_harness_test.go
@@ -208,10 +208,10 @@
 				within, cancel := context.WithTimeout(ctx, 2*time.Second)
 				r, err := h.clients[name].Report(within, id)
 				if !taken || errors.As(err, new(*api.Problem)) && err.(*api.Problem).Status == 404 {
-					r, err = h.clients[name].Begin(within, id, &manage.Order{Document: d, Limits: limits})
+					r, err = h.clients[name].StartRollout(within, id, &manage.Order{Document: d, Limits: limits})
 				}
 				if err == nil && r.Halted() {
-					r, err = h.clients[name].Tell(within, id, manage.ResumeOrder, true)
+					r, err = h.clients[name].ControlRollout(within, id, manage.ResumeAction, true)
 				}
 				cancel()
 				if err == nil && !taken {
--- a/internal/processtest/managers_test.go
+++ b/internal/processtest/managers_test.go
@@ -266,7 +266,7 @@
 		switch {
 		case out == 0:
 			r := ask(func(ctx context.Context, m *manage.Client) (*manage.Report, error) {
-				return m.Begin(ctx, "power-work", &manage.Order{Document: d, Limits: limits})
+				return m.StartRollout(ctx, "power-work", &manage.Order{Document: d, Limits: limits})
 			})
 			if r != nil {
 				taken, last = true, r
@@ -280,7 +280,7 @@
 			}
 		case back == 0 && w.now() > out+6*time.Second:
 			if r := ask(func(ctx context.Context, m *manage.Client) (*manage.Report, error) {
-				return m.Tell(ctx, "power-work", manage.RollbackOrder, false)
+				return m.ControlRollout(ctx, "power-work", manage.RollbackAction, false)
 			}); r != nil {
 				back = w.now()
 			}
