--- a/cmd/micaline-manage/main_test.go
+++ b/cmd/micaline-manage/main_test.go
@@ -48,14 +48,14 @@
 
 func (i *instance) Name() string             { return i.name }
 func (i *instance) Base() *settings.Settings { return &i.base }
-func (i *instance) Look(context.Context) (*control.State, error) {
+func (i *instance) State(context.Context) (*control.State, error) {
 	return &control.State{Taking: true, Backends: []control.Backend{{Name: "b1", Phase: "Ready"}}}, nil
 }
 func (i *instance) Apply(context.Context, string, *document.Document) error { return nil }
 func (i *instance) Hold(_ context.Context, name string, _ time.Duration) (bool, error) {
 	return name == "b1", nil
 }
-func (i *instance) SetTaking(bool)               {}
+func (i *instance) SetAccepting(bool)            {}
 func (i *instance) Reload(context.Context) error { return nil }
 
 // site is a folder with all that operators write.
@@ -92,7 +92,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	server := control.NewServer(&instance{name: name, base: base}, control.Options{Epoch: name + "-e1", Door: d})
+	server := control.NewServer(&instance{name: name, base: base}, control.Options{Epoch: name + "-e1", Access: d})
 	go server.Serve(l[0])
 	s.t.Cleanup(func() { server.Close() })
 	return l[0].Addr().String()
@@ -135,7 +135,7 @@
 	case errors.As(err, &ended):
 		code = ended.Code
 	case err != nil:
-		code = ctl.Usage
+		code = ctl.ExitUsage
 	}
 	if code != want {
 		s.t.Fatalf("ctl %v: exit code %d, want %d: %v\n%s", words, code, want, err, out.String())
@@ -239,17 +239,17 @@
 		t.Errorf("report:\n%s", out)
 	}
 	bad := s.write("bad.json", `{"decisions":{"classes":{"other":{"worth":1}}}}`)
-	if out := managed(ctl.Refused, append([]string{"apply", bad, "--id", "bad"}, quick...)...); !strings.Contains(out, "decisions.classes.other") || !strings.Contains(out, "rolled back") {
+	if out := managed(ctl.ExitRefused, append([]string{"apply", bad, "--id", "bad"}, quick...)...); !strings.Contains(out, "decisions.classes.other") || !strings.Contains(out, "rolled back") {
 		t.Errorf("bad:\n%s", out)
 	}
 	if out := managed(0, "rollback", "first"); !strings.Contains(out, "7 taken back") {
 		t.Errorf("rollback:\n%s", out)
 	}
-	managed(ctl.Refused, "resume", "nothing")
-	managed(ctl.Refused, "abort", "first")
+	managed(ctl.ExitRefused, "resume", "nothing")
+	managed(ctl.ExitRefused, "abort", "first")
 	managed(0, "takeover")
-	managed(ctl.Usage, "apply", filepath.Join(dir, "none.json"))
-	if out := managed(ctl.Refused, "apply", doc, "--canaries", "0"); !strings.Contains(out, "limits.canaries") {
+	managed(ctl.ExitUsage, "apply", filepath.Join(dir, "none.json"))
+	if out := managed(ctl.ExitRefused, "apply", doc, "--canaries", "0"); !strings.Contains(out, "limits.canaries") {
 		t.Errorf("no canaries:\n%s", out)
 	}
 
@@ -265,7 +265,7 @@
 	if out := direct(0, "hold", "b1", "--select", "zone=b"); strings.Count(out, "held out") != 3 {
 		t.Errorf("hold:\n%s", out)
 	}
-	if out := direct(ctl.Refused, "hold", "nobody"); strings.Count(out, "no such backend") != 6 {
+	if out := direct(ctl.ExitRefused, "hold", "nobody"); strings.Count(out, "no such backend") != 6 {
 		t.Errorf("hold of nobody:\n%s", out)
 	}
 	if out := direct(0, "set", doc, "--dry-run", "--select", "zone=a"); strings.Count(out, "max_attempts") != 3 {
@@ -277,24 +277,24 @@
 			t.Errorf("%v: %+v, error %v", words, many, err)
 		}
 	}
-	direct(ctl.Usage, "show", "--select", "zone=z")
-	direct(ctl.Usage, "show", "--select", "[")
-	direct(ctl.Usage, "show", "--output", "xml")
+	direct(ctl.ExitUsage, "show", "--select", "zone=z")
+	direct(ctl.ExitUsage, "show", "--select", "[")
+	direct(ctl.ExitUsage, "show", "--output", "xml")
 	// With one of them gone it is said which, and that it is not all of them.
 	s.write("fleet.toml", "%s[[instance]]\nname = \"gone\"\naddr = \"127.0.0.1:1\"\n", fleet.String())
-	if out := direct(ctl.Partly, "show"); !strings.Contains(out, "gone") || !strings.Contains(out, "1 of 7 instances") {
+	if out := direct(ctl.ExitPartial, "show"); !strings.Contains(out, "gone") || !strings.Contains(out, "1 of 7 instances") {
 		t.Errorf("one gone:\n%s", out)
 	}
 	// One instance over TLS, with the credentials of flags and none.
 	one := "i7@" + strings.Fields(managed(0, "instances", "--select", "i7"))[11]
 	s.ctl(0, "show", "--instance", one, "--ca", s.ca.CA, "--token-file", token)
-	if out := s.ctl(ctl.Refused, "show", "--instance", one, "--ca", s.ca.CA); !strings.Contains(out, "token") {
+	if out := s.ctl(ctl.ExitRefused, "show", "--instance", one, "--ca", s.ca.CA); !strings.Contains(out, "token") {
 		t.Errorf("without a token: %s", out)
 	}
-	s.ctl(ctl.Failed, "show", "--instance", one)
-	s.ctl(ctl.Usage, "show", "--instance", "a b@127.0.0.1:1")
-	s.ctl(ctl.Usage, "show")
-	s.ctl(ctl.Usage, "plan", doc)
+	s.ctl(ctl.ExitFailed, "show", "--instance", one)
+	s.ctl(ctl.ExitUsage, "show", "--instance", "a b@127.0.0.1:1")
+	s.ctl(ctl.ExitUsage, "show")
+	s.ctl(ctl.ExitUsage, "plan", doc)
 }
 
 // A file that can't be used ends the start with its line and field, a journal that is cut with what is wrong with it.
--- a/cmd/micaline/main.go
+++ b/cmd/micaline/main.go
@@ -222,7 +222,7 @@
 		return nil, err
 	}
 	s := control.NewServer(i, control.Options{
-		Epoch: rand.Text(), Labels: c.Labels, Door: c.Door, Configuration: func() string { return *i.reloader.hash.Load() },
+		Epoch: rand.Text(), Labels: c.Labels, Access: c.Door, Configuration: func() string { return *i.reloader.hash.Load() },
 	})
 	for _, l := range listeners {
 		go func() {
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -47,7 +47,7 @@
 func (a *Agent) Base() *settings.Settings { return &a.cfg.Settings }
 
 // SetTaking says whether requests are taken. One that is not is refused, and told when to come back.
-func (a *Agent) SetTaking(on bool) {
+func (a *Agent) SetAccepting(on bool) {
 	a.server.refuseAll.Store(!on)
 	a.log.Info("operators", "taking", on)
 }
@@ -55,12 +55,12 @@
 // Apply puts a part of a document in force.
 func (a *Agent) Apply(ctx context.Context, part string, d *document.Document) error {
 	switch part {
-	case document.Service:
+	case document.PartService:
 		return a.applyService(ctx, &d.Service)
-	case document.Sites:
+	case document.PartSites:
 		return a.applySites(ctx, d.Sites)
-	case document.Decisions:
-		return a.applyDecisions(ctx, d.Module(&a.cfg.Settings))
+	case document.PartDecisions:
+		return a.applyDecisions(ctx, d.PolicySettings(&a.cfg.Settings))
 	}
 	return fmt.Errorf("there is no part %q", part)
 }
@@ -122,7 +122,7 @@
 var effectNames = [...]string{policy.Pure: "pure", policy.Keyed: "token", policy.SideEffect: "side_effect"}
 
 // Look returns the present state.
-func (a *Agent) Look(ctx context.Context) (*control.State, error) {
+func (a *Agent) State(ctx context.Context) (*control.State, error) {
 	var s *control.State
 	err := a.loop.runInLoop(ctx, func() { s = a.state() })
 	return s, err
@@ -131,12 +131,12 @@
 func (a *Agent) state() *control.State {
 	l := a.loop
 	now := l.clock.now()
-	s := &control.State{Taking: !a.server.refuseAll.Load(), Held: len(l.requests), Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}}
-	s.Service = control.Service{
+	s := &control.State{Taking: !a.server.refuseAll.Load(), Held: len(l.requests), Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.FailureCause{}}
+	s.Service = control.RequestCounts{
 		Requests: l.counts.requests, InAim: l.counts.inAim, Served: l.counts.served, Refused: l.counts.refused, Failed: l.counts.failed, Left: l.counts.clientGone,
 	}
 	own, part := l.lagMonitor.stats()
-	s.Own = control.Own{Late: roundForDisplay(own.MeanDelay.Seconds()), Part: roundForDisplay(part), Worst: roundForDisplay(own.MaxDelay.Seconds()), Times: own.LateTicks}
+	s.Own = control.AgentDelay{Late: roundForDisplay(own.MeanDelay.Seconds()), Part: roundForDisplay(part), Worst: roundForDisplay(own.MaxDelay.Seconds()), Times: own.LateTicks}
 	if b, ok := l.current.Decider.(observableDecider); ok {
 		s.Pressure = b.Pressure()
 		for _, v := range b.View(now) {
@@ -174,9 +174,9 @@
 		if c.refused {
 			answer = "refused"
 		}
-		s.Causes = append(s.Causes, control.Cause{Answer: answer, Class: l.settings.Classes[c.class], Cause: c.reason, Count: n})
+		s.Causes = append(s.Causes, control.FailureCause{Answer: answer, Class: l.settings.Classes[c.class], Cause: c.reason, Count: n})
 	}
-	slices.SortFunc(s.Causes, func(x, y control.Cause) int {
+	slices.SortFunc(s.Causes, func(x, y control.FailureCause) int {
 		return cmp.Or(cmp.Compare(x.Answer, y.Answer), cmp.Compare(x.Class, y.Class), cmp.Compare(x.Cause, y.Cause))
 	})
 	return s
--- a/internal/agent/control_test.go
+++ b/internal/agent/control_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
-	s, err := a.agent.Look(ctx)
+	s, err := a.agent.State(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused {
 		t.Errorf("one more than are held: answered %d", status)
 	}
-	a.agent.SetTaking(false)
+	a.agent.SetAccepting(false)
 	close(goOn)
 	if status := receive(t, "answer", first); status != http.StatusOK {
 		t.Errorf("what was taken before is answered %d", status)
@@ -194,7 +194,7 @@
 	if s := controlState(t, a); s.Service.Refused != 2 || s.Service.Requests != 3 || len(s.Causes) != 1 || s.Causes[0].Count != 2 {
 		t.Errorf("counted %+v, causes %+v", s.Service, s.Causes)
 	}
-	a.agent.SetTaking(true)
+	a.agent.SetAccepting(true)
 	a.serveRequests(t, 3)
 	next := newScriptedDiscovery(t, listJSON(1, true, memberJSON("z", b.Addr, "Ready", 0)))
 	a.apply(t, `{"service":{"discovery":"`+next.Addr+`"}}`)
@@ -220,10 +220,10 @@
 	a.do(t, a.request("unsafe", "15000m"))
 	a.serveRequests(t, 2)
 	s := controlState(t, a)
-	if want := (control.Service{Requests: 3, InAim: 2, Served: 2, Failed: 1}); s.Service != want {
+	if want := (control.RequestCounts{Requests: 3, InAim: 2, Served: 2, Failed: 1}); s.Service != want {
 		t.Errorf("counted %+v", s.Service)
 	}
-	if want := []control.Cause{{Answer: "failed", Class: "unsafe", Cause: "reset", Count: 1}}; !slices.Equal(s.Causes, want) {
+	if want := []control.FailureCause{{Answer: "failed", Class: "unsafe", Cause: "reset", Count: 1}}; !slices.Equal(s.Causes, want) {
 		t.Errorf("causes %+v", s.Causes)
 	}
 }
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -202,7 +202,7 @@
 
 // TakeOut evacuates a site for the given duration, or ends its evacuation if the duration is 0. It
 // returns nil if sites are not monitored.
-func (a *Agent) TakeOut(ctx context.Context, name string, duration time.Duration, force bool, reason string) (status *control.Sites, err error) {
+func (a *Agent) EvacuateSite(ctx context.Context, name string, duration time.Duration, force bool, reason string) (status *control.Sites, err error) {
 	l := a.loop
 	var siteErr error
 	err = l.runInLoop(ctx, func() {
@@ -226,7 +226,7 @@
 
 // applySites evacuates the sites that an operators' document names, and ends the evacuations that
 // only the previous document named. If one evacuation fails, it undoes the others.
-func (a *Agent) applySites(ctx context.Context, evacuations map[string]document.Site) (err error) {
+func (a *Agent) applySites(ctx context.Context, evacuations map[string]document.EvacuatedSite) (err error) {
 	l := a.loop
 	loopErr := l.runInLoop(ctx, func() {
 		s := l.sites
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -60,8 +60,8 @@
 }
 
 // Document asks for the document in force.
-func (c *Client) Document(ctx context.Context) (*Versioned, error) {
-	v := Versioned{Document: &document.Document{}}
+func (c *Client) Document(ctx context.Context) (*VersionedDocument, error) {
+	v := VersionedDocument{Document: &document.Document{}}
 	return &v, c.call(ctx, http.MethodGet, "document", nil, &v)
 }
 
@@ -100,8 +100,8 @@
 }
 
 // Hold keeps a backend out for so many seconds; 0 lets it in. A repeat under an id does nothing; "" is a new one.
-func (c *Client) Hold(ctx context.Context, id, backend string, seconds float64) (*Holding, error) {
-	var v Holding
+func (c *Client) Hold(ctx context.Context, id, backend string, seconds float64) (*BackendHold, error) {
+	var v BackendHold
 	path := "holds/" + url.PathEscape(backend)
 	if seconds == 0 {
 		return &v, c.once(ctx, id, http.MethodDelete, path, nil, &v)
@@ -133,7 +133,7 @@
 
 // TakeOut takes a site out for so many seconds and says why; 0 lets it in again. Unless it is forced it is refused where the
 // others could not carry the load. A repeat under an id does nothing; "" is a new one.
-func (c *Client) TakeOut(ctx context.Context, id, site string, seconds float64, force bool, why string) (*Sites, error) {
+func (c *Client) EvacuateSite(ctx context.Context, id, site string, seconds float64, force bool, why string) (*Sites, error) {
 	var v Sites
 	path := "sites/" + url.PathEscape(site) + "/out"
 	if seconds == 0 {
@@ -143,9 +143,9 @@
 }
 
 // SetTaking says whether the instance takes requests.
-func (c *Client) SetTaking(ctx context.Context, id string, on bool) (*Taking, error) {
-	var v Taking
-	return &v, c.once(ctx, id, http.MethodPut, "taking", &Taking{on}, &v)
+func (c *Client) SetAccepting(ctx context.Context, id string, on bool) (*Admission, error) {
+	var v Admission
+	return &v, c.once(ctx, id, http.MethodPut, "taking", &Admission{on}, &v)
 }
 
 // Reload has the instance read its configuration again.
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -36,7 +36,7 @@
 func (f *fake) Name() string             { return "n1" }
 func (f *fake) Base() *settings.Settings { return f.base }
 
-func (f *fake) Look(context.Context) (*State, error) {
+func (f *fake) State(context.Context) (*State, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	st := f.state
@@ -91,7 +91,7 @@
 	}, nil
 }
 
-func (f *fake) TakeOut(ctx context.Context, name string, d time.Duration, force bool, _ string) (*Sites, error) {
+func (f *fake) EvacuateSite(ctx context.Context, name string, d time.Duration, force bool, _ string) (*Sites, error) {
 	switch {
 	case name != "a":
 		return nil, site.ErrUnknownSite
@@ -101,7 +101,7 @@
 	return f.Sites(ctx)
 }
 
-func (f *fake) SetTaking(on bool) {
+func (f *fake) SetAccepting(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.taking = on
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	f := &fake{base: &base, taking: true, holds: map[string]time.Duration{}, state: State{
-		Backends: []Backend{{Name: "x", Phase: "Ready"}}, Requests: []Request{}, Causes: []Cause{}, Classes: []Class{}, Accounts: []Account{},
+		Backends: []Backend{{Name: "x", Phase: "Ready"}}, Requests: []Request{}, Causes: []FailureCause{}, Classes: []Class{}, Accounts: []Account{},
 	}}
 	path := filepath.Join(t.TempDir(), "c")
 	l, err := net.Listen("unix", path)
@@ -195,7 +195,7 @@
 // A part that fails leaves what was before.
 func TestFailedPart(t *testing.T) {
 	f, c, _ := serve(t)
-	f.fails = document.Decisions
+	f.fails = document.PartDecisions
 	if _, err := c.Prepare(t.Context(), "x", proposal(t, someWorth)); err != nil {
 		t.Fatal(err)
 	}
@@ -297,10 +297,10 @@
 		{"level for ever", func() error { _, err := c.HoldLevel(ctx, "", "lean", 1e9, "a fair"); return err }(), 422, "for_s"},
 		{"level without a reason", func() error { _, err := c.HoldLevel(ctx, "", "lean", 5, ""); return err }(), 422, "why"},
 		{"level of nobody", func() error { _, err := c.HoldLevel(ctx, "", "none", 5, "a fair"); return err }(), 422, "level"},
-		{"site for ever", func() error { _, err := c.TakeOut(ctx, "", "a", 1e9, true, "a fair"); return err }(), 422, "for_s"},
-		{"site without a reason", func() error { _, err := c.TakeOut(ctx, "", "a", 5, true, ""); return err }(), 422, "why"},
-		{"site of nobody", func() error { _, err := c.TakeOut(ctx, "", "none", 5, true, "a fair"); return err }(), 404, "site"},
-		{"the last site", func() error { _, err := c.TakeOut(ctx, "", "a", 5, false, "a fair"); return err }(), 409, "site"},
+		{"site for ever", func() error { _, err := c.EvacuateSite(ctx, "", "a", 1e9, true, "a fair"); return err }(), 422, "for_s"},
+		{"site without a reason", func() error { _, err := c.EvacuateSite(ctx, "", "a", 5, true, ""); return err }(), 422, "why"},
+		{"site of nobody", func() error { _, err := c.EvacuateSite(ctx, "", "none", 5, true, "a fair"); return err }(), 404, "site"},
+		{"the last site", func() error { _, err := c.EvacuateSite(ctx, "", "a", 5, false, "a fair"); return err }(), 409, "site"},
 		{"hold for ever", func() error { _, err := c.Hold(ctx, "", "x", 1e9); return err }(), 422, "for_s"},
 	} {
 		var p *api.Problem
@@ -374,7 +374,7 @@
 	if _, err := c.Hold(ctx, "one", "x", 3); !errors.As(err, &p) || p.Status != 409 {
 		t.Errorf("another under its id: %v", err)
 	}
-	if v, err := c.SetTaking(ctx, "", false); err != nil || v.Taking || f.taking {
+	if v, err := c.SetAccepting(ctx, "", false); err != nil || v.Taking || f.taking {
 		t.Errorf("taking %v, error %v", f.taking, err)
 	}
 	for range 2 {
@@ -386,7 +386,7 @@
 	if _, err := c.Reload(ctx, "s"); !errors.As(err, &p) || p.Status != 422 || p.Detail != "line 3: no" {
 		t.Errorf("a bad configuration: %v", err)
 	}
-	if err := c.call(ctx, "PUT", "taking", &Taking{true}, nil); !errors.As(err, &p) || p.Field != api.IdempotencyKey {
+	if err := c.call(ctx, "PUT", "taking", &Admission{true}, nil); !errors.As(err, &p) || p.Field != api.IdempotencyKey {
 		t.Errorf("without an id: %v", err)
 	}
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -44,7 +44,7 @@
 	Epoch         string // names the process: no other has had it
 	Labels        map[string]string
 	Configuration func() string // hash of the platform's
-	Door          api.Door      // who may come in
+	Access        api.Door      // who may come in
 }
 
 // NewServer returns a server that is not serving yet.
@@ -54,7 +54,7 @@
 	for pattern, handler := range s.routes() {
 		mux.HandleFunc(pattern, handler)
 	}
-	s.http = api.NewServer(&s.options.Door, mux, func(r *http.Request) api.Role {
+	s.http = api.NewServer(&s.options.Access, mux, func(r *http.Request) api.Role {
 		if r.Method == http.MethodGet || r.Method == http.MethodHead {
 			return api.Read
 		}
@@ -117,7 +117,7 @@
 }
 
 func (s *Server) identity(r *http.Request) (any, error) {
-	st, err := s.service.instance.Look(r.Context())
+	st, err := s.service.instance.State(r.Context())
 	if err != nil {
 		return nil, err
 	}
@@ -142,13 +142,13 @@
 // Summary is what a manager asks for, again and again.
 type Summary struct {
 	Identity
-	Held    int     `json:"held"`
-	Service Service `json:"service"`
+	Held    int           `json:"held"`
+	Service RequestCounts `json:"service"`
 }
 
 func (s *Server) look(part func(*State) any) func(*http.Request) (any, error) {
 	return func(r *http.Request) (any, error) {
-		st, err := s.service.instance.Look(r.Context())
+		st, err := s.service.instance.State(r.Context())
 		if err != nil {
 			return nil, err
 		}
@@ -157,7 +157,7 @@
 }
 
 func (s *Server) summary(r *http.Request) (any, error) {
-	st, err := s.service.instance.Look(r.Context())
+	st, err := s.service.instance.State(r.Context())
 	if err != nil {
 		return nil, err
 	}
@@ -181,7 +181,7 @@
 }
 
 // Versioned is a document and its revision.
-type Versioned struct {
+type VersionedDocument struct {
 	Revision uint64             `json:"revision"`
 	Hash     string             `json:"hash"`
 	Document *document.Document `json:"document"`
@@ -189,7 +189,7 @@
 
 func (s *Server) document(*http.Request) (any, error) {
 	d, revision := s.service.inForce()
-	return &Versioned{revision, d.Hash(), d}, nil
+	return &VersionedDocument{revision, d.Hash(), d}, nil
 }
 
 func (s *Server) known(r *http.Request) (any, error) {
@@ -241,13 +241,13 @@
 }
 
 // Holding is how long a backend is held out.
-type Holding struct {
+type BackendHold struct {
 	Backend string  `json:"backend"`
 	For     float64 `json:"for_s"` // 0: it is let in
 }
 
 func (s *Server) hold(r *http.Request) (any, error) {
-	h := Holding{Backend: r.PathValue("backend")}
+	h := BackendHold{Backend: r.PathValue("backend")}
 	if r.Method == http.MethodPut {
 		var b struct {
 			For float64 `json:"for_s"`
@@ -278,7 +278,7 @@
 }
 
 // Taking says whether requests are taken.
-type Taking struct {
+type Admission struct {
 	Taking bool `json:"taking"`
 }
 
@@ -293,14 +293,14 @@
 		return nil, &api.Problem{Status: 422, Title: "the switch can't be used", Detail: "missing", Field: "taking"}
 	}
 	return s.once(r, fmt.Sprintf("taking %v", *b.Taking), func() (any, error) {
-		s.service.instance.SetTaking(*b.Taking)
-		return &Taking{*b.Taking}, nil
+		s.service.instance.SetAccepting(*b.Taking)
+		return &Admission{*b.Taking}, nil
 	})
 }
 
 // reload has the process read the platform's configuration again.
 func (s *Server) reload(r *http.Request) (any, error) {
-	st, err := s.service.instance.Look(r.Context())
+	st, err := s.service.instance.State(r.Context())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -22,7 +22,7 @@
 	// Base are the settings that the platform has configured.
 	Base() *settings.Settings
 	// Look returns the present state.
-	Look(ctx context.Context) (*State, error)
+	State(ctx context.Context) (*State, error)
 	// Apply puts a part of a document in force.
 	Apply(ctx context.Context, part string, d *document.Document) error
 	// Hold keeps a backend out for so long, or lets it in again if that is 0. It says whether the backend is known.
@@ -34,29 +34,29 @@
 	// Sites returns what is the matter with each site; nil where they are not watched.
 	Sites(ctx context.Context) (*Sites, error)
 	// TakeOut has a site taken out by hand for so long, or let in again if that is 0. It returns nil where sites are not watched.
-	TakeOut(ctx context.Context, name string, d time.Duration, force bool, why string) (*Sites, error)
+	EvacuateSite(ctx context.Context, name string, d time.Duration, force bool, why string) (*Sites, error)
 	// SetTaking says whether requests are taken.
-	SetTaking(on bool)
+	SetAccepting(on bool)
 	// Reload reads the platform's configuration again.
 	Reload(ctx context.Context) error
 }
 
 // State is what an instance looks like.
 type State struct {
-	Taking   bool      `json:"taking"`
-	Pressure float64   `json:"pressure"` // share of the usual requests that is shed
-	Own      Own       `json:"own"`
-	Backends []Backend `json:"backends"`
-	Requests []Request `json:"requests"` // open, the oldest first
-	Held     int       `json:"held"`     // open, all of them
-	Service  Service   `json:"service"`  // since the process began
-	Causes   []Cause   `json:"causes"`
-	Classes  []Class   `json:"classes"` // as they are decided by now
-	Accounts []Account `json:"accounts"`
+	Taking   bool           `json:"taking"`
+	Pressure float64        `json:"pressure"` // share of the usual requests that is shed
+	Own      AgentDelay     `json:"own"`
+	Backends []Backend      `json:"backends"`
+	Requests []Request      `json:"requests"` // open, the oldest first
+	Held     int            `json:"held"`     // open, all of them
+	Service  RequestCounts  `json:"service"`  // since the process began
+	Causes   []FailureCause `json:"causes"`
+	Classes  []Class        `json:"classes"` // as they are decided by now
+	Accounts []Account      `json:"accounts"`
 }
 
 // Own is what the agent itself is late with.
-type Own struct {
+type AgentDelay struct {
 	Late  float64 `json:"late_s"`  // of late, on the mean
 	Part  float64 `json:"part"`    // of the soonest aim
 	Worst float64 `json:"worst_s"` // since the process began
@@ -116,7 +116,7 @@
 }
 
 // Service counts requests by how they ended.
-type Service struct {
+type RequestCounts struct {
 	Requests int64 `json:"requests"`
 	InAim    int64 `json:"in_aim"`
 	Served   int64 `json:"served"`
@@ -126,7 +126,7 @@
 }
 
 // Cause is why requests were refused or failed.
-type Cause struct {
+type FailureCause struct {
 	Answer string `json:"answer"` // refused or failed
 	Class  string `json:"class"`
 	Cause  string `json:"cause"`
@@ -353,7 +353,7 @@
 	case errors.As(err, &p):
 		return p
 	case errors.As(err, &f):
-		return &api.Problem{Status: 422, Title: "the document can't be used", Detail: f.What, Field: f.Field}
+		return &api.Problem{Status: 422, Title: "the document can't be used", Detail: f.Reason, Field: f.Field}
 	case errors.Is(err, change.ErrStale), errors.Is(err, change.ErrBusy), errors.Is(err, change.ErrNotPrepared), errors.Is(err, change.ErrIDInUse):
 		return &api.Problem{Status: 409, Title: "the change can't be made now", Detail: err.Error()}
 	case errors.Is(err, change.ErrFenced):
--- a/internal/control/site.go
+++ b/internal/control/site.go
@@ -98,7 +98,7 @@
 		}
 	}
 	return s.once(r, fmt.Sprintf("site %q %v %v", name, b.For, b.Force), func() (any, error) {
-		v, err := s.service.instance.TakeOut(r.Context(), name, time.Duration(b.For*float64(time.Second)), b.Force, b.Why)
+		v, err := s.service.instance.EvacuateSite(r.Context(), name, time.Duration(b.For*float64(time.Second)), b.Force, b.Why)
 		switch {
 		case errors.Is(err, site.ErrInsufficientCapacity):
 			return nil, wrong(409, "site", "%v; force it to have it all the same", err)
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -21,21 +21,21 @@
 // Event is what has changed since the one before. The first has everything; one with nothing tells that the instance
 // lives. Loads, ages and what is in flight change all the time and by themselves make no event.
 type Event struct {
-	At       float64   `json:"at_s"` // since the process began
-	Identity *Identity `json:"identity,omitempty"`
-	Backends []Backend `json:"backends,omitempty"`
-	Gone     []string  `json:"gone,omitempty"` // backends
-	Causes   []Cause   `json:"causes,omitempty"`
-	Service  *Service  `json:"service,omitempty"`
-	Held     *int      `json:"held,omitempty"`
+	At       float64        `json:"at_s"` // since the process began
+	Identity *Identity      `json:"identity,omitempty"`
+	Backends []Backend      `json:"backends,omitempty"`
+	Gone     []string       `json:"gone,omitempty"` // backends
+	Causes   []FailureCause `json:"causes,omitempty"`
+	Service  *RequestCounts `json:"service,omitempty"`
+	Held     *int           `json:"held,omitempty"`
 }
 
 // shown is what a watcher has been told.
 type shown struct {
 	identity string // as JSON, without what changes all the time
 	backends map[string]string
-	causes   map[Cause]int64 // without their counts
-	service  Service
+	causes   map[FailureCause]int64 // without their counts
+	service  RequestCounts
 	held     int
 	any      bool
 }
@@ -50,7 +50,7 @@
 		w.identity, e.Identity = string(text), id
 	}
 	if w.backends == nil {
-		w.backends, w.causes = map[string]string{}, map[Cause]int64{}
+		w.backends, w.causes = map[string]string{}, map[FailureCause]int64{}
 	}
 	here := make(map[string]bool, len(s.Backends))
 	for i := range s.Backends {
@@ -106,7 +106,7 @@
 	last := time.Now()
 	for {
 		ctx, cancel := context.WithTimeout(r.Context(), api.AnswerTimeout)
-		st, err := s.service.instance.Look(ctx)
+		st, err := s.service.instance.State(ctx)
 		cancel()
 		if err != nil {
 			return
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -25,11 +25,11 @@
 
 // The exit codes beside 0.
 const (
-	Failed  = 1 // who was asked could not be, or has failed
-	Usage   = 2 // unusable flags, arguments or files
-	Refused = 4 // it refuses, and nothing has changed
-	Partly  = 5 // done in part: on some instances, or in some parts
-	Unknown = 6 // something was sent, and what became of it is not known
+	ExitFailed  = 1 // who was asked could not be, or has failed
+	ExitUsage   = 2 // unusable flags, arguments or files
+	ExitRefused = 4 // it refuses, and nothing has changed
+	ExitPartial = 5 // done in part: on some instances, or in some parts
+	ExitUnknown = 6 // something was sent, and what became of it is not known
 )
 
 // atOnce is how many instances are asked at a time.
@@ -72,7 +72,7 @@
 	f.StringVar(&o.credentials.Key, "key", env("MICALINE_KEY"), "PEM file of its key (or $MICALINE_KEY)")
 	f.StringVarP(&o.output, "output", "o", "table", "table, or json for programs")
 	f.DurationVar(&o.timeout, "timeout", 10*time.Second, "how long an answer is waited for")
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &exit.Error{Code: Usage, Err: err} })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &exit.Error{Code: ExitUsage, Err: err} })
 	must(root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json"}, cobra.ShellCompDirectiveNoFileComp)))
 	must(root.RegisterFlagCompletionFunc("select", o.completeNames))
 
@@ -93,14 +93,14 @@
 func exactly(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if len(args) != n {
-			return &exit.Error{Code: Usage, Err: fmt.Errorf("%s takes %d arguments, and was given %d", c.CommandPath(), n, len(args))}
+			return &exit.Error{Code: ExitUsage, Err: fmt.Errorf("%s takes %d arguments, and was given %d", c.CommandPath(), n, len(args))}
 		}
 		return nil
 	}
 }
 
 func usage(format string, args ...any) error {
-	return &exit.Error{Code: Usage, Err: fmt.Errorf(format, args...)}
+	return &exit.Error{Code: ExitUsage, Err: fmt.Errorf(format, args...)}
 }
 
 // check looks at the flags that all commands have.
@@ -252,9 +252,9 @@
 	case err == nil || errors.As(err, &known):
 		return err
 	case errors.As(err, &p) && p.Status < 500:
-		return &exit.Error{Code: Refused, Err: err}
+		return &exit.Error{Code: ExitRefused, Err: err}
 	}
-	return &exit.Error{Code: Failed, Err: err}
+	return &exit.Error{Code: ExitFailed, Err: err}
 }
 
 // verdict is the exit code of all of them together.
@@ -271,14 +271,14 @@
 	switch {
 	case well == len(all):
 		return nil
-	case codes[Unknown] > 0:
-		return &exit.Error{Code: Unknown, Err: fmt.Errorf("of %d of %d instances it is not known", codes[Unknown], len(all))}
-	case well > 0 || codes[Partly] > 0:
-		return &exit.Error{Code: Partly, Err: fmt.Errorf("%d of %d instances did not", len(all)-well, len(all))}
-	case codes[Refused] == len(all):
-		return &exit.Error{Code: Refused, Err: errors.New("all refuse")}
+	case codes[ExitUnknown] > 0:
+		return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("of %d of %d instances it is not known", codes[ExitUnknown], len(all))}
+	case well > 0 || codes[ExitPartial] > 0:
+		return &exit.Error{Code: ExitPartial, Err: fmt.Errorf("%d of %d instances did not", len(all)-well, len(all))}
+	case codes[ExitRefused] == len(all):
+		return &exit.Error{Code: ExitRefused, Err: errors.New("all refuse")}
 	}
-	return &exit.Error{Code: Failed, Err: errors.New("none could be asked")}
+	return &exit.Error{Code: ExitFailed, Err: errors.New("none could be asked")}
 }
 
 // print writes a value as JSON, or as the table that a function makes of it.
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -213,7 +213,7 @@
 func (o *options) order(c *cobra.Command, file string, l *limitFlags) (*manage.Order, error) {
 	d, err := read(c.InOrStdin(), file)
 	if err != nil {
-		return nil, &exit.Error{Code: Usage, Err: err}
+		return nil, &exit.Error{Code: ExitUsage, Err: err}
 	}
 	limits := l.Limits
 	limits.Bake, limits.Patience = l.bake.Seconds(), l.patience.Seconds()
@@ -332,7 +332,7 @@
 		select {
 		case <-time.After(askEvery):
 		case <-ctx.Done():
-			return &exit.Error{Code: Unknown, Err: fmt.Errorf("%s goes on; `micaline ctl report %s` tells how", id, id)}
+			return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("%s goes on; `micaline ctl report %s` tells how", id, id)}
 		}
 		next, err := once(func(ctx context.Context) (*manage.Report, error) { return m.Report(ctx, id) })
 		var p *api.Problem
@@ -344,7 +344,7 @@
 		case silent.IsZero(): // it may be being replaced
 			silent = time.Now()
 		case time.Since(silent) > time.Minute:
-			return &exit.Error{Code: Unknown, Err: fmt.Errorf("the manager has fallen silent: %w", err)}
+			return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("the manager has fallen silent: %w", err)}
 		}
 	}
 	if err := o.report(c.OutOrStdout(), r); err != nil || !wait {
@@ -421,11 +421,11 @@
 	case !r.Stopped():
 		return nil
 	case s.Unknown > 0:
-		return &exit.Error{Code: Unknown, Err: fmt.Errorf("%s: of %d instances it is not known whether they have it", r.Status, s.Unknown)}
+		return &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("%s: of %d instances it is not known whether they have it", r.Status, s.Unknown)}
 	case s.Applied == all:
 		return nil
 	case s.Applied+s.Partly == 0:
-		return &exit.Error{Code: Refused, Err: fmt.Errorf("%s: no instance has it: %s", r.Status, r.Reason)}
+		return &exit.Error{Code: ExitRefused, Err: fmt.Errorf("%s: no instance has it: %s", r.Status, r.Reason)}
 	}
-	return &exit.Error{Code: Partly, Err: fmt.Errorf("%s: %d of %d instances have it. %s", r.Status, s.Applied, all, r.Reason)}
+	return &exit.Error{Code: ExitPartial, Err: fmt.Errorf("%s: %d of %d instances have it. %s", r.Status, s.Applied, all, r.Reason)}
 }
--- a/internal/ctl/set.go
+++ b/internal/ctl/set.go
@@ -64,7 +64,7 @@
 	release.ValidArgsFunction = o.completeBackends
 	taking := func(on bool) func(context.Context, *control.Client, string, []string) (string, error) {
 		return func(ctx context.Context, c *control.Client, id string, _ []string) (string, error) {
-			v, err := c.SetTaking(ctx, id, on)
+			v, err := c.SetAccepting(ctx, id, on)
 			if v.Taking {
 				return "requests are taken", err
 			}
@@ -113,7 +113,7 @@
 			}
 			d, err := read(c.InOrStdin(), words[0])
 			if err != nil {
-				return &exit.Error{Code: Usage, Err: err}
+				return &exit.Error{Code: ExitUsage, Err: err}
 			}
 			if dry {
 				all := each(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*[]document.Difference, error) {
@@ -190,7 +190,7 @@
 	r, err := c.Commit(ctx, id, p.Fence)
 	var refusal *api.Problem
 	if err != nil && !errors.As(err, &refusal) {
-		return nil, &exit.Error{Code: Unknown, Err: fmt.Errorf("the commit of %s was sent to epoch %s and not answered: %w", id, identity.Epoch, err)}
+		return nil, &exit.Error{Code: ExitUnknown, Err: fmt.Errorf("the commit of %s was sent to epoch %s and not answered: %w", id, identity.Epoch, err)}
 	}
 	if err == nil && confirm > 0 && r.Outcome == "none" {
 		r, err = c.Confirm(ctx, id, p.Fence)
@@ -202,9 +202,9 @@
 	case "applied":
 		return r, nil
 	case "partly":
-		return nil, &exit.Error{Code: Partly, Err: fmt.Errorf("only %v is applied: %s", r.Parts, r.Reason)}
+		return nil, &exit.Error{Code: ExitPartial, Err: fmt.Errorf("only %v is applied: %s", r.Parts, r.Reason)}
 	case "none":
-		return nil, &exit.Error{Code: Unknown, Err: errors.New("it is still being applied")}
+		return nil, &exit.Error{Code: ExitUnknown, Err: errors.New("it is still being applied")}
 	}
-	return nil, &exit.Error{Code: Refused, Err: errors.New(r.Reason)}
+	return nil, &exit.Error{Code: ExitRefused, Err: errors.New(r.Reason)}
 }
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -19,14 +19,14 @@
 )
 
 // Shown is what `ctl show` prints as JSON.
-type Shown struct {
+type ShowOutput struct {
 	control.Identity
-	Pressure float64           `json:"pressure"`
-	Own      control.Own       `json:"own"`
-	Held     int               `json:"held"`
-	Service  control.Service   `json:"service"`
-	Classes  []control.Class   `json:"classes"`
-	Accounts []control.Account `json:"accounts"`
+	Pressure float64               `json:"pressure"`
+	Own      control.AgentDelay    `json:"own"`
+	Held     int                   `json:"held"`
+	Service  control.RequestCounts `json:"service"`
+	Classes  []control.Class       `json:"classes"`
+	Accounts []control.Account     `json:"accounts"`
 }
 
 // addShown adds the commands that show.
@@ -34,8 +34,8 @@
 	add := func(use, short string, run func(*cobra.Command, []string) error) {
 		root.AddCommand(&cobra.Command{Use: use, Short: short, Args: exactly(0), RunE: run})
 	}
-	add("show", "Show which process answers, and how it serves", show(o, view[Shown]{
-		ask: func(ctx context.Context, c *control.Client) (*Shown, error) {
+	add("show", "Show which process answers, and how it serves", show(o, view[ShowOutput]{
+		ask: func(ctx context.Context, c *control.Client) (*ShowOutput, error) {
 			id, err := c.Identity(ctx)
 			if err != nil {
 				return nil, err
@@ -44,10 +44,10 @@
 			if err != nil {
 				return nil, err
 			}
-			return &Shown{*id, s.Pressure, s.Own, s.Held, s.Service, s.Classes, s.Accounts}, nil
+			return &ShowOutput{*id, s.Pressure, s.Own, s.Held, s.Service, s.Classes, s.Accounts}, nil
 		},
 		head: "EPOCH\tUP\tDOCUMENT\tTAKES\tOPEN\tREQUESTS\tIN AIM\tREFUSED\tFAILED\tOWN LATE\tLABELS",
-		rows: func(s *Shown) []string {
+		rows: func(s *ShowOutput) []string {
 			return []string{fmt.Sprintf("%s\t%v\t%d %s\t%v\t%d\t%d\t%d\t%d\t%d\t%.0f%%\t%s", s.Epoch, uptime(&s.Identity), s.Revision, s.Hash, s.Taking, s.Held,
 				s.Service.Requests, s.Service.InAim, s.Service.Refused, s.Service.Failed, 100*s.Own.Part, labels(s.Labels))}
 		},
@@ -89,14 +89,16 @@
 			return rows
 		},
 	}))
-	add("document", "Show the settings document in force", show(o, view[control.Versioned]{
-		ask:  func(ctx context.Context, c *control.Client) (*control.Versioned, error) { return c.Document(ctx) },
+	add("document", "Show the settings document in force", show(o, view[control.VersionedDocument]{
+		ask: func(ctx context.Context, c *control.Client) (*control.VersionedDocument, error) {
+			return c.Document(ctx)
+		},
 		head: "REVISION\tHASH\tDOCUMENT",
-		rows: func(v *control.Versioned) []string {
+		rows: func(v *control.VersionedDocument) []string {
 			text, _ := json.Marshal(v.Document) // which came as JSON
 			return []string{fmt.Sprintf("%d\t%s\t%s", v.Revision, v.Hash, text)}
 		},
-		one: func(w io.Writer, v *control.Versioned) {
+		one: func(w io.Writer, v *control.VersionedDocument) {
 			text, _ := json.MarshalIndent(v.Document, "", "  ") // which came as JSON
 			fmt.Fprintf(w, "revision %d, %s\n%s\n", v.Revision, v.Hash, text)
 		},
@@ -120,7 +122,7 @@
 }
 
 // one is an instance alone.
-func one(w io.Writer, s *Shown) {
+func one(w io.Writer, s *ShowOutput) {
 	fmt.Fprintf(w, "name\t%s\nlabels\t%s\nepoch\t%s, for %v\n", s.Name, labels(s.Labels), s.Epoch, uptime(&s.Identity))
 	fmt.Fprintf(w, "document\trevision %d, %s\nconfiguration\t%s\n", s.Revision, s.Hash, s.Configuration)
 	if len(s.Mixed) > 0 {
@@ -166,7 +168,7 @@
 }
 
 // Watched is a line of `ctl watch` as JSON.
-type Watched struct {
+type WatchLine struct {
 	Instance string         `json:"instance"`
 	Event    *control.Event `json:"event,omitempty"`
 	Error    string         `json:"error,omitempty"`
@@ -182,7 +184,7 @@
 	}
 	ctx, out := c.Context(), c.OutOrStdout()
 	var mu sync.Mutex
-	say := func(w Watched) error {
+	say := func(w WatchLine) error {
 		mu.Lock()
 		defer mu.Unlock()
 		if o.output == "json" {
@@ -203,16 +205,16 @@
 			for ctx.Err() == nil {
 				err := t.client.Watch(ctx, func(e *control.Event) error {
 					last = ""
-					return say(Watched{Instance: t.name, Event: e})
+					return say(WatchLine{Instance: t.name, Event: e})
 				})
 				var e *exit.Error
-				if errors.As(code(err), &e) && e.Code == Refused { // it won't be otherwise next time
+				if errors.As(code(err), &e) && e.Code == ExitRefused { // it won't be otherwise next time
 					failed <- e
 					return
 				}
 				if ctx.Err() == nil && err.Error() != last {
 					last = err.Error() // once, however often it is tried
-					if say(Watched{Instance: t.name, Error: last}) != nil {
+					if say(WatchLine{Instance: t.name, Error: last}) != nil {
 						return
 					}
 				}
@@ -229,7 +231,7 @@
 }
 
 // lines are what people read of an event.
-func (w *Watched) lines() (all []string) {
+func (w *WatchLine) lines() (all []string) {
 	add := func(format string, args ...any) { all = append(all, fmt.Sprintf(format, args...)) }
 	if w.Error != "" {
 		add("silent: %s", w.Error)
--- a/internal/ctl/site.go
+++ b/internal/ctl/site.go
@@ -72,7 +72,7 @@
 	length, why, force := 10*time.Minute, "", false
 	out := under(change("evacuate SITE", "Take a site out for a while, a server at a time; nothing that is under way is cut", 1,
 		func(ctx context.Context, c *control.Client, id string, words []string) (string, error) {
-			_, err := c.TakeOut(ctx, id, words[0], length.Seconds(), force, why)
+			_, err := c.EvacuateSite(ctx, id, words[0], length.Seconds(), force, why)
 			return fmt.Sprintf("site %s is taken out for %v", words[0], length), err
 		}))
 	out.Flags().DurationVar(&length, "for", length, "for how long")
@@ -87,7 +87,7 @@
 	}
 	under(change("return SITE", "Let a site in again that is taken out, in steps; one that is lost is asked at once", 1,
 		func(ctx context.Context, c *control.Client, id string, words []string) (string, error) {
-			_, err := c.TakeOut(ctx, id, words[0], 0, false, "")
+			_, err := c.EvacuateSite(ctx, id, words[0], 0, false, "")
 			return fmt.Sprintf("site %s returns", words[0]), err
 		}))
 }
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -25,24 +25,24 @@
 
 // The parts of a document, in the order in which they are applied.
 const (
-	Service   = "service"   // how much is taken, and where discovery is
-	Sites     = "sites"     // which are taken out by hand
-	Decisions = "decisions" // what the decision module goes by
+	PartService   = "service"   // how much is taken, and where discovery is
+	PartSites     = "sites"     // which are taken out by hand
+	PartDecisions = "decisions" // what the decision module goes by
 )
 
 // Parts are all of them.
-var Parts = []string{Service, Sites, Decisions}
+var Parts = []string{PartService, PartSites, PartDecisions}
 
 // Document is the settings that an operator wants. Absent fields are nil.
 type Document struct {
-	Service   ServicePart     `json:"service,omitzero"`
-	Sites     map[string]Site `json:"sites,omitempty"` // taken out, by name
-	Decisions DecisionsPart   `json:"decisions,omitzero"`
+	Service   ServicePart              `json:"service,omitzero"`
+	Sites     map[string]EvacuatedSite `json:"sites,omitempty"` // taken out, by name
+	Decisions DecisionsPart            `json:"decisions,omitzero"`
 }
 
 // Site is one that is taken out by hand, until a time by the instance's clock: one that begins anew and is brought to the
 // document again takes it out for what is left of that.
-type Site struct {
+type EvacuatedSite struct {
 	Until time.Time `json:"out_until"`
 	Why   string    `json:"why"`
 	Force bool      `json:"though_the_others_cannot_carry_it,omitempty"`
@@ -79,15 +79,15 @@
 
 // FieldError is what is wrong with a document, and where.
 type FieldError struct {
-	Field string
-	What  string
+	Field  string
+	Reason string
 }
 
 func (e *FieldError) Error() string {
 	if e.Field == "" {
-		return e.What
+		return e.Reason
 	}
-	return e.Field + ": " + e.What
+	return e.Field + ": " + e.Reason
 }
 
 func bad(field, format string, args ...any) *FieldError {
@@ -169,14 +169,14 @@
 			return bad("decisions.accounts."+name+".portion", "%v is no share", *p)
 		}
 	}
-	if _, err := policy.New(d.Module(base), 0); err != nil {
+	if _, err := policy.New(d.PolicySettings(base), 0); err != nil {
 		return bad("decisions", "%v", err)
 	}
 	return nil
 }
 
 // Module is what the decision module is to go by: the document's word over the platform's.
-func (d *Document) Module(base *settings.Settings) policy.Settings {
+func (d *Document) PolicySettings(base *settings.Settings) policy.Settings {
 	s := base.Module
 	if v := d.Decisions.MaxAttempts; v != nil {
 		s.MaxAttempts = *v
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -44,7 +44,7 @@
 			err = d.Check(base(t))
 		}
 		var f *FieldError
-		if !errors.As(err, &f) || f.Field != c.field || f.What == "" {
+		if !errors.As(err, &f) || f.Field != c.field || f.Reason == "" {
 			t.Errorf("%.60s: %v, want field %q", c.text, err, c.field)
 		}
 	}
@@ -60,7 +60,7 @@
 	if err := d.Check(b); err != nil {
 		t.Fatal(err)
 	}
-	m := d.Module(b)
+	m := d.PolicySettings(b)
 	if m.MaxAttempts != 5 || !m.Probes || m.Classes[0].Aim.Milliseconds() != 700 || m.Classes[0].Worth != 9 ||
 		m.Classes[1].Worth != 5 || m.Tenants[0].Portion != 0.1 {
 		t.Errorf("got %+v", m)
--- a/internal/fleet/managed_test.go
+++ b/internal/fleet/managed_test.go
@@ -99,7 +99,7 @@
 	epoch := fmt.Sprintf("%s-e%d", cfg.Name, e.epochs[cfg.Name])
 	e.truth[epoch], e.now[cfg.Name] = map[string]string{}, epoch
 	e.mu.Unlock()
-	s := control.NewServer(recorded{controlled{a}, e, epoch}, control.Options{Epoch: epoch, Door: door})
+	s := control.NewServer(recorded{controlled{a}, e, epoch}, control.Options{Epoch: epoch, Access: door})
 	go s.Serve(listeners[0])
 	go func() {
 		<-ctx.Done() // as a process that is killed, it says nothing more; one that ends has nothing more to say
@@ -363,7 +363,7 @@
 	}
 	e.mu.Lock()
 	for name, epoch := range e.now {
-		if has := e.truth[epoch]; has[document.Service] != good.Hash() || has[document.Decisions] != good.Hash() {
+		if has := e.truth[epoch]; has[document.PartService] != good.Hash() || has[document.PartDecisions] != good.Hash() {
 			t.Errorf("%s has %v in %s", name, has, epoch)
 		}
 	}
--- a/internal/fleet/operators_test.go
+++ b/internal/fleet/operators_test.go
@@ -51,7 +51,7 @@
 			a.Apply(ctx, part, d) // it may have ended meanwhile
 		}
 	case 1, 2:
-		s, err := a.Look(ctx)
+		s, err := a.State(ctx)
 		if err != nil || len(s.Backends) == 0 {
 			return
 		}
@@ -61,9 +61,9 @@
 		}
 		a.Hold(ctx, s.Backends[rng.IntN(len(s.Backends))].Name, d)
 	case 3:
-		a.SetTaking(false)
+		a.SetAccepting(false)
 		sleep(ctx, 10*time.Millisecond)
-		a.SetTaking(true)
+		a.SetAccepting(true)
 	}
 }
 
--- a/internal/manage/hard_test.go
+++ b/internal/manage/hard_test.go
@@ -93,9 +93,9 @@
 func TestWorseServiceIsTakenBack(t *testing.T) {
 	inTown(t, 9, func(t *testing.T, w *town) {
 		for _, h := range w.houses {
-			served := func(up time.Duration) control.Service {
+			served := func(up time.Duration) control.RequestCounts {
 				n := int64(up.Seconds() * 100)
-				s := control.Service{Requests: n, InAim: n, Served: n}
+				s := control.RequestCounts{Requests: n, InAim: n, Served: n}
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				if has := h.truth[h.proc.epoch]["decisions"]; has != "" && has != empty {
--- a/internal/manage/instances.go
+++ b/internal/manage/instances.go
@@ -16,20 +16,20 @@
 
 // InstanceReport is what the manager knows of an instance.
 type InstanceReport struct {
-	Name     string            `json:"name"`
-	Address  string            `json:"address"`
-	Labels   map[string]string `json:"labels,omitempty"`
-	State    string            `json:"state"` // as wanted, differs, refuses, silent, not seen
-	Reason   string            `json:"reason,omitempty"`
-	Epoch    string            `json:"epoch,omitempty"`
-	Revision uint64            `json:"revision"`
-	Hash     string            `json:"hash,omitempty"`
-	Wanted   string            `json:"wanted,omitempty"`
-	Rollout  string            `json:"rollout,omitempty"` // that has it in hand
-	Seen     float64           `json:"seen_s"`            // since its last answer; -1 for never
-	Taking   bool              `json:"taking"`
-	Held     int               `json:"held"`
-	Service  control.Service   `json:"service"`
+	Name     string                `json:"name"`
+	Address  string                `json:"address"`
+	Labels   map[string]string     `json:"labels,omitempty"`
+	State    string                `json:"state"` // as wanted, differs, refuses, silent, not seen
+	Reason   string                `json:"reason,omitempty"`
+	Epoch    string                `json:"epoch,omitempty"`
+	Revision uint64                `json:"revision"`
+	Hash     string                `json:"hash,omitempty"`
+	Wanted   string                `json:"wanted,omitempty"`
+	Rollout  string                `json:"rollout,omitempty"` // that has it in hand
+	Seen     float64               `json:"seen_s"`            // since its last answer; -1 for never
+	Taking   bool                  `json:"taking"`
+	Held     int                   `json:"held"`
+	Service  control.RequestCounts `json:"service"`
 }
 
 func (m *Manager) instance(p *place, t time.Duration) InstanceReport {
--- a/internal/manage/kill_test.go
+++ b/internal/manage/kill_test.go
@@ -56,7 +56,7 @@
 	server *control.Server
 	proc   *process
 	truth  map[string]map[string]string // document by part that is applied, by epoch
-	served func(time.Duration) control.Service
+	served func(time.Duration) control.RequestCounts
 }
 
 // process is one process of an instance.
@@ -74,8 +74,8 @@
 func (p *process) Name() string             { return p.house.name }
 func (p *process) Base() *settings.Settings { return p.house.town.base }
 
-func (p *process) Look(context.Context) (*control.State, error) {
-	s := &control.State{Taking: true, Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.Cause{}, Classes: []control.Class{}, Accounts: []control.Account{}}
+func (p *process) State(context.Context) (*control.State, error) {
+	s := &control.State{Taking: true, Backends: []control.Backend{}, Requests: []control.Request{}, Causes: []control.FailureCause{}, Classes: []control.Class{}, Accounts: []control.Account{}}
 	p.house.town.mu.Lock()
 	f := p.house.served
 	p.house.town.mu.Unlock()
@@ -97,7 +97,7 @@
 		p.mu.Unlock()
 		return errors.New("dead")
 	}
-	if stuck && (part == document.Decisions || d.Hash() == empty) {
+	if stuck && (part == document.PartDecisions || d.Hash() == empty) {
 		p.mu.Unlock()
 		return errors.New("stuck")
 	}
@@ -114,7 +114,7 @@
 }
 
 func (p *process) Hold(context.Context, string, time.Duration) (bool, error) { return true, nil }
-func (p *process) SetTaking(bool)                                            {}
+func (p *process) SetAccepting(bool)                                         {}
 func (p *process) Reload(context.Context) error                              { return nil }
 
 var empty = (&document.Document{}).Hash()
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -55,7 +55,7 @@
 // Instance is how the manager talks to an instance: a control.Client.
 type InstanceClient interface {
 	Summary(ctx context.Context, fence uint64) (*control.Summary, error)
-	Document(ctx context.Context) (*control.Versioned, error)
+	Document(ctx context.Context) (*control.VersionedDocument, error)
 	Prepare(ctx context.Context, id string, p *control.Proposal) (*control.Change, error)
 	Commit(ctx context.Context, id string, fence uint64) (*control.Change, error)
 	Abort(ctx context.Context, id string, fence uint64) (*control.Change, error)
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -139,7 +139,7 @@
 	case errors.As(err, &p):
 		return p
 	case errors.As(err, &f):
-		return &api.Problem{Status: 422, Title: "the document can't be used", Detail: f.What, Field: f.Field}
+		return &api.Problem{Status: 422, Title: "the document can't be used", Detail: f.Reason, Field: f.Field}
 	}
 	return &api.Problem{Status: 503, Title: "the manager did not answer", Detail: err.Error()}
 }
--- a/internal/manage/server_test.go
+++ b/internal/manage/server_test.go
@@ -44,10 +44,10 @@
 	}}, nil
 }
 
-func (p *paper) Document(context.Context) (*control.Versioned, error) {
+func (p *paper) Document(context.Context) (*control.VersionedDocument, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return &control.Versioned{Revision: p.change.Revision(), Hash: p.document.Hash(), Document: p.document}, nil
+	return &control.VersionedDocument{Revision: p.change.Revision(), Hash: p.document.Hash(), Document: p.document}, nil
 }
 
 func (p *paper) say(id string, err error) (*control.Change, error) {
--- a/internal/processtest/managers_harness_test.go
+++ b/internal/processtest/managers_harness_test.go
@@ -39,11 +39,11 @@
 
 func (r *receiver) Name() string             { return r.name }
 func (r *receiver) Base() *settings.Settings { return r.base }
-func (r *receiver) Look(context.Context) (*control.State, error) {
+func (r *receiver) State(context.Context) (*control.State, error) {
 	return &control.State{Taking: true}, nil
 }
 func (r *receiver) Apply(_ context.Context, part string, d *document.Document) error {
-	if part == document.Service && d.Service.Requests != nil {
+	if part == document.PartService && d.Service.Requests != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.took = append(r.took, took{time.Since(began), *d.Service.Requests})
@@ -51,7 +51,7 @@
 	return nil
 }
 func (r *receiver) Hold(context.Context, string, time.Duration) (bool, error) { return true, nil }
-func (r *receiver) SetTaking(bool)                                            {}
+func (r *receiver) SetAccepting(bool)                                         {}
 func (r *receiver) Reload(context.Context) error                              { return nil }
 
 var began = time.Now()
@@ -104,7 +104,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := control.NewServer(r, control.Options{Epoch: name + "-1", Door: d})
+		s := control.NewServer(r, control.Options{Epoch: name + "-1", Access: d})
 		go s.Serve(l[0])
 		t.Cleanup(func() { s.Close() })
 		h.receivers = append(h.receivers, r)
--- a/internal/processtest/managers_test.go
+++ b/internal/processtest/managers_test.go
@@ -246,7 +246,7 @@
 	h.await("all are there", h.whole)
 	w := &Witness{}
 	var out, back time.Duration // when the site was told to be out, and when to be let in
-	d := &document.Document{Sites: map[string]document.Site{"a": {Until: time.Now().Add(time.Hour), Why: "power work", Force: true}}}
+	d := &document.Document{Sites: map[string]document.EvacuatedSite{"a": {Until: time.Now().Add(time.Hour), Why: "power work", Force: true}}}
 	limits := &manage.Limits{Canaries: 1, Growth: 3, Bake: 0.5, MoreRefused: 1, MoreFailed: 1, LessInAim: 1, MayFail: 0}
 	ask := func(f func(ctx context.Context, m *manage.Client) (*manage.Report, error)) *manage.Report {
 		for _, name := range h.Names {
