--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -26,7 +26,7 @@
 			err = errors.New("no")
 		}
 		did = append(did, what)
-		todo = i.Done(now, a, err)
+		todo = i.ActionDone(now, a, err)
 	}
 	return did
 }
@@ -58,7 +58,7 @@
 		{nil, "[apply service apply decisions]", Applied, "[service decisions]", "new"},
 		{[]string{"apply service"}, "[apply service]", Unchanged, "[]", "old"},
 		{[]string{"apply decisions"}, "[apply service apply decisions revert service]", Unchanged, "[]", "old"},
-		{[]string{"apply decisions", "revert service"}, "[apply service apply decisions revert service]", Partly, "[service]", "old"},
+		{[]string{"apply decisions", "revert service"}, "[apply service apply decisions revert service]", PartlyApplied, "[service]", "old"},
 	} {
 		i := NewInstance("e", 0, oldDoc)
 		did := commit(t, i, "x", 0, c.fails...)
@@ -66,8 +66,8 @@
 		if fmt.Sprint(did) != c.did || !ok || r.Outcome != c.outcome || fmt.Sprint(r.Parts) != c.parts || i.Current().Hash != c.hash || i.Pending() != "" {
 			t.Errorf("%v: did %v, result %+v, document %s", c.fails, did, r, i.Current().Hash)
 		}
-		if fmt.Sprint(i.Mixed()) != map[bool]string{true: c.parts, false: "[]"}[c.outcome == Partly] {
-			t.Errorf("%v: mixed %v", c.fails, i.Mixed())
+		if fmt.Sprint(i.MixedParts()) != map[bool]string{true: c.parts, false: "[]"}[c.outcome == PartlyApplied] {
+			t.Errorf("%v: mixed %v", c.fails, i.MixedParts())
 		}
 		if c.outcome != Applied && r.Reason == "" {
 			t.Errorf("%v: no reason", c.fails)
@@ -94,7 +94,7 @@
 		want error
 	}{
 		{"no id", prepare(1, "", 7), ErrNoID},
-		{"a stale revision", prepare(1, "x", 6), ErrStale},
+		{"a stale revision", prepare(1, "x", 6), ErrStaleRevision},
 		{"well", prepare(1, "x", 7), nil},
 		{"the same again", prepare(1, "x", 7), nil},
 		{"another under the id", i.Prepare(0, 1, "x", 7, oldDoc, 0), ErrIDInUse},
@@ -121,10 +121,10 @@
 func TestExpiryAndAbort(t *testing.T) {
 	i := NewInstance("e", 0, oldDoc)
 	i.Prepare(0, 1, "x", 0, newDoc, 0)
-	if at, ok := i.Due(); !ok || at != PrepareFor {
+	if at, ok := i.NextDeadline(); !ok || at != PrepareTimeout {
 		t.Errorf("due at %v, %v", at, ok)
 	}
-	if _, err := i.Commit(PrepareFor, 1, "x"); !errors.Is(err, ErrNotPrepared) {
+	if _, err := i.Commit(PrepareTimeout, 1, "x"); !errors.Is(err, ErrNotPrepared) {
 		t.Errorf("committed too late: %v", err)
 	}
 	if r, err := i.Abort(0, 1, "y"); err != nil || r.Outcome != Unchanged {
@@ -159,7 +159,7 @@
 		switch {
 		case confirmed && (r.Outcome != Applied || i.Current().Hash != "new" || len(did) > 0 || i.Revision() != 1):
 			t.Errorf("confirmed: %+v, did %v", r, did)
-		case !confirmed && (r.Outcome != TakenBack || i.Current().Hash != "old" || fmt.Sprint(did) != "[revert decisions revert service]" || i.Revision() != 2):
+		case !confirmed && (r.Outcome != Reverted || i.Current().Hash != "old" || fmt.Sprint(did) != "[revert decisions revert service]" || i.Revision() != 2):
 			t.Errorf("not confirmed: %+v, did %v, document %s, revision %d", r, did, i.Current().Hash, i.Revision())
 		}
 		if err := i.Confirm(2*time.Second, 1, "x"); confirmed != (err == nil) {
@@ -182,16 +182,16 @@
 func TestSilence(t *testing.T) {
 	sent := func() *Target {
 		x := &Target{}
-		x.Next(false)
-		x.Answered(Answer{Epoch: "e0"})
-		if x.State != Prepared || x.Next(true) != AskCommit {
+		x.NextRequest(false)
+		x.RecordAnswer(Answer{Epoch: "e0"})
+		if x.State != Prepared || x.NextRequest(true) != RequestCommit {
 			t.Fatalf("state %s", x.State)
 		}
 		return x
 	}
 	x := sent()
-	x.Silent("cut off")
-	if x.State != Unknown || x.Settle() != AskAbort {
+	x.RecordNoAnswer("cut off")
+	if x.State != Unknown || x.Resolve() != RequestAbort {
 		t.Errorf("state %s", x.State)
 	}
 	for _, c := range []struct {
@@ -200,21 +200,21 @@
 		state State
 	}{
 		{"it was applied", Answer{Epoch: "e0", Result: Result{Outcome: Applied}}, Done},
-		{"in part", Answer{Epoch: "e0", Result: Result{Outcome: Partly, Parts: []string{"service"}}}, PartlyDone},
+		{"in part", Answer{Epoch: "e0", Result: Result{Outcome: PartlyApplied, Parts: []string{"service"}}}, PartlyDone},
 		{"it never came", Answer{Epoch: "e0", Result: Result{Outcome: Unchanged}}, NotDone},
 		{"another process", Answer{Epoch: "e1", Result: Result{Outcome: Unchanged}}, NotDone},
 		{"a newer manager", Answer{Epoch: "e0", Err: ErrFenced, Fenced: true}, Unknown},
 		{"it is being applied", Answer{Epoch: "e0", Err: ErrBusy}, Unknown},
 	} {
 		y := *x
-		if y.Answered(c.a); y.State != c.state {
+		if y.RecordAnswer(c.a); y.State != c.state {
 			t.Errorf("%s: %s", c.what, y.State)
 		}
 	}
 	// Before the commit silence is no doubt.
 	y := &Target{}
-	y.Next(false)
-	if y.Silent("cut off"); y.State != NotDone {
+	y.NextRequest(false)
+	if y.RecordNoAnswer("cut off"); y.State != NotDone {
 		t.Errorf("before the commit: %s", y.State)
 	}
 	// A manager that starts again does not know what it had sent.
@@ -226,41 +226,41 @@
 
 func TestWaves(t *testing.T) {
 	l := Limits{Canaries: 2, Growth: 3, Bake: 10 * time.Second, MoreRefused: 0.02, MoreFailed: 0.01, LessInAim: 0.05, Least: 100, Patience: time.Minute, MayFail: 0.1}
-	if got := fmt.Sprint(l.Waves(50)); got != "[2 6 18 24]" {
+	if got := fmt.Sprint(l.WaveSizes(50)); got != "[2 6 18 24]" {
 		t.Errorf("waves of %s", got)
 	}
-	if got := l.Waves(0); len(got) > 0 {
+	if got := l.WaveSizes(0); len(got) > 0 {
 		t.Errorf("waves of nobody: %v", got)
 	}
-	done := func(n, of int) Counted { return Counted{All: of, Lost: of - n} }
-	well := Service{Requests: 1000, InAim: 980, Refused: 10, Failed: 5}
+	done := func(n, of int) WaveOutcome { return WaveOutcome{Total: of, Lost: of - n} }
+	well := RequestCounts{Requests: 1000, InAim: 980, Refused: 10, Failed: 5}
 	for _, c := range []struct {
 		what    string
-		ended   Counted
-		since   Service
+		ended   WaveOutcome
+		since   RequestCounts
 		watched time.Duration
 		want    Verdict
 	}{
-		{"too early", done(10, 10), well, time.Second, WatchOn},
+		{"too early", done(10, 10), well, time.Second, KeepWatching},
 		{"well", done(10, 10), well, 10 * time.Second, NextWave},
 		{"one of ten is silent", done(9, 10), well, 10 * time.Second, NextWave},
 		{"two of ten are", done(8, 10), well, 0, Halt},
-		{"one refuses", Counted{All: 10, Refused: 1}, well, 10 * time.Second, NextWave},
-		{"two refuse", Counted{All: 10, Refused: 2}, well, 0, Stop},
-		{"one refuses and one is silent", Counted{All: 10, Refused: 1, Lost: 1}, well, 0, Halt},
-		{"more refused", done(10, 10), Service{Requests: 1000, InAim: 965, Refused: 35}, time.Second, Stop},
-		{"a little more", done(10, 10), Service{Requests: 1000, InAim: 970, Refused: 25}, 10 * time.Second, NextWave},
-		{"more failed", done(10, 10), Service{Requests: 1000, InAim: 975, Failed: 20}, time.Second, Stop},
-		{"later answers", done(10, 10), Service{Requests: 1000, InAim: 900}, time.Second, Stop},
-		{"too few to judge", done(10, 10), Service{Requests: 10, Failed: 10}, 20 * time.Second, WatchOn},
-		{"and for too long", done(10, 10), Service{Requests: 10, Failed: 10}, time.Minute, NextWave},
+		{"one refuses", WaveOutcome{Total: 10, Refused: 1}, well, 10 * time.Second, NextWave},
+		{"two refuse", WaveOutcome{Total: 10, Refused: 2}, well, 0, RollBack},
+		{"one refuses and one is silent", WaveOutcome{Total: 10, Refused: 1, Lost: 1}, well, 0, Halt},
+		{"more refused", done(10, 10), RequestCounts{Requests: 1000, InAim: 965, Refused: 35}, time.Second, RollBack},
+		{"a little more", done(10, 10), RequestCounts{Requests: 1000, InAim: 970, Refused: 25}, 10 * time.Second, NextWave},
+		{"more failed", done(10, 10), RequestCounts{Requests: 1000, InAim: 975, Failed: 20}, time.Second, RollBack},
+		{"later answers", done(10, 10), RequestCounts{Requests: 1000, InAim: 900}, time.Second, RollBack},
+		{"too few to judge", done(10, 10), RequestCounts{Requests: 10, Failed: 10}, 20 * time.Second, KeepWatching},
+		{"and for too long", done(10, 10), RequestCounts{Requests: 10, Failed: 10}, time.Minute, NextWave},
 	} {
-		if got, why := l.Judge(c.ended, well, c.since, c.watched); got != c.want || (got == Stop || got == Halt) && why == "" {
+		if got, why := l.Evaluate(c.ended, well, c.since, c.watched); got != c.want || (got == RollBack || got == Halt) && why == "" {
 			t.Errorf("%s: %d, %q", c.what, got, why)
 		}
 	}
 	// With nothing to compare with, failures count all the same.
-	if got, _ := l.Judge(done(2, 2), Service{}, Service{Requests: 500, Failed: 100}, time.Second); got != Stop {
+	if got, _ := l.Evaluate(done(2, 2), RequestCounts{}, RequestCounts{Requests: 500, Failed: 100}, time.Second); got != RollBack {
 		t.Error("failures pass where nothing was asked before")
 	}
 }
--- a/internal/change/explore_test.go
+++ b/internal/change/explore_test.go
@@ -181,7 +181,7 @@
 				add(func(w *world) error {
 					m := w.managers[g]
 					m.asked[i] = 0
-					m.targets[i].Silent("no answer")
+					m.targets[i].RecordNoAnswer("no answer")
 					if w.planted == "takes silence for a no" && m.targets[i].State == Unknown {
 						m.targets[i].State = NotDone
 					}
@@ -189,10 +189,10 @@
 				}, "manager %d gives up on instance %d", g, i)
 				continue
 			}
-			if t.Next(commit) != Nothing {
+			if t.NextRequest(commit) != NoRequest {
 				add(func(w *world) error {
 					m := w.managers[g]
-					w.flying = append(w.flying, m.ask(g, i, m.targets[i].Next(commit)))
+					w.flying = append(w.flying, m.ask(g, i, m.targets[i].NextRequest(commit)))
 					return nil
 				}, "manager %d asks instance %d on", g, i)
 			}
@@ -200,7 +200,7 @@
 				add(func(w *world) error {
 					m := w.managers[g]
 					m.settles[i]--
-					w.flying = append(w.flying, m.ask(g, i, m.targets[i].Settle()))
+					w.flying = append(w.flying, m.ask(g, i, m.targets[i].Resolve()))
 					return nil
 				}, "manager %d settles with instance %d", g, i)
 			}
@@ -226,15 +226,15 @@
 	if f.answer {
 		if mgr.asked[f.instance] == f.number {
 			mgr.asked[f.instance] = 0
-			mgr.targets[f.instance].Answered(f.a)
+			mgr.targets[f.instance].RecordAnswer(f.a)
 		}
 		return nil
 	}
 	a := Answer{Epoch: m.Epoch()}
 	switch f.request {
-	case AskPrepare:
+	case RequestPrepare:
 		a.Err = m.Prepare(0, fence, mgr.id, 0, twoParts, 0)
-	case AskCommit:
+	case RequestCommit:
 		var todo []Action
 		if todo, a.Err = m.Commit(0, fence, mgr.id); len(todo) > 0 {
 			if mgr.fence < m.heard {
@@ -245,7 +245,7 @@
 			}
 			m.todo = todo
 		}
-	case AskAbort:
+	case RequestAbort:
 		a.Result, a.Err = m.Abort(0, fence, mgr.id)
 	}
 	if a.Err == nil {
@@ -255,7 +255,7 @@
 		a.Result = r
 	}
 	a.Fenced = errors.Is(a.Err, ErrFenced)
-	if f.request == AskCommit && a.Err == nil && a.Result.Outcome == None {
+	if f.request == RequestCommit && a.Err == nil && a.Result.Outcome == None {
 		m.waiting = append(m.waiting, f) // it is answered when it has ended
 		return nil
 	}
@@ -275,7 +275,7 @@
 			delete(m.parts, part)
 		}
 	}
-	m.todo = m.Done(0, a, err)
+	m.todo = m.ActionDone(0, a, err)
 	if r, ok := m.Result(a.ID); ok {
 		m.applied[m.epoch+"/"+a.ID] = r.Outcome == Applied
 		for _, f := range m.waiting {
--- a/internal/change/instance.go
+++ b/internal/change/instance.go
@@ -17,12 +17,12 @@
 
 // The reasons for which an instance refuses what it is asked. They are told apart with errors.Is.
 var (
-	ErrStale       = errors.New("the revision that it is based on is not the present one")
-	ErrFenced      = errors.New("a newer manager has spoken")
-	ErrBusy        = errors.New("another change is under way")
-	ErrNotPrepared = errors.New("it is not prepared, or no longer")
-	ErrIDInUse     = errors.New("its id stands for another change")
-	ErrNoID        = errors.New("it has no id")
+	ErrStaleRevision = errors.New("the revision that it is based on is not the present one")
+	ErrFenced        = errors.New("a newer manager has spoken")
+	ErrBusy          = errors.New("another change is under way")
+	ErrNotPrepared   = errors.New("it is not prepared, or no longer")
+	ErrIDInUse       = errors.New("its id stands for another change")
+	ErrNoID          = errors.New("it has no id")
 )
 
 // Outcome is what became of a change on an instance.
@@ -30,14 +30,14 @@
 
 // The outcomes.
 const (
-	None      Outcome = iota // nothing yet
-	Applied                  // all parts
-	Unchanged                // none
-	Partly                   // some: Result.Parts
-	TakenBack                // all were, and then none: it was not confirmed in time
+	None          Outcome = iota // nothing yet
+	Applied                      // all parts
+	Unchanged                    // none
+	PartlyApplied                // some: Result.Parts
+	Reverted                     // all were, and then none: it was not confirmed in time
 )
 
-var outcomeNames = [...]string{None: "none", Applied: "applied", Unchanged: "unchanged", Partly: "partly", TakenBack: "taken back"}
+var outcomeNames = [...]string{None: "none", Applied: "applied", Unchanged: "unchanged", PartlyApplied: "partly", Reverted: "taken back"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
@@ -86,7 +86,7 @@
 	// committed again.
 	mostResults = 1024
 	// PrepareFor is how long what is prepared waits for its commit.
-	PrepareFor = time.Minute
+	PrepareTimeout = time.Minute
 )
 
 // phase is how far the change under way is.
@@ -140,7 +140,7 @@
 
 // Mixed are the parts that are in force of another document than Current, as a change has left them that could neither be
 // applied whole nor taken back.
-func (i *Instance) Mixed() []string { return i.mixed }
+func (i *Instance) MixedParts() []string { return i.mixed }
 
 // Fence is the highest number of a manager that has spoken.
 func (i *Instance) Fence() uint64 { return i.fence }
@@ -163,7 +163,7 @@
 func (i *Instance) Confirming(id string) bool { return i.phase == confirming && i.id == id }
 
 // Wanted is the document whose part an action puts in force.
-func (i *Instance) Wanted(a Action) Document {
+func (i *Instance) DocumentFor(a Action) Document {
 	if (a.Kind == ApplyPart) != i.whole {
 		return i.next // also what a change that was whole goes back to
 	}
@@ -171,7 +171,7 @@
 }
 
 // Hear takes in that a manager has spoken, which those before it can do no more.
-func (i *Instance) Hear(fence uint64) error { return i.hear(fence) }
+func (i *Instance) ObserveFence(fence uint64) error { return i.hear(fence) }
 
 // hear takes in that a manager has spoken.
 func (i *Instance) hear(fence uint64) error {
@@ -200,7 +200,7 @@
 	switch {
 	case i.phase != idle && i.id == id:
 		if i.phase == prepared {
-			i.expires = now + PrepareFor
+			i.expires = now + PrepareTimeout
 		}
 		return nil
 	case i.phase == prepared && i.by < fence: // its manager can commit it no more
@@ -208,13 +208,13 @@
 		return fmt.Errorf("%w: %s", ErrBusy, i.id)
 	}
 	if base != i.revision {
-		return fmt.Errorf("%w: it is based on %d, and %d is in force", ErrStale, base, i.revision)
+		return fmt.Errorf("%w: it is based on %d, and %d is in force", ErrStaleRevision, base, i.revision)
 	}
 	if i.phase == prepared {
 		i.settle(Unchanged, "superseded by "+id)
 	}
 	i.phase, i.id, i.by, i.next, i.confirm = prepared, id, fence, d, confirm
-	i.expires, i.at, i.whole, i.stuck, i.reason = now+PrepareFor, 0, false, false, ""
+	i.expires, i.at, i.whole, i.stuck, i.reason = now+PrepareTimeout, 0, false, false, ""
 	i.hashes[id] = d.Hash
 	return nil
 }
@@ -298,12 +298,12 @@
 }
 
 // Due is when Tick has something to do, if ok.
-func (i *Instance) Due() (at time.Duration, ok bool) {
+func (i *Instance) NextDeadline() (at time.Duration, ok bool) {
 	return i.expires, i.phase == prepared || i.phase == confirming
 }
 
 // Done takes in how an action ended, and returns what is to be done next.
-func (i *Instance) Done(now time.Duration, a Action, err error) []Action {
+func (i *Instance) ActionDone(now time.Duration, a Action, err error) []Action {
 	if a.ID != i.id || i.phase != applying && i.phase != reverting {
 		return nil
 	}
@@ -336,13 +336,13 @@
 		}
 		i.settle(Applied, "")
 	case i.stuck:
-		i.settle(Partly, i.reason)
+		i.settle(PartlyApplied, i.reason)
 	case i.at > 0:
 		return []Action{{RevertPart, i.id, i.parts()[i.at-1]}}
 	case i.whole:
 		i.current = i.next
 		i.revision++ // others may have read the revision between
-		i.settle(TakenBack, i.reason)
+		i.settle(Reverted, i.reason)
 	default:
 		i.settle(Unchanged, i.reason)
 	}
@@ -360,13 +360,13 @@
 // settle ends the change under way.
 func (i *Instance) settle(o Outcome, reason string) {
 	r := Result{ID: i.id, Outcome: o, Revision: i.revision, Reason: reason}
-	if o == Applied || o == Partly {
+	if o == Applied || o == PartlyApplied {
 		r.Parts = slices.Clone(i.parts()[:i.at])
 	}
 	switch o {
-	case Applied, TakenBack:
+	case Applied, Reverted:
 		i.mixed = nil // all parts were applied since
-	case Partly:
+	case PartlyApplied:
 		i.mixed = r.Parts
 	}
 	i.phase = idle
--- a/internal/change/manager.go
+++ b/internal/change/manager.go
@@ -14,7 +14,7 @@
 	Preparing               // a prepare has been sent and not answered
 	Prepared                // the instance has it and has applied nothing
 	Committing              // a commit has been sent and not answered
-	Settling                // nothing is known of a commit, and an abort or a question has been sent
+	Resolving               // nothing is known of a commit, and an abort or a question has been sent
 	Done                    // the instance has said so
 	NotDone                 // the instance has said so, or its process has ended without it
 	PartlyDone              // the instance has said which parts
@@ -23,7 +23,7 @@
 )
 
 var stateNames = [...]string{
-	Planned: "planned", Preparing: "preparing", Prepared: "prepared", Committing: "committing", Settling: "settling",
+	Planned: "planned", Preparing: "preparing", Prepared: "prepared", Committing: "committing", Resolving: "settling",
 	Done: "applied", NotDone: "unchanged", PartlyDone: "partly changed", Unknown: "unknown", Superseded: "superseded",
 }
 
@@ -61,10 +61,10 @@
 
 // The requests.
 const (
-	Nothing Request = iota
-	AskPrepare
-	AskCommit
-	AskAbort
+	NoRequest Request = iota
+	RequestPrepare
+	RequestCommit
+	RequestAbort
 )
 
 // Target is a manager's knowledge of one change on one instance. Its fields are what its journal holds: a manager that
@@ -89,32 +89,32 @@
 }
 
 // Next is what to ask of the instance now. The caller notes in its journal that the state has changed before it sends.
-func (t *Target) Next(commit bool) Request {
+func (t *Target) NextRequest(commit bool) Request {
 	switch {
 	case t.State == Planned:
 		t.State = Preparing
-		return AskPrepare
+		return RequestPrepare
 	case t.State == Prepared && commit:
 		t.State, t.Sent = Committing, true
-		return AskCommit
+		return RequestCommit
 	}
-	return Nothing
+	return NoRequest
 }
 
 // Settle is what to ask of an instance of which too little is known: an abort, which is answered by what became of the
 // change, and after which it can no longer be applied if it was not.
-func (t *Target) Settle() Request {
+func (t *Target) Resolve() Request {
 	switch t.State {
-	case Preparing, Prepared, Committing, Settling, Unknown:
-		t.State = Settling
-		return AskAbort
+	case Preparing, Prepared, Committing, Resolving, Unknown:
+		t.State = Resolving
+		return RequestAbort
 	case NotDone:
 		if t.Loose {
-			t.State, t.Loose = Settling, false
-			return AskAbort
+			t.State, t.Loose = Resolving, false
+			return RequestAbort
 		}
 	}
-	return Nothing
+	return NoRequest
 }
 
 // Resume takes in that the manager has started again: what it had sent may have been answered, or may yet arrive.
@@ -122,7 +122,7 @@
 	switch t.State {
 	case Preparing:
 		t.State = Planned // preparing twice does nothing
-	case Committing, Settling:
+	case Committing, Resolving:
 		t.unknown("the manager ended before an answer came")
 	}
 }
@@ -138,18 +138,18 @@
 }
 
 // Silent takes in that a request was not answered in time, or its connection ended.
-func (t *Target) Silent(why string) {
+func (t *Target) RecordNoAnswer(why string) {
 	switch t.State {
 	case Preparing:
 		t.Loose = true
 		t.unknown(why)
-	case Prepared, Committing, Settling:
+	case Prepared, Committing, Resolving:
 		t.unknown(why)
 	}
 }
 
 // Answered takes in an instance's answer to a request, or to a question about the change.
-func (t *Target) Answered(a Answer) {
+func (t *Target) RecordAnswer(a Answer) {
 	if t.State == Done || t.State == PartlyDone || t.State == Superseded {
 		return // it has been said, and does not become untrue by what is said later
 	}
@@ -167,12 +167,12 @@
 	case Applied:
 		t.State, t.Parts, t.Revision, t.Reason = Done, a.Result.Parts, a.Result.Revision, ""
 		return
-	case Partly:
+	case PartlyApplied:
 		t.State, t.Parts, t.Revision, t.Reason = PartlyDone, slices.Clone(a.Result.Parts), a.Result.Revision, a.Result.Reason
 		return
-	case Unchanged, TakenBack:
+	case Unchanged, Reverted:
 		// An abort is the manager's own word; whatever else keeps an instance from it is the instance's.
-		t.Refused = t.State == Committing || a.Result.Outcome == TakenBack
+		t.Refused = t.State == Committing || a.Result.Outcome == Reverted
 		t.State, t.Revision, t.Reason = NotDone, a.Result.Revision, a.Result.Reason
 		return
 	}
--- a/internal/change/once.go
+++ b/internal/change/once.go
@@ -2,7 +2,7 @@
 
 // Once remembers what became of changes that are made at once, so that a repeat under an id has the first result. The
 // zero value is ready. Changes that failed are not remembered: nothing was changed, and the same may be tried again.
-type Once struct {
+type Deduplicator struct {
 	done  map[string]once
 	order []string // of done, the oldest first
 	now   string   // what is being done
@@ -15,7 +15,7 @@
 
 // Begin says whether a change was made before, and with which result. What is another change under the same id is
 // ErrIDInUse.
-func (o *Once) Begin(id, what string) (result any, known bool, err error) {
+func (o *Deduplicator) Begin(id, what string) (result any, known bool, err error) {
 	if id == "" {
 		return nil, false, ErrNoID
 	}
@@ -28,7 +28,7 @@
 }
 
 // End takes in how the change ended that has begun last.
-func (o *Once) End(id string, result any) {
+func (o *Deduplicator) End(id string, result any) {
 	if o.done == nil {
 		o.done = map[string]once{}
 	}
--- a/internal/change/wave.go
+++ b/internal/change/wave.go
@@ -6,12 +6,12 @@
 )
 
 // Service is how well instances serve, summed up over some of them and some time.
-type Service struct {
+type RequestCounts struct {
 	Requests, InAim, Refused, Failed float64
 }
 
 // Add sums up.
-func (s *Service) Add(o Service) {
+func (s *RequestCounts) Add(o RequestCounts) {
 	s.Requests += o.Requests
 	s.InAim += o.InAim
 	s.Refused += o.Refused
@@ -19,8 +19,8 @@
 }
 
 // Less returns what was counted since an earlier count.
-func (s Service) Less(o Service) Service {
-	return Service{s.Requests - o.Requests, s.InAim - o.InAim, s.Refused - o.Refused, s.Failed - o.Failed}
+func (s RequestCounts) Sub(o RequestCounts) RequestCounts {
+	return RequestCounts{s.Requests - o.Requests, s.InAim - o.InAim, s.Refused - o.Refused, s.Failed - o.Failed}
 }
 
 // Limits are the stop conditions of a rollout, and how its waves grow.
@@ -44,14 +44,14 @@
 
 // The verdicts.
 const (
-	WatchOn  Verdict = iota
-	NextWave         // or, after the last, the end
-	Stop             // and roll back: the change is bad, or instances refuse it
-	Halt             // and leave what is applied: too many instances can't be reached
+	KeepWatching Verdict = iota
+	NextWave             // or, after the last, the end
+	RollBack             // and roll back: the change is bad, or instances refuse it
+	Halt                 // and leave what is applied: too many instances can't be reached
 )
 
 // Waves returns how many of n instances each wave holds.
-func (l *Limits) Waves(n int) (sizes []int) {
+func (l *Limits) WaveSizes(n int) (sizes []int) {
 	size := float64(max(1, l.Canaries))
 	for n > 0 {
 		k := min(n, int(size))
@@ -63,27 +63,27 @@
 }
 
 // Counted is how the instances of a wave ended.
-type Counted struct {
-	All     int
+type WaveOutcome struct {
+	Total   int
 	Refused int // they can't use the change, have it in part only, or have died of it
 	Lost    int // else not applied: silent, cut off, restarted meanwhile
 }
 
 // Judge looks at a wave: how its instances ended, what they served in the time before the change and since it, and for
 // how long that is. Danger: an instance that says nothing must not hold the wave up; it counts as one that is lost.
-func (l *Limits) Judge(ended Counted, before, since Service, watched time.Duration) (Verdict, string) {
-	may := l.MayFail * float64(ended.All)
+func (l *Limits) Evaluate(ended WaveOutcome, before, since RequestCounts, watched time.Duration) (Verdict, string) {
+	may := l.MayFail * float64(ended.Total)
 	switch {
-	case ended.All == 0:
+	case ended.Total == 0:
 		return NextWave, "" // all of it was left out
 	case float64(ended.Refused) > may:
-		return Stop, fmt.Sprintf("%d of %d instances refuse it", ended.Refused, ended.All)
+		return RollBack, fmt.Sprintf("%d of %d instances refuse it", ended.Refused, ended.Total)
 	case float64(ended.Refused+ended.Lost) > may:
-		return Halt, fmt.Sprintf("%d of %d instances are lost", ended.Refused+ended.Lost, ended.All)
+		return Halt, fmt.Sprintf("%d of %d instances are lost", ended.Refused+ended.Lost, ended.Total)
 	}
 	if since.Requests >= l.Least && since.Requests > 0 {
 		// A request counts when it comes and its answer when that goes, so that a short time may have more answers than requests.
-		share := func(s Service, v float64) float64 { return min(1, max(0, v/max(1, s.Requests))) }
+		share := func(s RequestCounts, v float64) float64 { return min(1, max(0, v/max(1, s.Requests))) }
 		for _, c := range []struct {
 			what  string
 			worse float64
@@ -98,15 +98,15 @@
 				continue
 			}
 			if c.worse > c.may {
-				return Stop, fmt.Sprintf("the share %s is worse by %.1f%%, and %.1f%% is allowed", c.what, 100*c.worse, 100*c.may)
+				return RollBack, fmt.Sprintf("the share %s is worse by %.1f%%, and %.1f%% is allowed", c.what, 100*c.worse, 100*c.may)
 			}
 		}
 	}
 	switch {
 	case watched < l.Bake:
-		return WatchOn, ""
+		return KeepWatching, ""
 	case since.Requests < l.Least && watched < l.Patience:
-		return WatchOn, "too few requests to judge"
+		return KeepWatching, "too few requests to judge"
 	}
 	return NextWave, ""
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -131,7 +131,7 @@
 	m := s.service.machine
 	id := &Identity{
 		Name: s.service.instance.Name(), Epoch: m.Epoch(), Uptime: s.service.now().Seconds(), Revision: m.Revision(),
-		Hash: m.Current().Hash, Fence: m.Fence(), Pending: m.Pending(), Taking: st.Taking, Labels: s.options.Labels, Mixed: m.Mixed(),
+		Hash: m.Current().Hash, Fence: m.Fence(), Pending: m.Pending(), Taking: st.Taking, Labels: s.options.Labels, Mixed: m.MixedParts(),
 	}
 	if s.options.Configuration != nil {
 		id.Configuration = s.options.Configuration()
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -161,7 +161,7 @@
 	began    time.Time
 
 	mu        sync.Mutex
-	once      change.Once // what became of changes without a document
+	once      change.Deduplicator // what became of changes without a document
 	machine   *change.Instance
 	documents map[string]*document.Document // by hash: the one in force, and the one under way
 	timer     *time.Timer
@@ -241,7 +241,7 @@
 	for len(todo) > 0 {
 		a := todo[0]
 		s.mu.Lock()
-		d := s.documents[s.machine.Wanted(a).Hash]
+		d := s.documents[s.machine.DocumentFor(a).Hash]
 		s.mu.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), applyTimeout)
 		err := errors.New("its document is gone")
@@ -250,7 +250,7 @@
 		}
 		cancel()
 		s.mu.Lock()
-		todo = s.machine.Done(s.now(), a, err)
+		todo = s.machine.ActionDone(s.now(), a, err)
 		if len(todo) == 0 {
 			s.wake()
 		}
@@ -267,7 +267,7 @@
 
 // arm sets the timer for what the machine does by itself. The mutex is held.
 func (s *service) arm() {
-	at, ok := s.machine.Due()
+	at, ok := s.machine.NextDeadline()
 	if !ok {
 		return
 	}
@@ -302,7 +302,7 @@
 func (s *service) hear(fence uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.machine.Hear(fence)
+	return s.machine.ObserveFence(fence)
 }
 
 func (s *service) abort(id string, fence uint64) (*Change, error) {
@@ -354,7 +354,7 @@
 		return p
 	case errors.As(err, &f):
 		return &api.Problem{Status: 422, Title: "the document can't be used", Detail: f.Reason, Field: f.Field}
-	case errors.Is(err, change.ErrStale), errors.Is(err, change.ErrBusy), errors.Is(err, change.ErrNotPrepared), errors.Is(err, change.ErrIDInUse):
+	case errors.Is(err, change.ErrStaleRevision), errors.Is(err, change.ErrBusy), errors.Is(err, change.ErrNotPrepared), errors.Is(err, change.ErrIDInUse):
 		return &api.Problem{Status: 409, Title: "the change can't be made now", Detail: err.Error()}
 	case errors.Is(err, change.ErrFenced):
 		return &api.Problem{Status: 412, Title: "the manager has been replaced", Detail: err.Error()}
--- a/internal/manage/instances.go
+++ b/internal/manage/instances.go
@@ -50,8 +50,8 @@
 		r.State = StateUnmanaged
 	case r.Wanted == r.Hash && len(p.look.Mixed) == 0:
 		r.State = StateAsWanted
-	case p.keeper.Refusal() != "":
-		r.State, r.Reason = StateRefused, p.keeper.Refusal()
+	case p.keeper.FailureReason() != "":
+		r.State, r.Reason = StateRefused, p.keeper.FailureReason()
 	default:
 		r.State = StateDiffers
 	}
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -95,9 +95,9 @@
 	documents  map[string]*document.Document
 	wanted     map[string]string
 
-	records []journal.Record // to be written
-	sends   []rollout.Send   // and then sent
-	failure error            // why the journal can't be written
+	records []journal.Record          // to be written
+	sends   []rollout.OutgoingRequest // and then sent
+	failure error                     // why the journal can't be written
 	retry   time.Duration
 	acks    []func(error) // to those who have given orders, once the records are written
 	damaged []string      // what of the journal could not be read
@@ -114,9 +114,9 @@
 	err       error // of the last poll
 	polling   bool
 	due       time.Duration
-	window    rollout.Window
-	seen      rollout.Look
-	keeper    rollout.Keeper
+	window    rollout.SlidingWindow
+	seen      rollout.Observation
+	keeper    rollout.Reconciler
 }
 
 // reachable says whether the last poll was answered.
@@ -145,7 +145,7 @@
 func (m *Manager) place(in inventory.Instance) *place {
 	p := m.places[in.Name]
 	if p == nil {
-		p = &place{keeper: rollout.Keeper{Name: in.Name, Wanted: m.wanted[in.Name]}}
+		p = &place{keeper: rollout.Reconciler{Name: in.Name, Desired: m.wanted[in.Name]}}
 		m.places[in.Name] = p
 	}
 	p.Instance, p.labels = in, in.Labels
@@ -281,7 +281,7 @@
 			r.Supersede(t, fmt.Sprintf("a newer manager has spoken, with number %d", m.highest))
 		} else if m.fence != 0 && introduced {
 			status, baking := r.Status, r.Baking
-			sends := r.Next(t)
+			sends := r.Advance(t)
 			if r.Status != status {
 				m.ended(r)
 			}
@@ -294,7 +294,7 @@
 			}
 			m.sends = append(m.sends, sends...)
 		}
-		h, members := r.Changed()
+		h, members := r.Unsaved()
 		if h != nil {
 			m.write(rolloutBucket, id, h)
 			m.opts.Log.Info("rollout", "id", id, "status", r.Status.String(), "wave", r.Wave+1, "of", r.Waves, "reason", r.Reason)
@@ -302,7 +302,7 @@
 		for _, x := range members {
 			m.write(memberBucket, id+"\x00"+x.Name, x)
 		}
-		r.Written() // it is on its way, and nothing is sent before
+		r.MarkSaved() // it is on its way, and nothing is sent before
 	}
 }
 
@@ -327,7 +327,7 @@
 	m.wanted[name] = hash
 	m.write(wantedBucket, name, hash)
 	if p := m.places[name]; p != nil {
-		p.keeper.Wanted = hash
+		p.keeper.Desired = hash
 	}
 }
 
--- a/internal/manage/orders.go
+++ b/internal/manage/orders.go
@@ -104,7 +104,7 @@
 type survey struct {
 	limits *Limits
 	hash   string
-	in     []rollout.Planned
+	in     []rollout.PlannedInstance
 	out    map[string]string // why others are left out
 }
 
@@ -134,7 +134,7 @@
 			case p.look == nil:
 				v.out[p.Name] = "not seen yet"
 			default:
-				v.in = append(v.in, rollout.Planned{Name: p.Name, Look: p.seen})
+				v.in = append(v.in, rollout.PlannedInstance{Name: p.Name, Observation: p.seen})
 				if hash := p.seen.Hash; m.documents[hash] == nil && len(ask[hash]) < askedFor {
 					ask[hash] = append(ask[hash], p.Address())
 				}
@@ -174,12 +174,12 @@
 		for hash, d := range got {
 			m.remember(hash, d)
 		}
-		v.in = slices.DeleteFunc(v.in, func(p rollout.Planned) bool {
-			if m.documents[p.Look.Hash] != nil {
+		v.in = slices.DeleteFunc(v.in, func(p rollout.PlannedInstance) bool {
+			if m.documents[p.Observation.Hash] != nil {
 				return false
 			}
 			v.out[p.Name] = "its document has just changed"
-			if err := failed[p.Look.Hash]; err != nil {
+			if err := failed[p.Observation.Hash]; err != nil {
 				v.out[p.Name] = "its document can't be had: " + err.Error()
 			}
 			return true
@@ -206,7 +206,7 @@
 		return nil, err
 	}
 	limits := v.limits.limits()
-	p := &Plan{Hash: v.hash, Waves: limits.Waves(len(v.in)), Instances: []PlannedInstance{}}
+	p := &Plan{Hash: v.hash, Waves: limits.WaveSizes(len(v.in)), Instances: []PlannedInstance{}}
 	err = m.look(ctx, func() {
 		r := rollout.New(now(), "", v.hash, limits, v.in)
 		for _, x := range r.Members() {
@@ -274,7 +274,7 @@
 		m.remember(v.hash, o.Document)
 		r := rollout.New(now(), id, v.hash, v.limits.limits(), v.in)
 		for _, name := range slices.Sorted(maps.Keys(v.out)) {
-			r.LeaveOut(name, v.out[name])
+			r.Exclude(name, v.out[name])
 		}
 		m.rollouts[id] = r
 		m.order = append(m.order, id)
@@ -296,7 +296,7 @@
 	if len(m.order) < mostRollouts {
 		return nil
 	}
-	i := slices.IndexFunc(m.order, func(id string) bool { r := m.rollouts[id]; return r.Status.Over() && !r.Waiting() })
+	i := slices.IndexFunc(m.order, func(id string) bool { r := m.rollouts[id]; return r.Status.Finished() && !r.HasOpenRequests() })
 	if i < 0 {
 		return &api.Problem{Status: 409, Title: "the order can't be taken now", Detail: fmt.Sprintf("%d rollouts are not over", len(m.order))}
 	}
--- a/internal/manage/poll.go
+++ b/internal/manage/poll.go
@@ -87,24 +87,24 @@
 		m.superseded = true
 		m.opts.Log.Error("a newer manager has spoken: this one sends nothing more", "fence", m.fence, "newer", s.Fence)
 	}
-	served := change.Service{Requests: float64(s.Service.Requests), InAim: float64(s.Service.InAim), Refused: float64(s.Service.Refused), Failed: float64(s.Service.Failed)}
-	p.seen = rollout.Look{Epoch: s.Epoch, Revision: s.Revision, Hash: s.Hash, Mixed: len(s.Mixed) > 0, Served: served, Before: p.window.Add(t, s.Epoch, served)}
+	served := change.RequestCounts{Requests: float64(s.Service.Requests), InAim: float64(s.Service.InAim), Refused: float64(s.Service.Refused), Failed: float64(s.Service.Failed)}
+	p.seen = rollout.Observation{Epoch: s.Epoch, Revision: s.Revision, Hash: s.Hash, Mixed: len(s.Mixed) > 0, Served: served, Recent: p.window.Add(t, s.Epoch, served)}
 	if m.superseded || m.fence == 0 || fence != m.fence {
 		return
 	}
 	for _, id := range m.order {
-		m.sends = append(m.sends, m.rollouts[id].Looked(t, name, p.seen)...)
+		m.sends = append(m.sends, m.rollouts[id].Observe(t, name, p.seen)...)
 	}
 	_, busy := m.busy(name)
-	if next, ok := p.keeper.Look(t, p.seen, busy); ok {
+	if next, ok := p.keeper.Observe(t, p.seen, busy); ok {
 		m.sends = append(m.sends, next)
 	}
 }
 
 // send asks an instance, and takes in what comes of it.
-func (m *Manager) send(ctx context.Context, s rollout.Send) {
+func (m *Manager) send(ctx context.Context, s rollout.OutgoingRequest) {
 	p := m.places[s.Instance]
-	if p == nil || p.err != nil && s.Request == change.AskPrepare || !m.may() {
+	if p == nil || p.err != nil && s.Request == change.RequestPrepare || !m.may() {
 		// Nothing is sent, which is as good as silence, and holds nobody up.
 		why := "the instance is not known any more"
 		if !m.may() {
@@ -138,23 +138,23 @@
 var errGoesOn = errors.New("it is still being applied")
 
 // ask makes the request. An error is silence.
-func (m *Manager) ask(ctx context.Context, at api.Address, s rollout.Send, fence uint64, doc *document.Document) (change.Answer, error) {
+func (m *Manager) ask(ctx context.Context, at api.Address, s rollout.OutgoingRequest, fence uint64, doc *document.Document) (change.Answer, error) {
 	client := m.opts.Client(at)
 	var c *control.Change
 	var err error
 	switch s.Request {
-	case change.AskPrepare:
+	case change.RequestPrepare:
 		if doc == nil {
 			return change.Answer{}, errors.New("the manager has lost the document")
 		}
 		c, err = client.Prepare(ctx, s.ID, &control.Proposal{Base: s.Base, Fence: fence, Confirm: confirmIn.Seconds(), Document: doc})
-	case change.AskCommit:
+	case change.RequestCommit:
 		c, err = client.Commit(ctx, s.ID, fence)
 		if err == nil && c.Outcome == change.None.String() && c.Pending == s.ID {
 			// In force. Whether the instance can still be reached, only a new connection shows.
 			c, err = m.opts.FreshClient(at).Confirm(ctx, s.ID, fence)
 		}
-	case change.AskAbort:
+	case change.RequestAbort:
 		c, err = client.Abort(ctx, s.ID, fence)
 		var p *api.Problem
 		if errors.As(err, &p) && p.Status == 409 {
@@ -165,7 +165,7 @@
 		}
 	}
 	a, err := answer(c, err)
-	if err == nil && s.Request == change.AskCommit && a.Err == nil && a.Result.Outcome == change.None {
+	if err == nil && s.Request == change.RequestCommit && a.Err == nil && a.Result.Outcome == change.None {
 		err = errGoesOn
 	}
 	return a, err
@@ -188,19 +188,19 @@
 }
 
 // answered takes in what came of a request.
-func (m *Manager) answered(s rollout.Send, a change.Answer, err error) {
+func (m *Manager) answered(s rollout.OutgoingRequest, a change.Answer, err error) {
 	t := now()
 	if a.Fenced {
 		m.superseded = true
 	}
-	if s.Keeps {
+	if s.FromReconciler {
 		if p := m.places[s.Instance]; p != nil {
 			if err != nil {
-				p.keeper.Silent(t)
+				p.keeper.RecordNoAnswer(t)
 				return
 			}
 			_, busy := m.busy(s.Instance)
-			if next, ok := p.keeper.Answered(t, busy || m.superseded, a); ok {
+			if next, ok := p.keeper.RecordAnswer(t, busy || m.superseded, a); ok {
 				m.sends = append(m.sends, next)
 			}
 		}
@@ -212,9 +212,9 @@
 		return
 	}
 	if err != nil {
-		r.Silent(s.Instance, err.Error())
+		r.RecordNoAnswer(s.Instance, err.Error())
 	} else {
-		r.Answered(t, s.Instance, a)
+		r.RecordAnswer(t, s.Instance, a)
 	}
 }
 
--- a/internal/manage/server_test.go
+++ b/internal/manage/server_test.go
@@ -71,7 +71,7 @@
 	todo, err := p.change.Commit(0, fence, id)
 	for len(todo) > 0 {
 		p.document = p.known[id]
-		todo = p.change.Done(0, todo[0], nil)
+		todo = p.change.ActionDone(0, todo[0], nil)
 	}
 	return p.say(id, err)
 }
--- a/internal/manage/store.go
+++ b/internal/manage/store.go
@@ -79,7 +79,7 @@
 	}
 	slices.SortFunc(m.order, func(a, b string) int { return int(headers[a].Begun - headers[b].Begun) })
 	for _, p := range m.places {
-		p.keeper.Wanted = m.wanted[p.Name]
+		p.keeper.Desired = m.wanted[p.Name]
 	}
 	return nil
 }
--- a/internal/rollout/answers.go
+++ b/internal/rollout/answers.go
@@ -9,17 +9,17 @@
 // What instances say to a rollout.
 
 // Answered takes in an instance's answer.
-func (r *Rollout) Answered(now time.Duration, name string, a change.Answer) {
+func (r *Rollout) RecordAnswer(now time.Duration, name string, a change.Answer) {
 	m := r.byName[name]
 	if m == nil || !m.asked {
 		return // of a process of this manager that has ended
 	}
 	m.asked = false
 	if m.seen.Epoch != a.Epoch {
-		m.seen = Look{} // what was seen before is of another process
+		m.seen = Observation{} // what was seen before is of another process
 	}
 	t := m.current()
-	t.Answered(a)
+	t.RecordAnswer(a)
 	if t.Refused && !m.Backing && m.Epoch != a.Epoch {
 		t.Refused = false // it has begun anew since the change was planned, on which that was based
 	}
@@ -45,26 +45,26 @@
 
 // Supersede ends all sending: another manager has the fleet.
 func (r *Rollout) Supersede(now time.Duration, why string) {
-	if r.Status.Over() || r.Status == Superseded {
+	if r.Status.Finished() || r.Status == Superseded {
 		return
 	}
 	r.Status, r.Reason, r.Ended, r.header = Superseded, why, now, true
 }
 
 // Silent takes in that a request was not answered in time, or its connection ended.
-func (r *Rollout) Silent(name, why string) {
+func (r *Rollout) RecordNoAnswer(name, why string) {
 	m := r.byName[name]
 	if m == nil || !m.asked {
 		return
 	}
 	m.asked = false
-	m.current().Silent(why)
+	m.current().RecordNoAnswer(why)
 	r.note(m)
 }
 
 // Looked takes in what an instance shows, and returns a question to it where what became of a commit is not known, or a
 // prepare may have been left there.
-func (r *Rollout) Looked(now time.Duration, name string, l Look) (out []Send) {
+func (r *Rollout) Observe(now time.Duration, name string, l Observation) (out []OutgoingRequest) {
 	m := r.byName[name]
 	if m == nil {
 		return nil
@@ -79,7 +79,7 @@
 		r.note(m)
 	}
 	if t := m.current(); t.State == change.Unknown || t.Loose {
-		out = r.send(out, m, m.current().Settle(), m.Backing)
+		out = r.send(out, m, m.current().Resolve(), m.Backing)
 	}
 	return out
 }
--- a/internal/rollout/explore_test.go
+++ b/internal/rollout/explore_test.go
@@ -46,7 +46,7 @@
 	answer   bool
 	manager  int
 	instance int
-	send     Send
+	send     OutgoingRequest
 	number   int
 	a        change.Answer
 }
@@ -60,12 +60,12 @@
 		w.machines[i] = machine{Instance: change.NewInstance("e0", 0, doc("old")), applied: map[string]bool{}}
 	}
 	for g := range w.managers {
-		var all []Planned
+		var all []PlannedInstance
 		for i := range w.machines {
-			all = append(all, Planned{fmt.Sprint(i), Look{Epoch: "e0", Hash: "old"}})
+			all = append(all, PlannedInstance{fmt.Sprint(i), Observation{Epoch: "e0", Hash: "old"}})
 		}
 		w.managers[g] = manager{Rollout: New(1, fmt.Sprintf("r%d", g), fmt.Sprintf("d%d", g), change.Limits{Canaries: 1, Growth: 1}, all), looks: looks, now: 2}
-		w.managers[g].Written()
+		w.managers[g].MarkSaved()
 	}
 	return w
 }
@@ -158,7 +158,7 @@
 				var members []Member
 				for _, x := range m.members {
 					n := *x
-					n.asked, n.seen = false, Look{}
+					n.asked, n.seen = false, Observation{}
 					members = append(members, n)
 				}
 				m.Rollout, m.asked = Restore(m.Header, members), [2]int{}
@@ -172,7 +172,7 @@
 				add(func(w *world) error {
 					m := &w.managers[g]
 					m.asked[i] = 0
-					m.Silent(fmt.Sprint(i), "no answer")
+					m.RecordNoAnswer(fmt.Sprint(i), "no answer")
 					if t := m.members[i].current(); w.planted == "takes silence for a no" && t.State == change.Unknown {
 						t.State = change.NotDone
 					}
@@ -183,7 +183,7 @@
 					m := &w.managers[g]
 					m.looks--
 					x := &w.machines[i]
-					for _, s := range m.Looked(m.now, fmt.Sprint(i), Look{Epoch: x.Epoch(), Revision: x.Revision(), Hash: x.Current().Hash}) {
+					for _, s := range m.Observe(m.now, fmt.Sprint(i), Observation{Epoch: x.Epoch(), Revision: x.Revision(), Hash: x.Current().Hash}) {
 						w.post(g, s)
 					}
 					return w.goOn(g)
@@ -211,7 +211,7 @@
 }
 
 // post has a request on its way.
-func (w *world) post(g int, s Send) {
+func (w *world) post(g int, s OutgoingRequest) {
 	m := &w.managers[g]
 	i := int(s.Instance[0] - '0')
 	m.last++
@@ -227,13 +227,13 @@
 			m.Wave = 1
 		}
 		status, wave := m.Status, m.Wave
-		for _, s := range m.Next(m.now) {
-			if s.Request == change.AskCommit && s.Instance == "1" && !m.members[1].Backing && m.members[0].Target.State != change.Done {
+		for _, s := range m.Advance(m.now) {
+			if s.Request == change.RequestCommit && s.Instance == "1" && !m.members[1].Backing && m.members[0].Target.State != change.Done {
 				return fmt.Errorf("manager %d commits its second wave, and of its first it knows that it is %s", g, m.members[0].Target.State)
 			}
 			w.post(g, s)
 		}
-		m.Written()
+		m.MarkSaved()
 		if status == m.Status && wave == m.Wave {
 			return nil
 		}
@@ -248,21 +248,21 @@
 			return nil
 		}
 		mgr.asked[f.instance] = 0
-		mgr.Answered(mgr.now, fmt.Sprint(f.instance), f.a)
+		mgr.RecordAnswer(mgr.now, fmt.Sprint(f.instance), f.a)
 		return w.goOn(f.manager)
 	}
 	fence := uint64(f.manager + 1)
 	a := change.Answer{Epoch: m.Epoch()}
 	switch f.send.Request {
-	case change.AskPrepare:
+	case change.RequestPrepare:
 		a.Err = m.Prepare(0, fence, f.send.ID, f.send.Base, doc(f.send.Document), 0)
-	case change.AskCommit:
+	case change.RequestCommit:
 		var todo []change.Action
 		todo, a.Err = m.Commit(0, fence, f.send.ID)
 		for len(todo) > 0 {
-			todo = m.Done(0, todo[0], nil)
+			todo = m.ActionDone(0, todo[0], nil)
 		}
-	case change.AskAbort:
+	case change.RequestAbort:
 		a.Result, a.Err = m.Abort(0, fence, f.send.ID)
 	}
 	if r, ok := m.Result(f.send.ID); ok {
--- a/internal/rollout/keep.go
+++ b/internal/rollout/keep.go
@@ -14,9 +14,9 @@
 
 // Keeper brings one instance to the document that is wanted of it, whenever it shows another: after its process has
 // begun anew, with nothing applied, or after somebody has set another by hand.
-type Keeper struct {
-	Name   string
-	Wanted string // hash; "" for none
+type Reconciler struct {
+	Name    string
+	Desired string // hash; "" for none
 
 	target change.Target
 	doc    string // that it is being brought to
@@ -30,68 +30,68 @@
 }
 
 // Look takes in what the instance shows, and returns what is to be sent. Nothing is while others change the instance.
-func (k *Keeper) Look(now time.Duration, l Look, busy bool) (Send, bool) {
+func (k *Reconciler) Observe(now time.Duration, l Observation, busy bool) (OutgoingRequest, bool) {
 	switch {
 	case k.asked:
-		return Send{}, false
-	case l.Hash == k.Wanted && !l.Mixed || k.Wanted == "" || busy:
+		return OutgoingRequest{}, false
+	case l.Hash == k.Desired && !l.Mixed || k.Desired == "" || busy:
 		k.active, k.wait, k.due = false, 0, 0
-		return Send{}, false
+		return OutgoingRequest{}, false
 	case l.Epoch != k.epoch: // there was nothing wrong with this one
 		k.wait, k.due = 0, 0
 	}
 	if now < k.due {
-		return Send{}, false
+		return OutgoingRequest{}, false
 	}
-	k.target, k.active, k.doc, k.epoch, k.base = change.Target{}, true, k.Wanted, l.Epoch, l.Revision
+	k.target, k.active, k.doc, k.epoch, k.base = change.Target{}, true, k.Desired, l.Epoch, l.Revision
 	k.try++
 	return k.next()
 }
 
-func (k *Keeper) next() (Send, bool) {
-	q := k.target.Next(true)
-	if q == change.Nothing {
-		return Send{}, false
+func (k *Reconciler) next() (OutgoingRequest, bool) {
+	q := k.target.NextRequest(true)
+	if q == change.NoRequest {
+		return OutgoingRequest{}, false
 	}
 	k.asked = true
-	return Send{Instance: k.Name, Request: q, ID: fmt.Sprintf("keep/%s/%s/%d", k.doc, k.epoch, k.try), Document: k.doc, Base: k.base, Keeps: true}, true
+	return OutgoingRequest{Instance: k.Name, Request: q, ID: fmt.Sprintf("keep/%s/%s/%d", k.doc, k.epoch, k.try), Document: k.doc, Base: k.base, FromReconciler: true}, true
 }
 
 // Answered takes in the instance's answer, and returns what is to be sent next. Danger: the wanted document may be
 // another by now, and a commit would bring the old one.
-func (k *Keeper) Answered(now time.Duration, busy bool, a change.Answer) (Send, bool) {
+func (k *Reconciler) RecordAnswer(now time.Duration, busy bool, a change.Answer) (OutgoingRequest, bool) {
 	k.asked = false
 	if !k.active {
-		return Send{}, false
+		return OutgoingRequest{}, false
 	}
-	k.target.Answered(a)
+	k.target.RecordAnswer(a)
 	switch {
 	case k.target.State == change.Done:
 		k.active, k.wait = false, 0
 	case k.target.State.Final():
 		k.later(now)
-	case k.Wanted != k.doc || busy:
+	case k.Desired != k.doc || busy:
 		k.active = false // what is prepared expires
 	default:
 		return k.next()
 	}
-	return Send{}, false
+	return OutgoingRequest{}, false
 }
 
 // Silent takes in that the instance did not answer. What became of a commit its next look shows.
-func (k *Keeper) Silent(now time.Duration) {
+func (k *Reconciler) RecordNoAnswer(now time.Duration) {
 	k.asked = false
 	k.later(now)
 }
 
-func (k *Keeper) later(now time.Duration) {
+func (k *Reconciler) later(now time.Duration) {
 	k.active = false
 	k.wait = min(max(firstAgain, 2*k.wait), lastAgain)
 	k.due = now + k.wait
 }
 
 // Refusal is why the instance is not as is wanted, "" if nothing is known against it.
-func (k *Keeper) Refusal() string {
+func (k *Reconciler) FailureReason() string {
 	if k.wait == 0 {
 		return ""
 	}
@@ -99,14 +99,14 @@
 }
 
 // Window remembers what an instance has served lately, to compare with.
-type Window struct {
+type SlidingWindow struct {
 	epoch   string
 	samples []sample // the oldest first
 }
 
 type sample struct {
 	at     time.Duration
-	served change.Service
+	served change.RequestCounts
 }
 
 const (
@@ -115,7 +115,7 @@
 )
 
 // Add takes in an instance's counts, and returns what it has served since the oldest that are remembered.
-func (w *Window) Add(now time.Duration, epoch string, served change.Service) change.Service {
+func (w *SlidingWindow) Add(now time.Duration, epoch string, served change.RequestCounts) change.RequestCounts {
 	if epoch != w.epoch {
 		w.epoch, w.samples = epoch, nil
 	}
@@ -126,5 +126,5 @@
 		}
 		w.samples = append(w.samples, sample{now, served})
 	}
-	return served.Less(w.samples[0].served)
+	return served.Sub(w.samples[0].served)
 }
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -50,7 +50,7 @@
 // Rollback takes back what was applied.
 func (r *Rollout) Rollback(now time.Duration) error {
 	if r.Status == RolledBack || r.Status == RollingBack {
-		return ErrOver
+		return ErrAlreadyRolledBack
 	}
 	for _, m := range r.members {
 		// A taking back that failed is tried again under another id.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -47,7 +47,7 @@
 }
 
 // Over says that the rollout does nothing more by itself and can't be resumed.
-func (s Status) Over() bool { return s == Completed || s == RolledBack }
+func (s Status) Finished() bool { return s == Completed || s == RolledBack }
 
 // stragglers is how long a wave's commits wait for instances that have not prepared yet. One that is slower is
 // committed when it has.
@@ -89,35 +89,35 @@
 	BackTry int           `json:"back_try,omitempty"`
 	Ended   bool          `json:"ended,omitempty"` // the process that had applied it has ended, so that there is nothing to take back
 	// Before is what it served in the time before the change, Mark its counts when the change was committed.
-	Before change.Service `json:"before"`
-	Mark   change.Service `json:"mark"`
+	Before change.RequestCounts `json:"before"`
+	Mark   change.RequestCounts `json:"mark"`
 
 	asked bool // a request is out
 	// restored says that a commit was under way when the manager before this one ended, and that the instance has not
 	// said yet what became of it.
 	restored bool
-	seen     Look
+	seen     Observation
 	seenAt   time.Duration
 }
 
 // Look is what an instance shows of itself.
-type Look struct {
+type Observation struct {
 	Epoch    string
 	Revision uint64
 	Hash     string
-	Mixed    bool           // not all of it is of that document
-	Served   change.Service // since the process began
-	Before   change.Service // in the time before now, as far as a comparison goes back
+	Mixed    bool                 // not all of it is of that document
+	Served   change.RequestCounts // since the process began
+	Recent   change.RequestCounts // in the time before now, as far as a comparison goes back
 }
 
 // Send is what the caller is to ask of an instance. What comes of it, it tells with Answered or Silent.
-type Send struct {
-	Instance string
-	Request  change.Request
-	ID       string // of the change
-	Document string // hash, of AskPrepare
-	Base     uint64 // of AskPrepare
-	Keeps    bool   // it is a Keeper's
+type OutgoingRequest struct {
+	Instance       string
+	Request        change.Request
+	ID             string // of the change
+	Document       string // hash, of AskPrepare
+	Base           uint64 // of AskPrepare
+	FromReconciler bool   // it is a Keeper's
 }
 
 // Rollout is one rollout.
@@ -132,21 +132,21 @@
 }
 
 // Planned is an instance that a rollout is for.
-type Planned struct {
-	Name string
-	Look Look
+type PlannedInstance struct {
+	Name        string
+	Observation Observation
 }
 
 // The reasons for which an operator's word can't be done.
 var (
-	ErrNotRunning = errors.New("it is not running")
-	ErrNotHalted  = errors.New("it is not halted")
-	ErrOver       = errors.New("it is over")
+	ErrNotRunning        = errors.New("it is not running")
+	ErrNotHalted         = errors.New("it is not halted")
+	ErrAlreadyRolledBack = errors.New("it is over")
 )
 
 // New plans a rollout. The instances are taken in the order given.
-func New(now time.Duration, id, document string, limits change.Limits, instances []Planned) *Rollout {
-	sizes := limits.Waves(len(instances))
+func New(now time.Duration, id, document string, limits change.Limits, instances []PlannedInstance) *Rollout {
+	sizes := limits.WaveSizes(len(instances))
 	r := &Rollout{Header: Header{ID: id, Document: document, Limits: limits, Waves: len(sizes), Begun: now, Since: now}, byName: map[string]*Member{}, changed: map[*Member]struct{}{}, header: true}
 	wave := 0
 	for i, p := range instances {
@@ -154,7 +154,7 @@
 			wave++
 		}
 		sizes[wave]--
-		m := &Member{Name: p.Name, Wave: wave, Was: p.Look.Hash, Epoch: p.Look.Epoch, Base: p.Look.Revision, seen: p.Look}
+		m := &Member{Name: p.Name, Wave: wave, Was: p.Observation.Hash, Epoch: p.Observation.Epoch, Base: p.Observation.Revision, seen: p.Observation}
 		r.members = append(r.members, m)
 		r.byName[m.Name] = m
 		r.changed[r.members[i]] = struct{}{}
@@ -163,7 +163,7 @@
 }
 
 // LeaveOut notes an instance that the rollout is for and goes on without, as it could not be asked when it began.
-func (r *Rollout) LeaveOut(name, why string) {
+func (r *Rollout) Exclude(name, why string) {
 	m := &Member{Name: name, Wave: max(0, r.Waves-1), Left: true, Target: change.Target{State: change.NotDone, Reason: why}}
 	r.members = append(r.members, m)
 	r.byName[name] = m
@@ -191,7 +191,7 @@
 }
 
 // Changed returns what must be in the journal before anything is sent: the header, nil if it is as it was, and members.
-func (r *Rollout) Changed() (h *Header, members []*Member) {
+func (r *Rollout) Unsaved() (h *Header, members []*Member) {
 	if r.header {
 		h = &r.Header
 	}
@@ -204,7 +204,7 @@
 }
 
 // Written takes in that what Changed returned is in the journal.
-func (r *Rollout) Written() {
+func (r *Rollout) MarkSaved() {
 	r.header = false
 	clear(r.changed)
 }
@@ -218,11 +218,11 @@
 // Busy says whether the rollout still has to do with an instance, so that nothing else may change it.
 func (r *Rollout) Busy(name string) bool {
 	m := r.byName[name]
-	return m != nil && (!r.Status.Over() || m.asked)
+	return m != nil && (!r.Status.Finished() || m.asked)
 }
 
 // Waiting says whether requests are out.
-func (r *Rollout) Waiting() bool {
+func (r *Rollout) HasOpenRequests() bool {
 	return slices.ContainsFunc(r.members, func(m *Member) bool { return m.asked })
 }
 
@@ -246,13 +246,13 @@
 func (r *Rollout) backID(m *Member) string { return fmt.Sprintf("%s/back/%d", r.ID, m.BackTry) }
 
 // send has a request go out, if there is one.
-func (r *Rollout) send(out []Send, m *Member, q change.Request, back bool) []Send {
-	if q == change.Nothing {
+func (r *Rollout) send(out []OutgoingRequest, m *Member, q change.Request, back bool) []OutgoingRequest {
+	if q == change.NoRequest {
 		return out
 	}
 	m.asked = true
 	r.note(m)
-	s := Send{Instance: m.Name, Request: q, ID: r.id(m), Document: r.Document, Base: m.Base}
+	s := OutgoingRequest{Instance: m.Name, Request: q, ID: r.id(m), Document: r.Document, Base: m.Base}
 	if back {
 		s.ID, s.Document = r.backID(m), m.Was
 	}
@@ -260,7 +260,7 @@
 }
 
 // Next goes on as far as it can, and returns what is to be sent, after Changed is written.
-func (r *Rollout) Next(now time.Duration) (out []Send) {
+func (r *Rollout) Advance(now time.Duration) (out []OutgoingRequest) {
 	if r.goneOn == 0 {
 		r.goneOn = now
 	}
@@ -276,7 +276,7 @@
 		// What is prepared and shall not be committed ends.
 		for _, m := range r.members {
 			if !m.asked && m.Target.State == change.Prepared {
-				out = r.send(out, m, m.Target.Settle(), false)
+				out = r.send(out, m, m.Target.Resolve(), false)
 			}
 		}
 	}
@@ -294,7 +294,7 @@
 }
 
 // run goes on with the present wave.
-func (r *Rollout) run(now time.Duration) (out []Send) {
+func (r *Rollout) run(now time.Duration) (out []OutgoingRequest) {
 	wave := r.present()
 	ended, open := r.count(now, wave)
 	waits := false
@@ -302,7 +302,7 @@
 		waits = waits || m.Target.State == change.Planned || m.Target.State == change.Preparing
 	}
 	// Before anything is committed: a document that instances refuse is not brought to the others.
-	if v, why := r.Limits.Judge(ended, change.Service{}, change.Service{}, 0); v == change.Stop || v == change.Halt && open == 0 {
+	if v, why := r.Limits.Evaluate(ended, change.RequestCounts{}, change.RequestCounts{}, 0); v == change.RollBack || v == change.Halt && open == 0 {
 		r.stop(now, v, why)
 		return nil
 	}
@@ -311,9 +311,9 @@
 		if m.asked {
 			continue
 		}
-		q := m.Target.Next(commit)
-		if q == change.AskCommit {
-			m.Before, m.Mark = m.seen.Before, m.seen.Served
+		q := m.Target.NextRequest(commit)
+		if q == change.RequestCommit {
+			m.Before, m.Mark = m.seen.Recent, m.seen.Served
 		}
 		out = r.send(out, m, q, false)
 	}
@@ -330,8 +330,8 @@
 		ended.Lost += lost
 	}
 	before, since := r.served(wave)
-	switch v, why := r.Limits.Judge(ended, before, since, now-r.Baking); v {
-	case change.Stop, change.Halt:
+	switch v, why := r.Limits.Evaluate(ended, before, since, now-r.Baking); v {
+	case change.RollBack, change.Halt:
 		r.stop(now, v, why)
 	case change.NextWave:
 		r.header = true
@@ -346,8 +346,8 @@
 
 // count says how the instances of a wave ended, and how many have not. One whose commit was under way when the manager
 // before this one ended is asked first: that a manager has ended is no failure of the instance.
-func (r *Rollout) count(now time.Duration, wave []*Member) (c change.Counted, open int) {
-	c.All = len(wave)
+func (r *Rollout) count(now time.Duration, wave []*Member) (c change.WaveOutcome, open int) {
+	c.Total = len(wave)
 	for _, m := range wave {
 		t := &m.Target
 		switch {
@@ -378,13 +378,13 @@
 }
 
 // served sums up what a wave's instances served before the change and since.
-func (r *Rollout) served(wave []*Member) (before, since change.Service) {
+func (r *Rollout) served(wave []*Member) (before, since change.RequestCounts) {
 	for _, m := range wave {
 		if m.Target.State != change.Done || m.seen.Epoch != m.Target.Epoch {
 			continue
 		}
 		before.Add(m.Before)
-		since.Add(m.seen.Served.Less(m.Mark))
+		since.Add(m.seen.Served.Sub(m.Mark))
 	}
 	return before, since
 }
@@ -405,7 +405,7 @@
 }
 
 // back goes on with taking back.
-func (r *Rollout) back(now time.Duration) (out []Send) {
+func (r *Rollout) back(now time.Duration) (out []OutgoingRequest) {
 	open := 0
 	for _, m := range r.members {
 		if m.asked {
@@ -415,7 +415,7 @@
 		t := &m.Target
 		switch {
 		case t.State == change.Prepared:
-			out = r.send(out, m, t.Settle(), false)
+			out = r.send(out, m, t.Resolve(), false)
 		case !m.Backing && (t.State == change.Done || t.State == change.PartlyDone):
 			if m.Ended {
 				continue
@@ -432,7 +432,7 @@
 			m.Backing, m.Base = true, base
 			fallthrough
 		case m.Backing:
-			out = r.send(out, m, m.Back.Next(true), true)
+			out = r.send(out, m, m.Back.NextRequest(true), true)
 		}
 	}
 	if open == 0 && len(out) == 0 {
@@ -468,7 +468,7 @@
 			s.Ended++
 		case m.Backing && m.Back.State == change.Done:
 			s.Back++
-		case m.Backing && (m.Back.State == change.Unknown || m.Back.State == change.Settling):
+		case m.Backing && (m.Back.State == change.Unknown || m.Back.State == change.Resolving):
 			s.Unknown++
 		case m.Backing && m.Back.State == change.PartlyDone:
 			s.Partly++
@@ -478,7 +478,7 @@
 			s.Unchanged++
 		case t == change.PartlyDone:
 			s.Partly++
-		case t == change.Unknown || t == change.Settling || t == change.Committing:
+		case t == change.Unknown || t == change.Resolving || t == change.Committing:
 			s.Unknown++
 		default:
 			s.Waiting++
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -19,44 +19,44 @@
 	t   *testing.T
 	r   *Rollout
 	now time.Duration
-	how map[string]func(Send) (change.Answer, bool) // false: silent
+	how map[string]func(OutgoingRequest) (change.Answer, bool) // false: silent
 	log []string
 }
 
-func names(n int) (all []Planned) {
+func names(n int) (all []PlannedInstance) {
 	for i := range n {
-		all = append(all, Planned{fmt.Sprintf("i%d", i), Look{Epoch: "e0", Revision: 3, Hash: "old"}})
+		all = append(all, PlannedInstance{fmt.Sprintf("i%d", i), Observation{Epoch: "e0", Revision: 3, Hash: "old"}})
 	}
 	return all
 }
 
 func newBench(t *testing.T, n int) *bench {
-	return &bench{t: t, now: time.Hour, r: New(time.Hour, "r", "new", limits, names(n)), how: map[string]func(Send) (change.Answer, bool){}}
+	return &bench{t: t, now: time.Hour, r: New(time.Hour, "r", "new", limits, names(n)), how: map[string]func(OutgoingRequest) (change.Answer, bool){}}
 }
 
 // well is what an instance does that does as it is told.
-func well(s Send) (change.Answer, bool) {
+func well(s OutgoingRequest) (change.Answer, bool) {
 	a := change.Answer{Epoch: "e0"}
-	if s.Request == change.AskCommit {
+	if s.Request == change.RequestCommit {
 		a.Result = change.Result{ID: s.ID, Outcome: change.Applied, Revision: 4}
 	}
-	if s.Request == change.AskAbort {
+	if s.Request == change.RequestAbort {
 		a.Result = change.Result{ID: s.ID, Outcome: change.Unchanged, Revision: 3, Reason: "aborted"}
 	}
 	return a, true
 }
 
-func refuses(Send) (change.Answer, bool) {
+func refuses(OutgoingRequest) (change.Answer, bool) {
 	return change.Answer{Epoch: "e0", Err: errors.New("no such class")}, true
 }
 
-func silent(Send) (change.Answer, bool) { return change.Answer{}, false }
+func silent(OutgoingRequest) (change.Answer, bool) { return change.Answer{}, false }
 
 // step goes on until nothing is to be sent.
 func (b *bench) step() {
 	for range 1000 {
-		out := b.r.Next(b.now)
-		b.r.Written()
+		out := b.r.Advance(b.now)
+		b.r.MarkSaved()
 		if len(out) == 0 {
 			return
 		}
@@ -65,7 +65,7 @@
 	b.t.Fatal("it never rests")
 }
 
-func (b *bench) carryOut(out []Send) {
+func (b *bench) carryOut(out []OutgoingRequest) {
 	for _, s := range out {
 		b.log = append(b.log, fmt.Sprintf("%s %s", []string{"", "prepare", "commit", "abort"}[s.Request], s.Instance))
 		how := b.how[s.Instance]
@@ -73,15 +73,15 @@
 			how = well
 		}
 		if a, ok := how(s); ok {
-			b.r.Answered(b.now, s.Instance, a)
+			b.r.RecordAnswer(b.now, s.Instance, a)
 		} else {
-			b.r.Silent(s.Instance, "timeout")
+			b.r.RecordNoAnswer(s.Instance, "timeout")
 		}
 	}
 }
 
 // serve has all instances show that they have served so many more.
-func (b *bench) serve(d time.Duration, s change.Service) {
+func (b *bench) serve(d time.Duration, s change.RequestCounts) {
 	b.now += d
 	for _, m := range b.r.Members() {
 		l := m.seen
@@ -91,13 +91,13 @@
 	b.step()
 }
 
-func (b *bench) look(name string, l Look) {
-	out := b.r.Looked(b.now, name, l)
-	b.r.Written()
+func (b *bench) look(name string, l Observation) {
+	out := b.r.Observe(b.now, name, l)
+	b.r.MarkSaved()
 	b.carryOut(out)
 }
 
-var fine = change.Service{Requests: 1000, InAim: 1000}
+var fine = change.RequestCounts{Requests: 1000, InAim: 1000}
 
 func (b *bench) want(status Status, wave int, s Summary) {
 	b.t.Helper()
@@ -119,7 +119,7 @@
 	b.want(Running, 2, Summary{Applied: 7})
 	b.serve(11*time.Second, fine)
 	b.want(Completed, 2, Summary{Applied: 7})
-	if b.r.Busy("i0") || !b.r.Status.Over() {
+	if b.r.Busy("i0") || !b.r.Status.Finished() {
 		t.Error("it still has to do with i0")
 	}
 }
@@ -139,7 +139,7 @@
 	b.serve(0, fine)
 	b.serve(11*time.Second, fine)
 	b.want(Running, 1, Summary{Applied: 3, Waiting: 4})
-	b.serve(time.Second, change.Service{Requests: 1000, InAim: 900, Failed: 100})
+	b.serve(time.Second, change.RequestCounts{Requests: 1000, InAim: 900, Failed: 100})
 	b.want(RolledBack, 1, Summary{Back: 3, Waiting: 4})
 	if !strings.Contains(b.r.Reason, "failed") {
 		t.Errorf("because %q", b.r.Reason)
@@ -157,7 +157,7 @@
 func TestDiesOfIt(t *testing.T) {
 	b := newBench(t, 3)
 	b.step()
-	b.look("i0", Look{Epoch: "e1"})
+	b.look("i0", Observation{Epoch: "e1"})
 	b.step()
 	b.want(RolledBack, 0, Summary{Ended: 1, Waiting: 2})
 }
@@ -165,16 +165,16 @@
 // A process that has begun anew since the plan can't use what it was based on, which says nothing against the document.
 func TestBegunAnewBeforeItsTurn(t *testing.T) {
 	b := newBench(t, 1)
-	b.how["i0"] = func(Send) (change.Answer, bool) {
-		return change.Answer{Epoch: "e1", Err: change.ErrStale}, true
+	b.how["i0"] = func(OutgoingRequest) (change.Answer, bool) {
+		return change.Answer{Epoch: "e1", Err: change.ErrStaleRevision}, true
 	}
 	b.step()
 	b.want(Halted, 0, Summary{Unchanged: 1})
-	b.look("i0", Look{Epoch: "e1", Hash: "none"})
-	b.how["i0"] = func(s Send) (change.Answer, bool) {
+	b.look("i0", Observation{Epoch: "e1", Hash: "none"})
+	b.how["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
 		a, _ := well(s)
 		a.Epoch = "e1"
-		if s.Request == change.AskPrepare && s.Base != 0 {
+		if s.Request == change.RequestPrepare && s.Base != 0 {
 			t.Errorf("based on %d", s.Base)
 		}
 		return a, true
@@ -222,15 +222,15 @@
 	b.step()
 	b.serve(0, fine)
 	b.now += 11 * time.Second
-	var kept []Send
+	var kept []OutgoingRequest
 	for range 10 {
-		out := b.r.Next(b.now)
+		out := b.r.Advance(b.now)
 		for _, s := range out {
 			if s.Instance == "i1" {
 				kept = append(kept, s)
 				continue
 			}
-			b.carryOut([]Send{s})
+			b.carryOut([]OutgoingRequest{s})
 		}
 		if len(out) == 0 {
 			b.now += stragglers
@@ -250,20 +250,20 @@
 func TestUnknown(t *testing.T) {
 	for _, applied := range []bool{true, false} {
 		b := newBench(t, 3)
-		b.how["i0"] = func(s Send) (change.Answer, bool) {
+		b.how["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
 			a, _ := well(s)
-			return a, s.Request != change.AskCommit
+			return a, s.Request != change.RequestCommit
 		}
 		b.step()
 		b.want(Halted, 0, Summary{Unknown: 1, Waiting: 2})
-		b.how["i0"] = func(s Send) (change.Answer, bool) {
+		b.how["i0"] = func(s OutgoingRequest) (change.Answer, bool) {
 			a, _ := well(s)
 			if applied {
 				a.Result = change.Result{Outcome: change.Applied, Revision: 4}
 			}
 			return a, true
 		}
-		b.look("i0", Look{Epoch: "e0"})
+		b.look("i0", Observation{Epoch: "e0"})
 		if applied {
 			b.want(Halted, 0, Summary{Applied: 1, Waiting: 2})
 		} else {
@@ -283,7 +283,7 @@
 		}
 		journal.m = map[string]string{}
 		write := func() {
-			h, members := b.r.Changed()
+			h, members := b.r.Unsaved()
 			if h != nil {
 				journal.h = *h
 			}
@@ -294,7 +294,7 @@
 				}
 				journal.m[m.Name] = string(text)
 			}
-			b.r.Written()
+			b.r.MarkSaved()
 		}
 		restore := func() {
 			var members []Member
@@ -319,7 +319,7 @@
 			return false
 		}
 		for range 200 {
-			out := b.r.Next(b.now)
+			out := b.r.Advance(b.now)
 			if at() {
 				continue
 			}
@@ -331,26 +331,26 @@
 				a, _ := well(s)
 				if applied[s.Instance] {
 					a.Result = change.Result{Outcome: change.Applied, Revision: 4}
-				} else if s.Request == change.AskCommit {
+				} else if s.Request == change.RequestCommit {
 					applied[s.Instance] = true
 				}
 				if at() {
 					break
 				}
-				b.r.Answered(b.now, s.Instance, a)
+				b.r.RecordAnswer(b.now, s.Instance, a)
 			}
 			b.now += time.Second
 			for _, m := range b.r.Members() {
 				l := m.seen
 				l.Epoch = "e0"
 				l.Served.Add(fine)
-				for _, s := range b.r.Looked(b.now, m.Name, l) {
+				for _, s := range b.r.Observe(b.now, m.Name, l) {
 					write()
 					a, _ := well(s)
 					if applied[s.Instance] {
 						a.Result = change.Result{Outcome: change.Applied, Revision: 4}
 					}
-					b.r.Answered(b.now, s.Instance, a)
+					b.r.RecordAnswer(b.now, s.Instance, a)
 				}
 			}
 			if b.r.Status == Halted {
@@ -378,7 +378,7 @@
 func TestSuperseded(t *testing.T) {
 	b := newBench(t, 3)
 	b.step()
-	b.how["i1"] = func(Send) (change.Answer, bool) {
+	b.how["i1"] = func(OutgoingRequest) (change.Answer, bool) {
 		return change.Answer{Epoch: "e0", Err: change.ErrFenced, Fenced: true}, true
 	}
 	b.serve(11*time.Second, fine)
@@ -410,7 +410,7 @@
 	}
 	b.step()
 	b.want(RolledBack, 0, Summary{Back: 1, Waiting: 2})
-	if err := b.r.Rollback(b.now); err != ErrOver {
+	if err := b.r.Rollback(b.now); err != ErrAlreadyRolledBack {
 		t.Errorf("rolled back again: %v", err)
 	}
 }
@@ -422,7 +422,7 @@
 	if err := b.r.Rollback(b.now); err != nil {
 		t.Fatal(err)
 	}
-	b.carryOut(b.r.Next(b.now)) // it is prepared
+	b.carryOut(b.r.Advance(b.now)) // it is prepared
 	if err := b.r.Abort(b.now); err != nil {
 		t.Fatal(err)
 	}
@@ -437,39 +437,39 @@
 // The keeper brings back an instance that has begun anew, waits longer after each refusal, and leaves alone what a
 // rollout has in hand.
 func TestKeeper(t *testing.T) {
-	k := Keeper{Name: "i0", Wanted: "new"}
-	if _, ok := k.Look(0, Look{Epoch: "e0", Hash: "new"}, false); ok {
+	k := Reconciler{Name: "i0", Desired: "new"}
+	if _, ok := k.Observe(0, Observation{Epoch: "e0", Hash: "new"}, false); ok {
 		t.Error("something is sent to one that is as wanted")
 	}
-	if _, ok := k.Look(0, Look{Epoch: "e0", Hash: "new", Mixed: true}, false); !ok {
+	if _, ok := k.Observe(0, Observation{Epoch: "e0", Hash: "new", Mixed: true}, false); !ok {
 		t.Error("nothing is sent to one that has parts of another document")
 	}
-	k = Keeper{Name: "i0", Wanted: "new"}
-	lost := Look{Epoch: "e1", Hash: "old"}
-	if _, ok := k.Look(0, lost, true); ok {
+	k = Reconciler{Name: "i0", Desired: "new"}
+	lost := Observation{Epoch: "e1", Hash: "old"}
+	if _, ok := k.Observe(0, lost, true); ok {
 		t.Error("something is sent to one that a rollout has in hand")
 	}
-	s, ok := k.Look(0, lost, false)
-	if !ok || s.Request != change.AskPrepare || s.Document != "new" {
+	s, ok := k.Observe(0, lost, false)
+	if !ok || s.Request != change.RequestPrepare || s.Document != "new" {
 		t.Fatalf("sent %+v, %v", s, ok)
 	}
-	if s, ok = k.Answered(0, false, change.Answer{Epoch: "e1"}); !ok || s.Request != change.AskCommit {
+	if s, ok = k.RecordAnswer(0, false, change.Answer{Epoch: "e1"}); !ok || s.Request != change.RequestCommit {
 		t.Fatalf("then %+v, %v", s, ok)
 	}
-	if _, ok = k.Answered(0, false, change.Answer{Epoch: "e1", Result: change.Result{Outcome: change.Applied}}); ok || k.Refusal() != "" {
+	if _, ok = k.RecordAnswer(0, false, change.Answer{Epoch: "e1", Result: change.Result{Outcome: change.Applied}}); ok || k.FailureReason() != "" {
 		t.Error("it does not rest")
 	}
 	waits := []time.Duration{}
 	now := time.Duration(0)
 	for range 12 {
-		if _, ok = k.Look(now, lost, false); !ok {
+		if _, ok = k.Observe(now, lost, false); !ok {
 			t.Fatalf("nothing is tried after %v", waits)
 		}
-		k.Answered(now, false, change.Answer{Epoch: "e1", Err: errors.New("no")})
-		if k.Refusal() != "no" {
-			t.Errorf("refused because %q", k.Refusal())
+		k.RecordAnswer(now, false, change.Answer{Epoch: "e1", Err: errors.New("no")})
+		if k.FailureReason() != "no" {
+			t.Errorf("refused because %q", k.FailureReason())
 		}
-		if _, ok = k.Look(k.due-1, lost, false); ok {
+		if _, ok = k.Observe(k.due-1, lost, false); ok {
 			t.Error("tried too soon")
 		}
 		waits = append(waits, k.due-now)
@@ -479,16 +479,16 @@
 		t.Errorf("waits %v", waits)
 	}
 	// What is wanted changes between prepare and commit: nothing is committed.
-	k.Look(now, lost, false)
-	k.Wanted = "newer"
-	if s, ok = k.Answered(now, false, change.Answer{Epoch: "e1"}); ok {
+	k.Observe(now, lost, false)
+	k.Desired = "newer"
+	if s, ok = k.RecordAnswer(now, false, change.Answer{Epoch: "e1"}); ok {
 		t.Errorf("sent %+v", s)
 	}
 }
 
 func TestWindow(t *testing.T) {
-	var w Window
-	total := change.Service{}
+	var w SlidingWindow
+	total := change.RequestCounts{}
 	for i := range 100 {
 		total.Requests += 10
 		got := w.Add(time.Duration(i)*time.Second, "e0", total)
@@ -499,7 +499,7 @@
 	if len(w.samples) > windowSamples {
 		t.Errorf("%d samples", len(w.samples))
 	}
-	if got := w.Add(100*time.Second, "e1", change.Service{Requests: 5}); got.Requests != 0 {
+	if got := w.Add(100*time.Second, "e1", change.RequestCounts{Requests: 5}); got.Requests != 0 {
 		t.Errorf("another process has served %v", got.Requests)
 	}
 }
