--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -33,9 +33,9 @@
 	closed    bool
 }
 
-// maxRequestReadTime limits the time from the first byte of a request until the part of it that is
-// kept has arrived: the time for the header, 1 s for a body of 64 KiB at 64 kB/s, and another 1 s
-// in case the agent is delayed.
+// maxRequestReadTime limits the time from the first byte of a request until its header and the
+// buffered part of its body have arrived: the time for the header, 1 s for a body of 64 KiB at
+// 64 kB/s, and another 1 s in case the agent is delayed.
 const maxRequestReadTime = readHeaderTimeout + 2*time.Second
 
 // evictionRetryInterval is how often a waiting Accept looks again for a connection to evict.
@@ -232,7 +232,7 @@
 // headerTerminator is the end of a request header.
 var headerTerminator = []byte("\r\n\r\n")
 
-// maxIdleHeadBuffer is the capacity of the header buffer that an idle connection may keep, in
+// maxIdleHeaderBuffer is the capacity of the header buffer that an idle connection may keep, in
 // bytes.
 const maxIdleHeaderBuffer = 1 << 10
 
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -363,8 +363,9 @@
 	}
 }
 
-// readBody reads a short body completely. Of a longer one it reads up to maxBufferedBody bytes, or
-// what has arrived within bufferingTime, and reports that the body is not complete.
+// readBody reads a body completely if its length is known and at most maxBufferedBody. Of any other
+// body it reads up to maxBufferedBody bytes, or what arrives within about bufferingTime, and
+// reports whether that is the complete body.
 func readBody(resp *http.Response) (body []byte, complete bool, err error) {
 	if resp.ContentLength >= 0 && resp.ContentLength <= maxBufferedBody {
 		body = make([]byte, resp.ContentLength)
@@ -372,7 +373,7 @@
 		return body, true, err
 	}
 	// Once the header is passed on, the request can't be retried. Buffering the beginning of the
-	// body detects many answers that break off before that.
+	// body detects many broken answers while a retry is still possible.
 	start := time.Now()
 	for len(body) < maxBufferedBody && (len(body) == 0 || time.Since(start) < bufferingTime) {
 		body = slices.Grow(body, 4<<10)
@@ -424,15 +425,15 @@
 	return load
 }
 
-// serverIDs maps names of backends to numbers. The numbers are hashes of the names, so that they
-// stay the same when the agent restarts.
+// serverIDs maps names of backends to IDs. The IDs are hashes of the names, so that they stay the
+// same when the agent restarts, except after hash collisions.
 type serverIDs struct {
 	ids   map[string]policy.ServerID
 	names map[policy.ServerID]string
 }
 
-// idFor returns the number of a name, and assigns one if the name is new. If two names have the
-// same hash, the later one gets the next free number.
+// idFor returns the ID of a name, and assigns one if the name is new. If two names have the same
+// hash, the later one gets the next free ID.
 func (s *serverIDs) idFor(name string) policy.ServerID {
 	if id, ok := s.ids[name]; ok {
 		return id
@@ -450,7 +451,7 @@
 	return id
 }
 
-// release forgets the number of a backend that has left the list.
+// release forgets the ID of a backend that has left the list.
 func (s *serverIDs) release(id policy.ServerID) {
 	delete(s.ids, s.names[id])
 	delete(s.names, id)
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -32,7 +32,7 @@
 	MemoryMB     int
 	Sockets      int // limit of file descriptors
 	Settings     settings.Settings
-	Peers        Peers              // zero if the settings do not allow peer messages
+	Peers        Peers              // zero if peer messages are not allowed or not configured
 	Admin        string             // address of the operators' interface; empty: none
 	SharedSocket bool               // whether other processes accept from the same socket
 	Handover     handover.Transport // connects to other processes of the agent; nil: none
--- a/internal/agent/control.go
+++ b/internal/agent/control.go
@@ -49,7 +49,7 @@
 // Base returns the settings that the platform has configured, without the changes of operators.
 func (a *Agent) Base() *settings.Settings { return &a.cfg.Settings }
 
-// SetTaking sets whether requests are accepted. Otherwise they are refused with a Retry-After
+// SetAccepting sets whether requests are accepted. Otherwise they are refused with a Retry-After
 // header.
 func (a *Agent) SetAccepting(on bool) {
 	a.server.refuseAll.Store(!on)
@@ -130,14 +130,14 @@
 // effectNames are the effects of classes as the settings name them.
 var effectNames = [...]string{policy.Pure: "pure", policy.Keyed: "token", policy.SideEffect: "side_effect"}
 
-// Look returns the current state for operators.
+// State returns the current state for operators.
 func (a *Agent) State(ctx context.Context) (*control.State, error) {
 	var state *control.State
 	err := a.loop.runInLoop(ctx, func() { state = a.state() })
 	return state, err
 }
 
-// state collects what Look returns. It must be called inside the loop.
+// state collects what State returns. It must be called inside the loop.
 func (a *Agent) state() *control.State {
 	l := a.loop
 	now := l.clock.now()
--- a/internal/agent/control_test.go
+++ b/internal/agent/control_test.go
@@ -171,7 +171,7 @@
 }
 
 // The service part of a document sets the limit of concurrent requests and the address of
-// discovery. SetTaking sets whether requests are accepted.
+// discovery. SetAccepting sets whether requests are accepted.
 func TestServicePart(t *testing.T) {
 	proceed := make(chan struct{})
 	b := newBackend(t, func(int, *http.Request) (string, bool) {
--- a/internal/agent/counts.go
+++ b/internal/agent/counts.go
@@ -9,10 +9,10 @@
 type counts struct {
 	// inAim is the part of served that was in time for its target latency.
 	requests, inAim, served, refused, failed, clientGone int64
-	refusedByLevel                                       int64 // refused before a module saw them
+	refusedByLevel                                       int64 // part of refused: by the service level
 
 	classes []classCounts
-	causes  map[cause]int64 // of refusals and failures; bounded by classes and outcomes
+	causes  map[cause]int64 // of refusals and failures; the reasons of a class are a small fixed set
 }
 
 // classCounts holds the number of requests of one class by their answer.
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -89,13 +89,13 @@
 	return list, nil
 }
 
-// discoveryClient is a client of the discovery service. It watches the list of backends and passes each
-// change to the event loop.
+// discoveryClient is a client of the discovery service. It watches the list of backends and passes
+// each change to the event loop.
 type discoveryClient struct {
 	addr           string
 	onDemand       bool                            // watch only if the module asks, and report failures
 	watchRequested chan struct{}                   // the module has requested a watch; capacity 1
-	onList         func(policy.ListMode, []member) // is called with each change, and after failures
+	onList         func(policy.ListMode, []member) // called with each change and, if onDemand, after failures
 	client         http.Client
 	log            *slog.Logger
 
@@ -254,8 +254,8 @@
 	return parseList(text)
 }
 
-// requestWatch starts a watch, unless one is already requested. It does not block, because the
-// event loop calls it.
+// requestWatch requests a watch from an onDemand client, unless one is already requested. Other
+// clients watch all the time. It does not block, because the event loop calls it.
 func (d *discoveryClient) requestWatch() {
 	select {
 	case d.watchRequested <- struct{}{}:
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -44,15 +44,15 @@
 }
 
 // An agent that starts with a known list requests only the changes since then. Many agents restart
-// at once, and the load on discovery depends on the entries that it sends: with full lists it would
-// reject agent after agent, which meanwhile use outdated lists. If discovery does not know the
-// revision, the agent requests the full list.
+// at once, and the load on discovery depends on the entries that it sends: if all requested full
+// lists, discovery would reject many requests, and the rejected agents would use outdated lists
+// meanwhile. If discovery does not know the revision, the agent requests the full list.
 func TestKnownListIsFollowed(t *testing.T) {
 	x, y := newBackend(t, alwaysOK), newBackend(t, alwaysOK)
 	for _, c := range []struct {
 		name      string
 		answer    []byte // of discovery to the first call
-		nextQuery string // prefix of the next query
+		nextQuery string // prefix of the next query; empty: no query, which requests the full list
 	}{
 		{"changes", listJSON(8, false, memberJSON("x", x.Addr, "Gone", 0), memberJSON("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
 		{"whole list", listJSON(8, true, memberJSON("y", y.Addr, "Ready", 0)), "after=8&wait_ms="},
@@ -164,8 +164,8 @@
 	}
 }
 
-// If the settings require that the module requests the list, it is told of failures and decides
-// when to retry.
+// If the settings require that the module requests the list, the module is told of failures and
+// decides when to retry.
 func TestAskedDiscovery(t *testing.T) {
 	b := newBackend(t, alwaysOK)
 	settings := strings.Replace(testSettings, `"automatic"`, `"subscribe"`, 1)
--- a/internal/agent/duties.go
+++ b/internal/agent/duties.go
@@ -32,7 +32,8 @@
 	return weight
 }
 
-// Say returns what this agent reports as the pacer of a site, or nil if it has nothing to report.
+// MessageToPublish returns what this agent reports as the pacer of a site, or nil if it has nothing
+// to report.
 func (a *Agent) MessageToPublish(duty string) (encoded []byte) {
 	a.loop.withLock(func() {
 		if status, ok := a.loop.sites.PacerStatus(strings.TrimPrefix(duty, pacingDutyPrefix)); ok {
@@ -42,8 +43,8 @@
 	return encoded
 }
 
-// Heard passes the report of a site's pacer to the site monitor. A nil report means that there is
-// no pacer.
+// HandleMessage passes the report of a site's pacer to the site monitor. A nil report means that
+// there is no pacer.
 func (a *Agent) HandleMessage(duty string, epoch uint64, encoded []byte) {
 	var status *site.PacerStatus
 	if encoded != nil {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -45,7 +45,7 @@
 	members        []member // EventList
 	deliveringCall *call    // the call whose handler delivers the input; nil: none
 
-	sentAt, backendTime time.Duration // EventOutcome: start and least time at the backend
+	sentAt, backendTime time.Duration // EventOutcome: start of the attempt, and lower bound of the time at the backend
 	answeredAt          time.Duration // EventProbeResult: earliest possible arrival time
 }
 
@@ -127,7 +127,7 @@
 	broadcast      func([]byte) // sends a message to all other agents
 	log            *slog.Logger
 	done           chan struct{} // closed when run returns
-	ready          atomic.Bool   // a server list has arrived
+	ready          atomic.Bool   // a server list with at least one backend has arrived
 
 	servers         serverIDs
 	targets         map[policy.ServerID]*connpool.Target
--- a/internal/agent/loop_actions.go
+++ b/internal/agent/loop_actions.go
@@ -67,7 +67,7 @@
 	case policy.ActSubscribe:
 		l.subscribe()
 	case policy.ActBroadcast:
-		if mod == l.current { // else others would get two modules' counts in turn
+		if mod == l.current { // else peers would get the counts of two modules in turn under one name
 			l.broadcast(a.Data)
 		}
 	case policy.ActLog:
--- a/internal/agent/replace_test.go
+++ b/internal/agent/replace_test.go
@@ -94,8 +94,8 @@
 				default:
 				}
 				resp, err := client.Do(r.request("unsafe", "15000m"))
-				// A client retries a request if its connection is closed before the answer. This
-				// one does not, so such an error fails the test.
+				// A real client retries a request if its connection is closed before the answer.
+				// This one does not, so such an error fails the test.
 				if err != nil {
 					t.Error(err)
 					return
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -37,7 +37,7 @@
 	statusFailed  = http.StatusBadGateway         // the request may have run
 
 	maxBudget          = time.Hour
-	writeTimeout       = 5 * time.Second // for a client to accept each write; at least half of it
+	writeTimeout       = 5 * time.Second // for a client to accept a write; a reused deadline leaves at least half
 	maxCallIDBytes     = 256
 	overloadRetryAfter = time.Second // Retry-After of an agent that accepts no more requests
 )
--- a/internal/agent/sites.go
+++ b/internal/agent/sites.go
@@ -15,8 +15,9 @@
 	"example.org/micaline/policy"
 )
 
-// siteInterval is how often the sites are evaluated. A loss shows in attempts without an answer for
-// a fraction of a target latency, so it must be short compared with that.
+// siteInterval is how often the sites are evaluated. The loss of a site is detected by attempts
+// that get no answer for a fraction of a target latency, so the interval must be short compared
+// with that.
 const siteInterval = 100 * time.Millisecond
 
 // sites is the loop's state of site monitoring.
@@ -200,8 +201,8 @@
 	return status, err
 }
 
-// TakeOut evacuates a site for the given duration, or ends its evacuation if the duration is 0. It
-// returns nil if sites are not monitored.
+// EvacuateSite evacuates a site for the given duration, or ends its evacuation if the duration is
+// 0. It returns nil if sites are not monitored.
 func (a *Agent) EvacuateSite(ctx context.Context, name string, duration time.Duration, force bool, reason string) (status *control.Sites, err error) {
 	l := a.loop
 	var siteErr error
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -36,11 +36,11 @@
 
 	answerStallTimeout = 250 * time.Millisecond // for the next byte of an answer that is buffered
 	streamStallTimeout = 10 * time.Second       // for a backend to send or accept the next streamed byte
-	bufferingTime      = 100 * time.Millisecond // how long the beginning of a long answer is buffered
+	bufferingTime      = 100 * time.Millisecond // for the beginning of an answer of unknown or large size
 )
 
-// errUploadFailed is the error of a request body that does not arrive completely, because the
-// client has disconnected or sends too slowly.
+// errUploadFailed is the error of a request body that is not read completely: the client has
+// disconnected, sends too slowly or sends more than maxBody bytes, or reading was interrupted.
 var errUploadFailed = errors.New("the request's body does not come")
 
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferSize]byte) }}
@@ -77,7 +77,7 @@
 
 	forwarding atomic.Bool   // whether bytes may have been read that are not buffered
 	complete   atomic.Bool   // whether the last byte has been read
-	failed     chan struct{} // closed when the client has disconnected or is too slow
+	failed     chan struct{} // closed when the client has disconnected, is too slow or sends too much
 
 	readMu  sync.Mutex // held during a read
 	pace    uploadPace
@@ -146,7 +146,7 @@
 	return body, nil
 }
 
-// hasFailed reports whether the client has disconnected or is too slow.
+// hasFailed reports whether the client has disconnected, is too slow or sends too much.
 func (u *uploadStream) hasFailed() bool {
 	select {
 	case <-u.failed:
