--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -45,12 +45,12 @@
 // Duty is the state of a duty.
 type Duty struct {
 	Name   string  `json:"name"`
-	State  string  `json:"state"` // held, free, handed, revoked, resting
+	State  string  `json:"state"` // held, free, handed (free but reserved for To), revoked, resting
 	Holder string  `json:"holder,omitempty"`
 	Epoch  uint64  `json:"epoch"`
 	Term   float64 `json:"term_s"`
 	Left   float64 `json:"left_s"`          // remaining time of its lease, rest or reservation; 0 unless the member leads
-	Own    float64 `json:"own_s,omitempty"` // the same by the holder's clock; only in its process
+	Own    float64 `json:"own_s,omitempty"` // remaining time of the lease by the holder's clock; set only by its process
 	To     string  `json:"to,omitempty"`    // to whom it is being handed over
 	Baton  int     `json:"baton_bytes"`     // size of the data that the previous holder left
 	Why    string  `json:"why"`             // reason of the latest change
@@ -81,7 +81,7 @@
 type Client struct{ caller *api.Caller }
 
 // NewClient returns a client of the member that a caller calls.
-func NewClient(at *api.Caller) *Client { return &Client{at} }
+func NewClient(caller *api.Caller) *Client { return &Client{caller} }
 
 // Group returns the member's view of the group.
 func (c *Client) Group(ctx context.Context) (*Group, error) {
@@ -115,7 +115,7 @@
 }
 
 // HandOver asks the holder of a duty to stop its work and release the duty, which is then reserved
-// for a member.
+// for the given process or member.
 func (c *Client) HandOver(ctx context.Context, name, to string) (*Duties, error) {
 	var v Duties
 	return &v, c.caller.Call(ctx, http.MethodPost, "duties/"+url.PathEscape(name)+"/hand", nil, map[string]string{"to": to}, &v)
--- a/internal/duty/link.go
+++ b/internal/duty/link.go
@@ -15,8 +15,8 @@
 	// LeaseTerm is the term of an agent's lease. A holder's message is followed for as long after
 	// its last renewal.
 	LeaseTerm = 3 * time.Second
-	// pollInterval is the interval between queries for messages. A step of a pacer takes 500 ms, so
-	// that each of its messages is seen.
+	// pollInterval is the interval between queries for messages. It is shorter than a pacer's
+	// step, at least 500 ms, so that each message of a pacer is seen.
 	pollInterval = LeaseTerm / 12
 	// requestTimeout is how long a member has to answer before another member is queried.
 	requestTimeout = LeaseTerm / 3
@@ -63,7 +63,7 @@
 	name        string
 	holder      lease.Holder
 	follower    lease.Follower
-	free        bool
+	free        bool   // this agent may acquire the duty
 	reserved    bool   // the duty is being handed over to this agent
 	loggedEpoch uint64 // epoch of the lease that was logged last; 0: not held
 }
--- a/internal/group/apply.go
+++ b/internal/group/apply.go
@@ -53,7 +53,7 @@
 	case raftpb.EntryNormal:
 		var cmd command
 		if len(e.GetData()) == 0 || json.Unmarshal(e.GetData(), &cmd) != nil {
-			break // the empty entry that a new leader appends
+			break // the empty entry that a new leader appends, or one that can't be decoded
 		}
 		result := Result{ID: cmd.ID}
 		switch {
--- a/internal/group/core.go
+++ b/internal/group/core.go
@@ -112,8 +112,8 @@
 }
 
 // writeCommand writes records on behalf of the holder of a duty. Seq numbers the writes of an
-// epoch. A write with the number of the last one is a duplicate and is not applied again, and a
-// write that skips a number is refused.
+// epoch. A write with the number of the last one is a duplicate and is not applied again. Any other
+// number than the next one is refused.
 type writeCommand struct {
 	Duty    string           `json:"duty"`
 	Epoch   uint64           `json:"epoch"`
@@ -303,7 +303,8 @@
 		output = c.nextOutput()
 		return nil
 	})
-	// The Output that applies the removal of this member is still processed.
+	// The Output that applies the removal of this member is still processed, so that its messages
+	// tell the other members of the removal.
 	if c.failure != nil && !errors.Is(c.failure, ErrRemoved) {
 		return nil
 	}
--- a/internal/group/core_test.go
+++ b/internal/group/core_test.go
@@ -40,12 +40,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	founding, err := core.Bootstrap()
+	bootstrapRecords, err := core.Bootstrap()
 	if err != nil {
 		t.Fatal(err)
 	}
 	core.confState.Voters = append(core.confState.Voters, leaderID)
-	records = append(append(records, founding...), core.stateRecords()...)
+	records = append(append(records, bootstrapRecords...), core.stateRecords()...)
 	for _, e := range emptyEntries(earlierTerm, 2, 3, 4, 5) {
 		records = append(records, protoRecord(logBucket, entryKey(e.GetIndex()), e))
 	}
--- a/internal/group/explore_test.go
+++ b/internal/group/explore_test.go
@@ -92,11 +92,11 @@
 		return
 	}
 	if bootstrap {
-		founding, err := core.Bootstrap()
+		bootstrapRecords, err := core.Bootstrap()
 		if err != nil {
 			h.fail("Start", "%s: %v", s.name, err)
 		}
-		records = append(records, founding...)
+		records = append(records, bootstrapRecords...)
 	}
 	s.disk.Write(records)
 	if h.bug == "an only voter is not confirmed" {
@@ -199,14 +199,14 @@
 }
 
 func (h *simulation) send(s *replica, m *raftpb.Message) {
-	text, _ := proto.Marshal(m)
+	encoded, _ := proto.Marshal(m)
 	for range 1 + h.rng.IntN(20)/19 {
 		if h.now < 600 && h.rng.IntN(25) == 0 || h.now < s.cutOffUntil {
 			s.core.ReportUnreachable(m)
 			continue
 		}
 		copied := &raftpb.Message{}
-		proto.Unmarshal(text, copied)
+		proto.Unmarshal(encoded, copied)
 		delivered := false
 		for _, to := range h.replicas {
 			if to.core != nil && (to.core.self.ID == m.GetTo() || s.core.state.Members[m.GetTo()] != nil && s.core.state.Members[m.GetTo()].Name == to.name) {
@@ -443,5 +443,5 @@
 		"an old disk is heard":                         "Named",
 		"what was written last is forgotten":           "Once",
 		"an only voter is not confirmed":               "Same|Kept|Fenced",
-	}, 300, func(t *testing.T, seed uint64, plant string) []string { return simulate(t, seed, 5, plant, nil) })
+	}, 300, func(t *testing.T, seed uint64, bug string) []string { return simulate(t, seed, 5, bug, nil) })
 }
--- a/internal/group/hold.go
+++ b/internal/group/hold.go
@@ -20,10 +20,10 @@
 	Baton []byte
 
 	cancel     context.CancelFunc
-	validUntil atomic.Int64
+	validUntil atomic.Int64 // time.Duration on the node's clock
 	node       *Node
 	duty       string
-	seq        uint64
+	seq        uint64        // number of the last write
 	pending    *writeCommand // the last write, while its result is unknown; nil: none
 }
 
@@ -75,7 +75,7 @@
 			}
 			return
 		case <-shutdown:
-			shutdown = nil
+			shutdown = nil // the closed channel would be selected again and again
 		case baton := <-finished:
 			grant.cancel()
 			if _, _, holds := holder.Holds(n.now()); holds {
--- a/internal/group/membership.go
+++ b/internal/group/membership.go
@@ -78,7 +78,8 @@
 	return c.proposeConfChange(raftpb.ConfChangeRemoveNode, m)
 }
 
-// PromoteLearners proposes to make voters of the learners whose logs have caught up.
+// PromoteLearners proposes to make voters of the learners whose logs have caught up to within 16
+// entries of the commit index.
 func (c *Core) PromoteLearners() {
 	if c.checkLeader() != nil {
 		return
@@ -91,8 +92,8 @@
 	})
 }
 
-// transferTarget returns the active voter whose log is the most complete, or no member (ID 0) if
-// there is none or this member is not the leader.
+// transferTarget returns the other active voter whose log is the most complete, or no member (ID 0)
+// if there is none or this member is not the leader.
 func (c *Core) transferTarget() (best Member) {
 	if c.checkLeader() != nil {
 		return best
--- a/internal/group/node.go
+++ b/internal/group/node.go
@@ -75,14 +75,14 @@
 	waiters       map[string]chan Result
 	writeError    error             // error of the last write to the journal; nil: it succeeded
 	rejected      map[string]string // reasons why peers can't be members, by name
-	contacting    map[string]bool
+	contacting    map[string]bool   // peers with an identity request in flight
 	lastContactAt time.Duration
 	ungrouped     map[string]bool // peers that are in no group; nil once a peer in a group is known
 	wasLeader     bool
 
 	mu        sync.Mutex // guards published
 	published groupView
-	heldUntil sync.Map // by duty: time.Duration on now's clock until which this process holds it
+	heldUntil sync.Map // by duty: until when this process holds it, a time.Duration on the clock of now
 }
 
 // groupView is a snapshot of the member's state that other goroutines may read.
@@ -92,7 +92,7 @@
 	duties    map[string]lease.Duty
 	members   []Member
 	failure   error
-	remaining map[string]time.Duration
+	remaining map[string]time.Duration // by duty: see lease.ExpiryTracker.Remaining
 	history   []lease.Change
 	rejected  map[string]string
 	applied   uint64
--- a/internal/group/node_test.go
+++ b/internal/group/node_test.go
@@ -264,9 +264,10 @@
 	}
 }
 
-// A founder restarts, partitioned, from a copy of its disk from before other members became voters.
-// It must not elect itself, and reports a stale disk once it reaches the others. With its own disk
-// it leads once one of the two others has confirmed its start.
+// A founder starts from its own disk, where it is the only voter, and leads once one of the two
+// others has confirmed that start. It then restarts, partitioned, from a copy of that disk from
+// before other members became voters. It must not elect itself, and reports a stale disk once it
+// reaches the others.
 func TestOnlyVoterIsConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		firstDisk := &journal.Memory{}
@@ -274,11 +275,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		founding, err := core.Bootstrap()
+		bootstrapRecords, err := core.Bootstrap()
 		if err != nil {
 			t.Fatal(err)
 		}
-		firstDisk.Write(append(records, founding...))
+		firstDisk.Write(append(records, bootstrapRecords...))
 		earlierCopy := copyDisk(firstDisk)
 		g := newTestGroupOn(t, []journal.Store{firstDisk, &journal.Memory{}, &journal.Memory{}})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
--- a/internal/group/serve.go
+++ b/internal/group/serve.go
@@ -206,7 +206,7 @@
 type httpPeer struct{ caller *api.Caller }
 
 // NewPeer returns the Peer that a caller calls.
-func NewPeer(at *api.Caller) Peer { return httpPeer{at} }
+func NewPeer(caller *api.Caller) Peer { return httpPeer{caller} }
 
 func (p httpPeer) Deliver(ctx context.Context, b *Batch) error {
 	var response struct{}
--- a/internal/group/starts.go
+++ b/internal/group/starts.go
@@ -24,7 +24,7 @@
 // received a message from it is taken for a copy.
 const maxPastBoots = 64
 
-// bootReport reports a member's start that another member has received.
+// bootReport reports a member's start, which another member has learned from its messages.
 type bootReport struct {
 	Member uint64 `json:"member"`
 	Boot
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// proposeBoots proposes the starts that this member has received but that are not in the replicated
-// state.
+// proposeBoots proposes to record the starts that this member has learned from messages and that
+// the replicated state does not cover yet.
 func (c *Core) proposeBoots() {
 	// In a fixed order, so that simulations are reproducible.
 	for _, id := range slices.Sorted(maps.Keys(c.self.Known)) {
--- a/internal/lease/explore_test.go
+++ b/internal/lease/explore_test.go
@@ -232,9 +232,9 @@
 	now := a.localNow(w.now)
 	switch w.bug {
 	case "the term counts from the answer":
-		asked := h.requestedAt
+		sentAt := h.requestedAt
 		if h.requestedAt = now; !h.inFlight || request.Number != h.requestNumber {
-			h.requestedAt = asked
+			h.requestedAt = sentAt
 		}
 	case "any answer will do":
 		request.Number, h.inFlight = h.requestNumber, true
--- a/internal/lease/follower.go
+++ b/internal/lease/follower.go
@@ -16,11 +16,11 @@
 }
 
 // Update processes the answer to a query that was sent at the given time.
-func (f *Follower) Update(asked time.Duration, epoch, version uint64, word []byte) {
+func (f *Follower) Update(requestedAt time.Duration, epoch, version uint64, word []byte) {
 	if epoch < f.epoch || epoch == f.epoch && version <= f.version {
 		return
 	}
-	f.epoch, f.version, f.word, f.requestedAt = epoch, version, word, asked
+	f.epoch, f.version, f.word, f.requestedAt = epoch, version, word, requestedAt
 }
 
 // Current returns the word to follow and the epoch under which it was published, or nil if none is
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -22,7 +22,7 @@
 	requestNumber uint64 // number of the latest request
 	requestedAt   time.Duration
 	inFlight      bool          // the latest request is neither answered nor abandoned
-	nextRequestAt time.Duration // earliest time of the next renewal or acquisition
+	nextRequestAt time.Duration // earliest time of the next renewal; an acquire delay starts then
 	lastTick      time.Duration
 	releaseReason string // why the holder should release the duty
 	word          []byte // to publish
@@ -111,8 +111,8 @@
 func (h *Holder) ReleaseReason() string { return h.releaseReason }
 
 // Release gives the duty up and returns the request to send, with a baton for the next holder. If
-// to is not empty, only that process or member may acquire the duty next. The work under the duty
-// must have ended.
+// to is not empty, only that process or member may acquire the duty for one term. The work under
+// the duty must have ended.
 func (h *Holder) Release(now time.Duration, to string, baton []byte) *Request {
 	if h.epoch == 0 {
 		return nil
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -61,9 +61,9 @@
 	MaxTerm = 10 * time.Minute
 )
 
-// RegrantDelay returns how long the group waits after a renewal before it grants the duty again. By
-// a slow clock the holder's term lasts term/(1-MaxClockDrift), and a fast clock of the leader
-// measures (1+MaxClockDrift) times that.
+// RegrantDelay returns how long the group waits after the grant or the latest renewal of a lease
+// before it grants the duty again. By a slow clock the holder's term lasts term/(1-MaxClockDrift),
+// and a fast clock of the leader measures (1+MaxClockDrift) times that.
 func RegrantDelay(term time.Duration) time.Duration {
 	return time.Duration(float64(term)*(1+MaxClockDrift)/(1-MaxClockDrift)) + 1
 }
@@ -73,9 +73,9 @@
 	Holder  string        `json:"holder,omitempty"` // process name, never used by another process; "": free
 	Epoch   uint64        `json:"epoch"`            // of the current or the latest grant
 	Term    time.Duration `json:"term"`
-	Version uint64        `json:"version"`           // grows with each change; Expire names it
+	Version uint64        `json:"version"`           // grows with each change, so that an Expire of an earlier state is refused
 	Renewed uint64        `json:"renewed"`           // number of renewals since the grant
-	To      string        `json:"to,omitempty"`      // for a term only this process or member may acquire it
+	To      string        `json:"to,omitempty"`      // for a term after the release only this process or member may acquire it
 	Baton   []byte        `json:"baton,omitempty"`   // data that the previous holder left
 	Word    []byte        `json:"word,omitempty"`    // message of the current holder to its followers
 	Revoked bool          `json:"revoked,omitempty"` // the lease is not renewed any more
@@ -109,10 +109,10 @@
 const (
 	Acquire  Kind = iota + 1 // by Holder, for Term
 	Renew                    // by Holder under Epoch, with its current Word
-	Release                  // by Holder under Epoch, with a Baton; only To may acquire the duty next, if it is set
+	Release                  // by Holder under Epoch, with a Baton; if To is set, only To may acquire the duty for one term
 	Revoke                   // by an operator, for the reason Why
 	HandOver                 // by an operator: the holder is asked to release the duty, and To acquires it
-	Expire                   // by the leader: what Version started (lease, rest or reservation) has timed out
+	Expire                   // by the leader: the lease, rest or reservation that Version identifies has timed out
 )
 
 // Op is an operation on a Table. Its Kind determines which fields are used.
@@ -127,7 +127,7 @@
 	Word    []byte        `json:"word,omitempty"`
 	Version uint64        `json:"version,omitempty"`
 	Why     string        `json:"why,omitempty"`
-	NoRest  bool          `json:"no_rest,omitempty"` // Acquire: the duty must not rest, however many holders it loses
+	NoRest  bool          `json:"no_rest,omitempty"` // Acquire: the duty never rests, because its work is not what makes holders fail
 }
 
 // Answer is the result of an Op.
@@ -139,7 +139,7 @@
 	Release bool   `json:"release,omitempty"` // Renew: the holder should release the duty, which is to be handed over
 }
 
-// Check returns an error if an operation is invalid for any table.
+// Check returns an error if an operation is invalid whatever the state of the table is.
 func (op *Op) Check() error {
 	switch {
 	case op.Kind < Acquire || op.Kind > Expire:
--- a/internal/mesh/duties/holder.go
+++ b/internal/mesh/duties/holder.go
@@ -91,7 +91,7 @@
 
 	lastRequest       uint64         // number of the latest Request
 	leaseRequest      uint64         // number of the latest Request for the lease
-	leaseTurn         uint64         // lease.Ask.Turn of that request
+	leaseTurn         uint64         // lease.Request.Number of that request
 	finalizeRequest   uint64         // number of the pending FinalizeReport request; 0 if there is none
 	inFlight          *Call          // nil if there is none
 	accepted          map[int64]bool // accepted windows, open in the table; true: ReportAccepted is requested
