--- a/internal/change/explore_test.go
+++ b/internal/change/explore_test.go
@@ -61,17 +61,17 @@
 }
 
 // withAnswer returns the answer to a request.
-func (f message) withAnswer(a Answer) message {
-	f.isAnswer, f.payload = true, a
-	return f
+func (msg message) withAnswer(a Answer) message {
+	msg.isAnswer, msg.payload = true, a
+	return msg
 }
 
 var twoParts = Document{Hash: "h", Parts: []string{"service", "decisions"}}
 
 func newSystem(instances int) *system {
-	w := &system{restartsLeft: 1, failuresLeft: 1}
+	sys := &system{restartsLeft: 1, failuresLeft: 1}
 	for range instances {
-		w.instances = append(w.instances, &instanceModel{
+		sys.instances = append(sys.instances, &instanceModel{
 			Instance: NewInstance("e0", 0, Document{Hash: "0", Parts: twoParts.Parts}), applied: map[string]bool{}, partsInForce: map[string]bool{},
 		})
 	}
@@ -82,17 +82,17 @@
 			mgr.openRequest = append(mgr.openRequest, 0)
 			mgr.resolvesLeft = append(mgr.resolvesLeft, 1)
 		}
-		w.managers = append(w.managers, mgr)
+		sys.managers = append(sys.managers, mgr)
 	}
-	return w
+	return sys
 }
 
-func (w *system) clone() *system {
-	c := &system{inFlight: slices.Clone(w.inFlight), restartsLeft: w.restartsLeft, failuresLeft: w.failuresLeft, injectedBug: w.injectedBug}
-	for _, m := range w.instances {
+func (sys *system) clone() *system {
+	c := &system{inFlight: slices.Clone(sys.inFlight), restartsLeft: sys.restartsLeft, failuresLeft: sys.failuresLeft, injectedBug: sys.injectedBug}
+	for _, m := range sys.instances {
 		c.instances = append(c.instances, &instanceModel{m.Clone(), m.restarts, slices.Clone(m.pendingActions), maps.Clone(m.applied), maps.Clone(m.partsInForce), m.highestFence, slices.Clone(m.openCommits)})
 	}
-	for _, m := range w.managers {
+	for _, m := range sys.managers {
 		c.managers = append(c.managers, &managerModel{m.fence, m.id, slices.Clone(m.targets), slices.Clone(m.openRequest), m.lastNumber, slices.Clone(m.resolvesLeft)})
 	}
 	return c
@@ -100,21 +100,21 @@
 
 // stateKey returns the state in canonical form, in which messages in flight and instances are
 // sorted.
-func (w *system) stateKey() string {
-	instanceKeys := make([]string, len(w.instances))
-	for i, m := range w.instances {
+func (sys *system) stateKey() string {
+	instanceKeys := make([]string, len(sys.instances))
+	for i, m := range sys.instances {
 		var b strings.Builder
 		fmt.Fprint(&b, m.Describe(), m.pendingActions, m.applied, m.partsInForce, m.highestFence)
-		for _, f := range m.openCommits {
-			fmt.Fprint(&b, w.canonicalMessage(f))
+		for _, msg := range m.openCommits {
+			fmt.Fprint(&b, sys.canonicalMessage(msg))
 		}
-		for _, mgr := range w.managers {
+		for _, mgr := range sys.managers {
 			fmt.Fprint(&b, mgr.targets[i], mgr.openRequest[i] > 0, mgr.resolvesLeft[i])
 		}
 		var messages []string
-		for _, f := range w.inFlight {
-			if f.instance == i {
-				messages = append(messages, w.canonicalMessage(f))
+		for _, msg := range sys.inFlight {
+			if msg.instance == i {
+				messages = append(messages, sys.canonicalMessage(msg))
 			}
 		}
 		slices.Sort(messages)
@@ -122,61 +122,61 @@
 		instanceKeys[i] = b.String()
 	}
 	slices.Sort(instanceKeys)
-	return fmt.Sprint(w.restartsLeft, w.failuresLeft, instanceKeys)
+	return fmt.Sprint(sys.restartsLeft, sys.failuresLeft, instanceKeys)
 }
 
 // canonicalMessage returns a message as text. In place of its number it has whether the manager
 // still waits for the answer.
-func (w *system) canonicalMessage(f message) string {
-	return fmt.Sprint(f.isAnswer, f.manager, f.request, w.managers[f.manager].openRequest[f.instance] == f.number, f.payload)
+func (sys *system) canonicalMessage(msg message) string {
+	return fmt.Sprint(msg.isAnswer, msg.manager, msg.request, sys.managers[msg.manager].openRequest[msg.instance] == msg.number, msg.payload)
 }
 
 // transition is one event that can happen in a state.
 type transition struct {
 	description string
-	apply       func(w *system) error
+	apply       func(sys *system) error
 }
 
 // transitions returns all events that can happen in the current state.
-func (w *system) transitions() (transitions []transition) {
-	add := func(apply func(w *system) error, format string, args ...any) {
+func (sys *system) transitions() (transitions []transition) {
+	add := func(apply func(sys *system) error, format string, args ...any) {
 		transitions = append(transitions, transition{fmt.Sprintf(format, args...), apply})
 	}
-	for k, f := range w.inFlight {
-		add(func(w *system) error {
-			w.inFlight = slices.Delete(w.inFlight, k, k+1)
-			return w.deliver(f)
-		}, "%s", f)
+	for k, msg := range sys.inFlight {
+		add(func(sys *system) error {
+			sys.inFlight = slices.Delete(sys.inFlight, k, k+1)
+			return sys.deliver(msg)
+		}, "%s", msg)
 	}
-	for i, m := range w.instances {
+	for i, m := range sys.instances {
 		if len(m.pendingActions) > 0 {
 			a := m.pendingActions[0]
-			add(func(w *system) error { return w.runAction(i, nil) }, "instance %d carries out action %d of %s %s", i, a.Kind, a.ID, a.Part)
-			if w.failuresLeft > 0 {
-				add(func(w *system) error {
-					w.failuresLeft--
-					return w.runAction(i, errors.New("no"))
+			add(func(sys *system) error { return sys.runAction(i, nil) }, "instance %d carries out action %d of %s %s", i, a.Kind, a.ID, a.Part)
+			if sys.failuresLeft > 0 {
+				add(func(sys *system) error {
+					sys.failuresLeft--
+					return sys.runAction(i, errors.New("no"))
 				}, "instance %d fails action %d of %s %s", i, a.Kind, a.ID, a.Part)
 			}
 		}
 		if m.phase == prepared {
-			add(func(w *system) error { w.instances[i].Tick(w.instances[i].deadline); return nil }, "the prepared change of instance %d expires", i)
+			add(func(sys *system) error { sys.instances[i].Tick(sys.instances[i].deadline); return nil }, "the prepared change of instance %d expires", i)
 		}
-		if w.restartsLeft > 0 {
-			add(func(w *system) error { w.restartsLeft--; w.instances[i].restart(); return nil }, "instance %d restarts", i)
+		if sys.restartsLeft > 0 {
+			add(func(sys *system) error { sys.restartsLeft--; sys.instances[i].restart(); return nil }, "instance %d restarts", i)
 		}
 	}
-	for g, mgr := range w.managers {
-		if w.restartsLeft > 0 {
-			add(func(w *system) error {
-				w.restartsLeft--
-				m := w.managers[g]
+	for g, mgr := range sys.managers {
+		if sys.restartsLeft > 0 {
+			add(func(sys *system) error {
+				sys.restartsLeft--
+				m := sys.managers[g]
 				for i := range m.targets {
 					m.targets[i].Resume()
 					m.openRequest[i] = 0
 				}
 				// Answers in flight are lost with the connections of the manager.
-				w.inFlight = slices.DeleteFunc(w.inFlight, func(f message) bool { return f.isAnswer && f.manager == g })
+				sys.inFlight = slices.DeleteFunc(sys.inFlight, func(msg message) bool { return msg.isAnswer && msg.manager == g })
 				return nil
 			}, "manager %d restarts", g)
 		}
@@ -184,11 +184,11 @@
 		for i := range mgr.targets {
 			t := mgr.targets[i]
 			if mgr.openRequest[i] > 0 {
-				add(func(w *system) error {
-					m := w.managers[g]
+				add(func(sys *system) error {
+					m := sys.managers[g]
 					m.openRequest[i] = 0
 					m.targets[i].RecordNoAnswer("no answer")
-					if w.injectedBug == "treats a missing answer as unchanged" && m.targets[i].State == Unknown {
+					if sys.injectedBug == "treats a missing answer as unchanged" && m.targets[i].State == Unknown {
 						m.targets[i].State = NotDone
 					}
 					return nil
@@ -196,17 +196,17 @@
 				continue
 			}
 			if t.NextRequest(commit) != NoRequest {
-				add(func(w *system) error {
-					m := w.managers[g]
-					w.inFlight = append(w.inFlight, m.openRequestTo(g, i, m.targets[i].NextRequest(commit)))
+				add(func(sys *system) error {
+					m := sys.managers[g]
+					sys.inFlight = append(sys.inFlight, m.openRequestTo(g, i, m.targets[i].NextRequest(commit)))
 					return nil
 				}, "manager %d sends the next request to instance %d", g, i)
 			}
 			if s := mgr.targets[i]; s.State == Unknown && mgr.resolvesLeft[i] > 0 {
-				add(func(w *system) error {
-					m := w.managers[g]
+				add(func(sys *system) error {
+					m := sys.managers[g]
 					m.resolvesLeft[i]--
-					w.inFlight = append(w.inFlight, m.openRequestTo(g, i, m.targets[i].Resolve()))
+					sys.inFlight = append(sys.inFlight, m.openRequestTo(g, i, m.targets[i].Resolve()))
 					return nil
 				}, "manager %d resolves its change on instance %d", g, i)
 			}
@@ -215,36 +215,36 @@
 	return transitions
 }
 
-func (f message) String() string {
-	if f.isAnswer {
-		return fmt.Sprintf("instance %d answers manager %d: epoch %s, outcome %s, error %v", f.instance, f.manager, f.payload.Epoch, f.payload.Result.Outcome, f.payload.Err)
+func (msg message) String() string {
+	if msg.isAnswer {
+		return fmt.Sprintf("instance %d answers manager %d: epoch %s, outcome %s, error %v", msg.instance, msg.manager, msg.payload.Epoch, msg.payload.Result.Outcome, msg.payload.Err)
 	}
-	return fmt.Sprintf("request %d of manager %d arrives at instance %d", f.request, f.manager, f.instance)
+	return fmt.Sprintf("request %d of manager %d arrives at instance %d", msg.request, msg.manager, msg.instance)
 }
 
 // deliver hands a message to its receiver.
-func (w *system) deliver(f message) error {
-	mgr, m := w.managers[f.manager], w.instances[f.instance]
+func (sys *system) deliver(msg message) error {
+	mgr, m := sys.managers[msg.manager], sys.instances[msg.instance]
 	fence := mgr.fence
-	if w.injectedBug == "forgets the highest fencing token" {
+	if sys.injectedBug == "forgets the highest fencing token" {
 		fence, m.fence = 1, 0
 	}
-	if f.isAnswer {
-		if mgr.openRequest[f.instance] == f.number {
-			mgr.openRequest[f.instance] = 0
-			mgr.targets[f.instance].RecordAnswer(f.payload)
+	if msg.isAnswer {
+		if mgr.openRequest[msg.instance] == msg.number {
+			mgr.openRequest[msg.instance] = 0
+			mgr.targets[msg.instance].RecordAnswer(msg.payload)
 		}
 		return nil
 	}
 	a := Answer{Epoch: m.Epoch()}
-	switch f.request {
+	switch msg.request {
 	case RequestPrepare:
 		a.Err = m.Prepare(0, fence, mgr.id, 0, twoParts, 0)
 	case RequestCommit:
 		var actions []Action
 		if actions, a.Err = m.Commit(0, fence, mgr.id); len(actions) > 0 {
 			if mgr.fence < m.highestFence {
-				return fmt.Errorf("a change of manager %d starts after a request of a newer manager", f.manager)
+				return fmt.Errorf("a change of manager %d starts after a request of a newer manager", msg.manager)
 			}
 			if len(m.pendingActions) > 0 {
 				return errors.New("two changes are under way")
@@ -261,17 +261,17 @@
 		a.Result = r
 	}
 	a.Fenced = errors.Is(a.Err, ErrFenced)
-	if f.request == RequestCommit && a.Err == nil && a.Result.Outcome == None {
-		m.openCommits = append(m.openCommits, f) // it is answered when the change has ended
+	if msg.request == RequestCommit && a.Err == nil && a.Result.Outcome == None {
+		m.openCommits = append(m.openCommits, msg) // it is answered when the change has ended
 		return nil
 	}
-	w.inFlight = append(w.inFlight, f.withAnswer(a))
+	sys.inFlight = append(sys.inFlight, msg.withAnswer(a))
 	return nil
 }
 
 // runAction carries out the next action of an instance, which fails with err if that is not nil.
-func (w *system) runAction(i int, err error) error {
-	m := w.instances[i]
+func (sys *system) runAction(i int, err error) error {
+	m := sys.instances[i]
 	a := m.pendingActions[0]
 	part := m.epoch + "/" + a.ID + "/" + a.Part
 	if err == nil {
@@ -284,8 +284,8 @@
 	m.pendingActions = m.ActionDone(0, a, err)
 	if r, ok := m.Result(a.ID); ok {
 		m.applied[m.epoch+"/"+a.ID] = r.Outcome == Applied
-		for _, f := range m.openCommits {
-			w.inFlight = append(w.inFlight, f.withAnswer(Answer{Epoch: m.epoch, Result: r}))
+		for _, msg := range m.openCommits {
+			sys.inFlight = append(sys.inFlight, msg.withAnswer(Answer{Epoch: m.epoch, Result: r}))
 		}
 		m.openCommits = nil
 	}
@@ -299,10 +299,10 @@
 }
 
 // checkInvariants returns an error if the state of a manager contradicts an instance.
-func (w *system) checkInvariants() error {
-	for g, mgr := range w.managers {
+func (sys *system) checkInvariants() error {
+	for g, mgr := range sys.managers {
 		for i, t := range mgr.targets {
-			m := w.instances[i]
+			m := sys.instances[i]
 			changeKey := t.Epoch + "/" + mgr.id
 			switch t.State {
 			case Done:
@@ -377,9 +377,9 @@
 // The exploration finds deliberate bugs.
 func TestExplorerFindsBugs(t *testing.T) {
 	for _, bug := range []string{"treats a missing answer as unchanged", "forgets the highest fencing token"} {
-		w := newSystem(1)
-		w.injectedBug = bug
-		if _, err := explore(w); err == nil {
+		sys := newSystem(1)
+		sys.injectedBug = bug
+		if _, err := explore(sys); err == nil {
 			t.Errorf("%s: not found", bug)
 		} else {
 			t.Logf("%s: %v", bug, err)
--- a/internal/change/instance.go
+++ b/internal/change/instance.go
@@ -285,7 +285,7 @@
 }
 
 // Confirm makes an applied change permanent. It returns ErrNotPrepared if the change does not wait
-// for a confirmation.
+// for a confirmation, and ErrFenced if a newer manager has sent a request.
 func (i *Instance) Confirm(now time.Duration, fence uint64, id string) error {
 	if r, known := i.results[id]; known && r.Outcome == Applied {
 		return nil
--- a/internal/change/manager.go
+++ b/internal/change/manager.go
@@ -14,9 +14,9 @@
 	Preparing               // a prepare has been sent and not answered
 	Prepared                // the instance has accepted the change and applied nothing
 	Committing              // a commit has been sent and not answered
-	Resolving               // the outcome is unknown, and an abort has been sent to find it out
+	Resolving               // an abort has been sent; its answer reports the outcome
 	Done                    // the instance has reported that all parts are applied
-	NotDone                 // the instance has reported that nothing is applied, or its process ended before a commit
+	NotDone                 // nothing is applied: the instance has reported so, its process has ended, or no commit was sent
 	PartlyDone              // the instance has reported which parts are applied
 	Unknown                 // a commit may have been applied or may still be applied
 	Superseded              // a newer manager has sent a request to the instance
@@ -80,7 +80,7 @@
 	// Loose says that the change is NotDone, but possibly still prepared on the instance, where it
 	// blocks other changes until it is resolved or expires.
 	Loose   bool   `json:"loose,omitempty"`
-	Refused bool   `json:"refused,omitempty"` // NotDone because the instance rejected the change or failed to apply it
+	Refused bool   `json:"refused,omitempty"` // NotDone because the instance rejected the change, failed to apply it or reverted it
 	Reason  string `json:"reason,omitempty"`
 }
 
@@ -106,9 +106,9 @@
 	return NoRequest
 }
 
-// Resolve returns the request that finds out an unknown state. This is an abort: the answer
-// contains the result of the change, and a change that was not applied can no longer be applied
-// afterwards.
+// Resolve returns an abort if the change may still be prepared or its outcome is unknown. The
+// answer contains the result of the change, and a change that was not applied can no longer be
+// applied afterwards.
 func (t *Target) Resolve() Request {
 	switch t.State {
 	case Preparing, Prepared, Committing, Resolving, Unknown:
@@ -128,7 +128,7 @@
 func (t *Target) Resume() {
 	switch t.State {
 	case Preparing:
-		t.State = Planned // a repeated prepare has no effect
+		t.State = Planned // it is safe to send the prepare again
 	case Committing, Resolving:
 		t.markUnanswered("the manager stopped before it received an answer")
 	}
--- a/internal/change/once.go
+++ b/internal/change/once.go
@@ -17,27 +17,27 @@
 // Begin starts a change. If the change was made before, known is true and result is its first
 // result. It returns ErrNoID for an empty id and ErrIDInUse if the id belongs to a change with
 // other content.
-func (o *Deduplicator) Begin(id, content string) (result any, known bool, err error) {
+func (d *Deduplicator) Begin(id, content string) (result any, known bool, err error) {
 	if id == "" {
 		return nil, false, ErrNoID
 	}
-	first, known := o.recorded[id]
+	first, known := d.recorded[id]
 	if known && first.content != content {
 		return nil, false, ErrIDInUse
 	}
-	o.current = content
+	d.current = content
 	return first.result, known, nil
 }
 
 // End records the result of the change that the last call of Begin has started.
-func (o *Deduplicator) End(id string, result any) {
-	if o.recorded == nil {
-		o.recorded = map[string]recordedChange{}
+func (d *Deduplicator) End(id string, result any) {
+	if d.recorded == nil {
+		d.recorded = map[string]recordedChange{}
 	}
-	if len(o.order) >= maxResults {
-		delete(o.recorded, o.order[0])
-		o.order = o.order[1:]
+	if len(d.order) >= maxResults {
+		delete(d.recorded, d.order[0])
+		d.order = d.order[1:]
 	}
-	o.recorded[id] = recordedChange{o.current, result}
-	o.order = append(o.order, id)
+	d.recorded[id] = recordedChange{d.current, result}
+	d.order = append(d.order, id)
 }
--- a/internal/change/wave.go
+++ b/internal/change/wave.go
@@ -72,7 +72,7 @@
 type WaveOutcome struct {
 	Total   int
 	Refused int // rejected the change, applied it only partly, or their process ended after applying it
-	Lost    int // not applied for another reason: no answer, no connection, or a restart before the commit
+	Lost    int // not applied for another reason: no answer, no connection, or or a restart before the instance reported the change as applied
 }
 
 // Evaluate decides how to go on after a wave. It gets the outcome on the instances of the wave,
@@ -102,8 +102,8 @@
 			{"failed", share(since, since.Failed) - share(before, before.Failed), l.MoreFailed},
 			{"answered within the target latency", share(before, before.InAim) - share(since, since.InAim), l.LessInAim},
 		} {
-			// With too few requests before the change there is no latency to compare with. Refusals
-			// and failures are still compared.
+			// With too few requests before the change there is no share of timely answers to
+			// compare with. Refusals and failures are still compared.
 			if c.category == "answered within the target latency" && before.Requests < l.Least {
 				continue
 			}
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -41,8 +41,9 @@
 }
 
 // Summary returns the identity of the process and its request counts. A fencing token above 0 is the
-// one of the calling manager: the instance records it and refuses lower ones from then on. An instance
-// of an older version, which answers 404 or 412 to this, is asked without the token.
+// one of the calling manager: the instance records it and refuses lower ones from then on. If the
+// instance is of an older version that cannot record tokens (404), or has recorded a higher token (412),
+// the summary is requested without the token.
 func (c *Client) Summary(ctx context.Context, fencingToken uint64) (*Summary, error) {
 	var v Summary
 	if fencingToken > 0 {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -25,9 +25,9 @@
 	// Mixed lists the parts that a different document governs, because a change could neither be
 	// fully applied nor fully reverted.
 	Mixed   []string `json:"mixed,omitempty"`
-	Fence   uint64   `json:"fence"` // highest fencing token that a manager has sent
-	Pending string   `json:"pending,omitempty"`
-	Taking  bool     `json:"taking"`
+	Fence   uint64   `json:"fence"`             // highest fencing token that a manager has sent
+	Pending string   `json:"pending,omitempty"` // id of the change in progress
+	Taking  bool     `json:"taking"`            // whether requests are accepted
 
 	Labels        map[string]string `json:"labels,omitempty"`
 	Configuration string            `json:"configuration,omitempty"` // hash of the platform configuration that was read last
@@ -144,7 +144,7 @@
 // Summary is what a manager polls regularly.
 type Summary struct {
 	Identity
-	Held    int           `json:"held"`
+	Held    int           `json:"held"` // number of requests in flight
 	Service RequestCounts `json:"service"`
 }
 
--- a/internal/control/service.go
+++ b/internal/control/service.go
@@ -49,7 +49,7 @@
 // State is the state of an instance.
 type State struct {
 	Taking   bool           `json:"taking"`
-	Pressure float64        `json:"pressure"` // share of the usual load that is shed
+	Pressure float64        `json:"pressure"` // share of ordinary requests that is shed; may be above 1
 	Own      AgentDelay     `json:"own"`
 	Backends []Backend      `json:"backends"`
 	Requests []Request      `json:"requests"` // in flight, oldest first; may be truncated
@@ -74,14 +74,14 @@
 	Effect   string  `json:"effect"`
 	Aim      float64 `json:"aim_s"`
 	Deadline float64 `json:"deadline_s"`
-	Worth    float64 `json:"worth"`
-	Open     int     `json:"open"` // requests in flight
+	Worth    float64 `json:"worth"` // value of an answer
+	Open     int     `json:"open"`  // requests in flight
 }
 
 // Account is a tenant whose requests are counted.
 type Account struct {
 	Name    string  `json:"name"`
-	Portion float64 `json:"portion"` // its share of the capacity
+	Portion float64 `json:"portion"` // its guaranteed share of the capacity
 	Open    int     `json:"open"`    // requests in flight
 }
 
@@ -92,11 +92,11 @@
 	Phase     string     `json:"phase"`             // state that discovery reports
 	Held      float64    `json:"held_s,omitempty"`  // remaining seconds of a hold
 	HeldBy    string     `json:"held_by,omitempty"` // what holds it
-	Speed     float64    `json:"speed"`
-	Warmth    float64    `json:"warmth"`
+	Speed     float64    `json:"speed"`             // learned, relative to the other backends
+	Warmth    float64    `json:"warmth"`            // share of its capacity that it has by now while it warms up, from 0 to 1
 	InFlight  int        `json:"in_flight"`
 	Silent    int        `json:"silent"` // overdue attempts
-	Load      float64    `json:"load"`
+	Load      float64    `json:"load"`   // estimated number of requests at the backend
 	ReportAge *float64   `json:"report_age_s,omitempty"`
 	Full      float64    `json:"full_s,omitempty"` // remaining seconds in which it is avoided because it is full
 	Ejected   []Ejection `json:"ejected,omitempty"`
@@ -216,7 +216,8 @@
 	s.documents = map[string]*document.Document{current.Hash(): current, d.Hash(): d}
 }
 
-// commit applies a prepared change and waits until the change or the context ends.
+// commit applies a prepared change and waits until the change has ended or awaits its confirmation, or
+// until the context ends.
 func (s *service) commit(ctx context.Context, id string, fence uint64) (*Change, error) {
 	s.mu.Lock()
 	actions, err := s.stateMachine.Commit(s.now(), fence, id)
--- a/internal/control/site.go
+++ b/internal/control/site.go
@@ -29,7 +29,7 @@
 	Retry   float64 `json:"retry_s,omitempty"` // seconds until the next probe
 	Out     float64 `json:"out_s,omitempty"`   // remaining seconds of a manual evacuation
 	Times   int     `json:"times"`             // number of recent losses
-	Pacer   string  `json:"pacer,omitempty"`   // reported by the agent that paces its recovery, if followed
+	Pacer   string  `json:"pacer,omitempty"`   // what the agent that paces the site's recovery reports, while this instance follows it
 }
 
 // SitePlan is the impact that the loss of a site would have, or has.
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	watchInterval     = time.Second
+	watchInterval     = time.Second      // interval at which a watch reads the state
 	heartbeatInterval = 10 * time.Second // interval of events while nothing changes
 	maxEventBytes     = 8 << 20
 )
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -32,8 +32,8 @@
 	ExitUnknown = 6 // a request was sent, and its outcome is unknown
 )
 
-// maxConcurrentQueries limits how many instances are queried at a time.
-const maxConcurrentQueries = 64
+// maxConcurrentCalls limits how many instances are called at a time.
+const maxConcurrentCalls = 64
 
 type options struct {
 	instance string
@@ -216,7 +216,7 @@
 	return names, cobra.ShellCompDirectiveNoFileComp
 }
 
-// result is the result of querying an instance.
+// result is the result of a call to an instance, which queries or changes it.
 type result[T any] struct {
 	Instance string `json:"instance"`
 	Value    *T     `json:"value,omitempty"`
@@ -225,25 +225,25 @@
 	err error
 }
 
-// queryAll queries the targets concurrently and returns the results in their order.
-func queryAll[T any](ctx context.Context, o *options, targets []target, query func(context.Context, *control.Client) (*T, error)) []result[T] {
+// callAll calls a function for each target concurrently and returns the results in their order.
+func callAll[T any](ctx context.Context, o *options, targets []target, call func(context.Context, *control.Client) (*T, error)) []result[T] {
 	all := make([]result[T], len(targets))
-	slots := make(chan struct{}, maxConcurrentQueries)
-	var queries sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentCalls)
+	var calls sync.WaitGroup
 	for i, t := range targets {
-		queries.Go(func() {
+		calls.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			ctx, cancel := context.WithTimeout(ctx, o.timeout)
 			defer cancel()
-			v, err := query(ctx, t.client)
+			v, err := call(ctx, t.client)
 			all[i] = result[T]{Instance: t.name, Value: v, err: withExitCode(err)}
 			if err != nil {
 				all[i].Value, all[i].Error = nil, err.Error()
 			}
 		})
 	}
-	queries.Wait()
+	calls.Wait()
 	return all
 }
 
@@ -312,7 +312,7 @@
 		if err != nil {
 			return err
 		}
-		return printResults(o, c.OutOrStdout(), queryAll(c.Context(), o, targets, v.query), single, v)
+		return printResults(o, c.OutOrStdout(), callAll(c.Context(), o, targets, v.query), single, v)
 	}
 }
 
--- a/internal/ctl/set.go
+++ b/internal/ctl/set.go
@@ -30,7 +30,7 @@
 			if id == "" {
 				id = rand.Text()
 			}
-			results := queryAll(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*string, error) {
+			results := callAll(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*string, error) {
 				text, err := run(ctx, c, id, args)
 				return &text, err
 			})
@@ -116,7 +116,7 @@
 				return &exit.Error{Code: ExitUsage, Err: err}
 			}
 			if dryRun {
-				results := queryAll(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*[]document.Difference, error) {
+				results := callAll(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*[]document.Difference, error) {
 					current, err := c.Document(ctx)
 					if err != nil {
 						return nil, err
@@ -129,7 +129,7 @@
 			if id == "" {
 				id = rand.Text()
 			}
-			results := queryAll(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*control.Change, error) {
+			results := callAll(c.Context(), o, targets, func(ctx context.Context, c *control.Client) (*control.Change, error) {
 				return applyDocument(ctx, c, d, id, confirm)
 			})
 			return printResults(o, c.OutOrStdout(), results, single, view[control.Change]{
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -178,7 +178,7 @@
 const watchRetryDelay = 2 * time.Second // after a watch stream has failed
 
 // watch prints the events of the instances until the context ends. If a stream fails, it prints the
-// error once and reconnects until it succeeds.
+// error once and reconnects until it succeeds. It does not reconnect to an instance that refuses.
 func (o *options) watch(c *cobra.Command, _ []string) error {
 	targets, _, err := o.targets()
 	if err != nil {
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -61,8 +61,8 @@
 
 // DecisionsPart contains the settings of the decision module.
 type DecisionsPart struct {
-	MaxAttempts  *int               `json:"max_attempts,omitempty"`
-	SecondCopies *bool              `json:"second_copies,omitempty"`
+	MaxAttempts  *int               `json:"max_attempts,omitempty"`  // per request, retries and hedges included
+	SecondCopies *bool              `json:"second_copies,omitempty"` // whether requests may be hedged
 	Probes       *bool              `json:"probes,omitempty"`
 	Classes      map[string]Class   `json:"classes,omitempty"`
 	Accounts     map[string]Account `json:"accounts,omitempty"`
@@ -72,12 +72,12 @@
 // the application and can't be changed here.
 type Class struct {
 	AimMS *float64 `json:"aim_ms,omitempty"` // target latency in milliseconds
-	Worth *float64 `json:"worth,omitempty"`
+	Worth *float64 `json:"worth,omitempty"`  // value of an answer
 }
 
 // Account contains the settings of a tenant that may be changed.
 type Account struct {
-	Portion *float64 `json:"portion,omitempty"`
+	Portion *float64 `json:"portion,omitempty"` // guaranteed share of the capacity, from 0 to 1
 }
 
 // FieldError reports an invalid field of a document. Field is its path; it is empty if the document as
--- a/internal/rollout/explore_test.go
+++ b/internal/rollout/explore_test.go
@@ -62,29 +62,29 @@
 // newSystem returns the initial state with two managers, or one if singleManager is set. Each
 // manager observes instances as many times as given.
 func newSystem(singleManager bool, observations int) *system {
-	w := &system{restartsLeft: 1, singleManager: singleManager}
-	for i := range w.instances {
-		w.instances[i] = instanceModel{Instance: change.NewInstance("e0", 0, documentOf("old")), applied: map[string]bool{}}
+	sys := &system{restartsLeft: 1, singleManager: singleManager}
+	for i := range sys.instances {
+		sys.instances[i] = instanceModel{Instance: change.NewInstance("e0", 0, documentOf("old")), applied: map[string]bool{}}
 	}
-	for g := range w.managers {
+	for g := range sys.managers {
 		var planned []PlannedInstance
-		for i := range w.instances {
+		for i := range sys.instances {
 			planned = append(planned, PlannedInstance{fmt.Sprint(i), Observation{Epoch: "e0", Hash: "old"}})
 		}
-		w.managers[g] = managerModel{Rollout: New(1, fmt.Sprintf("r%d", g), fmt.Sprintf("d%d", g), change.Limits{Canaries: 1, Growth: 1}, planned), observationsLeft: observations, now: 2}
-		w.managers[g].MarkSaved()
+		sys.managers[g] = managerModel{Rollout: New(1, fmt.Sprintf("r%d", g), fmt.Sprintf("d%d", g), change.Limits{Canaries: 1, Growth: 1}, planned), observationsLeft: observations, now: 2}
+		sys.managers[g].MarkSaved()
 	}
-	return w
+	return sys
 }
 
-func (w *system) clone() *system {
-	c := &system{inFlight: slices.Clone(w.inFlight), restartsLeft: w.restartsLeft, singleManager: w.singleManager, injectedBug: w.injectedBug}
-	for i := range w.instances {
-		m := &w.instances[i]
+func (sys *system) clone() *system {
+	c := &system{inFlight: slices.Clone(sys.inFlight), restartsLeft: sys.restartsLeft, singleManager: sys.singleManager, injectedBug: sys.injectedBug}
+	for i := range sys.instances {
+		m := &sys.instances[i]
 		c.instances[i] = instanceModel{m.Clone(), m.restarts, maps.Clone(m.applied)}
 	}
-	for g := range w.managers {
-		m := &w.managers[g]
+	for g := range sys.managers {
+		m := &sys.managers[g]
 		c.managers[g] = managerModel{m.clone(), m.openRequest, m.lastNumber, m.observationsLeft, m.now}
 	}
 	return c
@@ -104,23 +104,23 @@
 var hashSeed = maphash.MakeSeed()
 
 // stateHash returns a hash of the state in canonical form, in which messages in flight are sorted.
-func (w *system) stateHash() uint64 {
+func (sys *system) stateHash() uint64 {
 	var b strings.Builder
-	fmt.Fprint(&b, w.restartsLeft)
-	for i := range w.instances {
-		m := &w.instances[i]
+	fmt.Fprint(&b, sys.restartsLeft)
+	for i := range sys.instances {
+		m := &sys.instances[i]
 		fmt.Fprint(&b, m.Describe(), m.applied)
 	}
-	for g := range w.managers {
-		m := &w.managers[g]
+	for g := range sys.managers {
+		m := &sys.managers[g]
 		fmt.Fprint(&b, m.Wave, m.Status, m.observationsLeft, m.now, m.Baking)
 		for i, x := range m.members {
 			fmt.Fprint(&b, x.Epoch, x.Base, x.Target, x.Try, x.commitUnresolved, x.Backing, x.Back, x.observed.Epoch, x.observedAt, m.openRequest[i] > 0)
 		}
 	}
-	messages := make([]string, len(w.inFlight))
-	for i, f := range w.inFlight {
-		messages[i] = fmt.Sprint(f.isAnswer, f.manager, f.instance, f.request.Request, f.request.ID, w.managers[f.manager].openRequest[f.instance] == f.number, f.payload)
+	messages := make([]string, len(sys.inFlight))
+	for i, msg := range sys.inFlight {
+		messages[i] = fmt.Sprint(msg.isAnswer, msg.manager, msg.instance, msg.request.Request, msg.request.ID, sys.managers[msg.manager].openRequest[msg.instance] == msg.number, msg.payload)
 	}
 	slices.Sort(messages)
 	fmt.Fprint(&b, messages)
@@ -130,40 +130,40 @@
 // transition is one event that can happen in a state.
 type transition struct {
 	description string
-	apply       func(w *system) error
+	apply       func(sys *system) error
 }
 
 // transitions returns all events that can happen in the current state.
-func (w *system) transitions() (transitions []transition) {
-	add := func(apply func(w *system) error, format string, args ...any) {
+func (sys *system) transitions() (transitions []transition) {
+	add := func(apply func(sys *system) error, format string, args ...any) {
 		transitions = append(transitions, transition{fmt.Sprintf(format, args...), apply})
 	}
-	for k, f := range w.inFlight {
-		add(func(w *system) error {
-			w.inFlight = slices.Delete(w.inFlight, k, k+1)
-			return w.deliver(f)
-		}, "%s", f)
+	for k, msg := range sys.inFlight {
+		add(func(sys *system) error {
+			sys.inFlight = slices.Delete(sys.inFlight, k, k+1)
+			return sys.deliver(msg)
+		}, "%s", msg)
 	}
-	if w.restartsLeft > 0 {
-		for i := range w.instances {
-			add(func(w *system) error {
-				w.restartsLeft--
-				m := &w.instances[i]
+	if sys.restartsLeft > 0 {
+		for i := range sys.instances {
+			add(func(sys *system) error {
+				sys.restartsLeft--
+				m := &sys.instances[i]
 				m.restarts++
 				m.Instance = change.NewInstance(fmt.Sprintf("e%d", m.restarts), 0, documentOf("old"))
 				return nil
 			}, "instance %d restarts", i)
 		}
 	}
-	for g := range w.managers {
-		if w.singleManager && g > 0 {
+	for g := range sys.managers {
+		if sys.singleManager && g > 0 {
 			break
 		}
-		m := &w.managers[g]
-		if w.restartsLeft > 0 {
-			add(func(w *system) error {
-				w.restartsLeft--
-				m := &w.managers[g]
+		m := &sys.managers[g]
+		if sys.restartsLeft > 0 {
+			add(func(sys *system) error {
+				sys.restartsLeft--
+				m := &sys.managers[g]
 				var members []Member
 				for _, x := range m.members {
 					n := *x
@@ -172,67 +172,67 @@
 				}
 				m.Rollout, m.openRequest = Restore(m.Header, members), [2]int{}
 				// Answers in flight are lost with the connections of the manager.
-				w.inFlight = slices.DeleteFunc(w.inFlight, func(f message) bool { return f.isAnswer && f.manager == g })
-				return w.advanceManager(g)
+				sys.inFlight = slices.DeleteFunc(sys.inFlight, func(msg message) bool { return msg.isAnswer && msg.manager == g })
+				return sys.advanceManager(g)
 			}, "manager %d restarts", g)
 		}
-		for i := range w.instances {
+		for i := range sys.instances {
 			if m.openRequest[i] > 0 {
-				add(func(w *system) error {
-					m := &w.managers[g]
+				add(func(sys *system) error {
+					m := &sys.managers[g]
 					m.openRequest[i] = 0
 					m.RecordNoAnswer(fmt.Sprint(i), "no answer")
-					if t := m.members[i].activeTarget(); w.injectedBug == "treats a missing answer as unchanged" && t.State == change.Unknown {
+					if t := m.members[i].activeTarget(); sys.injectedBug == "treats a missing answer as unchanged" && t.State == change.Unknown {
 						t.State = change.NotDone
 					}
-					return w.advanceManager(g)
+					return sys.advanceManager(g)
 				}, "manager %d stops waiting for instance %d", g, i)
 			} else if m.observationsLeft > 0 && m.Status != Superseded {
-				add(func(w *system) error {
-					m := &w.managers[g]
+				add(func(sys *system) error {
+					m := &sys.managers[g]
 					m.observationsLeft--
-					x := &w.instances[i]
+					x := &sys.instances[i]
 					for _, s := range m.Observe(m.now, fmt.Sprint(i), Observation{Epoch: x.Epoch(), Revision: x.Revision(), Hash: x.Current().Hash}) {
-						w.sendRequest(g, s)
+						sys.sendRequest(g, s)
 					}
-					return w.advanceManager(g)
+					return sys.advanceManager(g)
 				}, "manager %d observes instance %d", g, i)
 			}
 		}
 		if m.Baking > 0 && m.now == 2 {
-			add(func(w *system) error {
-				w.managers[g].now += 2 * unobservedTimeout
-				return w.advanceManager(g)
+			add(func(sys *system) error {
+				sys.managers[g].now += 2 * unobservedTimeout
+				return sys.advanceManager(g)
 			}, "the observation time of manager %d passes", g)
 		}
 		if m.lastNumber == 0 {
-			add(func(w *system) error { return w.advanceManager(g) }, "manager %d starts", g)
+			add(func(sys *system) error { return sys.advanceManager(g) }, "manager %d starts", g)
 		}
 	}
 	return transitions
 }
 
-func (f message) String() string {
-	if f.isAnswer {
-		return fmt.Sprintf("instance %d answers manager %d: epoch %s, outcome %s, error %v", f.instance, f.manager, f.payload.Epoch, f.payload.Result.Outcome, f.payload.Err)
+func (msg message) String() string {
+	if msg.isAnswer {
+		return fmt.Sprintf("instance %d answers manager %d: epoch %s, outcome %s, error %v", msg.instance, msg.manager, msg.payload.Epoch, msg.payload.Result.Outcome, msg.payload.Err)
 	}
-	return fmt.Sprintf("request %d of manager %d for %s arrives at instance %d", f.request.Request, f.manager, f.request.ID, f.instance)
+	return fmt.Sprintf("request %d of manager %d for %s arrives at instance %d", msg.request.Request, msg.manager, msg.request.ID, msg.instance)
 }
 
 // sendRequest puts a request in flight and marks it open.
-func (w *system) sendRequest(g int, s OutgoingRequest) {
-	m := &w.managers[g]
+func (sys *system) sendRequest(g int, s OutgoingRequest) {
+	m := &sys.managers[g]
 	i := int(s.Instance[0] - '0')
 	m.lastNumber++
 	m.openRequest[i] = m.lastNumber
-	w.inFlight = append(w.inFlight, message{manager: g, instance: i, request: s, number: m.lastNumber})
+	sys.inFlight = append(sys.inFlight, message{manager: g, instance: i, request: s, number: m.lastNumber})
 }
 
 // advanceManager advances the rollout of a manager until neither its status nor its wave changes.
-func (w *system) advanceManager(g int) error {
-	m := &w.managers[g]
+func (sys *system) advanceManager(g int) error {
+	m := &sys.managers[g]
 	for {
-		if w.injectedBug == "does not wait for the previous wave" && m.Wave == 0 && m.members[0].Target.State == change.Committing {
+		if sys.injectedBug == "does not wait for the previous wave" && m.Wave == 0 && m.members[0].Target.State == change.Committing {
 			m.Wave = 1
 		}
 		status, wave := m.Status, m.Wave
@@ -240,7 +240,7 @@
 			if s.Request == change.RequestCommit && s.Instance == "1" && !m.members[1].Backing && m.members[0].Target.State != change.Done {
 				return fmt.Errorf("manager %d commits its second wave while the instance of its first wave is %s", g, m.members[0].Target.State)
 			}
-			w.sendRequest(g, s)
+			sys.sendRequest(g, s)
 		}
 		m.MarkSaved()
 		if status == m.Status && wave == m.Wave {
@@ -250,46 +250,46 @@
 }
 
 // deliver hands a message to its receiver.
-func (w *system) deliver(f message) error {
-	mgr, m := &w.managers[f.manager], &w.instances[f.instance]
-	if f.isAnswer {
-		if mgr.openRequest[f.instance] != f.number {
+func (sys *system) deliver(msg message) error {
+	mgr, m := &sys.managers[msg.manager], &sys.instances[msg.instance]
+	if msg.isAnswer {
+		if mgr.openRequest[msg.instance] != msg.number {
 			return nil
 		}
-		mgr.openRequest[f.instance] = 0
-		mgr.RecordAnswer(mgr.now, fmt.Sprint(f.instance), f.payload)
-		return w.advanceManager(f.manager)
+		mgr.openRequest[msg.instance] = 0
+		mgr.RecordAnswer(mgr.now, fmt.Sprint(msg.instance), msg.payload)
+		return sys.advanceManager(msg.manager)
 	}
-	fence := uint64(f.manager + 1)
+	fence := uint64(msg.manager + 1)
 	a := change.Answer{Epoch: m.Epoch()}
-	switch f.request.Request {
+	switch msg.request.Request {
 	case change.RequestPrepare:
-		a.Err = m.Prepare(0, fence, f.request.ID, f.request.Base, documentOf(f.request.Document), 0)
+		a.Err = m.Prepare(0, fence, msg.request.ID, msg.request.Base, documentOf(msg.request.Document), 0)
 	case change.RequestCommit:
 		var actions []change.Action
-		actions, a.Err = m.Commit(0, fence, f.request.ID)
+		actions, a.Err = m.Commit(0, fence, msg.request.ID)
 		for len(actions) > 0 {
 			actions = m.ActionDone(0, actions[0], nil)
 		}
 	case change.RequestAbort:
-		a.Result, a.Err = m.Abort(0, fence, f.request.ID)
+		a.Result, a.Err = m.Abort(0, fence, msg.request.ID)
 	}
-	if r, ok := m.Result(f.request.ID); ok {
+	if r, ok := m.Result(msg.request.ID); ok {
 		a.Result = r
-		m.applied[m.Epoch()+"/"+f.request.ID] = r.Outcome == change.Applied
+		m.applied[m.Epoch()+"/"+msg.request.ID] = r.Outcome == change.Applied
 	}
 	a.Fenced = errors.Is(a.Err, change.ErrFenced)
-	f.isAnswer, f.payload = true, a
-	w.inFlight = append(w.inFlight, f)
+	msg.isAnswer, msg.payload = true, a
+	sys.inFlight = append(sys.inFlight, msg)
 	return nil
 }
 
 // checkInvariants returns an error if the state of a manager contradicts an instance.
-func (w *system) checkInvariants() error {
-	for g := range w.managers {
-		mgr := &w.managers[g]
+func (sys *system) checkInvariants() error {
+	for g := range sys.managers {
+		mgr := &sys.managers[g]
 		for i, x := range mgr.members {
-			m := &w.instances[i]
+			m := &sys.instances[i]
 			for _, tracked := range []struct {
 				id string
 				t  *change.Target
@@ -364,10 +364,10 @@
 	if testing.Short() {
 		t.Skip("explores several hundred thousand states")
 	}
-	for name, w := range map[string]*system{"two managers": newSystem(false, *observationsFlag), "one manager": newSystem(true, 4)} {
+	for name, sys := range map[string]*system{"two managers": newSystem(false, *observationsFlag), "one manager": newSystem(true, 4)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, unexplored, statusCounts, err := explore(w, 10_000_000)
+			states, unexplored, statusCounts, err := explore(sys, 10_000_000)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -382,9 +382,9 @@
 // The exploration finds deliberate bugs.
 func TestExplorerFindsBugs(t *testing.T) {
 	for _, bug := range []string{"treats a missing answer as unchanged", "does not wait for the previous wave"} {
-		w := newSystem(false, 1)
-		w.injectedBug = bug
-		if _, _, _, err := explore(w, 10_000_000); err == nil {
+		sys := newSystem(false, 1)
+		sys.injectedBug = bug
+		if _, _, _, err := explore(sys, 10_000_000); err == nil {
 			t.Errorf("%s: not found", bug)
 		} else {
 			t.Logf("%s: %v", bug, err)
--- a/internal/rollout/keep.go
+++ b/internal/rollout/keep.go
@@ -97,7 +97,8 @@
 	r.retryAt = now + r.retryDelay
 }
 
-// FailureReason returns why the last attempt failed, "" if it did not fail.
+// FailureReason returns why the last attempt failed. It is "" if the attempt did not fail, and also
+// if the instance gave no answer.
 func (r *Reconciler) FailureReason() string {
 	if r.retryDelay == 0 {
 		return ""
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -84,7 +84,7 @@
 type Member struct {
 	Name   string        `json:"name"`
 	Wave   int           `json:"wave"`
-	Try    int           `json:"try"`   // number of retries
+	Try    int           `json:"try"`   // number of retries under a new id
 	Was    string        `json:"was"`   // hash of the previous document
 	Epoch  string        `json:"epoch"` // epoch of the process that the change was planned for
 	Base   uint64        `json:"base"`  // revision of that process that the change is based on
