--- a/cmd/micaline-manage/main_test.go
+++ b/cmd/micaline-manage/main_test.go
@@ -49,14 +49,14 @@
 
 func (i *fakeInstance) Name() string             { return i.name }
 func (i *fakeInstance) Base() *settings.Settings { return &i.base }
-func (i *fakeInstance) Look(context.Context) (*control.State, error) {
+func (i *fakeInstance) State(context.Context) (*control.State, error) {
 	return &control.State{Taking: true, Backends: []control.Backend{{Name: "b1", Phase: "Ready"}}}, nil
 }
 func (i *fakeInstance) Apply(context.Context, string, *document.Document) error { return nil }
 func (i *fakeInstance) Hold(_ context.Context, name string, _ time.Duration) (bool, error) {
 	return name == "b1", nil
 }
-func (i *fakeInstance) SetTaking(bool)               {}
+func (i *fakeInstance) SetAccepting(bool)            {}
 func (i *fakeInstance) Reload(context.Context) error { return nil }
 
 // testEnvironment is a directory with the files that operators write, and a certificate authority.
--- a/cmd/micaline-manage/size_bench_test.go
+++ b/cmd/micaline-manage/size_bench_test.go
@@ -43,6 +43,7 @@
 }
 
 // processUsage returns the resident memory of a process in MB and the CPU time that it has used.
+// The kernel counts CPU time in ticks of 10 ms.
 func processUsage(b *testing.B, pid int) (mb float64, cpu time.Duration) {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -96,7 +96,7 @@
 
 // ParseSelector parses a selector: terms separated by commas, all of which must match. A term is a
 // name, or a label whose value must equal (zone=a) or not equal (zone!=a) a value. Names and values
-// may contain wildcards (agent-*).
+// may contain wildcards (agent-*). The label "name" stands for the instance's name.
 func ParseSelector(text string) (Selector, error) {
 	var s Selector
 	if strings.TrimSpace(text) == "" {
--- a/internal/journal/disk/disk.go
+++ b/internal/journal/disk/disk.go
@@ -1,9 +1,10 @@
-// Package disk is a journal in a file: records in transactions, with go.etcd.io/bbolt. What it returns as written
-// is there after a kill at any point.
+// Package disk stores a journal in a file, with go.etcd.io/bbolt. A transaction that Write has
+// reported as written survives a kill of the process at any point.
 //
-// bbolt checks its own two heads, and not the pages that they lead to. So each record has a sum of its own (CRC-32C), and
-// a file is gone through whole when it is opened: one that was cut or damaged is told as such, and never makes the
-// process panic.
+// bbolt verifies its two meta pages, but not the pages that they refer to. So each record has a
+// checksum of its own (CRC-32C), and Open reads an existing file whole. A file that is truncated or
+// whose structure is damaged gives ErrDamaged, and a record with a wrong checksum is read as damaged.
+// Neither makes the process panic.
 package disk
 
 import (
@@ -22,23 +23,23 @@
 	"example.org/micaline/internal/journal"
 )
 
-// openTimeout is how long another process may hold the file.
+// openTimeout is the longest time to wait for another process to release its lock on the file.
 const openTimeout = time.Second
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrDamaged is a file that can't be read whole.
+// ErrDamaged is the error for a journal file that can't be read completely.
 var ErrDamaged = errors.New("the journal is damaged")
 
-// Journal is an open file.
+// Journal is an open journal file. It implements journal.Store.
 type Journal struct{ db *bbolt.DB }
 
-// Open opens a journal, or makes a new one with the buckets named.
+// Open opens a journal file, or creates it. It creates the given buckets where they are missing.
 func Open(path string, buckets ...string) (j *Journal, err error) {
-	if err := whole(path); err != nil {
+	if err := verifyFile(path); err != nil {
 		return nil, err
 	}
-	err = guarded(func() error {
+	err = recoverDamage(func() error {
 		db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout, FreelistType: bbolt.FreelistMapType})
 		if errors.Is(err, bbolterrors.ErrTimeout) {
 			return fmt.Errorf("%s: another process has it open", path)
@@ -65,9 +66,9 @@
 	return j, nil
 }
 
-// whole goes through an existing file without changing it. Danger: bbolt maps the file, and takes a page for there that
-// was cut off.
-func whole(path string) error {
+// verifyFile reads an existing file whole, without changing it. bbolt maps the file into memory and
+// does not notice that pages are missing from a truncated file, so the size is checked first.
+func verifyFile(path string) error {
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) || err == nil && info.Size() == 0 {
 		return nil
@@ -75,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	return guarded(func() error {
+	return recoverDamage(func() error {
 		db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout, ReadOnly: true})
 		if errors.Is(err, bbolterrors.ErrTimeout) {
 			return fmt.Errorf("%s: another process has it open", path)
@@ -95,8 +96,9 @@
 	})
 }
 
-// guarded turns what bbolt panics with, and a page that is not there, into an error.
-func guarded(f func() error) (err error) {
+// recoverDamage calls f and turns a panic of bbolt, or a fault on a mapped page that the file does
+// not have, into ErrDamaged.
+func recoverDamage(f func() error) (err error) {
 	before := debug.SetPanicOnFault(true)
 	defer func() {
 		debug.SetPanicOnFault(before)
@@ -110,9 +112,9 @@
 // Close closes the file.
 func (j *Journal) Close() error { return j.db.Close() }
 
-// Write writes records in one transaction: all of them or none.
+// Write implements journal.Store.
 func (j *Journal) Write(records []journal.Record) error {
-	return guarded(func() error {
+	return recoverDamage(func() error {
 		return j.db.Update(func(tx *bbolt.Tx) error {
 			for _, r := range records {
 				b := tx.Bucket([]byte(r.Bucket))
@@ -125,7 +127,7 @@
 					}
 					continue
 				}
-				if err := b.Put([]byte(r.Key), sealed(r.Value)); err != nil {
+				if err := b.Put([]byte(r.Key), addChecksum(r.Value)); err != nil {
 					return err
 				}
 			}
@@ -134,31 +136,30 @@
 	})
 }
 
-// sealed is a value with its sum before it.
-func sealed(v []byte) []byte {
+// addChecksum returns a value with its checksum before it.
+func addChecksum(v []byte) []byte {
 	out := binary.LittleEndian.AppendUint32(make([]byte, 0, len(v)+4), crc32.Checksum(v, castagnoli))
 	return append(out, v...)
 }
 
-// unsealed checks a value's sum.
-func unsealed(v []byte) (value []byte, ok bool) {
+// verifyChecksum checks and removes the checksum of a stored value.
+func verifyChecksum(v []byte) (value []byte, ok bool) {
 	if len(v) < 4 || binary.LittleEndian.Uint32(v) != crc32.Checksum(v[4:], castagnoli) {
 		return nil, false
 	}
 	return v[4:], true
 }
 
-// Read calls a function with each record of a bucket, in the order of their keys; with a nil value for one that is
-// damaged. Values are the function's to keep.
+// Read implements journal.Store. A record whose checksum does not match is damaged.
 func (j *Journal) Read(bucket string, f func(key string, value []byte) error) error {
-	return guarded(func() error {
+	return recoverDamage(func() error {
 		return j.db.View(func(tx *bbolt.Tx) error {
 			b := tx.Bucket([]byte(bucket))
 			if b == nil {
 				return nil
 			}
 			return b.ForEach(func(k, v []byte) error {
-				value, ok := unsealed(v)
+				value, ok := verifyChecksum(v)
 				if !ok {
 					return f(string(k), nil)
 				}
--- a/internal/journal/disk/disk_test.go
+++ b/internal/journal/disk/disk_test.go
@@ -14,17 +14,20 @@
 	"example.org/micaline/internal/journal"
 )
 
-const asWriter = "MICALINE_TEST_JOURNAL"
+// writerPath is the environment variable that holds the path of a journal. If it is set, the test
+// binary writes to that journal instead of running the tests.
+const writerPath = "MICALINE_TEST_JOURNAL"
 
 func TestMain(m *testing.M) {
-	if path := os.Getenv(asWriter); path != "" {
-		write(path)
+	if path := os.Getenv(writerPath); path != "" {
+		writeUntilKilled(path)
 	}
 	os.Exit(m.Run())
 }
 
-// write writes transactions of two records each, and says each when it is there, until it is killed.
-func write(path string) {
+// writeUntilKilled writes transactions of three records each, and prints the number of each
+// transaction once it is written, until the process is killed.
+func writeUntilKilled(path string) {
 	j, err := Open(path, "b")
 	if err != nil {
 		fmt.Println(err)
@@ -40,7 +43,7 @@
 	}
 }
 
-func read(t *testing.T, j *Journal) map[string]string {
+func readAll(t *testing.T, j *Journal) map[string]string {
 	t.Helper()
 	all := map[string]string{}
 	if err := j.Read("b", func(k string, v []byte) error {
@@ -55,13 +58,14 @@
 	return all
 }
 
-// What was said to be written is there after a kill, and transactions are there whole or not at all.
+// TestKilled checks that records that were reported as written are present after the writer is
+// killed, and that each transaction is present completely or not at all.
 func TestKilled(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	last := -1
 	for round := range 4 {
 		cmd := exec.CommandContext(t.Context(), os.Args[0])
-		cmd.Env = append(os.Environ(), asWriter+"="+path)
+		cmd.Env = append(os.Environ(), writerPath+"="+path)
 		out, err := cmd.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
@@ -80,7 +84,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all := read(t, j)
+		all := readAll(t, j)
 		var n int
 		fmt.Sscan(all["x"], &n)
 		if all["x"] != all["y"] || n < last {
@@ -92,7 +96,8 @@
 	}
 }
 
-// A record that is changed on disk is told as damaged, and the others are read.
+// TestDamagedRecord checks that a record that was changed on disk is reported as damaged, and that
+// the others can be read.
 func TestDamagedRecord(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, err := Open(path, "b")
@@ -123,7 +128,8 @@
 	}
 }
 
-// A file that is cut anywhere, or has rubbish in it, is opened with what it holds or refused, and nothing panics.
+// TestCutAndGarbled checks that a file that is truncated anywhere, or partly overwritten with random
+// bytes, is either opened or refused, and that nothing panics.
 func TestCutAndGarbled(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "j")
@@ -157,7 +163,7 @@
 			return
 		}
 		opened++
-		j.Read("b", func(string, []byte) error { return nil }) // an error will do
+		j.Read("b", func(string, []byte) error { return nil }) // may fail, but must not panic
 		j.Close()
 	}
 	for cut := 1; cut < len(text); cut += len(text)/40 + 1 {
@@ -176,6 +182,7 @@
 	}
 }
 
+// TestOneAtATime checks that a journal that is already open is refused, without reporting damage.
 func TestOneAtATime(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "j")
 	j, err := Open(path, "b")
--- a/internal/manage/client.go
+++ b/internal/manage/client.go
@@ -48,17 +48,17 @@
 func (c *Client) KeepAnnouncing(ctx context.Context, name string, a *Announcement, log *slog.Logger) {
 	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
-	last := "not yet"
+	lastOutcome := "not yet"
 	for {
-		now := ""
+		outcome := ""
 		if err := c.Announce(ctx, name, a); err != nil {
-			now = err.Error()
+			outcome = err.Error()
 		}
-		if now != last && ctx.Err() == nil {
-			if last = now; now == "" {
+		if outcome != lastOutcome && ctx.Err() == nil {
+			if lastOutcome = outcome; outcome == "" {
 				log.Info("announced to the manager", "at", a.Addr)
 			} else {
-				log.Warn("not announced to the manager", "error", now)
+				log.Warn("not announced to the manager", "error", outcome)
 			}
 		}
 		select {
--- a/internal/manage/hard_test.go
+++ b/internal/manage/hard_test.go
@@ -258,7 +258,8 @@
 }
 
 // TestChangedByHand changes an instance by hand after the rollout has started and before its wave.
-// The rollout must not overwrite that change. The keeper applies the document after the rollout.
+// The rollout must not overwrite that change. The reconciler applies the document after the
+// rollout.
 func TestChangedByHand(t *testing.T) {
 	withFleet(t, 4, func(t *testing.T, fleet *testFleet) {
 		d := doc(t, worthDocument)
@@ -393,15 +394,15 @@
 	withFleet(t, 3, func(t *testing.T, fleet *testFleet) {
 		fleet.killManager()
 		fleet.store.setFailure(nil, false)
-		houses := fleet.instances
+		instances := fleet.instances
 		fleet.instances = map[string]*testInstance{} // no instances in the fleet file
 		fleet.startManager()
-		fleet.instances = houses
+		fleet.instances = instances
 		m := fleet.currentManager()
 		announce := func(name string) error {
-			return m.RecordAnnouncement(context.Background(), inventory.Instance{Name: name, Addr: houses[name].addr, Labels: map[string]string{"kind": "announced"}})
+			return m.RecordAnnouncement(context.Background(), inventory.Instance{Name: name, Addr: instances[name].addr, Labels: map[string]string{"kind": "announced"}})
 		}
-		for name := range houses {
+		for name := range instances {
 			if err := announce(name); err != nil {
 				t.Fatal(err)
 			}
@@ -423,7 +424,7 @@
 		fleet.killManager()
 		fleet.instances = map[string]*testInstance{}
 		fleet.startManager()
-		fleet.instances = houses
+		fleet.instances = instances
 		m = fleet.currentManager()
 		if s, err := m.Status(context.Background()); err != nil || s.Instances != 3 {
 			t.Errorf("after a restart: %+v, error %v", s, err)
--- a/internal/manage/instances.go
+++ b/internal/manage/instances.go
@@ -23,12 +23,12 @@
 	Reason   string                `json:"reason,omitempty"`
 	Epoch    string                `json:"epoch,omitempty"`
 	Revision uint64                `json:"revision"`
-	Hash     string                `json:"hash,omitempty"`
-	Wanted   string                `json:"wanted,omitempty"`
+	Hash     string                `json:"hash,omitempty"`    // of the document that it has
+	Wanted   string                `json:"wanted,omitempty"`  // hash of the document that it should have
 	Rollout  string                `json:"rollout,omitempty"` // ID of the rollout that is changing the instance
 	Seen     float64               `json:"seen_s"`            // seconds since its last answer; -1 if there was none
-	Taking   bool                  `json:"taking"`
-	Held     int                   `json:"held"`
+	Taking   bool                  `json:"taking"`            // it accepts requests
+	Held     int                   `json:"held"`              // number of its requests in flight
 	Service  control.RequestCounts `json:"service"`
 }
 
@@ -50,8 +50,8 @@
 		r.State = StateUnmanaged
 	case r.Wanted == r.Hash && len(instance.summary.Mixed) == 0:
 		r.State = StateAsWanted
-	case instance.keeper.FailureReason() != "":
-		r.State, r.Reason = StateRefused, instance.keeper.FailureReason()
+	case instance.reconciler.FailureReason() != "":
+		r.State, r.Reason = StateRefused, instance.reconciler.FailureReason()
 	default:
 		r.State = StateDiffers
 	}
--- a/internal/manage/kill_test.go
+++ b/internal/manage/kill_test.go
@@ -386,8 +386,8 @@
 	fleet.t.Helper()
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
-	for _, g := range r.Instances {
-		applied := fleet.instances[g.Name].applied[g.Epoch]
+	for _, outcome := range r.Instances {
+		applied := fleet.instances[outcome.Name].applied[outcome.Epoch]
 		var parts []string
 		for _, part := range document.Parts {
 			if applied[part] == r.Document {
@@ -396,14 +396,14 @@
 		}
 		complete := len(parts) == len(document.Parts)
 		switch {
-		case g.Back == "applied" && len(parts) > 0:
-			fleet.t.Errorf("%s: %s is reported as rolled back, but has %v", r.ID, g.Name, parts)
-		case g.State == "applied" && g.Back == "" && !complete:
-			fleet.t.Errorf("%s: %s is reported as applied in %s, but has %v", r.ID, g.Name, g.Epoch, applied)
-		case g.State == "unchanged" && g.Epoch != "" && complete && r.Status != "completed": // keepers apply it after completion
-			fleet.t.Errorf("%s: %s is reported as unchanged in %s, but has %v", r.ID, g.Name, g.Epoch, applied)
-		case g.State == "partly changed" && g.Back == "" && !slices.Equal(g.Parts, parts):
-			fleet.t.Errorf("%s: %s is reported to have %v in %s, but has %v", r.ID, g.Name, g.Parts, g.Epoch, parts)
+		case outcome.Back == "applied" && len(parts) > 0:
+			fleet.t.Errorf("%s: %s is reported as rolled back, but has %v", r.ID, outcome.Name, parts)
+		case outcome.State == "applied" && outcome.Back == "" && !complete:
+			fleet.t.Errorf("%s: %s is reported as applied in %s, but has %v", r.ID, outcome.Name, outcome.Epoch, applied)
+		case outcome.State == "unchanged" && outcome.Epoch != "" && complete && r.Status != "completed": // reconcilers apply it after completion
+			fleet.t.Errorf("%s: %s is reported as unchanged in %s, but has %v", r.ID, outcome.Name, outcome.Epoch, applied)
+		case outcome.State == "partly changed" && outcome.Back == "" && !slices.Equal(outcome.Parts, parts):
+			fleet.t.Errorf("%s: %s is reported to have %v in %s, but has %v", r.ID, outcome.Name, outcome.Parts, outcome.Epoch, parts)
 		}
 	}
 }
@@ -468,7 +468,7 @@
 					default:
 						t.Errorf("%s, %s", r.Status, r.Reason)
 					}
-					time.Sleep(30 * time.Second) // for the keepers to restore the wanted document
+					time.Sleep(30 * time.Second) // for the reconcilers to restore the wanted document
 					if err := fleet.checkApplied(want); err != nil {
 						t.Error(err)
 					}
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -31,7 +31,7 @@
 	sendTimeout           = 5 * time.Second
 	journalRetryInterval  = time.Second // wait after a failed write
 	fenceDiscoveryTimeout = 3 * time.Second
-	announcementExpiry    = 10 * time.Minute // removes an announced instance after this time without announcement or answer
+	announcementExpiry    = 10 * time.Minute // an announced instance is removed after this time without announcement or answer
 	confirmTimeout        = 20 * time.Second // an instance reverts a change that is not confirmed over a new connection
 	maxRollouts           = 64               // kept in memory and in the journal
 	eventQueueSize        = 1024             // capacity for results of polls and requests
@@ -119,7 +119,7 @@
 	nextPoll          time.Duration
 	serviceWindow     rollout.SlidingWindow
 	observation       rollout.Observation
-	keeper            rollout.Reconciler
+	reconciler        rollout.Reconciler
 }
 
 // reachable reports whether the last poll succeeded.
@@ -151,7 +151,7 @@
 func (m *Manager) registerInstance(in inventory.Instance) *managedInstance {
 	instance := m.instances[in.Name]
 	if instance == nil {
-		instance = &managedInstance{keeper: rollout.Reconciler{Name: in.Name, Desired: m.wanted[in.Name]}}
+		instance = &managedInstance{reconciler: rollout.Reconciler{Name: in.Name, Desired: m.wanted[in.Name]}}
 		m.instances[in.Name] = instance
 	}
 	instance.Instance, instance.labels = in, in.Labels
@@ -224,6 +224,7 @@
 	m.pendingSends = nil
 }
 
+// acknowledge passes the result of a journal write to the callers of update that wait for it.
 func (m *Manager) acknowledge(err error) {
 	for _, ack := range m.pendingAcks {
 		ack(err)
@@ -269,9 +270,9 @@
 
 func (m *Manager) mayAct() bool { return m.opts.MayAct == nil || m.opts.MayAct() }
 
-// fenceAcknowledged reports whether all instances that answer polls have received this manager's
-// fence. No change is sent before that, because an instance without the new fence would still
-// accept a late request of an earlier manager.
+// fenceAcknowledged reports whether all instances, except those whose last poll failed, have
+// received this manager's fence. No change is sent before that, because an instance without the new
+// fence would still accept a late request of an earlier manager.
 func (m *Manager) fenceAcknowledged() bool {
 	for _, instance := range m.instances {
 		if instance.acknowledgedFence != m.fence && instance.pollErr == nil {
@@ -338,7 +339,7 @@
 	m.wanted[name] = hash
 	m.appendRecord(wantedBucket, name, hash)
 	if instance := m.instances[name]; instance != nil {
-		instance.keeper.Desired = hash
+		instance.reconciler.Desired = hash
 	}
 }
 
--- a/internal/manage/orders.go
+++ b/internal/manage/orders.go
@@ -228,12 +228,14 @@
 	return plan, err
 }
 
-var rolloutID = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,100}$`)
+// rolloutIDPattern matches valid rollout IDs. The ID "keep" is refused as well, because the IDs of
+// the reconcilers' changes begin with "keep/" and those of a rollout's changes with its ID.
+var rolloutIDPattern = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,100}$`)
 
 // StartRollout starts a rollout. If a rollout with this ID and the same document exists, it returns
 // that rollout's report and starts nothing. An ID that is used for another document is refused.
 func (m *Manager) StartRollout(ctx context.Context, id string, o *Order) (*Report, error) {
-	if !rolloutID.MatchString(id) || id == "keep" {
+	if !rolloutIDPattern.MatchString(id) || id == "keep" {
 		return nil, &api.Problem{Status: 422, Title: "the order can't be used", Detail: fmt.Sprintf("%.80q is not 1 to 100 letters, digits, dots, hyphens and underscores", id), Field: "id"}
 	}
 	if o.Document != nil {
--- a/internal/manage/poll.go
+++ b/internal/manage/poll.go
@@ -97,17 +97,18 @@
 		m.pendingSends = append(m.pendingSends, m.rollouts[id].Observe(t, name, instance.observation)...)
 	}
 	_, active := m.activeRollout(name)
-	if next, ok := instance.keeper.Observe(t, instance.observation, active); ok {
+	if next, ok := instance.reconciler.Observe(t, instance.observation, active); ok {
 		m.pendingSends = append(m.pendingSends, next)
 	}
 }
 
-// startRequest starts a request of a rollout or keeper to an instance. Its outcome is queued for
+// startRequest starts a request of a rollout or reconciler to an instance. Its outcome is queued for
 // handleAnswer.
 func (m *Manager) startRequest(ctx context.Context, s rollout.OutgoingRequest) {
 	instance := m.instances[s.Instance]
 	if instance == nil || instance.pollErr != nil && s.Request == change.RequestPrepare || !m.mayAct() {
-		// Nothing is sent. The rollout handles this like an unanswered request, without a delay.
+		// Nothing is sent. The sender handles this like an unanswered request, and an unreachable
+		// instance delays no other requests.
 		reason := "the instance is no longer known"
 		if !m.mayAct() {
 			reason = "this manager may no longer act"
@@ -175,8 +176,9 @@
 	return a, err
 }
 
-// parseAnswer converts the response of an instance. Only a refusal that carries the epoch of the
-// instance's process counts as an answer. Other errors are returned, and the outcome stays unknown.
+// parseAnswer converts the response of an instance. Among errors, only a refusal with a status below
+// 500 that carries the epoch of the instance's process counts as an answer. Other errors are
+// returned, and the outcome stays unknown.
 func parseAnswer(c *control.Change, err error) (change.Answer, error) {
 	var problem *api.Problem
 	switch {
@@ -192,7 +194,7 @@
 	return change.Answer{Epoch: c.Epoch, Result: change.Result{ID: c.ID, Outcome: outcome, Parts: c.Parts, Revision: c.Revision, Reason: c.Reason}}, nil
 }
 
-// handleAnswer passes the outcome of a request to the rollout or keeper that sent it.
+// handleAnswer passes the outcome of a request to the rollout or reconciler that sent it.
 func (m *Manager) handleAnswer(s rollout.OutgoingRequest, a change.Answer, err error) {
 	t := now()
 	if a.Fenced {
@@ -201,11 +203,11 @@
 	if s.FromReconciler {
 		if instance := m.instances[s.Instance]; instance != nil {
 			if err != nil {
-				instance.keeper.RecordNoAnswer(t)
+				instance.reconciler.RecordNoAnswer(t)
 				return
 			}
 			_, active := m.activeRollout(s.Instance)
-			if next, ok := instance.keeper.RecordAnswer(t, active || m.superseded, a); ok {
+			if next, ok := instance.reconciler.RecordAnswer(t, active || m.superseded, a); ok {
 				m.pendingSends = append(m.pendingSends, next)
 			}
 		}
--- a/internal/manage/report.go
+++ b/internal/manage/report.go
@@ -47,11 +47,11 @@
 	ID        string            `json:"id"`
 	Status    string            `json:"status"`
 	Reason    string            `json:"reason,omitempty"`
-	Document  string            `json:"document"`
-	Wave      int               `json:"wave"` // from 1
+	Document  string            `json:"document"` // hash
+	Wave      int               `json:"wave"`     // from 1
 	Waves     int               `json:"waves"`
 	Baking    bool              `json:"baking"` // the wave is applied and is being watched
-	Took      float64           `json:"took_s"`
+	Took      float64           `json:"took_s"` // seconds since it began, until its end
 	Summary   rollout.Summary   `json:"summary"`
 	Instances []InstanceOutcome `json:"instances,omitempty"`
 }
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -35,20 +35,21 @@
 }
 
 // Set sets the manager of this process; nil means none.
-func (d *ActiveManager) Set(m *Manager) {
-	d.mu.Lock()
-	d.manager = m
-	d.mu.Unlock()
+func (a *ActiveManager) Set(m *Manager) {
+	a.mu.Lock()
+	a.manager = m
+	a.mu.Unlock()
 }
 
-// current returns the manager, or a problem that names the process that has it.
-func (d *ActiveManager) current() (*Manager, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.manager != nil {
-		return d.manager, nil
+// current returns the manager of this process. Without one it returns a problem, which names the
+// group member that manages the fleet if it is known.
+func (a *ActiveManager) current() (*Manager, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.manager != nil {
+		return a.manager, nil
 	}
-	if holder := d.remoteHolder(); holder != "" {
+	if holder := a.remoteHolder(); holder != "" {
 		return nil, &api.Problem{Status: http.StatusMisdirectedRequest, Title: "another process manages", Detail: holder + " manages the fleet", Field: ""}
 	}
 	return nil, &api.Problem{Status: http.StatusServiceUnavailable, Title: "no manager is active at the moment", Detail: "no member of the group holds the lease, or the group has no quorum"}
--- a/internal/manage/store.go
+++ b/internal/manage/store.go
@@ -19,8 +19,8 @@
 	return fmt.Errorf("the journal's record %s/%q is damaged", bucket, key)
 }
 
-// load reads the journal. It skips damaged announcements and marks instances of a rollout whose
-// record is damaged as unknown. Other damaged records are errors.
+// load reads the journal. It skips damaged announcements. If the record of an instance in a rollout
+// is damaged, the instance's outcome is unknown. Other damaged records are errors.
 func (m *Manager) load() error {
 	store := m.opts.Store
 	err := errors.Join(
@@ -79,11 +79,12 @@
 	}
 	slices.SortFunc(m.rolloutOrder, func(a, b string) int { return int(headers[a].Begun - headers[b].Begun) })
 	for _, instance := range m.instances {
-		instance.keeper.Desired = m.wanted[instance.Name]
+		instance.reconciler.Desired = m.wanted[instance.Name]
 	}
 	return nil
 }
 
+// decodeRecord decodes the value of a record. The store passes nil for a damaged one.
 func decodeRecord(bucket, key string, v []byte, to any) error {
 	if v == nil || json.Unmarshal(v, to) != nil {
 		return damagedRecordError(bucket, key)
