--- a/internal/mesh/controlplane/core.go
+++ b/internal/mesh/controlplane/core.go
@@ -172,7 +172,7 @@
 	}
 	c.leave(server)
 	err = c.node.Close()
-	c.log.Info("core stopped")
+	c.log.Info("core ended")
 	return err
 }
 
--- a/internal/mesh/sidecar/leave.go
+++ b/internal/mesh/sidecar/leave.go
@@ -65,7 +65,7 @@
 	for time.Now().Before(schedule.DrainedBy) && a.host.Outstanding() > 0 {
 		time.Sleep(20 * time.Millisecond)
 	}
-	a.log.WithField("after", time.Since(startedAt).Round(time.Millisecond).String()).Info("agent stopped")
+	a.log.WithField("after", time.Since(startedAt).Round(time.Millisecond).String()).Info("agent ended")
 }
 
 // canExit reports whether a process whose shutdown was requested at stopRequested has nothing left
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// Handle takes one event and appends what must be done to out. The Data of an ActTell lives until the next call.
+// Handle takes one event and appends what must be done to out. The Data of an ActBroadcast lives until the next call.
 func (p *Sharer) Handle(now time.Duration, ev policy.Event, out []policy.Action) []policy.Action {
 	p.now = max(now, p.now)
 	switch {
